--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -223,7 +223,7 @@
 			joined = b.vanishedPoolZone(group, joined)
 		}
 		made.withheld = made.withheld || joined.withheldByEvacuation
-		made.zones = append(made.zones, joined)
+		made.poolZones = append(made.poolZones, joined)
 		made.rules = append(made.rules, joined.rule)
 	}
 	return made
