--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -86,8 +86,8 @@
 	// those of any pool.
 	admittedPools map[string]bool
 	admitAllPools bool
-	// urgency is that of the route's requests.
-	urgency admission.Priority
+	// priority is that of the route's requests.
+	priority admission.Priority
 }
 
 // pool is the back ends of one pool that may take new flows.
