--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -51,7 +51,7 @@
 
 // A peer that knows nothing answers with an age beyond all bounds and no
 // revision. It confirms nothing, so the store is asked eagerly as before.
-func TestPeerThatKnowsNothingConfirmsNothing(t *testing.T) {
+func TestPeerWithoutKnowledgeDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{
@@ -62,7 +62,7 @@
 	require.False(t, known)
 }
 
-func TestPartOfTheStoreConfirmsNothing(t *testing.T) {
+func TestPartialSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	part := routesBatch(5)
@@ -76,7 +76,7 @@
 
 // An old copy of the store names everybody, but routes and back ends may have
 // changed since. They serve once a peer or the store has brought the changes.
-func TestOldCopyOfTheStoreConfirmsNothing(t *testing.T) {
+func TestStaleSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
@@ -99,7 +99,7 @@
 //
 // Evidence: an answer that may be seconds old tells the store's era as of now, so that nothing in it
 // says that its revision was given in the one before.
-func TestOldCopyOfWhatTheStoreHasLostHidesNothing(t *testing.T) {
+func TestStaleSnapshotOfLostWritesHidesNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollOld),
@@ -116,7 +116,7 @@
 
 // A back end that had gone when a balancer started is known to it from the old copy, so that open
 // flows find it: the copy is older than what holds, and is kept.
-func TestOldCopyIsKeptBesideWhatHolds(t *testing.T) {
+func TestStaleSnapshotIsKeptBesideCurrentState(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	old := routesBatch(5)
@@ -130,7 +130,7 @@
 
 // An answer of an era that the store has left confirms nothing, and a write that was under way as it
 // was left counts as failed.
-func TestLateAnswerOfAnEarlierEraConfirmsNothing(t *testing.T) {
+func TestLateAnswerOfEarlierEraDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	later, err := revision.Join(1, 3)
@@ -154,7 +154,7 @@
 }
 
 // The reader removes the entry that it knows, and no later one.
-func TestEntriesAreRemovedAtTheRevisionsThatAreKnown(t *testing.T) {
+func TestEntriesAreRemovedAtKnownRevisions(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	entry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:8166"}
@@ -172,7 +172,7 @@
 	require.Equal(t, storeStandIn, purposeOf(replication.PollCatchUp, true, false))
 }
 
-func TestFailedCallsLeaveWhatIsKnown(t *testing.T) {
+func TestFailedCallsKeepTheDirectory(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -207,7 +207,7 @@
 	require.Nil(t, control.followOnce(5, now, now), "nothing new")
 }
 
-func TestFollowersWaitInBoundedNumber(t *testing.T) {
+func TestWaitingFollowersAreBounded(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	for range maxWaitingFollowers + 10 {
@@ -218,7 +218,7 @@
 
 // At a start of everything, all that is known goes out to as many at a time as a
 // link takes. The others wait, and those that ask for less do not.
-func TestCompleteAnswersGoOutInTurn(t *testing.T) {
+func TestFullRepliesAreRateLimited(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -266,7 +266,7 @@
 }
 
 // With one back end in the zone, every retry would meet it again after it died.
-func TestFewBackendsInTheZoneShareWithTheOthers(t *testing.T) {
+func TestFewBackendsInTheZoneShareFlowsWithOtherZones(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.firstRoutesAt = now.Add(-time.Hour)
@@ -277,7 +277,7 @@
 
 // The table turns back to its zone without news, and open flows keep the pools
 // that their route had for the life of a flow.
-func TestTableTurnsWithoutNews(t *testing.T) {
+func TestTableChangesWithoutNews(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -304,7 +304,7 @@
 // A machine that stood still while it built a table builds the next one soon all the
 // same: knowledge may be as old as the standbys' last turn lets it grow, and the
 // pause and a build that takes as long come on top.
-func TestNextTableComesInTimeHoweverLongOneTook(t *testing.T) {
+func TestSlowBuildDoesNotDelayTheNextTable(t *testing.T) {
 	for _, configuration := range []string{"300", "3000", "6000", "60000"} {
 		loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1",
 			"configuration_milliseconds": configuration, "drain_milliseconds": configuration})
@@ -318,7 +318,7 @@
 	}
 }
 
-func TestReloadTakesAllOrNothing(t *testing.T) {
+func TestReloadAppliesAllOrNothing(t *testing.T) {
 	control := newTestControl()
 	balancer := control.balancer
 	level := new(slog.LevelVar)
@@ -341,7 +341,7 @@
 		Revision: revision, Entry: &apiv1.DirectoryChange_Policy{Policy: &apiv1.Policy{Name: name, Weight: weight}}}}}
 }
 
-func TestPoliciesDecideTheSpread(t *testing.T) {
+func TestPoliciesSetTheWeights(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
@@ -359,7 +359,7 @@
 
 // A read of the operators' orders that shows others than are known makes the next read
 // of a large store a whole one; nothing but the table of routes is taken from it.
-func TestOrdersChangedUnseenAreReadWhole(t *testing.T) {
+func TestMissedOperatorOrderTriggersFullRead(t *testing.T) {
 	c := newTestControl()
 	now := time.Now()
 	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -17,7 +17,7 @@
 // Evidence: the log of a soak shows the read 1.31 s after the removal and a new flow 1.74 s after
 // the read; knowledge had been stale for 1.65 s, in which no entry can lapse, since one does after
 // three heartbeats of silence.
-func TestAGapTooShortToLapseGivesNoGrace(t *testing.T) {
+func TestShortStoreGapGivesNoGrace(t *testing.T) {
 	control := newTestControl()
 	control.balancer.settings.Load().DrainMilliseconds = 3000
 	told := time.Now()
@@ -35,7 +35,7 @@
 // After a gap in which entries may have lapsed they have their time to come back, but none takes
 // new flows beyond the time of a leaving back end, counted from the last confirmation before the
 // gap, while that has not passed.
-func TestLapsedEntriesHaveNoMoreTimeThanLeavingOnes(t *testing.T) {
+func TestExpiredEntriesGetNoMoreTimeThanLeavingOnes(t *testing.T) {
 	for _, each := range []struct{ gap, until time.Duration }{
 		{gap: 2300 * time.Millisecond, until: 0},
 		{gap: 2500 * time.Millisecond, until: 3 * time.Second},
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -55,7 +55,7 @@
 // A balancer that starts is told ten thousand back ends over a link that takes longer for
 // them than an answer may: 200 KB a second, as a sixth of what 21 followers of a strong one
 // have each. In one answer they never came.
-func TestAllIsToldOverANarrowLink(t *testing.T) {
+func TestFullReplyOverASlowLink(t *testing.T) {
 	now := time.Now()
 	parent, child := newFleetControl(1_000, 10_000, now), newTestControl()
 	t.Cleanup(child.testimony.client.Close)
@@ -72,7 +72,7 @@
 }
 
 // Further followers are given the same pages, and are told next what is new since.
-func TestPagesAreMadeOnceForManyFollowers(t *testing.T) {
+func TestPagesAreSharedByFollowers(t *testing.T) {
 	now := time.Now()
 	parent := newFleetControl(100, 2_000, now)
 	one := parent.pagesFor(0, now)
