--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -47,7 +47,7 @@
 // control is the state of the control goroutine.
 type control struct {
 	balancer   *Balancer
-	directory  *directory.Directory
+	replica    *directory.Directory
 	core       *replication.Core
 	client     *replication.Client
 	packer     replication.Packer
@@ -92,8 +92,8 @@
 	settings := balancer.settings.Load()
 	retention := seconds(settings.GetFlowSeconds())
 	made := &control{
-		balancer:  balancer,
-		directory: directory.New(retention),
+		balancer: balancer,
+		replica:  directory.New(retention),
 		core: replication.NewCore(replication.Config{
 			Self:      balancer.ownEntry(),
 			Pace:      paceOf(settings),
@@ -181,7 +181,7 @@
 	c.startReport(ctx, now)
 	c.answerWaiting(now)
 	c.lookAside(now)
-	if c.directory.Expire(now) || c.updateShares(now) {
+	if c.replica.Expire(now) || c.updateShares(now) {
 		c.rebuild = true
 	}
 	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
@@ -238,7 +238,7 @@
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
-	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.directory.Revision(), now)
+	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
 		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).Poll)
 		go c.checkOperatorEntries(ctx)
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -81,7 +81,7 @@
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
 		AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Equal(t, uint64(5), control.directory.Revision())
+	require.Equal(t, uint64(5), control.replica.Revision())
 	control.rebuildTable(now)
 	require.Nil(t, control.balancer.table.Load())
 	reply := control.followOnce(0, now, now.Add(-time.Minute))
@@ -108,10 +108,10 @@
 	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: holds, AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Equal(t, uint64(63), control.directory.Revision())
-	require.Equal(t, uint64(63), control.directory.Routes().GetVersion())
-	require.Len(t, control.directory.Backends(), 1)
-	require.False(t, control.directory.Backends()[0].Gone)
+	require.Equal(t, uint64(63), control.replica.Revision())
+	require.Equal(t, uint64(63), control.replica.Routes().GetVersion())
+	require.Len(t, control.replica.Backends(), 1)
+	require.False(t, control.replica.Backends()[0].Gone)
 }
 
 // A back end that had gone when a balancer started is known to it from the old copy, so that open
@@ -124,8 +124,8 @@
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
 	control.handleNews(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollOld), AsOfNanoseconds: control.sinceStart(now)}, now)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Len(t, control.directory.Backends(), 1)
-	require.True(t, control.directory.Backends()[0].Gone)
+	require.Len(t, control.replica.Backends(), 1)
+	require.True(t, control.replica.Backends()[0].Gone)
 }
 
 // An answer of an era that the store has left confirms nothing, and a write that was under way as it
@@ -144,7 +144,7 @@
 	age, known := control.core.Age(now)
 	require.True(t, known)
 	require.Equal(t, 2*time.Second, age)
-	require.Equal(t, uint64(6), control.directory.Routes().GetVersion())
+	require.Equal(t, uint64(6), control.replica.Routes().GetVersion())
 
 	entry := &apiv1.Balancer{Name: "edge-9", Zone: "maadi", PeerAddress: "10.0.0.9:8166"}
 	control.pendingWrite = replication.Write{Put: []*apiv1.Balancer{entry}}
@@ -179,7 +179,7 @@
 	control.handleNews(&apiv1.DirectoryNews{Error: "status 503"}, now)
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Error: "connection refused"}, now)
 	control.handleNews(&apiv1.DirectoryNews{HistoryLost: true, Error: "gone"}, now)
-	require.Equal(t, uint64(5), control.directory.Routes().GetVersion())
+	require.Equal(t, uint64(5), control.replica.Routes().GetVersion())
 }
 
 // followOnce puts a follower's call to the control state and returns its answer, or
@@ -262,7 +262,7 @@
 			Entry: &apiv1.DirectoryChange_Backend{Backend: &apiv1.PoolBackend{
 				Id: fmt.Sprintf("%s-%s-%d", pool, zone, place), Pool: pool, Zone: zone, Address: 1, Port: 80}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 }
 
 // With one back end in the zone, every retry would meet it again after it died.
@@ -346,14 +346,14 @@
 	now := time.Now()
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
 	covers := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-2", Pool: "covers", Zone: "maadi", Draining: true}}
-	control.directory.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
+	control.replica.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
 	require.Equal(t, uint32(rule.MaximumWeight/2), control.weigher(nil, now)(lending))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(covers), "no policy of its own")
-	control.directory.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
+	control.replica.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
 	require.Zero(t, control.weigher(nil, now)(covers), "the default policy's leaving")
-	control.directory.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
+	control.replica.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending), "a program that fails is passed over")
-	control.directory.Apply(policyBatch(4, "lending", "not a program"), now)
+	control.replica.Apply(policyBatch(4, "lending", "not a program"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending))
 }
 
@@ -373,7 +373,7 @@
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
 	check.Changes = append(check.Changes, order)
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
-	require.Equal(t, uint64(6), c.directory.Routes().GetVersion())
+	require.Equal(t, uint64(6), c.replica.Routes().GetVersion())
 	require.Empty(t, c.evacuated())
 	require.Equal(t, replication.PollSnapshot, c.core.NextPoll(now))
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -90,7 +90,7 @@
 	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	nowhere := tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1},
 		DestinationPort: 444, Protocol: flow.ProtocolTCP}, First: true}
-	traffic.early.add(nowhere, []byte{1}, now)
+	traffic.earlyBuffer.add(nowhere, []byte{1}, now)
 	traffic.routeEarlyPackets(table, now.Add(time.Millisecond))
 	require.Zero(t, refused)
 	require.EqualValues(t, 1, traffic.decisionCounts[tokenroute.ReasonNoRoute].Load())
@@ -121,8 +121,8 @@
 	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	key := flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
 	request := tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Sequence: 1, Length: 1}
-	traffic.early.add(request, []byte{1}, came)
-	traffic.early.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
+	traffic.earlyBuffer.add(request, []byte{1}, came)
+	traffic.earlyBuffer.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
 	now := came.Add(300 * time.Millisecond)
 	traffic.routeEarlyPackets(table, now)
 	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -27,7 +27,7 @@
 	control.handleNews(&apiv1.DirectoryNews{Batch: holds, AsOfNanoseconds: control.sinceStart(told)}, told)
 	read := told.Add(1650 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
-	require.True(t, control.directory.Backends()[0].Gone)
+	require.True(t, control.replica.Backends()[0].Gone)
 	lapse := control.lapse()
 	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows until %s after it may have gone", lapse.Until.Sub(told))
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -21,7 +21,7 @@
 	c.recordPools(now)
 	evacuated := c.evacuated()
 	weights := c.newWeights(evacuated, now)
-	table := tokenroute.NewTable(c.directory, tokenroute.Options{
+	table := tokenroute.NewTable(c.replica, tokenroute.Options{
 		WeightOf:         weights.of,
 		WeightOfPoolZone: weights.ofPlace,
 		Evacuated:        evacuated,
@@ -38,7 +38,7 @@
 		return
 	}
 	c.scheduleTableChange(now)
-	c.gate.takeRoutes(c.directory.Routes())
+	c.gate.takeRoutes(c.replica.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
@@ -98,7 +98,7 @@
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
 	c.changeTableAt(c.lapse().Until, now)
-	for _, group := range c.directory.Groups() {
+	for _, group := range c.replica.Groups() {
 		if group.Gone > 0 {
 			c.scheduleVanished(group, now)
 		}
@@ -124,10 +124,10 @@
 // recordPools notes the pools of each address, whose open flows stay on them
 // when a later configuration names others.
 func (c *control) recordPools(now time.Time) {
-	if c.directory.Routes() != nil && c.firstRoutesAt.IsZero() {
+	if c.replica.Routes() != nil && c.firstRoutesAt.IsZero() {
 		c.firstRoutesAt = now
 	}
-	for _, route := range c.directory.Routes().GetRoutes() {
+	for _, route := range c.replica.Routes().GetRoutes() {
 		address := tokenroute.AddressOf(route)
 		pools := c.poolLastUse[address]
 		if pools == nil {
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -29,7 +29,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%5), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 	control.core.Confirm(now)
 	return control
 }
@@ -60,7 +60,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				control.directory.Apply(&apiv1.DirectoryBatch{Revision: revision,
+				control.replica.Apply(&apiv1.DirectoryBatch{Revision: revision,
 					Changes: []*apiv1.DirectoryChange{fleetBackend(revision, 7, revision%2 == 0)}}, now)
 				control.rebuildTable(now)
 			}
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -33,8 +33,8 @@
 	inbox, outbox mailbox
 	// settleAt is when joined witnesses have waited long enough; zero is never.
 	settleAt time.Time
-	// early are the packets that came before the first table.
-	early earlyBuffer
+	// earlyBuffer are the packets that came before the first table.
+	earlyBuffer earlyBuffer
 	// refusals are the flows refused for want of room.
 	refusals   refusals
 	malformed  atomic.Uint64
@@ -103,7 +103,7 @@
 	t.setWakeup(t.settleAt)
 	t.evaluateBackends(time.Now())
 	t.setWakeup(t.settleAt)
-	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
+	if t.inbox.nonEmpty.Load() || t.earlyBuffer.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
 }
@@ -157,7 +157,7 @@
 	case table != nil:
 		t.routeEarlyPackets(table, now)
 	case !t.balancer.disabled.Has(mechanism.EarlyPackets):
-		t.early.add(packet, datagram, now)
+		t.earlyBuffer.add(packet, datagram, now)
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
@@ -181,12 +181,12 @@
 
 // routeEarlyPackets sends on what came before the first table.
 func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
-	if !t.early.pending() {
+	if !t.earlyBuffer.pending() {
 		return
 	}
-	kept := t.early.take(now)
+	kept := t.earlyBuffer.take(now)
 	t.balancer.logger.Info("Traffic: packets from before the first table are sent on.", "packets", len(kept),
-		"lost", t.early.lost.Load())
+		"lost", t.earlyBuffer.lost.Load())
 	for _, each := range kept {
 		t.routeEarlyPacket(each, table, now)
 	}
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -122,7 +122,7 @@
 func (w *weights) program(pool string) *policy.Program {
 	program, known := w.programs[pool]
 	if !known {
-		program = w.control.programs.find(w.control.directory, pool)
+		program = w.control.programs.find(w.control.replica, pool)
 		w.programs[pool] = program
 	}
 	return program
