--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -68,7 +68,7 @@
 	waitingCalls    []*followCall
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
-	polling         bool
+	pollInFlight    bool
 	// pendingWrite is what is being written to the store about balancers, and pendingWriteEra the store's
 	// era, as far as was known, when that began.
 	pendingWrite    replication.Write
@@ -79,7 +79,7 @@
 	// poolLastUse are the pools that addresses had, and when they last had them.
 	poolLastUse     map[flow.Address]map[string]time.Time
 	firstRoutesAt   time.Time
-	rebuild         bool
+	rebuildNeeded   bool
 	nextTableChange time.Time
 	// nextBuild spaces the building of tables by what the last one took.
 	nextBuild         time.Time
@@ -182,9 +182,9 @@
 	c.answerWaiting(now)
 	c.lookAside(now)
 	if c.replica.Expire(now) || c.updateShares(now) {
-		c.rebuild = true
+		c.rebuildNeeded = true
 	}
-	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
+	due := c.rebuildNeeded || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
 	if !due || now.Before(c.nextBuild) {
 		return
 	}
@@ -227,14 +227,14 @@
 }
 
 func (c *control) startPoll(ctx context.Context, now time.Time) {
-	if c.polling {
+	if c.pollInFlight {
 		return
 	}
 	kind := c.core.NextPoll(now)
 	if kind == replication.PollNone {
 		return
 	}
-	c.polling = true
+	c.pollInFlight = true
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -28,7 +28,7 @@
 	read := told.Add(1650 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
 	require.True(t, control.replica.Backends()[0].Gone)
-	lapse := control.lapse()
+	lapse := control.storeRecovery()
 	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows until %s after it may have gone", lapse.Until.Sub(told))
 }
 
@@ -49,7 +49,7 @@
 		for revision, at := range []time.Time{told, told.Add(each.gap)} {
 			control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.sinceStart(at)}, at)
 		}
-		lapse := control.lapse()
+		lapse := control.storeRecovery()
 		if each.until == 0 {
 			require.Zero(t, lapse, "no entry lapses within %s", each.gap)
 			continue
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -12,7 +12,7 @@
 
 // rebuildTable builds the table that packets are decided by.
 func (c *control) rebuildTable(now time.Time) {
-	c.rebuild = false
+	c.rebuildNeeded = false
 	c.nextTableChange = time.Time{}
 	if _, knows := c.core.Age(now); !knows {
 		// A part of the store, or an old copy, is no ground to refuse flows on.
@@ -29,7 +29,7 @@
 		FormerPools:      c.formerPools(now),
 		ZoneByWeight:     weights.byZone,
 		AdmitAllPools:    now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		StoreRecovery:    c.lapse(),
+		StoreRecovery:    c.storeRecovery(),
 		EmptyPoolGrace:   c.emptyPoolGrace(),
 		Previous:         c.balancer.table.Load(),
 		Now:              now,
@@ -58,19 +58,19 @@
 	return time.Duration(drain/emptyPoolGraceDivisor) * time.Millisecond
 }
 
-// minLapseHeartbeats is the least number of heartbeats after which the entry of a back
+// minExpiryHeartbeats is the least number of heartbeats after which the entry of a back
 // end that can't reach the store lapses: three without a write, the last of which may
 // have come one heartbeat before the gap.
-const minLapseHeartbeats = 2
+const minExpiryHeartbeats = 2
 
-// lapse is the time in which entries that lapsed in the last gap in what the store
+// storeRecovery is the time in which entries that lapsed in the last gap in what the store
 // confirmed may come back. In a gap shorter than entries take to lapse, those that
 // vanished were removed. After a gap shorter than a leaving back end has, entries may
 // have been removed while this balancer counted as in touch with the store, so that
 // they take no new flows beyond the time of a leaving back end.
-func (c *control) lapse() tokenroute.StoreRecovery {
+func (c *control) storeRecovery() tokenroute.StoreRecovery {
 	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
-	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
+	if gap.Length() < minExpiryHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.StoreRecovery{}
 	}
 	lapse := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
@@ -97,7 +97,7 @@
 func (c *control) scheduleTableChange(now time.Time) {
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
-	c.changeTableAt(c.lapse().Until, now)
+	c.changeTableAt(c.storeRecovery().Until, now)
 	for _, group := range c.replica.Groups() {
 		if group.Gone > 0 {
 			c.scheduleVanished(group, now)
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -31,8 +31,8 @@
 	// inbox are statements on back ends from other balancers, and statements those
 	// that they should be told.
 	inbox, outbox mailbox
-	// settleAt is when joined witnesses have waited long enough; zero is never.
-	settleAt time.Time
+	// nextEvaluation is when joined witnesses have waited long enough; zero is never.
+	nextEvaluation time.Time
 	// earlyBuffer are the packets that came before the first table.
 	earlyBuffer earlyBuffer
 	// refusals are the flows refused for want of room.
@@ -100,9 +100,9 @@
 // handleWakeup hears what other balancers saw and judges by it. The deadline is set before the
 // mailbox is looked at, so that nothing put into it meanwhile is left.
 func (t *traffic) handleWakeup() {
-	t.setWakeup(t.settleAt)
+	t.setWakeup(t.nextEvaluation)
 	t.evaluateBackends(time.Now())
-	t.setWakeup(t.settleAt)
+	t.setWakeup(t.nextEvaluation)
 	if t.inbox.nonEmpty.Load() || t.earlyBuffer.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
@@ -119,7 +119,7 @@
 	for _, statement := range t.inbox.take() {
 		t.flows.Receive(statement, table, now)
 	}
-	t.settleAt = t.flows.EvaluatePending(now)
+	t.nextEvaluation = t.flows.EvaluatePending(now)
 	t.reportFailures(table, now)
 }
 
@@ -161,7 +161,7 @@
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
-	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
+	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.nextEvaluation) {
 		t.handleWakeup()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
