--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -215,7 +215,7 @@
 // pagedReply returns the pages of all that is known for a follower that needs all of it, or
 // nil where one answer is enough.
 func (c *control) pagedReply(asking *followCall, known bool, now time.Time) *replication.Pages {
-	if !known || asking.revisionOnly || !asking.acceptsPages || !c.replica.NeedsAll(asking.afterRevision, asking.withTombstones) {
+	if !known || asking.revisionOnly || !asking.acceptsPages || !c.replica.NeedsSnapshot(asking.afterRevision, asking.withTombstones) {
 		return nil
 	}
 	return c.pagesFor(asking.afterRevision, now)
@@ -229,7 +229,7 @@
 	}
 	batch := c.replica.Since(asking.afterRevision)
 	if asking.withTombstones {
-		batch = c.replica.Everything(asking.afterRevision)
+		batch = c.replica.SinceWithTombstones(asking.afterRevision)
 	}
 	if !asking.acceptsPacked {
 		return batch
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -92,7 +92,7 @@
 	c.rebuildNeeded = true
 	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.replica.Held())
+		"known_to", revision.Text(before), "held", c.replica.OverrideCount())
 }
 
 // countUnreadable counts the entries of the store that could not be read.
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -98,18 +98,18 @@
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
 	c.changeTableAt(c.storeRecovery().Until, now)
-	for _, group := range c.replica.Groups() {
-		if group.Gone > 0 {
+	for _, group := range c.replica.BackendGroups() {
+		if group.TombstoneCount > 0 {
 			c.scheduleVanished(group, now)
 		}
 	}
 }
 
 // scheduleVanished sets when back ends of a group that vanished have had their time.
-func (c *control) scheduleVanished(group *directory.Group, now time.Time) {
+func (c *control) scheduleVanished(group *directory.BackendGroup, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone {
-			c.changeTableAt(backend.VanishedAt.Add(c.emptyPoolGrace()), now)
+			c.changeTableAt(backend.RemovalSeenAt.Add(c.emptyPoolGrace()), now)
 		}
 	}
 }
