--- a/internal/directory/listing_test.go
+++ b/internal/directory/listing_test.go
@@ -11,7 +11,7 @@
 )
 
 // Whatever changes, between any two looks, the list is what the entries say.
-func TestListingFollowsTheEntries(t *testing.T) {
+func TestBackendIndexMatchesEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := New(5 * time.Second)
 		now := start
--- a/internal/directory/orders_test.go
+++ b/internal/directory/orders_test.go
@@ -30,7 +30,7 @@
 	return zones
 }
 
-func TestOrderAndItsEndNeverOvertakeEachOther(t *testing.T) {
+func TestEvacuationAndRevocationKeepTheirOrder(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(5, true, evacuationChange(4, "maadi", false)), start)
 	require.Equal(t, []string{"maadi"}, activeZones(known))
@@ -44,7 +44,7 @@
 	require.Equal(t, []string{"maadi"}, activeZones(known), "the end of the first order arrives after the second order")
 }
 
-func TestOrderThatAWholeReadDoesNotNameIsTakenBack(t *testing.T) {
+func TestEvacuationMissingFromSnapshotIsRevoked(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(5, true, evacuationChange(4, "maadi", false), evacuationChange(3, "giza", false)), start)
 	known.Apply(batch(10, false, evacuationChange(10, "giza", false)), start)
@@ -54,7 +54,7 @@
 
 // A read of the orders alone that shows others than are known tells that a change
 // was missed, unless it is older than what is known.
-func TestOrdersThatContradict(t *testing.T) {
+func TestContradictingEvacuations(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(5, true, evacuationChange(4, "maadi", false), evacuationChange(2, "giza", false)), start)
 	known.Apply(batch(6, false, evacuationChange(6, "giza", true)), start)
@@ -70,7 +70,7 @@
 
 // Peers that learn in any order, some from the store and some from each other, end
 // with what the operator ordered last.
-func TestPeersAgreeOnOrders(t *testing.T) {
+func TestPeersConvergeOnEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := []*Directory{New(time.Minute), New(time.Minute), New(time.Minute)}
 		revision := uint64(1)
--- a/internal/directory/starts_test.go
+++ b/internal/directory/starts_test.go
@@ -30,7 +30,7 @@
 	return found
 }
 
-func TestAnotherStartUnderTheSameIDIsToldAndMarked(t *testing.T) {
+func TestRestartUnderSameIDIsReportedAndMarked(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
 	require.False(t, known.Backends()[0].Restarted)
@@ -44,7 +44,7 @@
 
 // A call to the store that got no answer may be done seconds later: the entry of a start
 // that has ended then stands over that of its successor, with a higher revision.
-func TestLateWriteOfAnEarlierStartIsNotTaken(t *testing.T) {
+func TestLateWriteOfEarlierStartIsIgnored(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
 	known.Apply(batch(2, false, startChange(2, "i-1", 9)), start)
@@ -56,7 +56,7 @@
 }
 
 // A clock that was set back gives the next start an earlier time.
-func TestStartThatGoesOnWritingIsTaken(t *testing.T) {
+func TestStartThatKeepsWritingIsAccepted(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
 	for second := 1; second <= 9; second++ {
@@ -74,7 +74,7 @@
 // Back ends start again under their ids, and writes of starts that have ended come late.
 // Directories learn from the store and from each other, in any order. Once each living start
 // has written once more and all have read, all hold the living starts.
-func TestDirectoriesAgreeOnTheLivingStarts(t *testing.T) {
+func TestDirectoriesConvergeOnLiveStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
 		known := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
--- a/internal/tokenroute/asked.go
+++ b/internal/tokenroute/asked.go
@@ -32,8 +32,8 @@
 	newFlows, responses, refusals int
 	// local counts what is asked of the pool, at its place in this balancer's zone; asks
 	// is used there only.
-	local   *poolZoneDemand
-	offered int
+	local    *poolZoneDemand
+	requests int
 	// responseTime is the mean time of an answer in seconds, and way the least from a flow's opening
 	// to its first request, which takes the way there and back and no work. The mean would
 	// hold what clients think meanwhile, and openings that were lost and repeated.
@@ -74,7 +74,7 @@
 	place := f.loadFor(backend).demand
 	place.newFlows++
 	if first {
-		place.local.offered++
+		place.local.requests++
 	}
 }
 
@@ -82,7 +82,7 @@
 func (f *Flows) CountRefusal(pool string) {
 	place := f.demandFor(pool, f.liveness.zone)
 	place.refusals++
-	place.offered++
+	place.requests++
 }
 
 // countRequest counts a request that begins, or one that was answered. The first request of
@@ -99,7 +99,7 @@
 	if opens {
 		place.minRTT.add(now.Sub(s.opening.sentAt), now)
 	} else {
-		place.local.offered++
+		place.local.requests++
 	}
 	s.requestSeen, s.lost, s.undelivered, s.sending, s.inFlightSince = true, false, false, false, now
 	place.addPending(s)
@@ -249,9 +249,9 @@
 			NewFlows:    rate(asked.newFlows),
 			Responses:   rate(asked.responses),
 			Refusals:    rate(asked.refusals),
-			RequestRate: rate(asked.offered),
+			RequestRate: rate(asked.requests),
 		}
-		asked.newFlows, asked.responses, asked.refusals, asked.offered = 0, 0, 0, 0
+		asked.newFlows, asked.responses, asked.refusals, asked.requests = 0, 0, 0, 0
 	}
 	return made
 }
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -19,31 +19,31 @@
 	return NewTable(newDirectory(changes...), defaultOptions())
 }
 
-// opener opens flows from new ports, one a pause, whose back ends answer if they do.
-type opener struct {
-	flows   *Flows
-	table   *Table
-	answers func(*Backend) bool
-	port    uint16
-	now     int
+// flowOpener opens flows from new ports, one a pause, whose back ends answer if they do.
+type flowOpener struct {
+	flows    *Flows
+	table    *Table
+	responds func(*Backend) bool
+	port     uint16
+	now      int
 	// pause is in milliseconds, 10 unless a test says otherwise.
 	pause int
 	// lost counts first packets to back ends that did not answer, by zone.
 	lost map[string]int
 }
 
-func newOpener(off mechanism.Set, answers func(*Backend) bool) *opener {
-	return &opener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), answers: answers, pause: 10, lost: make(map[string]int)}
+func newOpener(off mechanism.Set, answers func(*Backend) bool) *flowOpener {
+	return &flowOpener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), responds: answers, pause: 10, lost: make(map[string]int)}
 }
 
-func (o *opener) open(count int) {
+func (o *flowOpener) open(count int) {
 	for range count {
 		o.now += o.pause
 		o.port++
 		packet := firstPacket(1)
 		packet.Key.SourcePort = o.port
 		chosen := o.flows.Decide(o.table, packet, at(o.now)).Backend
-		if !o.answers(chosen) {
+		if !o.responds(chosen) {
 			o.lost[chosen.Zone]++
 			continue
 		}
@@ -73,7 +73,7 @@
 }
 
 // One flow a while tries a silent zone, and its answer opens it for all.
-func TestSilentZoneIsTriedAndReturns(t *testing.T) {
+func TestSilentZoneIsProbedAndRecovers(t *testing.T) {
 	back := false
 	fleet := newOpener(mechanism.Set{}, func(b *Backend) bool { return back || inMaadi(b) })
 	fleet.open(90)
@@ -83,13 +83,13 @@
 	require.Greater(t, fleet.lost["giza"], before, "it is tried")
 	back = true
 	fleet.open(150)
-	fleet.answers = func(*Backend) bool { return true }
+	fleet.responds = func(*Backend) bool { return true }
 	require.False(t, fleet.flows.zones.avoids("giza", at(fleet.now)))
 }
 
 // A balancer whose own link is full, or an outage of everything, finds all zones
 // silent: new flows go where they went.
-func TestSilenceOfAllZonesRefusesNothing(t *testing.T) {
+func TestAllZonesSilentRefusesNothing(t *testing.T) {
 	fleet := newOpener(mechanism.Set{}, func(*Backend) bool { return false })
 	fleet.open(300)
 	require.Greater(t, fleet.lost["maadi"], 50)
@@ -99,7 +99,7 @@
 // Where all zones are silent, back ends that answered nothing themselves are still told
 // from those that did: here nineteen of twenty are dead, in one zone, and the first packet
 // to the one that lives would else be as rare as to each dead one.
-func TestSilenceOfAllZonesLeavesTheLivingBackEndsFirst(t *testing.T) {
+func TestAllZonesSilentStillPrefersLiveBackends(t *testing.T) {
 	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
 	lost := func(off mechanism.Set) int {
@@ -119,13 +119,13 @@
 }
 
 // Back ends of a zone that answers otherwise are full or dead, each for itself.
-func TestZoneOfWhichSomeAnswerIsNotSilent(t *testing.T) {
+func TestZoneWithSomeResponsesIsNotSilent(t *testing.T) {
 	fleet := newOpener(mechanism.Set{}, func(b *Backend) bool { return inMaadi(b) || b.Number%2 == 0 })
 	fleet.open(500)
 	require.Zero(t, fleet.flows.SilentZoneCount())
 }
 
-func TestMissesOfAZoneGrowOld(t *testing.T) {
+func TestZoneMissesExpire(t *testing.T) {
 	zones := newZoneMonitor(mechanism.Set{})
 	miss := func(number uint64, now time.Time) {
 		zones.recordMiss(&Backend{Number: number, Zone: "giza"}, now, now)
@@ -143,7 +143,7 @@
 
 // A zone of which some answer and others do not goes back and forth; the log is told of it
 // once in ten seconds. Switched off, nothing is counted or told.
-func TestSilentZoneIsLoggedNowAndThen(t *testing.T) {
+func TestSilentZoneLoggingIsRateLimited(t *testing.T) {
 	flap := func(off mechanism.Set) (told, times int, counted uint64) {
 		zones := newZoneMonitor(off)
 		for now := 0; now < 120_000; now += 100 {
