--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -91,7 +91,7 @@
 	}
 	f.SetTable(table, now)
 	if !f.disabled.Has(mechanism.RestedFlows) {
-		f.cache.idleTimeout = table.IdleTimeout
+		f.flowCache.idleTimeout = table.IdleTimeout
 	}
 	route := table.Route(packet.Key.Address())
 	if packet.First {
@@ -108,7 +108,7 @@
 		return Decision{Verdict: Drop, Reason: ReasonUnknownToken}
 	}
 	f.rotate(now)
-	state := f.cache.find(packet.Key)
+	state := f.flowCache.find(packet.Key)
 	chosen := f.backendFor(state, named, now)
 	if f.observe(packet, state, chosen, now) {
 		return Decision{Verdict: Refuse, Reason: ReasonDeadBackend, Backend: chosen}
@@ -124,14 +124,14 @@
 func (f *Flows) observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	var seenAt time.Time
 	if state == nil && (packet.Length > 0 || packet.Closing) {
-		seenAt = f.cache.removeIdle(packet.Key, backend.Incarnation())
+		seenAt = f.flowCache.removeIdle(packet.Key, backend.Incarnation())
 	}
 	if packet.Closing {
 		f.close(packet, state, now)
 		return false
 	}
 	if state == nil && packet.Length > 0 {
-		state = f.cache.add(packet.Key)
+		state = f.flowCache.add(packet.Key)
 		state.firstRequestAt = seenAt
 	}
 	if state != nil {
@@ -151,7 +151,7 @@
 		state.detach(now)
 		return
 	}
-	f.cache.forget(packet.Key, state, now)
+	f.flowCache.forget(packet.Key, state, now)
 }
 
 func (f *Flows) decideFirst(route *Route, packet Packet, now time.Time) Decision {
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -204,7 +204,7 @@
 		found[abandoned.Key.Source[3]] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[byte]uint32{1: 9, 3: 9, 4: 9}, found)
-	require.Zero(t, flows.cache.idleCount)
+	require.Zero(t, flows.flowCache.idleCount)
 }
 
 func TestIdleFlowsExpire(t *testing.T) {
@@ -213,15 +213,15 @@
 	for now := 0; now <= 19_000; now += 500 {
 		exchange(flows, table, 50, 3, now)
 	}
-	require.Zero(t, flows.cache.idleCount)
-	require.Empty(t, flows.cache.idle)
+	require.Zero(t, flows.flowCache.idleCount)
+	require.Empty(t, flows.flowCache.idle)
 	for port := range 200_000 {
 		packet := request(1, 2, 1)
 		packet.Key = key(port)
 		packet.Key.Source[1] = byte(port >> 16)
 		flows.Decide(table, packet, at(20_000+port/20))
 	}
-	require.LessOrEqual(t, flows.cache.idleCount, maxIdleFlows)
+	require.LessOrEqual(t, flows.flowCache.idleCount, maxIdleFlows)
 }
 
 // Whatever the clients do, however balancers stall and messages between them are late,
