--- a/internal/tokenroute/asked.go
+++ b/internal/tokenroute/asked.go
@@ -62,8 +62,8 @@
 	}
 	f.demands[place] = known
 	known.local = known
-	if zone != f.liveness.zone {
-		known.local = f.poolZoneDemand(pool, f.liveness.zone)
+	if zone != f.failureDetector.zone {
+		known.local = f.poolZoneDemand(pool, f.failureDetector.zone)
 	}
 	return known
 }
@@ -80,7 +80,7 @@
 
 // CountRefusal counts a new flow that was refused for want of room in a pool.
 func (f *Flows) CountRefusal(pool string) {
-	place := f.poolZoneDemand(pool, f.liveness.zone)
+	place := f.poolZoneDemand(pool, f.failureDetector.zone)
 	place.refusals++
 	place.requests++
 }
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -54,8 +54,8 @@
 	ReasonEvacuated
 	// ReasonCold: only cold back ends are left, and they bear no more now.
 	ReasonCold
-	// ReasonNoRoom: the pool is short of room, and the flow was drawn to give way.
-	ReasonNoRoom
+	// ReasonNoCapacity: the pool is short of room, and the flow was drawn to give way.
+	ReasonNoCapacity
 	// ReasonRestarted: the back end has started again since the flow was opened, and
 	// holds none from before.
 	ReasonRestarted
@@ -137,7 +137,7 @@
 	if state != nil {
 		state.attach(f.loadFor(backend), now)
 	}
-	return f.liveness.Observe(packet, state, backend, now)
+	return f.failureDetector.Observe(packet, state, backend, now)
 }
 
 // close takes the packet that ends a flow. Who opened a contested flow is still
@@ -160,7 +160,7 @@
 	}
 	if level := f.refusalFor(route, packet); level != nil {
 		f.CountRefusal(level.Pool)
-		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Refusal: level}
+		return Decision{Verdict: Refuse, Reason: ReasonNoCapacity, Refusal: level}
 	}
 	chosen := f.ChooseForFirst(route, packet.Key, now)
 	if chosen == nil {
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -37,8 +37,8 @@
 	// up.
 	table     *Table
 	restarted map[incarnation.ID]bool
-	// liveness judges back ends by the later packets of their flows.
-	liveness *FailureDetector
+	// failureDetector judges back ends by the later packets of their flows.
+	failureDetector *FailureDetector
 	// Retried counts first packets that went to another back end.
 	Retried atomic.Uint64
 	// Unanswered counts back ends that did not answer in time.
@@ -54,29 +54,29 @@
 func NewFlows(off mechanism.Set) *Flows {
 	memory, zones := newFlowCache(), newZoneMonitor(off)
 	return &Flows{
-		disabled:    off,
-		flowCache:   memory,
-		backoffs:    make(map[incarnation.ID]*backoff),
-		zoneMonitor: zones,
-		loads:       make(map[incarnation.ID]*backendLoad),
-		pools:       make(map[string]*poolUse),
-		liveness:    newFailureDetector(memory, zones, off),
+		disabled:        off,
+		flowCache:       memory,
+		backoffs:        make(map[incarnation.ID]*backoff),
+		zoneMonitor:     zones,
+		loads:           make(map[incarnation.ID]*backendLoad),
+		pools:           make(map[string]*poolUse),
+		failureDetector: newFailureDetector(memory, zones, off),
 	}
 }
 
 // WithZone sets the zone of this balancer and returns the memory.
 func (f *Flows) WithZone(zone string) *Flows {
-	f.liveness.zone = zone
+	f.failureDetector.zone = zone
 	return f
 }
 
 // BackendFailures is how often a back end was judged dead.
-func (f *Flows) BackendFailures() uint64 { return f.liveness.FailureCount.Load() }
+func (f *Flows) BackendFailures() uint64 { return f.failureDetector.FailureCount.Load() }
 
 // TakeBackendFailures returns the back ends that were judged dead since the last call.
 func (f *Flows) TakeBackendFailures() []BackendFailure {
-	taken := f.liveness.failures
-	f.liveness.failures = nil
+	taken := f.failureDetector.failures
+	f.failureDetector.failures = nil
 	return taken
 }
 
@@ -93,8 +93,8 @@
 // TakeAbandonedFlows returns the flows whose back end was judged dead since the last
 // call, to be reset.
 func (f *Flows) TakeAbandonedFlows() []AbandonedFlow {
-	taken := f.liveness.abandoned
-	f.liveness.abandoned = nil
+	taken := f.failureDetector.abandoned
+	f.failureDetector.abandoned = nil
 	return taken
 }
 
@@ -131,7 +131,7 @@
 	if warmth == Forbidden {
 		return Forbidden
 	}
-	if known.wasTried(backend) || f.liveness.Failed(backend, now) {
+	if known.wasTried(backend) || f.failureDetector.Failed(backend, now) {
 		return Avoided
 	}
 	silent := f.backoffs[backend.Incarnation()]
@@ -258,7 +258,7 @@
 	if !f.flowCache.rotate(now) {
 		return
 	}
-	f.liveness.expire(now)
+	f.failureDetector.expire(now)
 	f.warmupAllowance.expire(now)
 	for id, state := range f.backoffs {
 		if now.Sub(state.avoidUntil) > maxAvoidTime {
