--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -85,7 +85,7 @@
 
 type burstNode struct {
 	flows    *tokenroute.Flows
-	gate     gate
+	gate     admissionState
 	own      demand.LocalLoad
 	findings map[incarnation.ID]observe.Finding
 }
@@ -108,8 +108,8 @@
 	}
 	made.known.Apply(batch, made.now)
 	for place := range made.nodes {
-		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).WithZone("maadi"), gate: newGate()}
-		made.nodes[place].gate.takeRoutes(made.known.Routes())
+		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).WithZone("maadi"), gate: newAdmissionState()}
+		made.nodes[place].gate.updateRoutes(made.known.Routes())
 	}
 	for range calmCallers {
 		made.callers = append(made.callers, &burstCaller{at: made.now})
@@ -245,7 +245,7 @@
 	for place := range b.nodes {
 		node := &b.nodes[place]
 		if summary := node.flows.Summarize(b.now); summary != nil {
-			node.gate.pressures.follow(summary)
+			node.gate.pressures.addSummary(summary)
 			node.own.Observe(summary.Loads, summary.At)
 			node.findings = summary.Findings
 		}
@@ -275,13 +275,13 @@
 
 // take takes the picture of all.
 func (n *burstNode) take(picture *demand.Aggregate, now time.Time) {
-	n.flows.SetSaturatedPools(n.gate.saturated("maadi", picture, now))
+	n.flows.SetSaturatedPools(n.gate.saturatedPools("maadi", picture, now))
 	var demands []admission.PoolState
 	for pool := range picture.PoolZones() {
-		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.gate.urgencies[string(pool)],
-			Pressure: n.gate.pressures.on(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
+		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.gate.priorities[string(pool)],
+			Pressure: n.gate.pressures.estimate(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
 	}
-	n.flows.SetRefusals(n.gate.core.Update(demands, now))
+	n.flows.SetRefusals(n.gate.controller.Update(demands, now))
 }
 
 // second is the second of now.
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -16,7 +16,7 @@
 	caller        replication.Caller
 	afterRevision uint64
 	receivedAt    time.Time
-	// confirmedAt is when the follower's own knowledge was confirmed.
+	// minAggregatePressure is when the follower's own knowledge was confirmed.
 	confirmedAt time.Time
 	deadline    time.Time
 	findings    []*apiv1.BackendFinding
@@ -143,12 +143,12 @@
 	c.core.TakeShown(asking.shownBalancers, asking.receivedAt)
 	c.core.TakeSilent(asking.silentBalancers, asking.receivedAt)
 	if asking.wantsFindings {
-		c.hearStruggling(asking.struggling, asking.reportsStruggling, asking.receivedAt)
+		c.handleStrugglingReports(asking.struggling, asking.reportsStruggling, asking.receivedAt)
 	}
 	if asking.isFollow() {
-		c.findings.takeFollower(asking.caller.Address, asking.findings, asking.receivedAt)
+		c.findings.updateFollower(asking.caller.Address, asking.findings, asking.receivedAt)
 	}
-	c.takeReport(asking.caller.Address, asking.demand, asking.receivedAt)
+	c.handleDemandReport(asking.caller.Address, asking.demand, asking.receivedAt)
 	if len(c.waitingCalls) >= maxWaitingFollowers {
 		asking.deadline = asking.receivedAt
 	}
@@ -178,7 +178,7 @@
 		return false
 	}
 	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
-	statements := c.newsOfBackends(asking, now)
+	statements := c.pendingObservations(asking, now)
 	if asking.afterRevision >= c.replica.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
 		return false
 	}
@@ -198,11 +198,11 @@
 	}
 	if asking.wantsFindings {
 		reply.Findings = found()
-		reply.Struggling, reply.TellsStruggling = c.tellStruggling(now), true
+		reply.Struggling, reply.TellsStruggling = c.strugglingReports(now), true
 	}
 	if asking.wantsTestimony {
-		c.addTestimony(reply, statements, now)
-		reply.Demand = c.wholeFor(asking.caller.Address, now)
+		c.addObservations(reply, statements, now)
+		reply.Demand = c.totalDemandFor(asking.caller.Address, now)
 	}
 	if !known {
 		reply.AgeMilliseconds = uint32(unknownAge.Milliseconds())
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -19,15 +19,15 @@
 		return
 	}
 	c.recordPools(now)
-	evacuated := c.evacuated()
+	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.replica, tokenroute.Options{
-		WeightOf:         weights.of,
-		WeightOfPoolZone: weights.ofPlace,
+		WeightOf:         weights.weight,
+		WeightOfPoolZone: weights.uniformWeight,
 		Evacuated:        evacuated,
-		WarmupOf:         c.newWarming(now).teller(),
+		WarmupOf:         c.newWarmupState(now).warmupFunc(),
 		FormerPools:      c.formerPools(now),
-		ZoneByWeight:     weights.byZone,
+		ZoneByWeight:     weights.zoneChosenByWeights,
 		AdmitAllPools:    now.Sub(c.firstRoutesAt) < c.flowRetention(),
 		StoreRecovery:    c.storeRecovery(),
 		EmptyPoolGrace:   c.emptyPoolGrace(),
@@ -38,7 +38,7 @@
 		return
 	}
 	c.scheduleTableChange(now)
-	c.gate.takeRoutes(c.replica.Routes())
+	c.gate.updateRoutes(c.replica.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
@@ -50,7 +50,7 @@
 	if previous == nil {
 		previous = &tokenroute.Table{}
 	}
-	c.tellEvacuations(previous.Evacuated, table.Evacuated)
+	c.logEvacuations(previous.Evacuated, table.Evacuated)
 }
 
 func (c *control) emptyPoolGrace() time.Duration {
@@ -96,7 +96,7 @@
 // their zone, lapsed entries have had their time, or a vanished pool has.
 func (c *control) scheduleTableChange(now time.Time) {
 	c.nextTableChange = time.Time{}
-	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
+	c.changeTableAt(c.firstRoutesAt.Add(startupSpreadTime), now)
 	c.changeTableAt(c.storeRecovery().Until, now)
 	for _, group := range c.replica.BackendGroups() {
 		if group.TombstoneCount > 0 {
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -36,7 +36,7 @@
 	// earlyBuffer are the packets that came before the first table.
 	earlyBuffer earlyBuffer
 	// refusals are the flows refused for want of room.
-	refusals   refusals
+	refusals   refusalCounters
 	malformed  atomic.Uint64
 	sendErrors atomic.Uint64
 }
@@ -211,7 +211,7 @@
 func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.decisionCounts[decision.Reason].Add(1)
 	if decision.Refusal != nil {
-		t.refusals.count(decision.Refusal)
+		t.refusals.increment(decision.Refusal)
 	}
 	codec := t.balancer.dependencies.Codec
 	var err error
