--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -17,8 +17,8 @@
 type admissionState struct {
 	controller *admission.Controller
 	// priorities are those of the routes in force, by pool.
-	priorities map[string][]admission.Priority
-	pressures  pressureEstimator
+	priorities        map[string][]admission.Priority
+	pressureEstimator pressureEstimator
 	// overloaded are the pools that some flows are refused of.
 	overloaded map[string]bool
 	// saturatedUntil is until when pools that had no free slot count as saturated.
@@ -26,7 +26,7 @@
 }
 
 func newAdmissionState() admissionState {
-	return admissionState{controller: admission.NewController(), pressures: pressureEstimator{smoothedInFlight: newSmoothedInFlight()}, saturatedUntil: make(map[string]time.Time)}
+	return admissionState{controller: admission.NewController(), pressureEstimator: pressureEstimator{smoothedInFlight: newSmoothedInFlight()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // updateRoutes takes the routes that are in force.
@@ -49,7 +49,7 @@
 // saturatedPools are the pools that are saturated, or were a moment ago.
 func (g *admissionState) saturatedPools(zone demand.Zone, picture *demand.Aggregate, now time.Time) map[string]bool {
 	for pool := range picture.PoolZones() {
-		if g.pressures.saturated(pool, zone, picture) {
+		if g.pressureEstimator.saturated(pool, zone, picture) {
 			g.saturatedUntil[string(pool)] = now.Add(saturationHold)
 		}
 	}
@@ -66,7 +66,7 @@
 
 // updateAdmission moves the gate by what was observed and hands its levels to traffic.
 func (c *control) updateAdmission(summary *observe.Summary, now time.Time) {
-	c.gate.pressures.addSummary(summary)
+	c.gate.pressureEstimator.addSummary(summary)
 	picture := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	c.balancer.traffic.flows.SetSaturatedPools(c.gate.saturatedPools(zone, picture, now))
@@ -76,7 +76,7 @@
 	var demands []admission.PoolState
 	for pool := range picture.PoolZones() {
 		if urgencies := c.gate.priorities[string(pool)]; len(urgencies) > 0 {
-			pressure := c.gate.pressures.estimate(pool, zone, picture, c.balancersByZone)
+			pressure := c.gate.pressureEstimator.estimate(pool, zone, picture, c.balancersByZone)
 			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: urgencies, Pressure: pressure})
 		}
 	}
@@ -95,7 +95,7 @@
 			c.balancer.logger.Warn("Control: pool is short of room.", "pool", level.Pool, "urgency", uint64(level.Priority),
 				"refused_part", rounded(level.Fraction), "pressure", rounded(level.Pressure.RequestsPerSlot),
 				"pressure_age", level.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(room),
-				"waiting_here", rounded(c.gate.pressures.inFlight[level.Pool]),
+				"waiting_here", rounded(c.gate.pressureEstimator.inFlight[level.Pool]),
 				"zone_part", rounded(zoneRequestFraction(demand.Pool(level.Pool), zone, picture)), "zone_balancers", picture.ZoneBalancers[zone])
 		}
 		short[level.Pool] = true
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -38,12 +38,12 @@
 	made := newAdmissionState()
 	made.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
-	made.pressures = *newLoadedEstimator(1000, now)
+	made.pressureEstimator = *newLoadedEstimator(1000, now)
 	var levels *admission.Refusals
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
 		levels = made.controller.Update([]admission.PoolState{{Pool: "lending", Priorities: made.priorities["lending"],
-			Pressure: made.pressures.estimate("lending", "maadi", nil, nil)}}, at)
+			Pressure: made.pressureEstimator.estimate("lending", "maadi", nil, nil)}}, at)
 	}
 	require.Nil(t, levels)
 }
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -24,8 +24,8 @@
 
 // rateSample is what was asked at a time.
 type rateSample struct {
-	at    time.Time
-	rates map[demand.Pool]float64
+	at           time.Time
+	requestRates map[demand.Pool]float64
 }
 
 // addSummary takes what was asked since the last summary.
@@ -43,7 +43,7 @@
 		asked[place.Pool] += part * load.RequestRate
 	}
 	a.current = asked
-	a.history = append(a.history, rateSample{at: summary.At, rates: asked})
+	a.history = append(a.history, rateSample{at: summary.At, requestRates: asked})
 	for len(a.history) > 0 && summary.At.Sub(a.history[0].at) > rateHistory {
 		a.history = a.history[1:]
 	}
@@ -57,7 +57,7 @@
 		if each.at.After(since) {
 			break
 		}
-		then = each.rates[pool]
+		then = each.requestRates[pool]
 	}
 	if now <= then || now == 0 {
 		return 1
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -63,16 +63,16 @@
 type burstFleet struct {
 	random     *rand.Rand
 	now        time.Time
-	directory  *directory.Directory
+	replica    *directory.Directory
 	table      *tokenroute.Table
 	nodes      [burstBalancers]burstNode
 	backends   [burstBackends]queueingBackend
 	clients    []*burstClient
 	aggregates []*demand.Aggregate
 	unhealthy  map[incarnation.ID]observe.Health
-	// shares is what each back end takes of new flows while it is well, as a policy may say.
-	shares   [burstBackends]float64
-	nextPort int
+	// flowShares is what each back end takes of new flows while it is well, as a policy may say.
+	flowShares [burstBackends]float64
+	nextPort   int
 	// servedLength and shedding are the lengths of answers, the latter of errors too.
 	servedLength, errorLength uint32
 	// aggregateDelay is how old the picture of all is.
@@ -84,17 +84,17 @@
 }
 
 type burstNode struct {
-	flows     *tokenroute.Flows
-	admission admissionState
-	local     demand.LocalLoad
-	findings  map[incarnation.ID]observe.Finding
+	flows          *tokenroute.Flows
+	admissionState admissionState
+	local          demand.LocalLoad
+	findings       map[incarnation.ID]observe.Finding
 }
 
 var burstStart = time.Now()
 
 func newBurstFleet(seed uint64, served, shedding uint32) *burstFleet {
-	made := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, directory: directory.New(time.Minute),
-		servedLength: served, errorLength: shedding, shares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
+	made := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, replica: directory.New(time.Minute),
+		servedLength: served, errorLength: shedding, flowShares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
 		shedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
 	batch := routesBatch(5)
 	pools := []*apiv1.PoolShare{{Pool: "desk", Weight: 1000}}
@@ -106,10 +106,10 @@
 			Backend: &apiv1.PoolBackend{Id: fmt.Sprint("i-", number+1), Number: number + 1, Pool: "desk", Zone: "maadi",
 				Address: uint32(number + 1), Port: 80, Capacity: burstSlots}}})
 	}
-	made.directory.Apply(batch, made.now)
+	made.replica.Apply(batch, made.now)
 	for place := range made.nodes {
-		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).WithZone("maadi"), admission: newAdmissionState()}
-		made.nodes[place].admission.updateRoutes(made.directory.Routes())
+		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).WithZone("maadi"), admissionState: newAdmissionState()}
+		made.nodes[place].admissionState.updateRoutes(made.replica.Routes())
 	}
 	for range steadyClients {
 		made.clients = append(made.clients, &burstClient{nextAt: made.now})
@@ -120,9 +120,9 @@
 
 // renewTable makes a table by the findings of now.
 func (b *burstFleet) renewTable() {
-	b.table = tokenroute.NewTable(b.directory, tokenroute.Options{Now: b.now, Previous: b.table,
+	b.table = tokenroute.NewTable(b.replica, tokenroute.Options{Now: b.now, Previous: b.table,
 		WeightOf: func(entry directory.BackendEntry) uint32 {
-			return uint32(b.shares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
+			return uint32(b.flowShares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
 
@@ -245,7 +245,7 @@
 	for place := range b.nodes {
 		node := &b.nodes[place]
 		if summary := node.flows.Summarize(b.now); summary != nil {
-			node.admission.pressures.addSummary(summary)
+			node.admissionState.pressureEstimator.addSummary(summary)
 			node.local.Observe(summary.Loads, summary.At)
 			node.findings = summary.Findings
 		}
@@ -275,13 +275,13 @@
 
 // update takes the picture of all.
 func (n *burstNode) update(picture *demand.Aggregate, now time.Time) {
-	n.flows.SetSaturatedPools(n.admission.saturatedPools("maadi", picture, now))
+	n.flows.SetSaturatedPools(n.admissionState.saturatedPools("maadi", picture, now))
 	var demands []admission.PoolState
 	for pool := range picture.PoolZones() {
-		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.admission.priorities[string(pool)],
-			Pressure: n.admission.pressures.estimate(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
+		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.admissionState.priorities[string(pool)],
+			Pressure: n.admissionState.pressureEstimator.estimate(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
 	}
-	n.flows.SetRefusals(n.admission.controller.Update(demands, now))
+	n.flows.SetRefusals(n.admissionState.controller.Update(demands, now))
 }
 
 // second is the second of now.
@@ -310,7 +310,7 @@
 			for place, share := range unevenShares {
 				for seed := range uint64(4) {
 					fleet := newBurstFleet(seed, lengths[0], lengths[1])
-					fleet.shares = share
+					fleet.flowShares = share
 					fleet.renewTable()
 					fleet.run(8 * time.Second)
 					fleet.burst(2 * time.Second)
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -211,7 +211,7 @@
 	c.nextShareUpdate = now.Add(shareUpdateInterval)
 	c.updateDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
-	changed := c.observed.applySummary(summary, now)
+	changed := c.observed.update(summary, now)
 	c.updateAdmission(summary, now)
 	c.findings.own = nil
 	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -26,9 +26,9 @@
 	aggregate atomic.Pointer[demand.Aggregate]
 	// schedule is that of reports, and telling is set while one is under way that does not go
 	// with another call.
-	schedule  demand.ReportSchedule
-	reporting bool
-	feed      demandFeed
+	schedule   demand.ReportSchedule
+	sending    bool
+	demandFeed demandFeed
 	// staleAt is when a picture that was planned by was last found too old; zero is since
 	// it was fresh for long enough.
 	staleAt time.Time
@@ -123,7 +123,7 @@
 // sendDemandReport tells a report that does not wait for the next call.
 func (c *control) sendDemandReport(ctx context.Context, now time.Time) {
 	d := &c.demand
-	if d.reporting || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
+	if d.sending || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
 		return
 	}
 	parent := c.testimony.parent
@@ -131,7 +131,7 @@
 	if report == nil {
 		return
 	}
-	d.reporting = true
+	d.sending = true
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Demand: report}
 	client := c.testimony.client
 	go func() {
@@ -143,7 +143,7 @@
 
 // handleDemandReportResult takes the end of a call that told a report.
 func (c *control) handleDemandReportResult(news *apiv1.DirectoryNews, now time.Time) {
-	c.demand.reporting = false
+	c.demand.sending = false
 	if news.GetError() != "" {
 		c.demand.schedule.Failed(now)
 	}
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -183,7 +183,7 @@
 		now = now.Add(feedTTL)
 		asked("10.0.0.7:1")
 	}
-	require.Len(t, leads.demand.feed.sent, 1, "who does not call is forgotten")
+	require.Len(t, leads.demand.demandFeed.sent, 1, "who does not call is forgotten")
 }
 
 // Calls that are answered a little sooner than each second bring the picture nearly all.
@@ -261,7 +261,7 @@
 	require.True(t, control.planZoneShares(now))
 	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
-	require.NotNil(t, weights.plannedShares("lending"))
+	require.NotNil(t, weights.poolShares("lending"))
 	require.False(t, weights.zoneChosenByWeights("lending"))
 }
 
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -7,12 +7,12 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// updateHealth judges back ends by what all balancers found of them, and tells whether the
+// evaluateHealth judges back ends by what all balancers found of them, and tells whether the
 // table should be made anew.
 func (c *control) updateHealth(now time.Time) bool {
 	before, found := c.observed.unhealthy, c.findings.all(now)
 	c.observed.limits.update(c.demand.aggregate.Load(), now)
-	changed := c.observed.updateHealth(found, c.core.OrderSize())
+	changed := c.observed.evaluateHealth(found, c.core.OrderSize())
 	for backend, health := range c.observed.unhealthy {
 		if before[backend].Healthy() {
 			c.logHealthChange("Control: back end counts as unwell.", backend, health, found[backend])
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -56,7 +56,7 @@
 func (l *healthLimits) addGroup(group *directory.BackendGroup, seen *weightInputs, warming *warmupState, now time.Time) {
 	place, sum, unwell := poolZoneOf(group.PoolZone), slotTotals{}, false
 	for _, backend := range group.Entries {
-		if backend.Gone || backend.GetDraining() || warming.limited() && now.Before(warming.warmAt(backend)) {
+		if backend.Gone || backend.GetDraining() || warming.limited() && now.Before(warming.warmTime(backend)) {
 			continue
 		}
 		slots := backendSlots(backend)
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -60,10 +60,10 @@
 				all += count
 			}
 			even := maxBackendFraction(t, control)
-			require.True(t, control.observed.updateHealth(slowFindings(each.unwell), 1))
+			require.True(t, control.observed.evaluateHealth(slowFindings(each.unwell), 1))
 			control.rebuildTable(now)
 			require.LessOrEqual(t, maxBackendFraction(t, control), 2*even+0.02, "twice what it has while all are well")
-			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the room is still room")
+			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the room is still room")
 		})
 	}
 }
@@ -72,7 +72,7 @@
 func TestHealthLimitFollowsDemand(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 10})
-	require.True(t, control.observed.updateHealth(slowFindings(5), 1))
+	require.True(t, control.observed.evaluateHealth(slowFindings(5), 1))
 	control.rebuildTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
@@ -94,7 +94,7 @@
 		b.Run(fmt.Sprint(unwell), func(b *testing.B) {
 			now := time.Now()
 			control := newSizedControl(140_000, 100, 0, now)
-			control.observed.updateHealth(slowFindings(unwell), 1)
+			control.observed.evaluateHealth(slowFindings(unwell), 1)
 			for b.Loop() {
 				control.measureCapacity(nil, now)
 			}
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -33,7 +33,7 @@
 	// back ends, and the share of new flows that goes to other zones.
 	pools        map[string]*poolCapacity
 	remoteShares map[string]float64
-	// plannedShares are the parts of a pool's new flows for each zone by the latest picture, and
+	// poolShares are the parts of a pool's new flows for each zone by the latest picture, and
 	// parts those that the table in force was made with; pools of which no picture tells
 	// have none.
 	plannedShares, appliedShares map[demand.Pool]map[demand.Zone]float64
@@ -72,8 +72,8 @@
 	return shares.RemoteShare(o.inFlight[pool]*float64(o.zoneBalancers), zone.localSlots, zone.remoteSlots)
 }
 
-// applySummary follows a summary and tells whether the table should be made anew.
-func (o *weightInputs) applySummary(summary *observe.Summary, now time.Time) bool {
+// update follows a summary and tells whether the table should be made anew.
+func (o *weightInputs) update(summary *observe.Summary, now time.Time) bool {
 	if summary == nil || now.Sub(summary.At) > summaryMaxAge {
 		clear(o.inFlight)
 		return false
@@ -90,9 +90,9 @@
 	return changed
 }
 
-// updateHealth takes what so many balancers found of back ends, and tells whether the table
+// evaluateHealth takes what so many balancers found of back ends, and tells whether the table
 // should be made anew.
-func (o *weightInputs) updateHealth(found map[incarnation.ID]observe.Finding, observers int) bool {
+func (o *weightInputs) evaluateHealth(found map[incarnation.ID]observe.Finding, observers int) bool {
 	unwell := make(map[incarnation.ID]observe.Health, len(o.unhealthy))
 	for backend, finding := range found {
 		if health := finding.Health(observers, o.unhealthy[backend]); !health.Healthy() {
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -34,13 +34,13 @@
 // then, by the part that maxGrowth allows.
 type pressureEstimator struct {
 	smoothedInFlight
-	rates requestRates
+	requestRates requestRates
 }
 
 // addSummary follows the requests that wait here, and what is asked.
 func (p *pressureEstimator) addSummary(summary *observe.Summary) {
 	p.update(summary, pressureTimeConstant)
-	p.rates.addSummary(summary)
+	p.requestRates.addSummary(summary)
 }
 
 // estimate is the pressure on a pool. Routers spread a zone's packets evenly over its
@@ -66,7 +66,7 @@
 	}
 	scale := float64(picture.ZoneBalancers[own]) / part
 	if waiting >= minLocalInFlight*scale {
-		waiting = p.inFlight[string(pool)] * scale / min(p.rates.growthSince(pool, picture.At), maxGrowth(picture.ZoneBalancers[own]))
+		waiting = p.inFlight[string(pool)] * scale / min(p.requestRates.growthSince(pool, picture.At), maxGrowth(picture.ZoneBalancers[own]))
 	}
 	return admission.Pressure{RequestsPerSlot: waiting / room, SeenAt: seenAt}
 }
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -114,9 +114,9 @@
 	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
 	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "no room is known")
 	made := newAdmissionState()
-	made.pressures = *newLoadedEstimator(3, now)
+	made.pressureEstimator = *newLoadedEstimator(3, now)
 	require.True(t, made.saturatedPools("maadi", idle, now)["lending"])
-	made.pressures = *newLoadedEstimator(0, now)
+	made.pressureEstimator = *newLoadedEstimator(0, now)
 	require.True(t, made.saturatedPools("maadi", idle, now.Add(saturationHold))["lending"])
 	require.False(t, made.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -22,7 +22,7 @@
 	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.replica, tokenroute.Options{
-		WeightOf:         weights.weight,
+		WeightOf:         weights.backendWeight,
 		WeightOfPoolZone: weights.uniformWeight,
 		Evacuated:        evacuated,
 		WarmupOf:         c.newWarmupState(now).warmupFunc(),
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -49,7 +49,7 @@
 type coldBackend struct {
 	poolZone demand.PoolZone
 	slots    float64
-	warmAt   time.Time
+	until    time.Time
 }
 
 // poolCapacity is what a pool has in the balancer's zone and in the others.
@@ -120,8 +120,8 @@
 			continue
 		}
 		slots := backendSlots(backend) * seen.healthWeight(backend.Incarnation())
-		if until := warming.warmAt(backend); now.Before(until) {
-			r.cold = append(r.cold, coldBackend{poolZone: place, slots: slots, warmAt: until})
+		if until := warming.warmTime(backend); now.Before(until) {
+			r.cold = append(r.cold, coldBackend{poolZone: place, slots: slots, until: until})
 			continue
 		}
 		r.slots[place] += slots
@@ -161,7 +161,7 @@
 	r.slots = maps.Clone(r.slots)
 	kept := r.cold[:0]
 	for _, each := range r.cold {
-		if now.Before(each.warmAt) {
+		if now.Before(each.until) {
 			kept = append(kept, each)
 			continue
 		}
@@ -175,8 +175,8 @@
 func (r *capacity) scheduleCheck(now time.Time) {
 	r.nextCheckAt = time.Time{}
 	for _, each := range r.cold {
-		if r.nextCheckAt.IsZero() || each.warmAt.Before(r.nextCheckAt) {
-			r.nextCheckAt = each.warmAt
+		if r.nextCheckAt.IsZero() || each.until.Before(r.nextCheckAt) {
+			r.nextCheckAt = each.until
 		}
 	}
 	if soonest := now.Add(warmCheckInterval); !r.nextCheckAt.IsZero() && r.nextCheckAt.Before(soonest) {
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -28,7 +28,7 @@
 type demandFeed struct {
 	// encoded is the picture encoded, as at a time, and seen the picture.
 	encoded   *apiv1.DemandReport
-	aggregate demand.Aggregate
+	source    demand.Aggregate
 	encodedAt time.Time
 	// pressures are those of seen, never changed but replaced.
 	pressures map[demand.PoolZone]float64
@@ -56,7 +56,7 @@
 // totalDemandFor returns what a follower is told of all, or nil while it was told of late. The
 // picture is encoded once a look for all of them.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
-	t := &c.demand.feed
+	t := &c.demand.demandFeed
 	if t.encoded == nil || now.Sub(t.encodedAt) >= shareUpdateInterval {
 		t.refresh(c.demand.tree.Aggregate(now), c.demand.capacity.slots, now)
 	}
@@ -67,7 +67,7 @@
 	t.sent[follower] = next
 	return &apiv1.DemandReport{
 		Balancers:       t.encoded.GetBalancers(),
-		AgeMilliseconds: uint32(max(0, t.aggregate.Age(now)).Milliseconds()),
+		AgeMilliseconds: uint32(max(0, t.source.Age(now)).Milliseconds()),
 		Zones:           t.encoded.GetZones(),
 		Places:          t.encoded.GetPlaces(),
 		Above:           uint32(c.demand.tree.Depth(now)),
@@ -76,7 +76,7 @@
 
 // refresh encodes a picture, and forgets the followers that no longer call.
 func (t *demandFeed) refresh(picture demand.Aggregate, room map[demand.PoolZone]float64, now time.Time) {
-	t.encoded, t.aggregate, t.encodedAt = encodeAggregate(picture, now), picture, now
+	t.encoded, t.source, t.encodedAt = encodeAggregate(picture, now), picture, now
 	t.pressures = make(map[demand.PoolZone]float64, len(picture.Loads))
 	withRoom := picture.WithCapacity(room)
 	for place := range picture.Loads {
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -19,8 +19,8 @@
 // What a cold back end bears counts over all balancers. So a few balancers, whom
 // rendezvous hashing names for each back end, may use it, and share that.
 type warmupState struct {
-	directory *directory.Directory
-	self      string
+	replica *directory.Directory
+	self    string
 	// peerHashes are the hashes of the others' names. They are listed with the first back
 	// end that is cold, since there mostly is none; listed is set then.
 	peerHashes  []uint64
@@ -37,7 +37,7 @@
 func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
 	made := &warmupState{
-		directory: c.replica,
+		replica:   c.replica,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -57,13 +57,13 @@
 	return made
 }
 
-// otherBalancers are the hashes of the names of the other balancers.
-func (w *warmupState) otherBalancers() []uint64 {
+// peers are the hashes of the names of the other balancers.
+func (w *warmupState) peers() []uint64 {
 	if w.peersHashed {
 		return w.peerHashes
 	}
 	w.peersHashed = true
-	for _, b := range w.directory.Balancers() {
+	for _, b := range w.replica.Balancers() {
 		if b.GetName() != w.self {
 			w.peerHashes = append(w.peerHashes, nameHash(b.GetName()))
 		}
@@ -90,7 +90,7 @@
 
 // warmup tells how cold a back end is.
 func (w *warmupState) warmup(backend directory.BackendEntry) tokenroute.Warmup {
-	until := w.warmAt(backend)
+	until := w.warmTime(backend)
 	if !w.now.Before(until) {
 		return tokenroute.Warmup{}
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// warmAt is from when on a back end is warm; zero is always. Without a bound in the
+// warmTime is from when on a back end is warm; zero is always. Without a bound in the
 // settings all are.
-func (w *warmupState) warmAt(backend directory.BackendEntry) time.Time {
+func (w *warmupState) warmTime(backend directory.BackendEntry) time.Time {
 	if !w.limited() {
 		return time.Time{}
 	}
@@ -135,17 +135,17 @@
 		return 0
 	}
 	budget := max(1, int(bears*budgetFraction))
-	users := min(budget, len(w.otherBalancers())+1)
-	if w.rank(number) >= users {
+	users := min(budget, len(w.peers())+1)
+	if w.rankFor(number) >= users {
 		return 0
 	}
 	return budget / users
 }
 
-// rank is how many balancers come before this one in the order of a back end.
-func (w *warmupState) rank(number uint64) int {
+// rankFor is how many balancers come before this one in the order of a back end.
+func (w *warmupState) rankFor(number uint64) int {
 	own, rank := rendezvousScore(w.selfHash, number), 0
-	for _, other := range w.otherBalancers() {
+	for _, other := range w.peers() {
 		if rendezvousScore(other, number) > own {
 			rank++
 		}
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -69,11 +69,11 @@
 
 // weightFunc gives the weight of a back end.
 func (c *control) weightFunc(evacuated map[string]uint64, now time.Time) func(directory.BackendEntry) uint32 {
-	return c.newWeights(evacuated, now).weight
+	return c.newWeights(evacuated, now).backendWeight
 }
 
-// weight is the weight of a back end.
-func (w *weights) weight(backend directory.BackendEntry) uint32 {
+// backendWeight is the weight of a back end.
+func (w *weights) backendWeight(backend directory.BackendEntry) uint32 {
 	c := w.control
 	if program := w.program(backend.GetPool()); program != nil {
 		if weight, ok := c.evaluate(program, backend, backend.GetZone() == w.zone); ok {
@@ -109,13 +109,13 @@
 // off before anybody tells: with a zone evacuated while another was cut off, 129 more requests
 // were late without.
 func (w *weights) zoneChosenByWeights(pool string) bool {
-	return w.usesPlannedShares(pool) && w.plannedShares(pool)[demand.Zone(w.zone)] > 0
+	return w.usesPlannedShares(pool) && w.poolShares(pool)[demand.Zone(w.zone)] > 0
 }
 
 // usesPlannedShares tells whether a pool's weights are the parts that were planned. A policy, the spread
 // after a start, and few back ends in the zone are weighed otherwise.
 func (w *weights) usesPlannedShares(pool string) bool {
-	return !w.spreadAllZones && w.program(pool) == nil && w.plannedShares(pool) != nil
+	return !w.spreadAllZones && w.program(pool) == nil && w.poolShares(pool) != nil
 }
 
 // program is the policy of a pool, or nil when the zones decide.
@@ -128,10 +128,10 @@
 	return program
 }
 
-// plannedShares are the parts of a pool's new flows for each zone, or nil where none are
+// poolShares are the parts of a pool's new flows for each zone, or nil where none are
 // planned, the zone has too few back ends of its own, or all entries have vanished or
 // lapsed, and those that were take new flows for a while.
-func (w *weights) plannedShares(name string) map[demand.Zone]float64 {
+func (w *weights) poolShares(name string) map[demand.Zone]float64 {
 	pool := w.pools[name]
 	if pool == nil || pool.localBackends > 0 && pool.localBackends < minLocalBackends {
 		return nil
@@ -141,7 +141,7 @@
 
 // zoneWeight is the weight, 0 to 1, of a pool's back ends in a zone.
 func (w *weights) zoneWeight(place directory.PoolZone) float64 {
-	if parts := w.plannedShares(place.Pool); parts != nil {
+	if parts := w.poolShares(place.Pool); parts != nil {
 		return w.control.shareWeight(parts, poolZoneOf(place))
 	}
 	if place.Zone == w.zone {
