--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -114,12 +114,12 @@
 	for range steadyClients {
 		made.clients = append(made.clients, &burstClient{nextAt: made.now})
 	}
-	made.renewTable()
+	made.rebuildTable()
 	return made
 }
 
-// renewTable makes a table by the findings of now.
-func (b *burstFleet) renewTable() {
+// rebuildTable makes a table by the findings of now.
+func (b *burstFleet) rebuildTable() {
 	b.table = tokenroute.NewTable(b.replica, tokenroute.Options{Now: b.now, Previous: b.table,
 		WeightOf: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.flowShares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
@@ -270,7 +270,7 @@
 		}
 	}
 	b.unhealthy = judged
-	b.renewTable()
+	b.rebuildTable()
 }
 
 // update takes the picture of all.
@@ -311,7 +311,7 @@
 				for seed := range uint64(4) {
 					fleet := newBurstFleet(seed, lengths[0], lengths[1])
 					fleet.flowShares = share
-					fleet.renewTable()
+					fleet.rebuildTable()
 					fleet.run(8 * time.Second)
 					fleet.burst(2 * time.Second)
 					fleet.run(22 * time.Second)
