--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -74,7 +74,7 @@
 	abandoned []Abandoned
 	verdicts  []DeathVerdict
 	// statements are what other balancers have yet to be told.
-	statements []evidence.Statement
+	statements []evidence.Observation
 	// held are the back ends whose joined witnesses wait for an answer.
 	held []held
 	// Verdicts counts the verdicts that back ends are dead.
@@ -181,7 +181,7 @@
 	judged := l.judgementOf(backend)
 	if state.load != nil && known.repeats == 0 && !known.timed {
 		known.timed = true
-		state.load.answersTo(key.Address()).Time(now.Sub(known.sentAt))
+		state.load.answersTo(key.Address()).AddTime(now.Sub(known.sentAt))
 	}
 	if !known.counted {
 		known.counted = true
