--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-func TestNewFlowsStayInTheirZoneWhileItHasRoom(t *testing.T) {
+func TestNewFlowsStayInTheirZoneWhileItHasCapacity(t *testing.T) {
 	require.Equal(t, minimumRemoteShare, RemoteShare(0, 12, 30))
 	require.Equal(t, minimumRemoteShare, RemoteShare(7, 12, 30))
 	require.InDelta(t, 0.4, RemoteShare(12, 12, 30), 0.001)
-	require.InDelta(t, 30.0/42, RemoteShare(100, 12, 30), 0.001, "at most as all zones alike")
+	require.InDelta(t, 30.0/42, RemoteShare(100, 12, 30), 0.001, "at most in proportion to the slots of all zones")
 	require.Zero(t, RemoteShare(100, 12, 0), "there is no other zone")
-	require.Equal(t, 1.0, RemoteShare(1, 0, 30), "this zone has no back end")
+	require.Equal(t, 1.0, RemoteShare(1, 0, 30), "the local zone has no back end")
 }
 
-// Whatever is observed, the share stays between nothing and all zones alike, and
-// grows with demand.
+// For any input, the remote share is between 0 and the fraction of slots in other
+// zones, and does not fall when demand grows.
 func TestSharesStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		local := rapid.Float64Range(0, 1e6).Draw(t, "local slots")
@@ -42,20 +42,20 @@
 	})
 }
 
-// Zones that decide on what they saw a moment ago, each for itself, settle: from
-// any start, within a few rounds no share moves any more, and no zone that had
-// room elsewhere stays over its own.
-func TestZonesSettle(t *testing.T) {
+// Zones that decide independently on slightly old observations converge: from any
+// start, within a few rounds no share changes any more, and no zone stays over its
+// capacity while others have free capacity.
+func TestSharesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := rapid.SliceOfN(rapid.Float64Range(0, 30), 3, 3).Draw(t, "demand")
 		slots := rapid.SliceOfN(rapid.Float64Range(2, 30), 3, 3).Draw(t, "slots")
-		all := slots[0] + slots[1] + slots[2]
-		seen := []float64{0, 0, 0}
+		total := slots[0] + slots[1] + slots[2]
+		smoothed := []float64{0, 0, 0}
 		last := []float64{0, 0, 0}
 		for round := range 40 {
 			for zone := range demand {
-				seen[zone] += (demand[zone] - seen[zone]) / 2
-				share := RemoteShare(seen[zone], slots[zone], all-slots[zone])
+				smoothed[zone] += (demand[zone] - smoothed[zone]) / 2
+				share := RemoteShare(smoothed[zone], slots[zone], total-slots[zone])
 				if round > 30 {
 					require.InDelta(t, last[zone], share, 0.01)
 				}
