--- a/internal/observe/compare.go
+++ b/internal/observe/compare.go
@@ -6,87 +6,89 @@
 )
 
 const (
-	// minimumResponses is how many answers a back end must have given to be compared
-	// with, and minimumCompared how many such back ends there must be.
+	// minimumResponses is how many responses a back end must have given for others to
+	// be compared with it, and minimumCompared is how many such back ends there must be.
 	minimumResponses = 8
 	minimumCompared  = 3
-	// maximumBaseline is the usual part of the answers from which on an end of the scale tells
-	// nothing of those that have more there: the answers beside it are the unusual ones.
+	// maximumBaseline is the baseline fraction from which on a tail says nothing about back
+	// ends with more responses there: the responses outside the tail are the unusual ones.
 	maximumBaseline = 0.3
 )
 
-// Compare compares the answers of the back ends of a pool and returns what it
-// finds of each. A back end that fails answers with an error, which is shorter
-// than what was asked for; a slow one takes longer. What is short or long is told
-// by the half of the back ends that have the fewest such answers, so that several
-// back ends may be unwell at once, and a pool that answers so as a whole has
-// nobody who differs.
+// Compare compares the responses of the back ends of a pool and returns a finding
+// for each. A failing back end responds with errors, which are shorter than regular
+// responses; a slow one takes longer. The baseline of short or late responses is
+// that of the half of the back ends that have the fewest of them, so that several
+// back ends may be unhealthy at once, and a pool that fails or is slow as a whole
+// has no back end that differs.
 func Compare(pool []*ResponseCounts) []Finding {
-	found := make([]Finding, len(pool))
-	failing := tailExcesses(pool, func(t *ResponseCounts) *histogram { return &t.lengths }, false)
-	slow := tailExcesses(pool, func(t *ResponseCounts) *histogram { return &t.times }, true)
-	for place := range found {
-		found[place] = Finding{Failing: failing[place], Slow: slow[place]}
+	findings := make([]Finding, len(pool))
+	failing := tailExcesses(pool, func(c *ResponseCounts) *histogram { return &c.lengths }, false)
+	slow := tailExcesses(pool, func(c *ResponseCounts) *histogram { return &c.times }, true)
+	for index := range findings {
+		findings[index] = Finding{Failing: failing[index], Slow: slow[index]}
 	}
-	return found
+	return findings
 }
 
-// tailExcesses returns for each back end how many of its answers at one end of the
-// scale, the upper or the lower one, go beyond what is usual there. Of all places
-// where that end may begin it takes the one with the most evidence.
+// tailExcesses returns for each back end the fraction of its responses in the upper
+// or the lower tail that exceeds the baseline there. Of all buckets where the tail
+// may begin, it takes the one with the most evidence.
 func tailExcesses(pool []*ResponseCounts, histogramOf func(*ResponseCounts) *histogram, upper bool) []Excess {
-	found := make([]Excess, len(pool))
-	ends := make([]tail, len(pool))
+	excesses := make([]Excess, len(pool))
+	tails := make([]tail, len(pool))
 	for offset := range buckets - 1 {
-		place := offset
+		bucket := offset
 		if upper {
-			place = buckets - 1 - offset
+			bucket = buckets - 1 - offset
 		}
-		for index, tally := range pool {
-			counted := histogramOf(tally)
-			ends[index].count += float64(counted.counts[place])
-			ends[index].total = float64(counted.total)
+		for index, responses := range pool {
+			values := histogramOf(responses)
+			tails[index].count += float64(values.counts[bucket])
+			tails[index].total = float64(values.total)
 		}
-		usual, known := baselineFraction(ends)
-		if !known {
-			return found
+		baseline, ok := baselineFraction(tails)
+		if !ok {
+			return excesses
 		}
-		if usual >= maximumBaseline {
-			return found
+		if baseline >= maximumBaseline {
+			return excesses
 		}
-		for index, end := range ends {
-			ratio := end.evidenceAgainst(usual)
-			if ratio > found[index].Evidence {
-				found[index] = Excess{Fraction: (end.fraction() - usual) / (1 - usual), Evidence: ratio}
+		for index, t := range tails {
+			ratio := t.evidenceAgainst(baseline)
+			if ratio > excesses[index].Evidence {
+				excesses[index] = Excess{Fraction: (t.fraction() - baseline) / (1 - baseline), Evidence: ratio}
 			}
 		}
 	}
-	return found
+	return excesses
 }
 
-// tail is how many of a back end's answers lie at one end of the scale.
+// tail has the number of a back end's responses in one tail of their distribution,
+// and the total number of its responses.
 type tail struct {
 	count, total float64
 }
 
-func (e tail) fraction() float64 { return e.count / e.total }
+func (t tail) fraction() float64 { return t.count / t.total }
 
-// evidenceAgainst is the log-likelihood ratio of what was counted against a
-// usual part; 0 when the part is not above it.
-func (e tail) evidenceAgainst(usual float64) float64 {
-	if e.total < 1 || e.fraction() <= usual {
+// evidenceAgainst returns the log-likelihood ratio of the counts against a baseline
+// fraction, or 0 if the fraction is not above the baseline.
+func (t tail) evidenceAgainst(baseline float64) float64 {
+	if t.total < 1 || t.fraction() <= baseline {
 		return 0
 	}
-	return e.total * kullbackLeibler(e.fraction(), usual)
+	return t.total * kullbackLeibler(t.fraction(), baseline)
 }
 
-// baselineFraction is the part at that end of the half of the back ends with the
-// smallest part. One answer more keeps it above 0.
-func baselineFraction(ends []tail) (part float64, known bool) {
+// baselineFraction returns the fraction of responses in the tail for the half of the
+// back ends with the smallest fractions. One added response keeps it above 0. It
+// returns false if too few back ends can be compared.
+func baselineFraction(tails []tail) (fraction float64, ok bool) {
 	var compared []tail
-	for _, end := range ends {
-		if end.total >= minimumResponses {
-			compared = append(compared, end)
+	for _, t := range tails {
+		if t.total >= minimumResponses {
+			compared = append(compared, t)
 		}
 	}
 	if len(compared) < minimumCompared {
@@ -96,21 +98,22 @@
 		return int(math.Copysign(1, a.count*b.total-b.count*a.total))
 	})
 	count, total := 1.0, 2.0
-	for _, end := range compared[:(len(compared)+1)/2] {
-		count += end.count
-		total += end.total
+	for _, t := range compared[:(len(compared)+1)/2] {
+		count += t.count
+		total += t.total
 	}
 	return count / total, true
 }
 
-// kullbackLeibler is that of Kullback and Leibler between two chances.
-func kullbackLeibler(seen, expected float64) float64 {
+// kullbackLeibler returns the Kullback-Leibler divergence between two Bernoulli
+// distributions with the given probabilities.
+func kullbackLeibler(observed, expected float64) float64 {
 	sum := 0.0
-	if seen > 0 {
-		sum += seen * math.Log(seen/expected)
+	if observed > 0 {
+		sum += observed * math.Log(observed/expected)
 	}
-	if seen < 1 {
-		sum += (1 - seen) * math.Log((1-seen)/(1-expected))
+	if observed < 1 {
+		sum += (1 - observed) * math.Log((1-observed)/(1-expected))
 	}
 	return sum
 }
--- a/internal/observe/doc.go
+++ b/internal/observe/doc.go
@@ -1,23 +1,25 @@
-// Package observe turns what a balancer sees of flows into facts about pools
-// and back ends. It is a core without I/O: numbers and times in, facts out.
+// Package observe derives facts about pools and back ends from the packets that a
+// balancer sees. The package does no I/O: it takes numbers and times, and returns
+// facts.
 //
 // A layer-4 balancer sees the packets of clients only, since back ends answer
-// them straight. From these it knows when a request passed, when its client
-// first acknowledged a part of the answer, and how long the answer was, since
-// the client's acknowledgements count its bytes. That tells how many requests
-// wait (Use), and whether the answers of one back end differ from those of the
-// others of its pool (Tally, Compare).
+// clients directly (direct server return). From these packets it knows when a
+// request passed, when its client first acknowledged a part of the response, and
+// how long the response was, since the client's acknowledgements count its bytes.
+// That gives the number of requests in flight (InFlightAverage), and shows whether
+// the responses of one back end differ from those of the others of its pool
+// (ResponseCounts, Compare).
 //
 // Invariants:
 //
-//   - Nothing here depends on what an answer says, or on figures that an operator
-//     would have to give: a back end is compared with the others of its pool.
-//   - A fact with few observations behind it is no fact: Health is zero unless
-//     the difference is larger than chance makes it.
-//   - What was observed fades, so that a back end that is well again is seen so.
+//   - Nothing here depends on the content of responses, or on figures that an operator
+//     would have to configure: a back end is compared with the others of its pool.
+//   - Few observations make no finding: Health is zero unless the difference exceeds
+//     random variation.
+//   - Old observations decay, so that the recovery of a back end is detected.
 //
 // # Usage
 //
-// The goroutine that forwards packets owns the observations. From time to time it
-// makes a Summary, which is immutable and goes to whoever decides on shares.
+// The goroutine that forwards packets owns the observations. It periodically makes
+// a Summary, which is immutable and is passed to the goroutines that compute shares.
 package observe
--- a/internal/observe/finding.go
+++ b/internal/observe/finding.go
@@ -1,42 +1,43 @@
 package observe
 
-// Excess is the part of a back end's answers, 0 to 1, that goes beyond what is
-// usual in its pool, and the evidence for it, a log-likelihood ratio. The
+// Excess is the fraction of a back end's responses, 0 to 1, that exceeds the
+// baseline of its pool, and the evidence for it, a log-likelihood ratio. The
 // evidence of balancers that observed different requests adds up.
 type Excess struct {
 	Fraction, Evidence float64
 }
 
-// Finding is how the answers of a back end differ from those of the others of
-// its pool. The zero value is no difference.
+// Finding describes how the responses of a back end differ from those of the
+// others of its pool. The zero value is no difference.
 type Finding struct {
-	// Failing are answers that are shorter, as errors are, and Slow those that took
-	// longer.
+	// Failing is the excess of short responses, such as errors, and Slow that of
+	// late ones.
 	Failing, Slow Excess
 }
 
 const (
-	// noiseEvidence is what chance gives to one observer, since the most telling
-	// place of many is taken.
+	// noiseEvidence is the evidence that random variation gives to one observer,
+	// since the bucket with the most evidence is taken of many.
 	noiseEvidence = 3.0
-	// baseEvidence is the evidence on which a back end counts as unwell, and
-	// evidencePerObserver what is needed more for each balancer that observes, since a
-	// little chance remains in what each finds.
+	// baseEvidence is the evidence needed for a back end to count as unhealthy, and
+	// evidencePerObserver is what is needed in addition for each observing balancer,
+	// since a little random variation remains in the finding of each.
 	baseEvidence        = 15.0
 	evidencePerObserver = 0.5
-	// hysteresis is the share of that evidence down to which it stays so.
+	// hysteresis is the fraction of that evidence down to which a back end stays
+	// unhealthy.
 	hysteresis = 0.3
-	// minimumFailing is the least part of failed answers worth acting on.
+	// minimumFailing is the least fraction of failed responses worth acting on.
 	minimumFailing = 0.08
-	// minimumSlow is the same for late ones. Where users press, some back ends are
-	// somewhat slower than others by their load alone.
+	// minimumSlow is the same for late responses. Under high demand, some back ends
+	// are somewhat slower than others because of their load alone.
 	minimumSlow = 0.4
-	// overloadRatio is how many times the slow part of the answers must be smaller
-	// than the short part for the back end to count as failing.
+	// overloadRatio is how many times smaller the fraction of slow responses must be
+	// than that of short ones for the back end to count as failing.
 	overloadRatio = 2
 )
 
-// aboveNoise is an excess without the evidence that chance gives.
+// aboveNoise returns the excess without the evidence that random variation gives.
 func (e Excess) aboveNoise() Excess {
 	if e.Evidence <= noiseEvidence {
 		return Excess{}
@@ -44,16 +45,16 @@
 	return Excess{Fraction: e.Fraction, Evidence: e.Evidence - noiseEvidence}
 }
 
-// AboveNoise is a finding without the evidence that chance gives to each
-// observer.
+// AboveNoise returns the finding without the evidence that random variation gives
+// to each observer.
 func (f Finding) AboveNoise() Finding {
 	return Finding{Failing: f.Failing.aboveNoise(), Slow: f.Slow.aboveNoise()}
 }
 
-// IsZero tells whether a finding says nothing.
+// IsZero reports whether the finding shows no difference.
 func (f Finding) IsZero() bool { return f == Finding{} }
 
-// plus is what two observers found together.
+// plus combines the excesses that two observers found.
 func (e Excess) plus(other Excess) Excess {
 	sum := e.Evidence + other.Evidence
 	if sum <= 0 {
@@ -62,13 +63,13 @@
 	return Excess{Fraction: (e.Fraction*e.Evidence + other.Fraction*other.Evidence) / sum, Evidence: sum}
 }
 
-// Plus is what two observers of different requests found together.
+// Plus combines the findings of two observers of different requests.
 func (f Finding) Plus(other Finding) Finding {
 	return Finding{Failing: f.Failing.plus(other.Failing), Slow: f.Slow.plus(other.Slow)}
 }
 
-// Stronger takes of two findings on the same requests, for each kind, the one with
-// more evidence.
+// Stronger combines two findings on the same requests: for Failing and for Slow,
+// it takes the excess with more evidence.
 func (f Finding) Stronger(other Finding) Finding {
 	if other.Failing.Evidence > f.Failing.Evidence {
 		f.Failing = other.Failing
@@ -79,35 +80,37 @@
 	return f
 }
 
-// Health is how unwell a back end counts as.
+// Health describes how unhealthy a back end is. The zero value is a healthy one.
 type Health struct {
-	// Failing is the part of its answers, 0 to 1, that fail.
+	// Failing is the fraction of its responses, 0 to 1, that are failures.
 	Failing float64
-	// Slow is the part of its answers, 0 to 1, that take longer than usual.
+	// Slow is the fraction of its responses, 0 to 1, that take longer than usual.
 	Slow float64
 }
 
-// Healthy tells whether nothing speaks against a back end.
+// Healthy reports whether the back end is neither failing nor slow.
 func (h Health) Healthy() bool { return h == Health{} }
 
-// Health judges what a number of balancers found together. What counted as unwell
-// before stays so on less evidence. A back end that has more to do than it can
-// sheds requests, which are short answers too, but then its other answers are
-// slow; only one that is not slow counts as failing.
-func (f Finding) Health(observers int, before Health) Health {
+// Health derives the health of a back end from the combined finding of a number of
+// balancers. A back end that was unhealthy before stays so on less evidence. An
+// overloaded back end sheds requests, which are short responses too, but then its
+// other responses are slow; only one that is not slow counts as failing.
+func (f Finding) Health(observers int, previous Health) Health {
 	needed := baseEvidence + evidencePerObserver*float64(observers)
-	judged := Health{Slow: f.Slow.significantFraction(needed, before.Slow, minimumSlow)}
+	health := Health{Slow: f.Slow.significantFraction(needed, previous.Slow, minimumSlow)}
 	if f.Slow.Fraction*overloadRatio < f.Failing.Fraction {
-		judged.Failing = f.Failing.significantFraction(needed, before.Failing, minimumFailing)
+		health.Failing = f.Failing.significantFraction(needed, previous.Failing, minimumFailing)
 	}
-	return judged
+	return health
 }
 
-func (e Excess) significantFraction(needed, before, least float64) float64 {
-	if before > 0 {
+// significantFraction returns the fraction of the excess, or 0 if that is too small
+// or lacks the evidence.
+func (e Excess) significantFraction(needed, previous, minimum float64) float64 {
+	if previous > 0 {
 		needed *= hysteresis
 	}
-	if e.Evidence < needed || e.Fraction < least {
+	if e.Evidence < needed || e.Fraction < minimum {
 		return 0
 	}
 	return e.Fraction
--- a/internal/observe/summary.go
+++ b/internal/observe/summary.go
@@ -10,14 +10,14 @@
 // Summary is what one balancer has observed up to a time. It is immutable.
 type Summary struct {
 	At time.Time
-	// InFlight is how many requests of this balancer's clients waited for an
-	// answer of each pool, on average over the last time.
+	// InFlight is the mean number of requests of this balancer's clients that waited
+	// for a response of each pool since the last summary.
 	InFlight map[string]float64
-	// Loads are what this balancer's flows asked since the last summary.
+	// Loads has the load of this balancer's flows since the last summary.
 	Loads map[demand.PoolZone]demand.Load
-	// Dead are the back ends that are judged dead, whether the directory has them or
-	// not.
+	// Dead lists the back ends that are considered dead, whether or not the directory
+	// has them.
 	Dead []incarnation.ID
-	// Findings are what the answers of back ends tell beyond chance.
+	// Findings has what the responses of back ends show beyond random variation.
 	Findings map[incarnation.ID]Finding
 }
--- a/internal/shares/healthlimit_test.go
+++ b/internal/shares/healthlimit_test.go
@@ -10,9 +10,8 @@
 
 // Guards against an overload by the health weights: after a burst, two of three back ends
 // counted as unhealthy, and the third got nearly all new flows. However many are unhealthy,
-// the others take no more than twice their share. They take no more than they have capacity
-// for, unless their slots are full with a quarter more than their share, which is the most
-// then.
+// the others take no more than twice their share, and no more than they have capacity for.
+// Where their slots are full anyway, they take at most a quarter more than their share.
 func TestHealthyBackendsAreNotOverloaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.SampledFrom([]int{1, 2, 3, 14, 120, 10_000}).Draw(t, "backends")
