--- a/internal/admission/burst_test.go
+++ b/internal/admission/burst_test.go
@@ -9,183 +9,187 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A small fleet in virtual time: clients that try three times, balancers that each see
-// one part of the flows, and back ends of 2 slots and a queue of 8 that shed the rest.
+// The test simulates a small fleet in virtual time: clients that make three attempts,
+// balancers that each see a fraction of the flows, and back ends with 2 slots and a queue of
+// 8 that shed further requests.
 const (
-	fleetBalancers = 4
-	fleetBackends  = 16
-	fleetSlots     = 2
-	fleetQueue     = 8
-	triesAtMost    = 3
-	urgentAim      = 600 * time.Millisecond
-	burstFrom      = 10 * time.Second
-	burstUntil     = 16 * time.Second
-	playUntil      = 24 * time.Second
+	fleetBalancers    = 4
+	fleetBackends     = 16
+	fleetSlots        = 2
+	fleetQueue        = 8
+	maximumAttempts   = 3
+	responseTimeLimit = 600 * time.Millisecond
+	burstStart        = 10 * time.Second
+	burstEnd          = 16 * time.Second
+	simulationEnd     = 24 * time.Second
 )
 
-type try struct {
-	urgency Priority
-	begun   time.Duration
-	number  int
-	// open is set for requests on flows that are open, which nobody refuses.
+type attempt struct {
+	priority  Priority
+	startedAt time.Duration
+	number    int
+	// open is set for requests on open flows, which are never refused.
 	open     bool
 	balancer int
 }
 
-type account struct {
-	asked, inTime, lost, arrivals, refused int
+type requestCounters struct {
+	requests, inTime, lost, arrivals, refused int
 }
 
 type fleet struct {
-	chance   *rand.Rand
-	gates    []*Controller
-	levels   []*Refusals
-	waiting  []int
-	followed []float64
-	backends [fleetBackends][]try
-	working  [fleetBackends]int
-	later    map[time.Duration][]func(now time.Duration)
-	tallies  map[string]*account
+	random      *rand.Rand
+	controllers []*Controller
+	refusals    []*Refusals
+	inFlight    []int
+	smoothed    []float64
+	backends    [fleetBackends][]attempt
+	working     [fleetBackends]int
+	scheduled   map[time.Duration][]func(now time.Duration)
+	counters    map[string]*requestCounters
 }
 
-func newFleet(seed uint64, gated bool) *fleet {
-	made := &fleet{chance: rand.New(rand.NewPCG(seed, 1)), later: make(map[time.Duration][]func(time.Duration)),
-		tallies: make(map[string]*account), waiting: make([]int, fleetBalancers), followed: make([]float64, fleetBalancers),
-		levels: make([]*Refusals, fleetBalancers)}
+func newFleet(seed uint64, controlled bool) *fleet {
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), scheduled: make(map[time.Duration][]func(time.Duration)),
+		counters: make(map[string]*requestCounters), inFlight: make([]int, fleetBalancers), smoothed: make([]float64, fleetBalancers),
+		refusals: make([]*Refusals, fleetBalancers)}
 	for range fleetBalancers {
-		if gated {
-			made.gates = append(made.gates, NewController())
+		if controlled {
+			f.controllers = append(f.controllers, NewController())
 		}
 	}
-	return made
+	return f
 }
 
-func (f *fleet) after(now, pause time.Duration, do func(time.Duration)) {
-	at := (now + pause).Truncate(time.Millisecond) + time.Millisecond
-	f.later[at] = append(f.later[at], do)
+func (f *fleet) after(now, delay time.Duration, do func(time.Duration)) {
+	at := (now + delay).Truncate(time.Millisecond) + time.Millisecond
+	f.scheduled[at] = append(f.scheduled[at], do)
 }
 
-// tally is the account of requests of an urgency that begin in a part of the play.
-func (f *fleet) tally(t try) *account {
-	part := "before"
+// countersOf returns the counters of requests of a priority that begin in a phase of the
+// simulation.
+func (f *fleet) countersOf(a attempt) *requestCounters {
+	phase := "before"
 	switch {
-	case t.begun >= burstUntil+2*time.Second:
-		part = "after"
-	case t.begun >= burstUntil:
-		part = "end"
-	case t.begun >= burstFrom:
-		part = "burst"
+	case a.startedAt >= burstEnd+2*time.Second:
+		phase = "after"
+	case a.startedAt >= burstEnd:
+		phase = "end"
+	case a.startedAt >= burstStart:
+		phase = "burst"
 	}
-	name := fmt.Sprint(part, t.urgency)
-	if f.tallies[name] == nil {
-		f.tallies[name] = &account{}
+	name := fmt.Sprint(phase, a.priority)
+	if f.counters[name] == nil {
+		f.counters[name] = &requestCounters{}
 	}
-	return f.tallies[name]
+	return f.counters[name]
 }
 
-func (f *fleet) begin(t try, now time.Duration) {
-	t.balancer = f.chance.IntN(fleetBalancers)
-	if !t.open && f.levels[t.balancer].Match("pool", t.urgency, f.chance.Uint64()) != nil {
-		f.tally(t).refused++
-		f.again(t, now)
+func (f *fleet) begin(a attempt, now time.Duration) {
+	a.balancer = f.random.IntN(fleetBalancers)
+	if !a.open && f.refusals[a.balancer].Match("pool", a.priority, f.random.Uint64()) != nil {
+		f.countersOf(a).refused++
+		f.retry(a, now)
 		return
 	}
-	f.tally(t).arrivals++
-	f.waiting[t.balancer]++
-	place := f.chance.IntN(fleetBackends)
-	if f.working[place] == fleetSlots && len(f.backends[place]) == fleetQueue {
-		f.after(now, 100*time.Millisecond, func(now time.Duration) { f.waiting[t.balancer]--; f.again(t, now) })
+	f.countersOf(a).arrivals++
+	f.inFlight[a.balancer]++
+	index := f.random.IntN(fleetBackends)
+	if f.working[index] == fleetSlots && len(f.backends[index]) == fleetQueue {
+		f.after(now, 100*time.Millisecond, func(now time.Duration) { f.inFlight[a.balancer]--; f.retry(a, now) })
 		return
 	}
-	f.backends[place] = append(f.backends[place], t)
-	f.work(place, now)
+	f.backends[index] = append(f.backends[index], a)
+	f.work(index, now)
 }
 
-func (f *fleet) again(t try, now time.Duration) {
-	t.number, t.open = t.number+1, false
-	if t.number == triesAtMost {
-		f.tally(t).lost++
+func (f *fleet) retry(a attempt, now time.Duration) {
+	a.number, a.open = a.number+1, false
+	if a.number == maximumAttempts {
+		f.countersOf(a).lost++
 		return
 	}
-	f.after(now, time.Duration(20+f.chance.IntN(80))*time.Millisecond, func(now time.Duration) { f.begin(t, now) })
+	f.after(now, time.Duration(20+f.random.IntN(80))*time.Millisecond, func(now time.Duration) { f.begin(a, now) })
 }
 
-func (f *fleet) work(place int, now time.Duration) {
-	for f.working[place] < fleetSlots && len(f.backends[place]) > 0 {
-		t := f.backends[place][0]
-		f.backends[place] = f.backends[place][1:]
-		f.working[place]++
-		f.after(now, time.Duration(20+f.chance.IntN(80))*time.Millisecond, func(now time.Duration) {
-			f.working[place]--
-			f.waiting[t.balancer]--
-			if now-t.begun <= urgentAim {
-				f.tally(t).inTime++
+func (f *fleet) work(index int, now time.Duration) {
+	for f.working[index] < fleetSlots && len(f.backends[index]) > 0 {
+		a := f.backends[index][0]
+		f.backends[index] = f.backends[index][1:]
+		f.working[index]++
+		f.after(now, time.Duration(20+f.random.IntN(80))*time.Millisecond, func(now time.Duration) {
+			f.working[index]--
+			f.inFlight[a.balancer]--
+			if now-a.startedAt <= responseTimeLimit {
+				f.countersOf(a).inTime++
 			}
-			f.work(place, now)
+			f.work(index, now)
 		})
 	}
 }
 
-// look lets each balancer move its gate by what waits there, told a second old.
-func (f *fleet) look(now time.Duration) {
+// updateControllers updates the controller of each balancer with the requests in flight there,
+// measured one second ago.
+func (f *fleet) updateControllers(now time.Duration) {
 	clock := time.Unix(0, 0).Add(now)
-	for place, gate := range f.gates {
-		f.followed[place] += 0.5 * (float64(f.waiting[place]) - f.followed[place])
-		pressure := f.followed[place] * fleetBalancers / (fleetBackends * fleetSlots)
-		f.levels[place] = gate.Update([]PoolState{{Pool: "pool", Priorities: []Priority{1, 2},
+	for index, controller := range f.controllers {
+		f.smoothed[index] += 0.5 * (float64(f.inFlight[index]) - f.smoothed[index])
+		pressure := f.smoothed[index] * fleetBalancers / (fleetBackends * fleetSlots)
+		f.refusals[index] = controller.Update([]PoolState{{Pool: "pool", Priorities: []Priority{1, 2},
 			Pressure: Pressure{RequestsPerSlot: pressure, SeenAt: clock.Add(-time.Second)}}}, clock)
 	}
 }
 
-// play asks for 0.7 of what the back ends can do, and in the burst for 2.2 times as much:
-// a third urgent on flows of their own, and half of the others on open flows.
-func (f *fleet) play() {
-	const usual = 0.7 * fleetBackends * fleetSlots / 60 // a millisecond
-	for now := time.Duration(0); now < playUntil; now += time.Millisecond {
+// run simulates a demand of 0.7 of the capacity of the back ends, and 2.2 times as much in the
+// burst. A third of the requests has high priority and comes on new flows; of the others, half
+// comes on open flows.
+func (f *fleet) run() {
+	const usual = 0.7 * fleetBackends * fleetSlots / 60 // requests a millisecond
+	for now := time.Duration(0); now < simulationEnd; now += time.Millisecond {
 		if now%(250*time.Millisecond) == 0 {
-			f.look(now)
+			f.updateControllers(now)
 		}
 		rate := usual
-		if now >= burstFrom && now < burstUntil {
+		if now >= burstStart && now < burstEnd {
 			rate *= 2.2
 		}
 		for range 4 {
-			if f.chance.Float64() < rate/4 {
-				t := try{urgency: Priority(1 + min(f.chance.IntN(3), 1)), begun: now}
-				t.open = t.urgency == 2 && f.chance.IntN(2) == 0
-				f.tally(t).asked++
-				f.begin(t, now)
+			if f.random.Float64() < rate/4 {
+				a := attempt{priority: Priority(1 + min(f.random.IntN(3), 1)), startedAt: now}
+				a.open = a.priority == 2 && f.random.IntN(2) == 0
+				f.countersOf(a).requests++
+				f.begin(a, now)
 			}
 		}
-		for _, do := range f.later[now] {
+		for _, do := range f.scheduled[now] {
 			do(now)
 		}
-		delete(f.later, now)
+		delete(f.scheduled, now)
 	}
 }
 
-func (a *account) inTimePart() float64 { return float64(a.inTime) / float64(a.asked) }
+func (c *requestCounters) inTimeFraction() float64 { return float64(c.inTime) / float64(c.requests) }
 
-// Callers of urgent requests are served in time through a burst of more than the back
-// ends can do, fewer tries reach full back ends, and two seconds after its end nobody is
-// refused any more. Without a gate four of ten urgent ones are late or lost, and each
-// request arrives twice.
-func TestBurstEndsWithItsCause(t *testing.T) {
+// Requests of high priority get a response in time during a burst that exceeds the capacity of
+// the back ends, fewer attempts reach full back ends, and two seconds after the end of the burst
+// no flow is refused any more. Without a controller, four of ten requests of high priority are
+// late or lost, and each request arrives twice.
+func TestHighPriorityIsServedDuringABurst(t *testing.T) {
 	for seed := range uint64(5) {
-		gated, open := newFleet(seed, true), newFleet(seed, false)
-		gated.play()
-		open.play()
-		urgent, other := gated.tallies["burst1"], gated.tallies["burst2"]
-		require.Greater(t, urgent.inTimePart(), 0.9, "%+v", urgent)
-		require.Less(t, open.tallies["burst1"].inTimePart(), 0.7, "the load is hard without a gate")
-		perRequest := float64(urgent.arrivals+other.arrivals) / float64(urgent.asked+other.asked)
-		require.Less(t, perRequest, 1.15, "%+v %+v", urgent, other)
-		for _, part := range []string{"before1", "before2", "after1", "after2"} {
-			quiet := gated.tallies[part]
-			require.Zero(t, quiet.refused, "%s %+v", part, quiet)
-			require.Zero(t, quiet.lost, "%s %+v", part, quiet)
+		controlled, uncontrolled := newFleet(seed, true), newFleet(seed, false)
+		controlled.run()
+		uncontrolled.run()
+		high, other := controlled.counters["burst1"], controlled.counters["burst2"]
+		require.Greater(t, high.inTimeFraction(), 0.9, "%+v", high)
+		require.Less(t, uncontrolled.counters["burst1"].inTimeFraction(), 0.7, "many requests are late or lost without a controller")
+		perRequest := float64(high.arrivals+other.arrivals) / float64(high.requests+other.requests)
+		require.Less(t, perRequest, 1.15, "%+v %+v", high, other)
+		for _, phase := range []string{"before1", "before2", "after1", "after2"} {
+			idle := controlled.counters[phase]
+			require.Zero(t, idle.refused, "%s %+v", phase, idle)
+			require.Zero(t, idle.lost, "%s %+v", phase, idle)
 		}
-		served := func(f *fleet) int { return f.tallies["burst1"].inTime + f.tallies["burst2"].inTime }
-		require.Greater(t, served(gated), served(open)*98/100, "slots are not left idle for it")
+		served := func(f *fleet) int { return f.counters["burst1"].inTime + f.counters["burst2"].inTime }
+		require.Greater(t, served(controlled), served(uncontrolled)*98/100, "refusals must not leave slots idle")
 	}
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,25 +1,28 @@
-// Package admission decides which new flows are refused at once when the back ends
-// of a pool are short of room. It is a core without I/O.
+// Package admission implements admission control: it decides which new flows are
+// refused at once when a pool is short of capacity. The package does no I/O.
 //
-// Without it every new flow goes to some back end, which sheds what its queue has no
-// room for: after a handshake, the urgent as readily as what could wait, and its
-// client tries again on a new flow. A flow that is refused here was forwarded to
-// nobody, so its client may try again whatever it asks for.
+// Without it every new flow goes to some back end, which sheds the requests that
+// don't fit into its queue. That costs a handshake, hits requests of high priority
+// as often as others, and makes the client retry on a new flow. A flow that is
+// refused here was not forwarded to any back end, so its client may retry whatever
+// the request is.
 //
-// A Gate follows the Pressure on each pool and moves the part of new flows that is
-// refused, by urgency: the least urgent first. Its Levels are immutable; traffic
-// reads them with one load and one comparison.
+// A Controller follows the Pressure on each pool and adjusts the fraction of new
+// flows that is refused by priority, the lowest first. The Refusals that it
+// returns are immutable; the goroutine that forwards packets reads them with one
+// load and one comparison.
 //
 // Invariants:
 //
-//   - Nobody is refused on a pressure that is unknown or old, nor by a balancer that
+//   - No flow is refused on a pressure that is unknown or old, nor by a balancer that
 //     has just started, nor while slots are free.
-//   - What is more urgent is refused no sooner than what is less so.
-//   - Each flow is drawn by itself, so that no caller and no zone is chosen twice.
+//   - A priority is not refused before lower ones.
+//   - Each flow is selected independently, so that no caller and no zone is affected
+//     more than others.
 //
 // # Usage
 //
-//	gate := admission.NewController()
-//	levels := gate.Step(pools, now)
-//	if level := levels.Refusing(pool, urgency, draw); level != nil { ... }
+//	controller := admission.NewController()
+//	refusals := controller.Update(pools, now)
+//	if refusal := refusals.Match(pool, priority, hash); refusal != nil { ... }
 package admission
