--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -1,19 +1,19 @@
-// Package demand adds up what balancers see of the demand on back ends, so that
-// each knows the demand on the whole fleet and the room that is left. It is a core
-// without I/O.
+// Package demand aggregates what balancers measure of the demand on back ends, so that
+// each balancer knows the demand on the whole fleet and its free capacity. The package
+// does no I/O.
 //
-// A balancer sees one part in so many of the flows. It counts what its own flows ask
-// of each Place, the back ends of a pool in a zone. Parts of different balancers add
-// up: each balancer adds those of the balancers that follow it to its own, and the
-// sum of all, the Picture, is told back.
+// A balancer sees a fraction of all flows. It measures the load of its own flows on each
+// PoolZone, the back ends of a pool in one zone. Balancers form a tree: each adds the
+// loads that its followers report to its own and reports the sum to the balancer that it
+// follows. The sum of all, an Aggregate, is passed back down the tree.
 //
 // # Usage
 //
-//	own.Take(places, at)
-//	tree.See(own.Picture(zone, now))
-//	report, may := tree.Hand(parent, now) // tells the parent what is seen here
-//	picture := tree.Picture(now)
-//	load := picture.Places[demand.PoolZone{Pool: pool, Zone: zone}]
+//	local.Observe(loads, at)
+//	tree.SetOwn(local.Aggregate(zone, now), position)
+//	report, ok := tree.ReportTo(parent, now) // the loads of this balancer and its followers
+//	aggregate := tree.Aggregate(now)
+//	load := aggregate.Loads[demand.PoolZone{Pool: pool, Zone: zone}]
 package demand
 
 import (
@@ -27,29 +27,30 @@
 // Zone is the name of a zone.
 type Zone string
 
-// PoolZone is the back ends of a pool in a zone.
+// PoolZone identifies the back ends of a pool in one zone.
 type PoolZone struct {
 	Pool Pool
 	Zone Zone
 }
 
-// Load is the demand on a place.
+// Load is the demand on a PoolZone.
 type Load struct {
-	// InFlight is how many requests are at the back ends at a time, worked on or in queues:
-	// those that wait for an answer, less the time of the way there and back.
+	// InFlight is the number of requests at the back ends at a time, in process or queued:
+	// those that wait for a response, less the ones on the network there or back.
 	InFlight float64
-	// NewFlows are new flows sent there, Answers requests answered, and Refusals new
-	// flows refused for want of room, each a second.
+	// NewFlows, Responses and Refusals are rates per second: of new flows sent to the back
+	// ends, of requests answered, and of new flows refused for lack of capacity.
 	NewFlows, Responses, Refusals float64
-	// RequestRate are the new flows, and the requests beyond the first of each flow, that the
-	// balancers of the zone were asked to carry a second, wherever they went, those that
-	// were refused included. They tell of the zone's clients, the others of its back ends.
-	// A client that tries again from another port asks again: one that is refused or shed
-	// counts up to three times. Where zones shed unlike, that gives the fuller one more.
+	// RequestRate is how many requests a second the clients of the zone send: all new flows,
+	// and the requests after the first of each flow, that the balancers of the zone receive,
+	// whichever zone they are sent to, including those that are refused. It describes the
+	// zone's clients, the other fields its back ends. A client that retries from another port
+	// counts again: a request that is refused or shed counts up to three times. Where zones
+	// shed different fractions, the more loaded zone gets a higher rate from this.
 	RequestRate float64
 }
 
-// Plus adds what other balancers see.
+// Plus returns the sum of the loads that different balancers measured.
 func (l Load) Plus(other Load) Load {
 	return Load{
 		InFlight:    l.InFlight + other.InFlight,
@@ -60,95 +61,98 @@
 	}
 }
 
-// Aggregate is the demand that a number of balancers see. It is immutable.
+// Aggregate is the sum of the demand that a number of balancers measured. It is immutable.
 type Aggregate struct {
-	// At is when the oldest part of it was seen; zero is never.
+	// At is when the oldest part of it was measured. The zero time means never.
 	At time.Time
-	// Balancers is how many balancers see it, and Zones how many of each zone carry traffic.
+	// Balancers is the number of balancers included, and ZoneBalancers has how many of them
+	// carry traffic in each zone.
 	Balancers     int
 	ZoneBalancers map[Zone]int
 	Loads         map[PoolZone]Load
-	// Capacity is how many requests the back ends of a place that take new flows handle at
-	// once. Each balancer adds it from its own directory.
+	// Capacity is how many requests the back ends of a PoolZone that take new flows process
+	// at once. Each balancer adds it from its own directory.
 	Capacity map[PoolZone]float64
-	// poolZones are the places with demand or room of each pool that somebody asks for.
+	// poolZones lists, for each pool with demand, the zones with demand or capacity.
 	poolZones map[Pool][]PoolZone
 }
 
-// Age is the time since the oldest part was seen.
-func (p *Aggregate) Age(now time.Time) time.Duration { return now.Sub(p.At) }
+// Age returns the time since the oldest part was measured.
+func (a *Aggregate) Age(now time.Time) time.Duration { return now.Sub(a.At) }
 
-// Fresh tells whether decisions may rest on the picture. A nil picture is not fresh.
-func (p *Aggregate) Fresh(now time.Time) bool {
-	return p != nil && !p.At.IsZero() && p.Age(now) <= MaximumAge
+// Fresh reports whether decisions may be based on the aggregate. A nil aggregate is not
+// fresh.
+func (a *Aggregate) Fresh(now time.Time) bool {
+	return a != nil && !a.At.IsZero() && a.Age(now) <= MaximumAge
 }
 
-// Pressure is the part of a place's room that is in use: from 1 on requests wait for a
-// slot. It is 0 where nobody asks, and infinite where requests wait or were refused and
-// there is no room.
-func (p *Aggregate) Pressure(place PoolZone) float64 {
-	load, room := p.Loads[place], p.Capacity[place]
+// Pressure returns the fraction of the capacity of a PoolZone that is in use. From 1 on,
+// requests wait for a slot. The pressure is 0 where there is no demand, and infinite where
+// requests wait or were refused and there is no capacity.
+func (a *Aggregate) Pressure(poolZone PoolZone) float64 {
+	load, capacity := a.Loads[poolZone], a.Capacity[poolZone]
 	switch {
-	case room > 0:
-		return load.InFlight / room
+	case capacity > 0:
+		return load.InFlight / capacity
 	case load.InFlight > 0 || load.Refusals > 0:
 		return math.Inf(1)
 	}
 	return 0
 }
 
-// WithCapacity returns the picture with the room of places.
-func (p Aggregate) WithCapacity(room map[PoolZone]float64) *Aggregate {
-	p.Capacity = room
-	p.poolZones = make(map[Pool][]PoolZone)
-	for place := range p.Loads {
-		p.poolZones[place.Pool] = append(p.poolZones[place.Pool], place)
+// WithCapacity returns a copy of the aggregate with the given capacities.
+func (a Aggregate) WithCapacity(capacity map[PoolZone]float64) *Aggregate {
+	a.Capacity = capacity
+	a.poolZones = make(map[Pool][]PoolZone)
+	for poolZone := range a.Loads {
+		a.poolZones[poolZone.Pool] = append(a.poolZones[poolZone.Pool], poolZone)
 	}
-	for place := range room {
-		_, asked := p.Loads[place]
-		if places, found := p.poolZones[place.Pool]; found && !asked {
-			p.poolZones[place.Pool] = append(places, place)
+	for poolZone := range capacity {
+		_, loaded := a.Loads[poolZone]
+		if others, found := a.poolZones[poolZone.Pool]; found && !loaded {
+			a.poolZones[poolZone.Pool] = append(others, poolZone)
 		}
 	}
-	return &p
+	return &a
 }
 
-// PoolZones are the places with demand or room of each pool that somebody asks for, of a picture
-// with its room.
-func (p *Aggregate) PoolZones() map[Pool][]PoolZone {
-	if p == nil {
+// PoolZones returns, for each pool with demand, the zones with demand or capacity. The
+// aggregate must come from WithCapacity.
+func (a *Aggregate) PoolZones() map[Pool][]PoolZone {
+	if a == nil {
 		return nil
 	}
-	return p.poolZones
+	return a.poolZones
 }
 
-// PoolTotals is how many requests are at the back ends of a pool, and its room.
-func (p *Aggregate) PoolTotals(pool Pool) (waiting, room float64) {
-	for _, place := range p.poolZones[pool] {
-		waiting += p.Loads[place].InFlight
-		room += p.Capacity[place]
+// PoolTotals returns the number of requests at the back ends of a pool in all zones, and
+// their capacity.
+func (a *Aggregate) PoolTotals(pool Pool) (inFlight, capacity float64) {
+	for _, poolZone := range a.poolZones[pool] {
+		inFlight += a.Loads[poolZone].InFlight
+		capacity += a.Capacity[poolZone]
 	}
-	return waiting, room
+	return inFlight, capacity
 }
 
-// plus adds what other balancers see.
-func (p Aggregate) plus(other Aggregate) Aggregate {
-	joined := Aggregate{
-		At:            p.At,
-		Balancers:     p.Balancers + other.Balancers,
-		ZoneBalancers: make(map[Zone]int, len(p.ZoneBalancers)),
-		Loads:         make(map[PoolZone]Load, len(p.Loads)),
+// plus returns the sum of two aggregates of different balancers, without capacities.
+func (a Aggregate) plus(other Aggregate) Aggregate {
+	sum := Aggregate{
+		At:            a.At,
+		Balancers:     a.Balancers + other.Balancers,
+		ZoneBalancers: make(map[Zone]int, len(a.ZoneBalancers)),
+		Loads:         make(map[PoolZone]Load, len(a.Loads)),
 	}
-	if joined.At.IsZero() || other.At.Before(joined.At) {
-		joined.At = other.At
+	if sum.At.IsZero() || other.At.Before(sum.At) {
+		sum.At = other.At
 	}
-	for _, each := range []Aggregate{p, other} {
+	for _, each := range []Aggregate{a, other} {
 		for zone, count := range each.ZoneBalancers {
-			joined.ZoneBalancers[zone] += count
+			sum.ZoneBalancers[zone] += count
 		}
-		for place, load := range each.Loads {
-			joined.Loads[place] = joined.Loads[place].Plus(load)
+		for poolZone, load := range each.Loads {
+			sum.Loads[poolZone] = sum.Loads[poolZone].Plus(load)
 		}
 	}
-	return joined
+	return sum
 }
