--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -1,24 +1,25 @@
-// Package evidence carries between balancers what they saw of back ends that may be
-// dead. Each balancer sees a few flows of each back end; together they see enough to
-// tell a dead one after the first two requests that it left unanswered, where each
-// alone would lose a request of its own.
+// Package evidence exchanges between balancers what they observed of back ends that may have
+// failed. Each balancer sees a few flows of each back end. Together they see enough to detect
+// a failed one after the first two requests that it left unanswered, where each alone would
+// lose a request of its own.
 //
-// What is passed on are observations, never verdicts: a Witness says that a request,
-// sent at a time, stayed unanswered through its repetitions; a Activity says that a
-// back end sent something at a time. A sign of life that is newer answers a witness,
-// whoever saw it. Each balancer judges for itself (package tokenroute).
+// Only observations are passed on, never conclusions. An UnansweredRequest says that a
+// request, sent at a given time, stayed unanswered through its retransmissions. An Activity
+// says that a back end sent something at a given time. Activity that is newer than an
+// unanswered request refutes it, whichever balancer saw it. Each balancer detects failures for
+// itself (package tokenroute).
 //
-// Times never cross a link as such, since clocks differ and messages are late. They
-// are translated so that every doubt counts for the back end: a witness arrives as
-// old as it may be, a sign of life as young as it may be (Clock).
+// Times are never transferred as such, since clocks differ and messages are delayed. They are
+// translated so that the uncertainty counts in favour of the back end: an unanswered request
+// arrives with the earliest possible time, an activity with the latest (RemoteClock).
 //
-// A Board is what one balancer passes on, in a bounded number. The package does no
-// I/O and starts no goroutine; time is an argument.
+// A Buffer holds what one balancer passes on, in a bounded number. The package does no I/O
+// and starts no goroutine; time is an argument.
 //
 // # Usage
 //
-//	if board.Add(statement, from, now) { ... judge by it ... }
-//	news, next := board.Since(after, follower, now)
+//	if buffer.Add(observation, from, now) { ... update the state of the back end ... }
+//	observations := buffer.Since(after, follower, now)
 package evidence
 
 import (
@@ -27,27 +28,27 @@
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 )
 
-// Backend is one start of a back end. What is seen of another start says nothing of it.
+// Backend identifies one run of a back end. Observations of one run say nothing about another.
 type Backend = incarnation.ID
 
-// Client is the address of a client, an IPv4 address.
+// Client is the IPv4 address of a client.
 type Client uint32
 
-// Observation is what a balancer saw of a back end: a Witness or a Activity.
+// Observation is what a balancer saw of a back end: an UnansweredRequest or an Activity.
 type Observation interface {
-	// BackendID is the back end.
+	// BackendID returns the back end that was observed.
 	BackendID() Backend
-	// When is the time that the statement speaks of.
+	// When returns the time that the observation refers to.
 	When() time.Time
 	isObservation()
 }
 
-// UnansweredRequest says that a client's request was repeated twice and not answered, while
-// other back ends answered the balancer that saw it.
+// UnansweredRequest says that a client's request was retransmitted twice and not answered,
+// while other back ends answered the balancer that saw it.
 type UnansweredRequest struct {
 	Backend Backend
 	Client  Client
-	// Zone is that of the balancer that saw it.
+	// Zone is the zone of the balancer that saw it.
 	Zone string
 	// SentAt is when the request was first sent.
 	SentAt time.Time
@@ -59,18 +60,18 @@
 	At      time.Time
 }
 
-// BackendID implements Statement.
-func (w UnansweredRequest) BackendID() Backend { return w.Backend }
+// BackendID implements Observation.
+func (r UnansweredRequest) BackendID() Backend { return r.Backend }
 
-// When implements Statement.
-func (w UnansweredRequest) When() time.Time { return w.SentAt }
+// When implements Observation.
+func (r UnansweredRequest) When() time.Time { return r.SentAt }
 
-func (w UnansweredRequest) isObservation() {}
+func (r UnansweredRequest) isObservation() {}
 
-// BackendID implements Statement.
-func (s Activity) BackendID() Backend { return s.Backend }
+// BackendID implements Observation.
+func (a Activity) BackendID() Backend { return a.Backend }
 
-// When implements Statement.
-func (s Activity) When() time.Time { return s.At }
+// When implements Observation.
+func (a Activity) When() time.Time { return a.At }
 
-func (s Activity) isObservation() {}
+func (a Activity) isObservation() {}
