--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,10 +1,10 @@
 // Package mechanism names the mechanisms by which a balancer decides where new
-// flows go, so that each can be switched off to measure what it is worth.
+// flows go. Each can be disabled to measure its effect.
 //
 // # Usage
 //
-//	off, err := mechanism.Parse([]string{"least_used"})
-//	if off.Has(mechanism.LeastUsed) { ... }
+//	disabled, err := mechanism.Parse([]string{"least_used"})
+//	if disabled.Has(mechanism.LeastUsed) { ... }
 package mechanism
 
 import (
@@ -14,47 +14,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Name is the name of a mechanism as the setting "without" takes it.
+// Name is the name of a mechanism as used in the setting "without".
 type Name string
 
 // The mechanisms.
 const (
-	// LocalZone keeps new flows in the balancer's zone.
+	// LocalZone sends new flows to back ends in the balancer's zone.
 	LocalZone Name = "local_zone"
-	// ZoneSharing sends new flows to other zones beyond what the own has room for.
+	// ZoneSharing sends new flows that exceed the capacity of the local zone to other zones.
 	ZoneSharing Name = "zone_sharing"
-	// SpreadAfterStart sends new flows to all zones alike for the first seconds.
+	// SpreadAfterStart distributes new flows evenly over all zones for the first seconds.
 	SpreadAfterStart Name = "spread_after_start"
-	// LeastUsed compares several back ends by how much of them is in use.
+	// LeastUsed compares several back ends by their utilization.
 	LeastUsed Name = "least_used"
-	// AvoidSilent avoids back ends that did not answer a first packet.
+	// AvoidSilent avoids back ends that did not answer the first packet of a flow.
 	AvoidSilent Name = "avoid_silent"
-	// SilentZones avoids zones of which several back ends in a row did not answer.
+	// SilentZones avoids zones where several back ends in a row did not answer.
 	SilentZones Name = "silent_zones"
-	// Verdicts judges back ends dead by repeated requests.
+	// Verdicts detects failed back ends by retransmitted requests.
 	Verdicts Name = "verdicts"
-	// IdleResets resets flows that wait for nothing with the verdict.
+	// IdleResets resets idle flows too when their back end is detected as failed.
 	IdleResets Name = "idle_resets"
-	// JoinedEvidence judges back ends by the witnesses of all balancers.
+	// JoinedEvidence detects failed back ends by the unanswered requests of all balancers.
 	JoinedEvidence Name = "joined_evidence"
-	// RestedFlows remembers flows for as long as they may rest, to reset them too.
+	// RestedFlows keeps flows in memory for as long as they may be idle, to reset them too.
 	RestedFlows Name = "rested_flows"
-	// LapseGrace keeps back ends whose entries lapsed in an outage.
+	// LapseGrace keeps back ends whose entries expired during a store outage.
 	LapseGrace Name = "lapse_grace"
-	// EarlyPackets keeps packets that come before the first table until it is there.
+	// EarlyPackets queues packets that arrive before the first table until it exists.
 	EarlyPackets Name = "early_packets"
-	// DemandShares divides new flows between zones by the demand and room of all, where a
-	// picture of them is there.
+	// DemandShares distributes new flows over zones by the demand on and the capacity of all
+	// zones, where an aggregate of them is available.
 	DemandShares Name = "demand_shares"
-	// Health avoids back ends whose answers differ from the others'.
+	// Health avoids back ends whose responses differ from those of the others.
 	Health Name = "health"
-	// StepAside lets a balancer that can't carry its share say that it is not ready.
+	// StepAside makes a balancer that can't carry its share report that it is not ready.
 	StepAside Name = "step_aside"
-	// Admission refuses new flows that a pool has no room for, the least urgent first.
+	// Admission refuses new flows that exceed the capacity of a pool, the lowest priority first.
 	Admission Name = "admission"
 )
 
-// All are the mechanisms, in the order of this list.
+// All lists the mechanisms, in the order in which messages list them.
 var All = []Name{
 	LocalZone,
 	ZoneSharing,
@@ -81,17 +81,17 @@
 
 // Parse returns the set of the named mechanisms.
 func Parse(names []string) (Set, error) {
-	var made Set
+	var set Set
 	for _, name := range names {
 		if !slices.Contains(All, Name(name)) {
-			return Set{}, errors.Newf("%q is no mechanism; there are %s", name, list())
+			return Set{}, errors.Newf("%q is not a mechanism; use one of %s", name, joinedNames())
 		}
-		made.names = append(made.names, Name(name))
+		set.names = append(set.names, Name(name))
 	}
-	return made, nil
+	return set, nil
 }
 
-func list() string {
+func joinedNames() string {
 	var names []string
 	for _, name := range All {
 		names = append(names, string(name))
@@ -99,5 +99,5 @@
 	return strings.Join(names, ", ")
 }
 
-// Has tells whether a mechanism is in the set.
+// Has reports whether a mechanism is in the set.
 func (s Set) Has(name Name) bool { return slices.Contains(s.names, name) }
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -7,13 +7,13 @@
 )
 
 func TestParse(t *testing.T) {
-	off, err := Parse([]string{"least_used", "health"})
+	disabled, err := Parse([]string{"least_used", "health"})
 	require.NoError(t, err)
-	require.True(t, off.Has(LeastUsed))
-	require.True(t, off.Has(Health))
-	require.False(t, off.Has(Verdicts))
+	require.True(t, disabled.Has(LeastUsed))
+	require.True(t, disabled.Has(Health))
+	require.False(t, disabled.Has(Verdicts))
 	_, err = Parse([]string{"luck"})
-	require.ErrorContains(t, err, `"luck" is no mechanism; there are local_zone`)
+	require.ErrorContains(t, err, `"luck" is not a mechanism; use one of local_zone`)
 	none, err := Parse(nil)
 	require.NoError(t, err)
 	for _, name := range All {
--- a/internal/policy/damping.go
+++ b/internal/policy/damping.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// weightStep is the quantum of weights, of 100.
+	// weightStep is the unit that weights are rounded to; the full weight is 100.
 	weightStep = 10
-	// minimumWeightChange is the least change of a weight that is worth an epoch. Each
-	// change costs records for the flows it displaces.
+	// minimumWeightChange is the least change of a weight that causes a new epoch. Each
+	// change costs records for the flows that it moves to another back end.
 	minimumWeightChange = 20
-	// MinimumInterval is the least time between two changes for load alone.
+	// MinimumInterval is the least time between two changes that are due to load alone.
 	MinimumInterval = 15 * time.Second
-	fullWeight      = 100
+	// fullWeight is the integer weight for an outcome's weight of 1.
+	fullWeight = 100
 )
 
-// Damper turns outcomes into quantised weights that do not flap: a weight moves
-// only when it is off by the threshold, and only at intervals; a fall to or a
-// rise from 0 passes at once.
+// Damper turns outcomes into quantised weights that do not flap. A weight changes
+// only if it differs by minimumWeightChange, and at most every MinimumInterval; a
+// fall to 0 or a rise from 0 takes effect at once.
 type Damper struct {
 	weights   map[uint32]uint32
 	changedAt time.Time
 }
 
-// NewDamper makes a damper that starts from the weights in force.
+// NewDamper returns a damper that starts from the weights in force.
 func NewDamper(inForce map[uint32]uint32) *Damper {
 	damper := &Damper{weights: make(map[uint32]uint32)}
 	for backend, weight := range inForce {
@@ -30,11 +31,11 @@
 	return damper
 }
 
-// Update takes the newest outcomes and returns the weights to use and whether
-// they differ from the last ones.
+// Update takes the latest outcomes and returns the weights to use, and whether
+// they changed.
 func (damper *Damper) Update(now time.Time, outcomes map[uint32]Outcome) (map[uint32]uint32, bool) {
 	next := make(map[uint32]uint32, len(outcomes))
-	urgent, wanted := false, false
+	urgent, needed := false, false
 	for backend, outcome := range outcomes {
 		weight := quantise(outcome.Weight)
 		old, known := damper.weights[backend]
@@ -42,13 +43,13 @@
 		case !known || (old == 0) != (weight == 0):
 			urgent = true
 		case absoluteDifference(old, weight) >= minimumWeightChange:
-			wanted = true
+			needed = true
 		default:
 			weight = old
 		}
 		next[backend] = weight
 	}
-	if !urgent && (!wanted || now.Sub(damper.changedAt) < MinimumInterval) {
+	if !urgent && (!needed || now.Sub(damper.changedAt) < MinimumInterval) {
 		return damper.weights, false
 	}
 	damper.weights = next
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,10 +1,10 @@
-// Package policy runs the operators' policy programs.
+// Package policy compiles and evaluates the policies that operators configure.
 //
-// A policy is three short expressions in the Common Expression Language, which
-// always ends and whose cost is limited: how new flows spread (weight), when a
-// back end counts as leaving, and how far its load reports are believed. They
-// are checked when they are applied, and evaluated when facts change, never
-// for a packet.
+// A policy consists of three short expressions in the Common Expression Language
+// (CEL), whose programs always terminate and whose cost is limited: weight, the
+// distribution of new flows; leaving, whether a back end counts as leaving; and
+// load_trust, how far its load reports are trusted. Policies are checked when they
+// are applied, and evaluated when facts change, never per packet.
 package policy
 
 import (
@@ -17,14 +17,15 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Facts are what a program may look at, for one back end.
+// Facts holds the inputs of a program for one back end.
 type Facts struct {
 	Name string
 	Zone string
-	// MachineState is "live", "leaving" or "unknown", from the platform's list.
+	// MachineState is "live", "leaving" or "unknown", from the platform's list of
+	// machines.
 	MachineState string
-	// Healthy is the last health report; BadSeconds is for how long it has
-	// been bad or missing.
+	// Healthy is the last health report. BadSeconds is for how long reports have
+	// been negative or missing.
 	Healthy    bool
 	BadSeconds float64
 	// Load is the reported load, 0 to 1, and ReportAge its age in seconds.
@@ -36,28 +37,28 @@
 	UpSeconds float64
 	// Local is set when the back end is in the zone of the balancer that asks.
 	Local bool
-	// Capacity is how many requests the back end handles at once; 0 is unknown.
+	// Capacity is how many requests the back end processes at once; 0 is unknown.
 	Capacity float64
-	// WarmupSeconds is for how much longer the back end says it is slow.
+	// WarmupSeconds is for how much longer the back end reports that it is slow.
 	WarmupSeconds float64
-	// Failing and Slow are the parts of its answers, 0 to 1, that are observed to
-	// be shorter, as errors are, or later than those of the others of its pool.
+	// Failing and Slow are the observed fractions of its responses, 0 to 1, that are
+	// shorter, as errors are, or later than those of the others of its pool.
 	Failing, Slow float64
-	// Use is the part of the slots of the pool that are in use in the balancer's
-	// zone; above 1 requests wait.
+	// Use is the fraction of the pool's slots in the balancer's zone that are in use.
+	// Above 1, requests wait.
 	Use float64
 }
 
-// Outcome is what a program says of one back end.
+// Outcome is the result of a program for one back end.
 type Outcome struct {
 	// Weight is the relative share of new flows, 0 to 1.
 	Weight  float64
 	Leaving bool
-	// LoadTrust is how far the load report was believed, 0 to 1.
+	// LoadTrust is how far the load report was trusted, 0 to 1.
 	LoadTrust float64
 }
 
-// Default is the policy of a service that names none.
+// Default returns the policy of a service that names none.
 func Default() *apiv1.Policy {
 	return &apiv1.Policy{
 		Name:      "default",
@@ -67,7 +68,7 @@
 	}
 }
 
-// costLimit bounds the work of one evaluation, in CEL's units.
+// costLimit bounds the cost of one evaluation, in CEL's cost units.
 const costLimit = 1000
 
 // Program is a compiled policy. It is safe for use by many goroutines.
@@ -98,8 +99,8 @@
 	)
 }
 
-// Compile checks types and cost of a policy's expressions. An empty expression
-// is the default policy's.
+// Compile compiles the expressions of a policy, checks their types and limits their
+// cost. An empty expression is replaced by that of the default policy.
 func Compile(policy *apiv1.Policy) (*Program, error) {
 	env, err := environment()
 	if err != nil {
@@ -107,7 +108,7 @@
 	}
 	fallback := Default()
 	program := &Program{policy: policy}
-	parts := []struct {
+	expressions := []struct {
 		field, text, fallback string
 		kind                  *cel.Type
 		target                *cel.Program
@@ -116,14 +117,14 @@
 		{"leaving", policy.GetLeaving(), fallback.GetLeaving(), cel.BoolType, &program.leaving},
 		{"load_trust", policy.GetLoadTrust(), fallback.GetLoadTrust(), cel.DoubleType, &program.loadTrust},
 	}
-	for _, part := range parts {
-		text := part.text
+	for _, expression := range expressions {
+		text := expression.text
 		if text == "" {
-			text = part.fallback
+			text = expression.fallback
 		}
-		*part.target, err = compileExpression(env, text, part.kind)
+		*expression.target, err = compileExpression(env, text, expression.kind)
 		if err != nil {
-			return nil, errors.Wrapf(err, "policy %s, %s", policy.GetName(), part.field)
+			return nil, errors.Wrapf(err, "policy %s, %s", policy.GetName(), expression.field)
 		}
 	}
 	return program, nil
@@ -141,7 +142,8 @@
 	return program, errors.Wrapf(err, "%q", text)
 }
 
-// Evaluate runs a program. A weight outside 0 to 1 is an error.
+// Evaluate runs the program on facts. It returns an error if the weight or the trust
+// is outside 0 to 1.
 func (program *Program) Evaluate(facts Facts) (Outcome, error) {
 	values := map[string]any{
 		"name":          facts.Name,
@@ -165,8 +167,9 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	// What is not believed of the report is replaced by the mean, so that a
-	// back end that lies about its load moves its share only by the trust.
+	// The part of the report that is not trusted is replaced by the mean, so that a
+	// back end with false load reports changes its share only in proportion to the
+	// trust.
 	values["load"] = facts.MeanLoad + trust*(facts.Load-facts.MeanLoad)
 	weight, err := evaluateNumber(program.weight, values, "weight")
 	if err != nil {
@@ -191,20 +194,20 @@
 	return number, nil
 }
 
-// Samples are the facts with which a policy is tried when it is applied: a
-// well, a loaded, a cold, a sick and a silent back end.
+// Samples returns the facts that a policy is tested with when it is applied: those
+// of a healthy, a loaded, a newly started, an unhealthy and an unreported back end.
 func Samples() []Facts {
-	well := Facts{Name: "sample", Zone: "zone", MachineState: "live", Healthy: true, Load: 0.5, MeanLoad: 0.5, ReportAge: 1, UpSeconds: 3600, Local: true, Capacity: 2}
-	loaded, cold, sick, silent := well, well, well, well
+	healthy := Facts{Name: "sample", Zone: "zone", MachineState: "live", Healthy: true, Load: 0.5, MeanLoad: 0.5, ReportAge: 1, UpSeconds: 3600, Local: true, Capacity: 2}
+	loaded, starting, unhealthy, unreported := healthy, healthy, healthy, healthy
 	loaded.Load = 1
-	cold.UpSeconds, cold.Load = 1, 0
-	sick.Healthy, sick.BadSeconds = false, 60
-	silent.ReportAge, silent.MachineState = 3600, "unknown"
-	return []Facts{well, loaded, cold, sick, silent}
+	starting.UpSeconds, starting.Load = 1, 0
+	unhealthy.Healthy, unhealthy.BadSeconds = false, 60
+	unreported.ReportAge, unreported.MachineState = 3600, "unknown"
+	return []Facts{healthy, loaded, starting, unhealthy, unreported}
 }
 
-// Check compiles a policy and tries it on the samples. A policy that excludes
-// a well back end would exclude all of them, so it is refused.
+// Check compiles a policy and evaluates it on the samples. It rejects a policy that
+// excludes a healthy back end, since that would exclude all of them.
 func Check(policy *apiv1.Policy) error {
 	program, err := Compile(policy)
 	if err != nil {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestCheckRefuses(t *testing.T) {
+func TestCheckRejects(t *testing.T) {
 	cases := map[string]struct{ policy, want string }{
 		"syntax":       {"1.0 +", "Syntax error"},
 		"unknown name": {"lod", "undeclared reference to 'lod'"},
@@ -50,23 +50,23 @@
 	}
 }
 
-// TestLiarMovesOnlyByTrust: a false report moves the weight by no more than the
-// trust times the weight's slope.
-func TestLiarMovesOnlyByTrust(t *testing.T) {
+// TestFalseReportChangesWeightOnlyByTrust: a false load report changes the weight by
+// no more than the trust times the slope of the weight.
+func TestFalseReportChangesWeightOnlyByTrust(t *testing.T) {
 	program, err := Compile(&apiv1.Policy{Weight: "1.0 - 0.5 * load", LoadTrust: "0.2"})
 	require.NoError(t, err)
 	rapid.Check(t, func(t *rapid.T) {
 		mean := rapid.Float64Range(0, 1).Draw(t, "mean")
 		honest, err := program.Evaluate(Facts{Load: mean, MeanLoad: mean})
 		require.NoError(t, err)
-		liar, err := program.Evaluate(Facts{Load: rapid.Float64Range(0, 1).Draw(t, "lie"), MeanLoad: mean})
+		dishonest, err := program.Evaluate(Facts{Load: rapid.Float64Range(0, 1).Draw(t, "lie"), MeanLoad: mean})
 		require.NoError(t, err)
-		require.InDelta(t, honest.Weight, liar.Weight, 0.1+1e-9)
+		require.InDelta(t, honest.Weight, dishonest.Weight, 0.1+1e-9)
 	})
 }
 
-// TestDamperDoesNotFlap: whatever is reported, weights change for load alone no
-// more often than the interval allows.
+// TestDamperDoesNotFlap: whatever is reported, weights change because of load alone
+// no more often than the interval allows.
 func TestDamperDoesNotFlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		damper := NewDamper(map[uint32]uint32{1: 100, 2: 100})
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestDamperLetsFailuresPass(t *testing.T) {
+func TestDamperPassesFailuresAtOnce(t *testing.T) {
 	damper := NewDamper(map[uint32]uint32{1: 100})
 	weights, changed := damper.Update(time.Unix(1, 0), map[uint32]Outcome{1: {Weight: 0}})
 	require.True(t, changed)
--- a/internal/rule/logarithm.go
+++ b/internal/rule/logarithm.go
@@ -2,9 +2,9 @@
 
 import "math/bits"
 
-// The logarithm below works on integers only, so that every processor gives
-// the same result: two nodes that differed in the last bit of a floating-point
-// logarithm would send one flow to two back ends.
+// The logarithm is computed with integers only, so that it is the same on every
+// processor. Two nodes whose floating-point logarithms differed in the last bit
+// would send the same flow to two back ends.
 const (
 	fractionBits = 32
 	tableBits    = 10
--- a/internal/rule/rule.go
+++ b/internal/rule/rule.go
@@ -1,9 +1,9 @@
-// Package rule chooses back ends by weighted rendezvous hashing.
+// Package rule selects back ends for flows by weighted rendezvous hashing.
 //
-// A Rule is an immutable function from flows to back ends. Every node that
-// holds the same rule makes the same choice without a message. When a weight
-// changes, only flows whose best score moves between the changed back end and
-// another one are displaced, which is what keeps the records few.
+// A Rule is an immutable function from flows to back ends. All nodes with the
+// same rule make the same choice without communication. When a weight changes,
+// only those flows move whose best score moves between the changed back end and
+// another one. That keeps the number of records small.
 //
 // The score of a back end for a flow is -log2(u)/weight with u uniform in
 // (0, 1]; the lowest score wins. This is the method of Thaler and Ravishankar,
@@ -19,37 +19,38 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// MaximumWeight is the largest weight of a candidate. Weights are whole numbers, so it bounds
-// how small the part is that a back end may take beside others: with 1000, the 1,400 back ends
-// elsewhere of a zone of 14 took 0.091 of its flows at the least weight there is.
+// MaximumWeight is the largest weight of a candidate. Weights are integers, so it bounds how
+// small the share of a back end relative to others can be: with 1000, the 1,400 back ends in
+// other zones of a zone with 14 received 0.091 of its flows at the smallest possible weight.
 const MaximumWeight = 1_000_000
 
-// NoBackend is the back end number that stands for none.
+// NoBackend is the back end number that means no back end.
 const NoBackend = 0
 
 // Candidate is one back end in a rule.
 type Candidate struct {
 	Backend uint32
-	// Weight is the relative share, 0 to MaximumWeight; 0 is never chosen.
+	// Weight is the relative share, 0 to MaximumWeight. A candidate of weight 0 is
+	// never selected.
 	Weight uint32
-	// Identity orders flows over the candidates in place of Backend where
-	// Backend is only an index; 0 takes Backend.
+	// Identity replaces Backend in the hash where Backend is only an index. If it is
+	// 0, Backend is hashed.
 	Identity uint64
 	seed     uint64
 }
 
-// Rule chooses among the back ends of one service. It is immutable.
+// Rule selects among the back ends of one service. It is immutable.
 type Rule struct {
 	Service    string
 	Address    flow.Address
 	candidates []Candidate
 }
 
-// New makes a rule. The salt separates services, so that one flow hash does
-// not order the back ends of two services alike. Candidates are sorted, hence
-// their order does not matter.
+// New returns a rule. The salt differs between services, so that a flow hash
+// does not order the back ends of two services in the same way. The order of the
+// candidates does not matter, since New sorts them.
 func New(service string, address flow.Address, salt uint64, candidates []Candidate) *Rule {
-	kept := make([]Candidate, 0, len(candidates))
+	sorted := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
 		candidate.Weight = min(candidate.Weight, MaximumWeight)
 		identity := candidate.Identity
@@ -57,18 +58,18 @@
 			identity = uint64(candidate.Backend)
 		}
 		candidate.seed = mix(salt + identity*0x9e3779b97f4a7c15)
-		kept = append(kept, candidate)
+		sorted = append(sorted, candidate)
 	}
 	byBackend := func(one, other Candidate) int { return cmp.Compare(one.Backend, other.Backend) }
-	if !slices.IsSortedFunc(kept, byBackend) {
-		slices.SortFunc(kept, byBackend)
+	if !slices.IsSortedFunc(sorted, byBackend) {
+		slices.SortFunc(sorted, byBackend)
 	}
-	return &Rule{Service: service, Address: address, candidates: kept}
+	return &Rule{Service: service, Address: address, candidates: sorted}
 }
 
 // Without returns the rule with the given back ends at weight 0, or the rule
-// itself when it names none of them. When that would leave no back end, the
-// rule has no choice and Pick returns NoBackend.
+// itself if none of them is a candidate with a weight. If that leaves no back end,
+// Pick returns NoBackend.
 func (rule *Rule) Without(excluded map[uint32]bool) *Rule {
 	found := false
 	for _, candidate := range rule.candidates {
@@ -87,13 +88,13 @@
 	return copied
 }
 
-// Candidates returns the back ends of the rule in the order of their numbers.
+// Candidates returns the candidates of the rule in the order of their numbers.
 func (rule *Rule) Candidates() []Candidate {
 	return append([]Candidate(nil), rule.candidates...)
 }
 
-// Pick returns the back end for a flow hash, or NoBackend when every weight is
-// 0. It does not allocate.
+// Pick returns the back end for a flow hash, or NoBackend if every weight is 0.
+// It does not allocate.
 func (rule *Rule) Pick(hash uint64) uint32 {
 	best := uint32(NoBackend)
 	var bestScore, bestWeight uint64
@@ -104,8 +105,8 @@
 		}
 		score := negativeLogarithm(mix(hash ^ candidate.seed))
 		weight := uint64(candidate.Weight)
-		// score/weight < bestScore/bestWeight without division; the products
-		// stay below 2^59.
+		// This is score/weight < bestScore/bestWeight without division. The
+		// products are below 2^59.
 		if best == NoBackend || score*bestWeight < bestScore*weight {
 			best, bestScore, bestWeight = candidate.Backend, score, weight
 		}
@@ -113,22 +114,22 @@
 	return best
 }
 
-// RankedCandidate is a candidate of one of several rules.
+// RankedCandidate is a candidate of one of several rules, as returned by TopCandidates.
 type RankedCandidate struct {
 	Candidate
-	// RuleIndex is the place of its rule.
+	// RuleIndex is the index of its rule.
 	RuleIndex int
 }
 
-// TopCandidates puts the first candidates of all rules in the order of a flow into found, the
-// first one first, and returns how many there are; candidates for which except is true are
-// left out. Weights count across the rules, so that the order is that of one rule with the
-// candidates of all. It does not allocate.
-func TopCandidates(rules []*Rule, hash uint64, found []RankedCandidate, except func(rule int, backend uint32) bool) int {
+// TopCandidates fills ranked with the candidates of all rules that rank first for a flow hash,
+// best first, and returns their number, at most 16. Candidates for which skip returns true are
+// left out. Weights are comparable across rules, so that the order is that of a single rule with
+// the candidates of all. TopCandidates does not allocate.
+func TopCandidates(rules []*Rule, hash uint64, ranked []RankedCandidate, skip func(rule int, backend uint32) bool) int {
 	var scores [16]uint64
-	limit := min(len(found), len(scores))
+	limit := min(len(ranked), len(scores))
 	count := 0
-	for place, rule := range rules {
+	for ruleIndex, rule := range rules {
 		for index := range rule.candidates {
 			candidate := &rule.candidates[index]
 			if candidate.Weight == 0 {
@@ -138,24 +139,24 @@
 			if count == limit && score >= scores[count-1] {
 				continue
 			}
-			if except(place, candidate.Backend) {
+			if skip(ruleIndex, candidate.Backend) {
 				continue
 			}
 			if count < limit {
 				count++
 			}
-			at := count - 1
-			for ; at > 0 && scores[at-1] > score; at-- {
-				found[at], scores[at] = found[at-1], scores[at-1]
+			position := count - 1
+			for ; position > 0 && scores[position-1] > score; position-- {
+				ranked[position], scores[position] = ranked[position-1], scores[position-1]
 			}
-			found[at], scores[at] = RankedCandidate{Candidate: *candidate, RuleIndex: place}, score
+			ranked[position], scores[position] = RankedCandidate{Candidate: *candidate, RuleIndex: ruleIndex}, score
 		}
 	}
 	return count
 }
 
-// Score returns the score of each candidate for a flow hash, lowest first, for
-// explanations. The score is scaled by MaximumWeight/weight; weight 0 has the highest.
+// Score returns the score of each candidate for a flow hash, lowest first, to explain
+// a decision. Scores are scaled by MaximumWeight/weight; weight 0 has the highest.
 func (rule *Rule) Score(hash uint64) []Score {
 	scores := make([]Score, 0, len(rule.candidates))
 	for _, candidate := range rule.candidates {
@@ -169,7 +170,7 @@
 	return scores
 }
 
-// Score is how one back end stood for one flow.
+// Score is the score of one back end for one flow. The lowest Value wins.
 type Score struct {
 	Backend uint32
 	Weight  uint32
--- a/internal/rule/rule_test.go
+++ b/internal/rule/rule_test.go
@@ -10,7 +10,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-func equalRule(count int, weight uint32) *Rule {
+func ruleWithEqualWeights(count int, weight uint32) *Rule {
 	var candidates []Candidate
 	for number := range count {
 		candidates = append(candidates, Candidate{Backend: uint32(number + 1), Weight: weight})
@@ -26,9 +26,10 @@
 	})
 }
 
-// TestPickIsFixed pins the function: a change of it would move every flow.
+// TestPickIsFixed guards against changes of the hash function, which would move
+// every flow.
 func TestPickIsFixed(t *testing.T) {
-	rule := equalRule(14, 100)
+	rule := ruleWithEqualWeights(14, 100)
 	key, err := flow.Parse("10.64.0.5:40000-10.200.0.1:80")
 	require.NoError(t, err)
 	require.Equal(t, uint64(0x4deffcec754cddd9), key.Hash())
@@ -45,27 +46,27 @@
 	require.Zero(t, counts[3])
 }
 
-// TestWithoutMovesOnlyItsFlows: flows of other back ends stay where they are.
+// TestWithoutMovesOnlyItsFlows: flows of the remaining back ends do not move.
 func TestWithoutMovesOnlyItsFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := equalRule(rapid.IntRange(2, 20).Draw(t, "count"), 100)
-		gone := uint32(rapid.IntRange(1, 2).Draw(t, "gone"))
-		without := rule.Without(map[uint32]bool{gone: true})
+		rule := ruleWithEqualWeights(rapid.IntRange(2, 20).Draw(t, "count"), 100)
+		excluded := uint32(rapid.IntRange(1, 2).Draw(t, "gone"))
+		without := rule.Without(map[uint32]bool{excluded: true})
 		hash := rapid.Uint64().Draw(t, "hash")
-		if before := rule.Pick(hash); before != gone {
+		if before := rule.Pick(hash); before != excluded {
 			require.Equal(t, before, without.Pick(hash))
 		}
-		require.NotEqual(t, gone, without.Pick(hash))
+		require.NotEqual(t, excluded, without.Pick(hash))
 	})
 }
 
 func TestWithoutAll(t *testing.T) {
-	rule := equalRule(2, 100).Without(map[uint32]bool{1: true, 2: true})
+	rule := ruleWithEqualWeights(2, 100).Without(map[uint32]bool{1: true, 2: true})
 	require.Equal(t, uint32(NoBackend), rule.Pick(12345))
 }
 
 func BenchmarkPick14(b *testing.B) {
-	rule := equalRule(14, 100)
+	rule := ruleWithEqualWeights(14, 100)
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
 		rule.Pick(uint64(number) * 0x9e3779b97f4a7c15)
--- a/internal/rule/set.go
+++ b/internal/rule/set.go
@@ -14,7 +14,7 @@
 	rules    map[flow.Address]*Rule
 }
 
-// NewSet checks and compiles the services of an epoch.
+// NewSet validates and compiles the services of an epoch.
 func NewSet(epoch *apiv1.Epoch) (*Set, error) {
 	set := &Set{
 		Number:   epoch.GetNumber(),
@@ -47,7 +47,7 @@
 	return New(service.GetName(), address, service.GetSalt(), candidates)
 }
 
-// Rule returns the rule for an address, or nil.
+// Rule returns the rule for a service address, or nil if there is none.
 func (set *Set) Rule(address flow.Address) *Rule {
 	if set == nil {
 		return nil
@@ -55,7 +55,8 @@
 	return set.rules[address]
 }
 
-// Rules returns all rules of the set; the map must not be changed.
+// Rules returns all rules of the set by service address. The map must not be
+// modified.
 func (set *Set) Rules() map[flow.Address]*Rule {
 	if set == nil {
 		return nil
