--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -48,7 +48,7 @@
 
 // integrals has the integral terms of the controller for a pool. The field lowestPriority
 // is the fraction of the lowest priority that is refused, and otherPriorities is how many of
-// the other priorities are refused, in whole and fractions, from the lower ones on.
+// the other priorities are refused, from the lowest of them on, which need not be an integer.
 type integrals struct {
 	lowestPriority, otherPriorities float64
 }
--- a/internal/observe/compare.go
+++ b/internal/observe/compare.go
@@ -54,10 +54,10 @@
 		if baseline >= maximumBaseline {
 			return excesses
 		}
-		for index, t := range tails {
-			ratio := t.evidenceAgainst(baseline)
+		for index, tail := range tails {
+			ratio := tail.evidenceAgainst(baseline)
 			if ratio > excesses[index].Evidence {
-				excesses[index] = Excess{Fraction: (t.fraction() - baseline) / (1 - baseline), Evidence: ratio}
+				excesses[index] = Excess{Fraction: (tail.fraction() - baseline) / (1 - baseline), Evidence: ratio}
 			}
 		}
 	}
@@ -86,9 +86,9 @@
 // returns false if too few back ends can be compared.
 func baselineFraction(tails []tail) (fraction float64, ok bool) {
 	var compared []tail
-	for _, t := range tails {
-		if t.total >= minimumResponses {
-			compared = append(compared, t)
+	for _, tail := range tails {
+		if tail.total >= minimumResponses {
+			compared = append(compared, tail)
 		}
 	}
 	if len(compared) < minimumCompared {
@@ -98,9 +98,9 @@
 		return int(math.Copysign(1, a.count*b.total-b.count*a.total))
 	})
 	count, total := 1.0, 2.0
-	for _, t := range compared[:(len(compared)+1)/2] {
-		count += t.count
-		total += t.total
+	for _, tail := range compared[:(len(compared)+1)/2] {
+		count += tail.count
+		total += tail.total
 	}
 	return count / total, true
 }
