--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -69,7 +69,7 @@
 	c.gate.pressures.follow(summary)
 	picture := c.demand.picture.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	c.balancer.traffic.flows.Saturate(c.gate.saturated(zone, picture, now))
+	c.balancer.traffic.flows.SetSaturatedPools(c.gate.saturated(zone, picture, now))
 	if c.balancer.off.Has(mechanism.Admission) {
 		return
 	}
@@ -82,7 +82,7 @@
 	}
 	levels := c.gate.core.Step(demands, now)
 	c.tellShort(levels, picture, now)
-	c.balancer.traffic.flows.Admit(levels)
+	c.balancer.traffic.flows.SetRefusals(levels)
 }
 
 // tellShort tells which pools began or ceased to be short of room.
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -34,9 +34,9 @@
 		return
 	}
 	flows := c.balancer.traffic.flows
-	counts := aside.Counts{Missed: flows.Missed.Load()}
-	for step := range flows.Opened {
-		counts.Opened[step] = flows.Opened[step].Load()
+	counts := aside.Counts{Missed: flows.Unanswered.Load()}
+	for step := range flows.OpenedByTime {
+		counts.Opened[step] = flows.OpenedByTime[step].Load()
 	}
 	core := c.aside.core
 	if !core.Look(counts, c.asideZone(now), now) {
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -108,7 +108,7 @@
 	}
 	made.known.Apply(batch, made.now)
 	for place := range made.nodes {
-		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), gate: newGate()}
+		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).WithZone("maadi"), gate: newGate()}
 		made.nodes[place].gate.takeRoutes(made.known.Routes())
 	}
 	for range calmCallers {
@@ -275,13 +275,13 @@
 
 // take takes the picture of all.
 func (n *burstNode) take(picture *demand.Picture, now time.Time) {
-	n.flows.Saturate(n.gate.saturated("maadi", picture, now))
+	n.flows.SetSaturatedPools(n.gate.saturated("maadi", picture, now))
 	var demands []admission.Demand
 	for pool := range picture.Pools() {
 		demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: n.gate.urgencies[string(pool)],
 			Pressure: n.gate.pressures.on(pool, "maadi", picture, listing{"maadi": burstBalancers})})
 	}
-	n.flows.Admit(n.gate.core.Step(demands, now))
+	n.flows.SetRefusals(n.gate.core.Step(demands, now))
 }
 
 // second is the second of now.
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -53,7 +53,7 @@
 	now := time.Now().Truncate(time.Second)
 	level := &admission.Level{Pool: "lending", Urgency: 2, Refused: 0.75,
 		Pressure: admission.Pressure{Waiting: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
-	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Level: level}
+	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Refusal: level}
 	for range 1000 {
 		log.note(tokenroute.Packet{First: true}, nil, refused, nil, now)
 	}
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -215,7 +215,7 @@
 // pagedNews returns the pages of all that is known for a follower that needs all of it, or
 // nil where one answer is enough.
 func (c *control) pagedNews(asking *follower, known bool, now time.Time) *replication.Pages {
-	if !known || asking.withoutChanges || !asking.takesPages || !c.known.NeedsAll(asking.after, asking.everything) {
+	if !known || asking.withoutChanges || !asking.takesPages || !c.known.NeedsSnapshot(asking.after, asking.everything) {
 		return nil
 	}
 	return c.pagesFor(asking.after, now)
@@ -229,7 +229,7 @@
 	}
 	batch := c.known.Since(asking.after)
 	if asking.everything {
-		batch = c.known.Everything(asking.after)
+		batch = c.known.SinceWithTombstones(asking.after)
 	}
 	if !asking.takesPacked {
 		return batch
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -42,7 +42,7 @@
 		pools:  make(map[demand.Pool]healthSum),
 	}
 	if len(c.observed.unwell) > 0 {
-		for _, group := range c.known.Groups() {
+		for _, group := range c.known.BackendGroups() {
 			if _, empty := evacuated[group.Zone]; !empty {
 				made.add(group, &c.observed, warming, now)
 			}
@@ -53,8 +53,8 @@
 }
 
 // add sums up a group. Cold back ends bear little, and are no room.
-func (l *healthLimits) add(group *directory.Group, seen *observed, warming *warming, now time.Time) {
-	place, sum, unwell := placeOf(group.Place), healthSum{}, false
+func (l *healthLimits) add(group *directory.BackendGroup, seen *observed, warming *warming, now time.Time) {
+	place, sum, unwell := placeOf(group.PoolZone), healthSum{}, false
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() || warming.bounded() && now.Before(warming.warmFrom(backend)) {
 			continue
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -92,7 +92,7 @@
 	c.rebuild = true
 	c.core.StoreRestored(c.known.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.known.Held())
+		"known_to", revision.Text(before), "held", c.known.OverrideCount())
 }
 
 // countUnreadable counts the entries of the store that could not be read.
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -18,7 +18,7 @@
 	}
 	c.write, c.writeEra = write, c.balancer.era.Load()
 	if write.Policy != nil {
-		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Gone)
+		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Removed)
 	}
 	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(write.Put), "remove", write.Remove,
 		"first_of_zones", len(write.Leads))
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -94,9 +94,9 @@
 	counter(faultyDescription, traffic.failed.Load(), "not_sent")
 	counter(unreadableDescription, balancer.unreadable.Load())
 	counter(flowsDescription, traffic.flows.Retried.Load(), "retried")
-	counter(flowsDescription, traffic.flows.Missed.Load(), "not_answered")
-	counter(flowsDescription, traffic.flows.Verdicts(), "backend_dead")
-	counter(flowsDescription, traffic.flows.Silenced(), "zone_silent")
+	counter(flowsDescription, traffic.flows.Unanswered.Load(), "not_answered")
+	counter(flowsDescription, traffic.flows.BackendFailures(), "backend_dead")
+	counter(flowsDescription, traffic.flows.SilentZoneCount(), "zone_silent")
 	counter(earlyDescription, traffic.early.sent.Load(), "sent")
 	counter(earlyDescription, traffic.early.lost.Load(), "lost")
 	counter(statementsDescription, traffic.heard.lost.Load()+traffic.statements.lost.Load(), "mailbox")
@@ -122,7 +122,7 @@
 		counter(refusalsDescription, count, kind.pool, urgencyLabel(kind.urgency))
 	}
 	told := make(map[string]bool)
-	for _, level := range traffic.flows.Levels().All() {
+	for _, level := range traffic.flows.Refusals().All() {
 		gauge(refusedPartDescription, level.Refused, level.Pool, urgencyLabel(level.Urgency))
 		if !told[level.Pool] {
 			told[level.Pool] = true
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -98,18 +98,18 @@
 	c.nextTurn = time.Time{}
 	c.turnAt(c.firstAt.Add(spreadTime), now)
 	c.turnAt(c.lapse().Until, now)
-	for _, group := range c.known.Groups() {
-		if group.Gone > 0 {
+	for _, group := range c.known.BackendGroups() {
+		if group.TombstoneCount > 0 {
 			c.turnForVanished(group, now)
 		}
 	}
 }
 
 // turnForVanished sets when back ends of a group that vanished have had their time.
-func (c *control) turnForVanished(group *directory.Group, now time.Time) {
+func (c *control) turnForVanished(group *directory.BackendGroup, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone {
-			c.turnAt(backend.VanishedAt.Add(c.emptyGrace()), now)
+			c.turnAt(backend.RemovalSeenAt.Add(c.emptyGrace()), now)
 		}
 	}
 }
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -25,7 +25,7 @@
 	zones map[string]*poolZones
 	// counts are what groups had when they were counted last; those that have not changed
 	// are not counted again.
-	counts map[directory.Place]groupCount
+	counts map[directory.PoolZone]groupCount
 	// cold are the back ends that are no room yet, and lookAt is when some may be; zero is
 	// never.
 	cold   []coldSlots
@@ -68,22 +68,22 @@
 		slots:    make(map[demand.Place]float64),
 		backends: make(map[demand.Place]int),
 		zones:    make(map[string]*poolZones),
-		counts:   make(map[directory.Place]groupCount, len(counts)),
+		counts:   make(map[directory.PoolZone]groupCount, len(counts)),
 	}
 	warming := c.newWarming(now)
 	c.measureHealth(evacuated, warming, now)
 	own := c.balancer.settings.Load().GetZone()
-	for _, group := range c.known.Groups() {
+	for _, group := range c.known.BackendGroups() {
 		if _, empty := evacuated[group.Zone]; empty {
 			continue
 		}
-		counted := counts[group.Place]
+		counted := counts[group.PoolZone]
 		if counted.version != group.Version {
 			counted = countGroup(group)
 		}
-		made.counts[group.Place] = counted
-		made.count(group.Place, counted, own)
-		place := placeOf(group.Place)
+		made.counts[group.PoolZone] = counted
+		made.count(group.PoolZone, counted, own)
+		place := placeOf(group.PoolZone)
 		if warming.bounded() || len(c.observed.unwell) > 0 {
 			made.countEach(group, place, warming, &c.observed, now)
 		} else if counted.backends > 0 {
@@ -102,7 +102,7 @@
 	slots    float64
 }
 
-func countGroup(group *directory.Group) groupCount {
+func countGroup(group *directory.BackendGroup) groupCount {
 	counted := groupCount{version: group.Version}
 	for _, backend := range group.Entries {
 		if !backend.Gone && !backend.GetDraining() {
@@ -114,7 +114,7 @@
 }
 
 // countEach adds the slots of a group, where back ends differ by their warmth or health.
-func (r *room) countEach(group *directory.Group, place demand.Place, warming *warming, seen *observed, now time.Time) {
+func (r *room) countEach(group *directory.BackendGroup, place demand.Place, warming *warming, seen *observed, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
@@ -134,7 +134,7 @@
 }
 
 // count counts the back ends of a group that may take new flows.
-func (r *room) count(place directory.Place, counted groupCount, own string) {
+func (r *room) count(place directory.PoolZone, counted groupCount, own string) {
 	if counted.backends == 0 {
 		return
 	}
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -47,7 +47,7 @@
 	return &traffic{
 		balancer: balancer,
 		socket:   socket,
-		flows:    tokenroute.NewFlows(balancer.off).InZone(balancer.settings.Load().GetZone()),
+		flows:    tokenroute.NewFlows(balancer.off).WithZone(balancer.settings.Load().GetZone()),
 		log:      decisionLog{logger: balancer.logger},
 		input:    make([]byte, size),
 		output:   make([]byte, 0, 2*size),
@@ -126,7 +126,7 @@
 // tellClients resets the flows whose back ends were judged dead, and passes on what
 // was seen.
 func (t *traffic) tellClients(table *tokenroute.Table, now time.Time) {
-	for _, verdict := range t.flows.TakeVerdicts() {
+	for _, verdict := range t.flows.TakeBackendFailures() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
 			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Own, "unanswered_elsewhere", verdict.Told,
 			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
@@ -135,7 +135,7 @@
 		t.balancer.logger.Warn("Traffic: a zone answers nothing, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
 			"silent_for", now.Sub(silent.Since).Round(time.Millisecond))
 	}
-	for _, abandoned := range t.flows.TakeAbandoned() {
+	for _, abandoned := range t.flows.TakeAbandonedFlows() {
 		t.reset(abandoned, table, now)
 	}
 	if statements := t.flows.TakeStatements(); len(statements) > 0 {
@@ -210,8 +210,8 @@
 // carryOut does what was decided on a packet.
 func (t *traffic) carryOut(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.counts[decision.Reason].Add(1)
-	if decision.Level != nil {
-		t.refusals.count(decision.Level)
+	if decision.Refusal != nil {
+		t.refusals.count(decision.Refusal)
 	}
 	codec := t.balancer.outside.Codec
 	var err error
@@ -230,7 +230,7 @@
 }
 
 // reset tells the client of a flow that its back end no longer holds it.
-func (t *traffic) reset(abandoned tokenroute.Abandoned, table *tokenroute.Table, now time.Time) {
+func (t *traffic) reset(abandoned tokenroute.AbandonedFlow, table *tokenroute.Table, now time.Time) {
 	packet := tokenroute.Packet{Key: abandoned.Key, Acknowledged: abandoned.Acknowledged}
 	decision := tokenroute.Decision{
 		Verdict: tokenroute.Refuse,
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -50,8 +50,8 @@
 		made.pools[pool.GetPool()] = pool
 	}
 	for _, order := range c.known.Evacuations() {
-		if !order.Holds() {
-			made.takenBack[order.Zone] = order.GoneAt
+		if !order.Active() {
+			made.takenBack[order.Zone] = order.RevokedAt
 		}
 	}
 	return made
@@ -167,7 +167,7 @@
 func (c *control) evacuated() map[string]uint64 {
 	zones := make(map[string]uint64)
 	for _, order := range c.known.Evacuations() {
-		if order.Holds() {
+		if order.Active() {
 			zones[order.Zone] = order.Revision
 		}
 	}
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -80,7 +80,7 @@
 			return weight
 		}
 	}
-	weight := w.placeWeight(directory.Place{Pool: backend.GetPool(), Zone: backend.GetZone()})
+	weight := w.placeWeight(directory.PoolZone{Pool: backend.GetPool(), Zone: backend.GetZone()})
 	if !c.balancer.off.Has(mechanism.Health) {
 		weight *= c.observed.healthWeight(backend.Incarnation())
 	}
@@ -88,7 +88,7 @@
 }
 
 // ofPlace is the weight of each back end of a place, where all have the same.
-func (w *weights) ofPlace(place directory.Place) (weight uint32, uniform bool) {
+func (w *weights) ofPlace(place directory.PoolZone) (weight uint32, uniform bool) {
 	if w.program(place.Pool) != nil || len(w.control.observed.unwell) > 0 {
 		return 0, false
 	}
@@ -96,7 +96,7 @@
 }
 
 // placeWeight is the weight, 0 to 1, of a place's back ends that are well.
-func (w *weights) placeWeight(place directory.Place) float64 {
+func (w *weights) placeWeight(place directory.PoolZone) float64 {
 	if w.spread {
 		return 1
 	}
@@ -140,7 +140,7 @@
 }
 
 // zoneWeight is the weight, 0 to 1, of a pool's back ends in a zone.
-func (w *weights) zoneWeight(place directory.Place) float64 {
+func (w *weights) zoneWeight(place directory.PoolZone) float64 {
 	if parts := w.plannedParts(place.Pool); parts != nil {
 		return w.control.partWeight(parts, placeOf(place))
 	}
@@ -151,7 +151,7 @@
 }
 
 // placeOf is a place of the directory as demand knows it.
-func placeOf(place directory.Place) demand.Place {
+func placeOf(place directory.PoolZone) demand.Place {
 	return demand.Place{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -57,7 +57,7 @@
 	found := known.Backends()
 	require.Len(t, found, 1, "what it held is kept for its open flows (soak seeds 1001 and 1002)")
 	require.True(t, found[0].Gone)
-	require.True(t, found[0].VanishedAt.IsZero())
+	require.True(t, found[0].RemovalSeenAt.IsZero())
 	require.Equal(t, uint32(1), found[0].GetAddress())
 }
 
@@ -146,14 +146,14 @@
 	require.False(t, asker.Backends()[1].Gone)
 }
 
-// world is a store in which changes happen, for the property test.
-type world struct {
+// fakeStore is a store in which changes happen, for the property test.
+type fakeStore struct {
 	revision uint64
 	entries  map[string]*apiv1.DirectoryChange
 	history  []*apiv1.DirectoryChange
 }
 
-func (world *world) change(id string, draining, gone bool) {
+func (world *fakeStore) change(id string, draining, gone bool) {
 	world.revision++
 	made := backendChange(world.revision, id, draining, gone)
 	world.history = append(world.history, made)
@@ -164,7 +164,7 @@
 	world.entries[id] = made
 }
 
-func (world *world) snapshot() *apiv1.DirectoryBatch {
+func (world *fakeStore) snapshot() *apiv1.DirectoryBatch {
 	made := batch(world.revision, true)
 	for _, entry := range world.entries {
 		made.Changes = append(made.Changes, proto.CloneOf(entry))
@@ -172,7 +172,7 @@
 	return made
 }
 
-func (world *world) since(after uint64) *apiv1.DirectoryBatch {
+func (world *fakeStore) since(after uint64) *apiv1.DirectoryBatch {
 	made := batch(world.revision, false)
 	for _, event := range world.history {
 		if event.GetRevision() > after {
@@ -187,7 +187,7 @@
 // the store's revision hold what the store holds.
 func TestDirectoriesAgreeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &world{entries: make(map[string]*apiv1.DirectoryChange)}
+		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
 		known := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
 		var late []*apiv1.DirectoryBatch
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -214,12 +214,12 @@
 		}
 		for _, each := range known {
 			each.Apply(store.since(each.Revision()), start)
-			requireSame(t, store, each)
+			requireMatchesStore(t, store, each)
 		}
 	})
 }
 
-func requireSame(t require.TestingT, store *world, known *Directory) {
+func requireMatchesStore(t require.TestingT, store *fakeStore, known *Directory) {
 	held := make(map[string]bool)
 	for _, backend := range known.Backends() {
 		if !backend.Gone {
@@ -242,9 +242,9 @@
 	known.Apply(batch(4, false, backendChange(4, "i-1", false, true)), start)
 	known.Apply(batch(5, false, backendChange(5, "i-4", false, false)), start)
 	require.Len(t, known.Since(4).GetChanges(), 1)
-	require.Len(t, known.Everything(4).GetChanges(), 2, "the tombstone too")
-	require.Len(t, known.Everything(3).GetChanges(), 2, "the tombstone once")
-	require.Len(t, known.Everything(0).GetChanges(), 4)
+	require.Len(t, known.SinceWithTombstones(4).GetChanges(), 2, "the tombstone too")
+	require.Len(t, known.SinceWithTombstones(3).GetChanges(), 2, "the tombstone once")
+	require.Len(t, known.SinceWithTombstones(0).GetChanges(), 4)
 }
 
 // A balancer starts and reads the store just after a back end has gone. A peer that
@@ -254,7 +254,7 @@
 	peer, started := New(time.Minute), New(time.Minute)
 	peer.Apply(batch(3, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
 	started.Apply(batch(4, true, backendChange(3, "i-2", false, false)), start)
-	started.Apply(peer.Everything(started.Revision()), start)
+	started.Apply(peer.SinceWithTombstones(started.Revision()), start)
 	found := started.Backends()
 	require.Len(t, found, 2)
 	require.True(t, found[0].Gone)
--- a/internal/directory/starts_test.go
+++ b/internal/directory/starts_test.go
@@ -63,7 +63,7 @@
 		require.False(t, known.Apply(batch(uint64(second+1), false, startChange(uint64(second+1), "i-1", 5)),
 			start.Add(time.Duration(second)*time.Second)))
 	}
-	require.True(t, known.Apply(batch(12, false, startChange(12, "i-1", 5)), start.Add(lateWrite)))
+	require.True(t, known.Apply(batch(12, false, startChange(12, "i-1", 5)), start.Add(lateWriteWindow)))
 	require.Equal(t, uint32(5), known.Backends()[0].GetAddress())
 	gone := New(time.Minute)
 	gone.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
@@ -76,7 +76,7 @@
 // has written once more and all have read, all hold the living starts.
 func TestDirectoriesAgreeOnTheLivingStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &world{entries: make(map[string]*apiv1.DirectoryChange)}
+		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
 		known := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
 		living := make(map[string]uint64)
 		now := start
--- a/internal/tokenroute/admission_test.go
+++ b/internal/tokenroute/admission_test.go
@@ -41,16 +41,16 @@
 // could wait.
 func TestLessUrgentFlowsAreRefusedForWantOfRoom(t *testing.T) {
 	flows, table := NewFlows(mechanism.Set{}), twoUrgencies()
-	flows.Admit(short(t))
+	flows.SetRefusals(short(t))
 	for port := range 100 {
 		refused := flows.Decide(table, firstTo(port, 2), at(port))
 		require.Equal(t, Refuse, refused.Verdict)
 		require.Equal(t, ReasonNoRoom, refused.Reason)
-		require.Equal(t, admission.Urgency(2), refused.Level.Urgency)
-		require.Equal(t, 6.0, refused.Level.Pressure.Waiting)
+		require.Equal(t, admission.Urgency(2), refused.Refusal.Urgency)
+		require.Equal(t, 6.0, refused.Refusal.Pressure.Waiting)
 		require.Equal(t, Forward, flows.Decide(table, firstTo(port, 1), at(port)).Verdict)
 	}
-	flows.Admit(nil)
+	flows.SetRefusals(nil)
 	require.Equal(t, Forward, flows.Decide(table, firstTo(1000, 2), at(200)).Verdict)
 }
 
@@ -59,7 +59,7 @@
 func TestWhatWasForwardedIsNotRefused(t *testing.T) {
 	flows, table := NewFlows(mechanism.Set{}), twoUrgencies()
 	opened := flows.Decide(table, firstTo(1, 2), at(0))
-	flows.Admit(short(t))
+	flows.SetRefusals(short(t))
 	for _, elapsed := range []int{10, 200, 600} {
 		require.Equal(t, Forward, flows.Decide(table, firstTo(1, 2), at(elapsed)).Verdict)
 	}
@@ -67,10 +67,10 @@
 	later.First, later.Token, later.Length = false, opened.Backend.Token, 100
 	require.Equal(t, Forward, flows.Decide(table, later, at(700)).Verdict)
 	elsewhere := NewFlows(mechanism.Set{})
-	elsewhere.Admit(short(t))
+	elsewhere.SetRefusals(short(t))
 	require.Equal(t, Forward, elsewhere.Decide(table, later, at(700)).Verdict, "nor by a balancer that the flow has come to")
 	require.Equal(t, ReasonNoRoom, elsewhere.Decide(table, firstTo(2, 2), at(700)).Reason)
 	copied := firstTo(3, 2)
-	copied.Copy = true
+	copied.Retransmission = true
 	require.Equal(t, Forward, elsewhere.Decide(table, copied, at(700)).Verdict, "another balancer may have forwarded the first")
 }
--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -27,7 +27,7 @@
 // What is asked counts for the zone of the clients, wherever it goes; what waits and is
 // answered for that of the back end.
 func TestAskedCountsByPlace(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("giza")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("giza")
 	summaryAt(flows, -1000)
 	summaryAt(flows, 0)
 	opened := flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(0)).Backend
@@ -55,25 +55,25 @@
 // Back ends that are full reset flows, which clients don't tell: in bursts, 1,483
 // requests seemed to wait for 40 slots, and 1,120 did four seconds after its end.
 func TestRequestsThatNobodyAnswersDontWaitForLong(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	answered(flows, table, 9, 2, 0)
 	for client := range byte(8) {
 		flows.Decide(table, request(client, 2, 1), at(1000))
 	}
 	flows.Decide(table, request(20, 2, 1), at(1000))
 	summaryAt(flows, 1400)
-	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].waiting)
+	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlight)
 	flows.Decide(table, request(20, 2, 1), at(1450)) // its client still waits
 	summaryAt(flows, 1700)
-	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].waiting)
+	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlight)
 	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].flows, "flows that were reset are none")
 	flows.Decide(table, request(1, 2, 2), at(1800))
-	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].waiting, "one that goes on counts again")
+	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlight, "one that goes on counts again")
 }
 
 // The time on the way is no work of a back end.
 func TestWayIsNoWork(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	summaryAt(flows, 0)
 	opened := flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(0)).Backend
 	for now, n := 30, uint32(1); now < 1000; now, n = now+100, n+1 {
@@ -98,7 +98,7 @@
 		made := options()
 		made.ByZone = func(pool string) bool { return byZone && pool == "lending" }
 		made.Weigh = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
-		table, flows := NewTable(known, made), NewFlows(mechanism.Set{}).InZone("maadi")
+		table, flows := NewTable(known, made), NewFlows(mechanism.Set{}).WithZone("maadi")
 		there := 0
 		for port := range 2200 {
 			now := at(port)
@@ -147,9 +147,9 @@
 		summaries++
 		for _, load := range summary.Places {
 			waiting += load.Waiting
-			answers += load.Answers * summaryPause.Seconds()
+			answers += load.Answers * summaryInterval.Seconds()
 		}
-		if flows.loads[incarnation.ID{Number: 2}].waiting == 0 {
+		if flows.loads[incarnation.ID{Number: 2}].inFlight == 0 {
 			idle++
 		}
 	}
@@ -163,7 +163,7 @@
 func TestSlowAnswersCountWhileClientsWait(t *testing.T) {
 	for _, took := range []int{1300, 2500, 4000} {
 		for _, quickBefore := range []bool{false, true} {
-			table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+			table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 			if quickBefore {
 				answered(flows, table, 9, 2, -3000)
 			}
@@ -180,7 +180,7 @@
 // repeated, and it is a demand as long as it waits there.
 func TestAcknowledgedRequestsAreDemandWhileTheyWait(t *testing.T) {
 	for _, took := range []int{400, 1300, 2500} {
-		table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+		table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 		waiting, answers, _ := slowly(table, flows, took, 20, true)
 		require.Greater(t, waiting, 7.0, "took %d ms", took)
 		require.InDelta(t, 160, answers, 10)
@@ -190,7 +190,7 @@
 // A third of the back ends is dead: requests to them must not make the pool look short of
 // room that the others have.
 func TestRequestsToDeadBackendsAreNoDemand(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for client := range byte(50) {
 		for _, since := range []int{0, 200, 600} {
 			flows.Decide(table, request(client, 2, 1), at(1000+since))
@@ -203,15 +203,15 @@
 
 // The answer to a request that was taken for lost tells how slow the back end is.
 func TestLateAnswersAreLearned(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Decide(table, request(1, 2, 1), at(0))
 	summaryAt(flows, 1500)
-	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].waiting)
+	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 5001}, at(2000))
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 6001}, at(2010))
 	require.Equal(t, 1.0, summaryAt(flows, 2500)[lendingIn("maadi")].Answers)
-	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].place.took, 1e-9)
-	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].waiting)
+	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].demand.responseTime, 1e-9)
+	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
 }
 
 // What clients think before their first request is no way.
@@ -223,7 +223,7 @@
 		}
 		return 0
 	}
-	table, flows := NewTable(zoned(), made), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), made), NewFlows(mechanism.Set{}).WithZone("maadi")
 	summaryAt(flows, 0)
 	thinks := []int{400, 20, 300, 400}
 	tokens := make([]Token, len(thinks))
@@ -242,7 +242,7 @@
 			}
 		}
 	}
-	require.InDelta(t, 0.75, flows.placeAsked("lending", "maadi").working(), 0.01, "80 ms, of those 20 on the way")
+	require.InDelta(t, 0.75, flows.demandFor("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
 }
 
 // manyZoned has so many back ends in each of two zones, named from 1 on; those of giza have
@@ -300,7 +300,7 @@
 
 // An upload whose packets come slowly over a narrow link waits for no slot until it is whole.
 func TestUploadsAreDemandOnceTheyAreWhole(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for sequence := range 20 {
 		packet := request(1, 2, 1)
 		packet.Sequence += 1200 * uint32(sequence)
--- a/internal/tokenroute/fulllinks_test.go
+++ b/internal/tokenroute/fulllinks_test.go
@@ -105,7 +105,7 @@
 func (l *fullLinks) settle(place, now int) {
 	node := &l.nodes[place]
 	node.flows.Settle(at(now))
-	for range node.flows.TakeAbandoned() {
+	for range node.flows.TakeAbandonedFlows() {
 		l.count(place)
 	}
 }
@@ -160,15 +160,15 @@
 
 // A balancer that has seen next to nothing answered knows little of its own link.
 func TestDoubtFallsWithAnswers(t *testing.T) {
-	var judged link
-	require.Greater(t, judged.doubt(repeatsForWitness, at(0), at(600)), doubtOfVerdict)
+	var judged linkMonitor
+	require.Greater(t, judged.expectedLinkLoss(repeatsForWitness, at(0), at(600)), maxLinkLossForFailure)
 	for now := range 250 {
-		judged.answered(false, at(40*now))
+		judged.countResponse(false, at(40*now))
 	}
-	require.LessOrEqual(t, judged.doubt(repeatsForProof, at(8600), at(10_000)), doubtOfVerdict)
+	require.LessOrEqual(t, judged.expectedLinkLoss(repeatsForProof, at(8600), at(10_000)), maxLinkLossForFailure)
 	for now := range 10 {
-		judged.answered(now%3 == 0, at(10_000+40*now))
+		judged.countResponse(now%3 == 0, at(10_000+40*now))
 	}
-	require.Greater(t, judged.doubt(repeatsForProof, at(10_000), at(10_400)), doubtOfVerdict, "it has turned bad since")
-	require.Zero(t, func() int { prompt, _ := judged.since(at(0), at(40_000)); return prompt }(), "what is old is forgotten")
+	require.Greater(t, judged.expectedLinkLoss(repeatsForProof, at(10_000), at(10_400)), maxLinkLossForFailure, "it has turned bad since")
+	require.Zero(t, func() int { prompt, _ := judged.countSince(at(0), at(40_000)); return prompt }(), "what is old is forgotten")
 }
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -59,7 +59,7 @@
 	repeats int
 	nextAt  int
 	waiting bool
-	// answeredAt is when the answer comes, where that is known before; 0 is not.
+	// respondedAt is when the answer comes, where that is known before; 0 is not.
 	answeredAt int
 }
 
@@ -95,7 +95,7 @@
 	made := &judges{chance: rand.New(rand.NewPCG(uint64(balancers), 7)), dead: dead, deadSince: 4000,
 		table: NewTable(known(changes...), options()), knownAt: make(map[[2]int]int)}
 	for place := range balancers {
-		made.nodes = append(made.nodes, judge{flows: NewFlows(off).InZone(home(place))})
+		made.nodes = append(made.nodes, judge{flows: NewFlows(off).WithZone(home(place))})
 	}
 	for number := range backends * flows {
 		place := len(made.flows)
@@ -163,7 +163,7 @@
 func (j *judges) settle(place, now int) {
 	node := &j.nodes[place]
 	node.flows.Settle(at(now))
-	for _, abandoned := range node.flows.TakeAbandoned() {
+	for _, abandoned := range node.flows.TakeAbandonedFlows() {
 		number := int(abandoned.Backend.Number) - 1
 		if number >= j.dead {
 			panic(fmt.Sprintf("back end %d lives", number))
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -29,7 +29,7 @@
 // resets settles and returns how many flows are reset.
 func resets(flows *Flows, now int) int {
 	flows.Settle(at(now))
-	return len(flows.TakeAbandoned())
+	return len(flows.TakeAbandonedFlows())
 }
 
 // answered lets a flow of a client pass, with an answer.
@@ -43,20 +43,20 @@
 // A balancer that has seen no request fail resets its flows by what two others saw, once
 // nobody has answered; its client's next request opens a flow elsewhere.
 func TestWitnessesOfOthersTellADeadBackend(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	answered(flows, table, 1, 2, 0)
 	answered(flows, table, 2, 3, 0)
 	flows.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	require.False(t, flows.Holds())
 	flows.Hear(speak(2, 102, "maadi", 150), table, at(750))
 	require.Equal(t, at(700+hold), flows.Settle(at(751)))
-	require.Empty(t, flows.TakeAbandoned(), "somebody may answer yet")
+	require.Empty(t, flows.TakeAbandonedFlows(), "somebody may answer yet")
 	require.Equal(t, Forward, flows.Decide(table, request(3, 2, 1), at(752)).Verdict)
 	require.Equal(t, 2, resets(flows, 700+hold), "clients 1 and 3")
 	require.Equal(t, Refuse, flows.Decide(table, request(4, 2, 1), at(1000)).Verdict)
 	require.Equal(t, Forward, flows.Decide(table, request(2, 3, 1), at(1000)).Verdict)
-	require.Equal(t, uint64(1), flows.Verdicts())
-	verdicts := flows.TakeVerdicts()
+	require.Equal(t, uint64(1), flows.BackendFailures())
+	verdicts := flows.TakeBackendFailures()
 	require.Len(t, verdicts, 1)
 	require.Equal(t, at(100), verdicts[0].SilentSince)
 	require.Equal(t, 2, verdicts[0].Told)
@@ -85,7 +85,7 @@
 
 func TestNewerAnswersWin(t *testing.T) {
 	table := NewTable(zoned(), options())
-	before := NewFlows(mechanism.Set{}).InZone("maadi")
+	before := NewFlows(mechanism.Set{}).WithZone("maadi")
 	answered(before, table, 1, 2, 200)
 	before.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	before.Hear(speak(2, 102, "maadi", 150), table, at(700))
@@ -93,14 +93,14 @@
 	require.Equal(t, []evidence.Statement{evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}},
 		before.TakeStatements(), "and the others are told")
 
-	meanwhile := NewFlows(mechanism.Set{}).InZone("maadi")
+	meanwhile := NewFlows(mechanism.Set{}).WithZone("maadi")
 	meanwhile.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	meanwhile.Hear(speak(2, 102, "maadi", 150), table, at(700))
 	answered(meanwhile, table, 1, 2, 750)
 	require.Zero(t, resets(meanwhile, 700+hold), "it answers while the witnesses wait")
 	require.Len(t, meanwhile.TakeStatements(), 1)
 
-	told := NewFlows(mechanism.Set{}).InZone("maadi")
+	told := NewFlows(mechanism.Set{}).WithZone("maadi")
 	answered(told, table, 1, 2, 0)
 	told.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	told.Hear(speak(2, 102, "maadi", 150), table, at(700))
@@ -113,7 +113,7 @@
 // Witnesses leave no room where many back ends fall silent at once, which is just when a
 // sign of life for one that lives has to be told.
 func TestSignOfLifeFindsRoomAmongWitnesses(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	answered(flows, table, 1, 2, 200)
 	for client := range evidence.Client(2 * statementsLimit) {
 		flows.liveness.state(speak(3, client, "maadi", 100))
@@ -126,7 +126,7 @@
 
 // A sign of life ends a verdict too.
 func TestVerdictEndsWithASignOfLife(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	flows.Hear(speak(2, 102, "maadi", 150), table, at(700))
 	resets(flows, 700+hold)
@@ -140,13 +140,13 @@
 func TestZoneThatIsCutOffAccusesOthersToItselfOnly(t *testing.T) {
 	table := NewTable(zoned(), options())
 	for zone, expected := range map[string]int{"giza": 1, "maadi": 0, "nasr": 0} {
-		flows := NewFlows(mechanism.Set{}).InZone(zone)
+		flows := NewFlows(mechanism.Set{}).WithZone(zone)
 		answered(flows, table, 1, 2, 0)
 		flows.Hear(speak(2, 101, "giza", 100), table, at(700))
 		flows.Hear(speak(2, 102, "giza", 150), table, at(700))
 		require.Equal(t, expected, resets(flows, 700+hold), zone)
 	}
-	flows := NewFlows(mechanism.Set{}).InZone("nasr")
+	flows := NewFlows(mechanism.Set{}).WithZone("nasr")
 	answered(flows, table, 1, 2, 0)
 	flows.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	flows.Hear(speak(2, 102, "maadi", 150), table, at(700))
@@ -185,7 +185,7 @@
 // Flows that rest for as long as they may are reset with the others; those that are
 // closed or forgotten are not.
 func TestRestedFlowsAreReset(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for client := byte(1); client <= 4; client++ {
 		answered(flows, table, client, 2, 0)
 	}
@@ -200,11 +200,11 @@
 	flows.Hear(speak(2, 102, "maadi", 12_100), table, at(12_700))
 	flows.Settle(at(12_700 + hold))
 	found := make(map[byte]uint32)
-	for _, abandoned := range flows.TakeAbandoned() {
+	for _, abandoned := range flows.TakeAbandonedFlows() {
 		found[abandoned.Key.Source[3]] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[byte]uint32{1: 9, 3: 9, 4: 9}, found)
-	require.Zero(t, flows.memory.resting)
+	require.Zero(t, flows.cache.idleCount)
 }
 
 func TestRestedFlowsAreForgottenInTime(t *testing.T) {
@@ -213,15 +213,15 @@
 	for now := 0; now <= 19_000; now += 500 {
 		answered(flows, table, 50, 3, now)
 	}
-	require.Zero(t, flows.memory.resting)
-	require.Empty(t, flows.memory.rested)
+	require.Zero(t, flows.cache.idleCount)
+	require.Empty(t, flows.cache.idle)
 	for port := range 200_000 {
 		packet := request(1, 2, 1)
 		packet.Key = key(port)
 		packet.Key.Source[1] = byte(port >> 16)
 		flows.Decide(table, packet, at(20_000+port/20))
 	}
-	require.LessOrEqual(t, flows.memory.resting, restedLimit)
+	require.LessOrEqual(t, flows.cache.idleCount, maxIdleFlows)
 }
 
 // Whatever the clients do, however balancers stall and messages between them are late,
@@ -263,7 +263,7 @@
 				answered(member.flows, table, 200+byte(place), 3, now)
 				group.hear(member, table, now)
 				member.flows.Settle(at(now))
-				require.Empty(t, member.flows.TakeAbandoned(), "at %d ms", now)
+				require.Empty(t, member.flows.TakeAbandonedFlows(), "at %d ms", now)
 				group.tell(place, now, latest)
 			}
 		}
--- a/internal/tokenroute/living_test.go
+++ b/internal/tokenroute/living_test.go
@@ -21,7 +21,7 @@
 var silentClients = []byte{101, 102, 103, 104, 105, 106, 107, 108}
 
 func newZoneFlows(off mechanism.Set) *zoneFlows {
-	made := &zoneFlows{flows: NewFlows(off).InZone("maadi"), table: twoLargeZones()}
+	made := &zoneFlows{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones()}
 	for number := range byte(10) {
 		answered(made.flows, made.table, number+1, Token(number+1), 0)
 		answered(made.flows, made.table, number+101, Token(number)+101, 0)
@@ -49,7 +49,7 @@
 		z.flows.Settle(at(earlier))
 	}
 	var clients []byte
-	for _, each := range z.flows.TakeAbandoned() {
+	for _, each := range z.flows.TakeAbandonedFlows() {
 		clients = append(clients, each.Key.Source[3])
 	}
 	slices.Sort(clients)
@@ -140,7 +140,7 @@
 	}
 	z.asks(2400, silentClients...)
 	require.Empty(t, z.reset(3000))
-	require.Zero(t, z.flows.Verdicts())
+	require.Zero(t, z.flows.BackendFailures())
 	require.Empty(t, z.flows.TakeStatements())
 }
 
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -43,9 +43,9 @@
 
 // part makes the part of a group. Those that may take new flows have an entry, or one that
 // lapsed while the store was away and may come back. None of them is in an evacuated zone.
-func (b *builder) part(group *directory.Group, backends []*Backend) *part {
+func (b *builder) part(group *directory.BackendGroup, backends []*Backend) *part {
 	_, evacuated := b.options.Evacuated[group.Zone]
-	weight, uniform := b.weight(group.Place)
+	weight, uniform := b.weight(group.PoolZone)
 	made := &part{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
 		lasting: b.options.Warm == nil, backends: backends}
 	for place := range group.Entries {
@@ -53,13 +53,13 @@
 		if entry.Restarted {
 			made.restarted = append(made.restarted, backend)
 		}
-		if entry.Gone && !entry.VanishedAt.IsZero() {
+		if entry.Gone && !entry.RemovalSeenAt.IsZero() {
 			made.lasting = made.lasting && !b.mayReturn(entry)
 		}
 		if entry.GetDraining() || !b.holdsToken(backend) {
 			continue
 		}
-		switch ready := !entry.Gone || b.options.Lapse.covers(entry.VanishedAt, b.options.Now); {
+		switch ready := !entry.Gone || b.options.Lapse.covers(entry.RemovalSeenAt, b.options.Now); {
 		case evacuated:
 			made.withheld = made.withheld || !entry.Gone
 		case ready:
@@ -72,16 +72,16 @@
 
 // mayReturn tells whether a back end that vanished may still take new flows for a time.
 func (b *builder) mayReturn(entry *directory.BackendEntry) bool {
-	return b.options.Lapse.covers(entry.VanishedAt, b.options.Now) || b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyGrace
+	return b.options.Lapse.covers(entry.RemovalSeenAt, b.options.Now) || b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyGrace
 }
 
 // vanished is the part with those back ends that have just vanished. They take new flows
 // where their pool has no other.
-func (b *builder) vanished(group *directory.Group, of *part) *part {
+func (b *builder) vanished(group *directory.BackendGroup, of *part) *part {
 	made := &part{backends: of.backends, withheld: of.withheld}
 	for place := range group.Entries {
 		entry := &group.Entries[place]
-		just := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyGrace
+		just := entry.Gone && b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyGrace
 		if just && !of.evacuated && !entry.GetDraining() && b.holdsToken(of.backends[place]) {
 			made.chosen = append(made.chosen, of.backends[place])
 		}
@@ -92,7 +92,7 @@
 
 // weight is the share of new flows that each back end of a place takes, where all take the
 // same.
-func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
+func (b *builder) weight(place directory.PoolZone) (weight uint32, uniform bool) {
 	if b.options.WeighPlace == nil {
 		return 0, false
 	}
@@ -100,7 +100,7 @@
 }
 
 // rule orders flows over some back ends of a group.
-func (b *builder) rule(group *directory.Group, chosen []*Backend, weight uint32, uniform bool) *rule.Rule {
+func (b *builder) rule(group *directory.BackendGroup, chosen []*Backend, weight uint32, uniform bool) *rule.Rule {
 	candidates := make([]rule.Candidate, len(chosen))
 	next := 0
 	for place, backend := range chosen {
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -33,7 +33,7 @@
 }
 
 func newOpener(off mechanism.Set, answers func(*Backend) bool) *opener {
-	return &opener{flows: NewFlows(off).InZone("maadi"), table: twoLargeZones(), answers: answers, pause: 10, lost: make(map[string]int)}
+	return &opener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), answers: answers, pause: 10, lost: make(map[string]int)}
 }
 
 func (o *opener) open(count int) {
@@ -66,7 +66,7 @@
 	together.open(90)
 	require.Greater(t, alone.lost["giza"], 19, "each back end for itself")
 	require.LessOrEqual(t, together.lost["giza"], 15, "those of 150 ms, until the first was due")
-	require.EqualValues(t, 1, together.flows.Silenced())
+	require.EqualValues(t, 1, together.flows.SilentZoneCount())
 	silent := together.flows.TakeSilentZones()
 	require.Len(t, silent, 1)
 	require.Equal(t, "giza", silent[0].Zone)
@@ -122,41 +122,41 @@
 func TestZoneOfWhichSomeAnswerIsNotSilent(t *testing.T) {
 	fleet := newOpener(mechanism.Set{}, func(b *Backend) bool { return inMaadi(b) || b.Number%2 == 0 })
 	fleet.open(500)
-	require.Zero(t, fleet.flows.Silenced())
+	require.Zero(t, fleet.flows.SilentZoneCount())
 }
 
 func TestMissesOfAZoneGrowOld(t *testing.T) {
-	zones := newZones(mechanism.Set{})
+	zones := newZoneMonitor(mechanism.Set{})
 	miss := func(number uint64, now time.Time) {
-		zones.missed(&Backend{Number: number, Zone: "giza"}, now, now)
+		zones.recordMiss(&Backend{Number: number, Zone: "giza"}, now, now)
 	}
 	for number := range uint64(6) {
-		miss(number, at(int(number)*int(zoneMissTime/time.Millisecond)/2))
+		miss(number, at(int(number)*int(zoneMissAge/time.Millisecond)/2))
 	}
-	require.Zero(t, zones.silenced.Load(), "two within the time")
-	miss(9, at(5*int(zoneMissTime/time.Millisecond)/2+1))
-	miss(9, at(5*int(zoneMissTime/time.Millisecond)/2+2))
-	require.EqualValues(t, 1, zones.silenced.Load())
-	zones.answered(&Backend{Number: 9, Zone: "giza"}, at(1))
-	require.True(t, zones.of("giza").silent(), "what was sent before says nothing")
+	require.Zero(t, zones.silentCount.Load(), "two within the time")
+	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+1))
+	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+2))
+	require.EqualValues(t, 1, zones.silentCount.Load())
+	zones.recordResponse(&Backend{Number: 9, Zone: "giza"}, at(1))
+	require.True(t, zones.zone("giza").isSilent(), "what was sent before says nothing")
 }
 
 // A zone of which some answer and others do not goes back and forth; the log is told of it
 // once in ten seconds. Switched off, nothing is counted or told.
 func TestSilentZoneIsLoggedNowAndThen(t *testing.T) {
 	flap := func(off mechanism.Set) (told, times int, counted uint64) {
-		zones := newZones(off)
+		zones := newZoneMonitor(off)
 		for now := 0; now < 120_000; now += 100 {
 			backend := &Backend{Number: uint64(now / 100 % 7), Zone: "giza"}
-			zones.missed(backend, at(now), at(now+1))
+			zones.recordMiss(backend, at(now), at(now+1))
 			if now%1000 == 0 {
-				zones.answered(backend, at(now))
+				zones.recordResponse(backend, at(now))
 			}
 		}
-		for _, each := range zones.verdict {
+		for _, each := range zones.silentZones {
 			times += each.Times
 		}
-		return len(zones.verdict), times, zones.silenced.Load()
+		return len(zones.silentZones), times, zones.silentCount.Load()
 	}
 	told, times, counted := flap(mechanism.Set{})
 	require.Greater(t, counted, uint64(50))
