--- a/internal/directory/backendindex.go
+++ b/internal/directory/backendindex.go
@@ -71,12 +71,12 @@
 
 // Backends returns all back ends, those with a tombstone too, by id.
 func (d *Directory) Backends() []BackendEntry {
-	var found []BackendEntry
+	var backends []BackendEntry
 	for _, group := range d.BackendGroups() {
-		found = append(found, group.Entries...)
+		backends = append(backends, group.Entries...)
 	}
-	slices.SortFunc(found, byID)
-	return found
+	slices.SortFunc(backends, byID)
+	return backends
 }
 
 func byID(one, other BackendEntry) int { return cmp.Compare(one.GetId(), other.GetId()) }
@@ -86,39 +86,39 @@
 	if before, listed := d.backends.poolZoneOf[id]; listed {
 		affected[before] = true
 	}
-	if made, found := d.backendEntry(id); found {
-		affected[made.poolZone()] = true
+	if entry, found := d.backendEntry(id); found {
+		affected[entry.poolZone()] = true
 	}
 }
 
 // updateBackend brings one back end up to date.
 func (d *Directory) updateBackend(id string) {
 	l := &d.backends
-	made, found := d.backendEntry(id)
-	if before, listed := l.poolZoneOf[id]; listed && (!found || before != made.poolZone()) {
+	entry, found := d.backendEntry(id)
+	if before, listed := l.poolZoneOf[id]; listed && (!found || before != entry.poolZone()) {
 		group := l.groups[before]
-		place, _ := group.find(id)
-		group.Entries = slices.Delete(group.Entries, place, place+1)
+		index, _ := group.find(id)
+		group.Entries = slices.Delete(group.Entries, index, index+1)
 		delete(l.poolZoneOf, id)
 	}
 	if !found {
 		return
 	}
-	group := l.group(made.poolZone())
-	place, listed := group.find(id)
+	group := l.group(entry.poolZone())
+	index, listed := group.find(id)
 	if listed {
-		group.Entries[place] = made
+		group.Entries[index] = entry
 	} else {
-		group.Entries = slices.Insert(group.Entries, place, made)
+		group.Entries = slices.Insert(group.Entries, index, entry)
 	}
-	l.poolZoneOf[id] = made.poolZone()
+	l.poolZoneOf[id] = entry.poolZone()
 }
 
 // rebuildGroups lists some groups anew.
 func (d *Directory) rebuildGroups(affected map[PoolZone]bool) {
 	l := &d.backends
-	for place := range affected {
-		group := l.group(place)
+	for poolZone := range affected {
+		group := l.group(poolZone)
 		for _, each := range group.Entries {
 			delete(l.poolZoneOf, each.GetId())
 		}
@@ -128,26 +128,26 @@
 		if key.Kind != KindBackend {
 			continue
 		}
-		if made, found := d.backendEntry(key.Name); found && affected[made.poolZone()] {
-			group := l.group(made.poolZone())
-			group.Entries = append(group.Entries, made)
+		if entry, found := d.backendEntry(key.Name); found && affected[entry.poolZone()] {
+			group := l.group(entry.poolZone())
+			group.Entries = append(group.Entries, entry)
 			l.poolZoneOf[key.Name] = group.PoolZone
 		}
 	}
-	for place := range affected {
-		slices.SortFunc(l.groups[place].Entries, byID)
+	for poolZone := range affected {
+		slices.SortFunc(l.groups[poolZone].Entries, byID)
 	}
 }
 
 // updateVersions gives groups that have changed their versions, and drops the empty ones.
 func (l *backendIndex) updateVersions(affected map[PoolZone]bool) {
-	for place := range affected {
-		group := l.groups[place]
+	for poolZone := range affected {
+		group := l.groups[poolZone]
 		if group == nil {
 			continue
 		}
 		if len(group.Entries) == 0 {
-			delete(l.groups, place)
+			delete(l.groups, poolZone)
 			continue
 		}
 		l.version++
@@ -167,13 +167,13 @@
 	})
 }
 
-func (l *backendIndex) group(place PoolZone) *BackendGroup {
-	known := l.groups[place]
-	if known == nil {
-		known = &BackendGroup{PoolZone: place}
-		l.groups[place] = known
+func (l *backendIndex) group(poolZone PoolZone) *BackendGroup {
+	group := l.groups[poolZone]
+	if group == nil {
+		group = &BackendGroup{PoolZone: poolZone}
+		l.groups[poolZone] = group
 	}
-	return known
+	return group
 }
 
 // find returns where a back end stands or would stand.
@@ -185,14 +185,14 @@
 
 // backendEntry is the entry of a back end as it is listed, if it has one that tells an address.
 func (d *Directory) backendEntry(id string) (BackendEntry, bool) {
-	known := d.entries[Key{Kind: KindBackend, Name: id}]
-	if known == nil || known.effective().GetBackend().GetAddress() == 0 {
+	e := d.entries[Key{Kind: KindBackend, Name: id}]
+	if e == nil || e.effective().GetBackend().GetAddress() == 0 {
 		return BackendEntry{}, false
 	}
-	made := BackendEntry{PoolBackend: known.effective().GetBackend(), Gone: known.effective().GetGone(), LearnedAt: known.learnedAt,
-		Restarted: !known.restartedAt.IsZero()}
-	if made.Gone && known.seenLive {
-		made.RemovalSeenAt = known.removedAt
+	entry := BackendEntry{PoolBackend: e.effective().GetBackend(), Gone: e.effective().GetGone(), LearnedAt: e.learnedAt,
+		Restarted: !e.restartedAt.IsZero()}
+	if entry.Gone && e.seenLive {
+		entry.RemovalSeenAt = e.removedAt
 	}
-	return made, true
+	return entry, true
 }
--- a/internal/directory/batches.go
+++ b/internal/directory/batches.go
@@ -14,15 +14,15 @@
 	complete := d.NeedsSnapshot(after, false)
 	batch := &apiv1.DirectoryBatch{Revision: d.revision, Complete: complete}
 	if complete {
-		for _, known := range d.entries {
-			batch.Changes = append(batch.Changes, known.change)
+		for _, e := range d.entries {
+			batch.Changes = append(batch.Changes, e.change)
 		}
 		return batch
 	}
-	for _, logged := range d.log.since(after) {
-		known := d.entries[logged.key]
-		if known != nil && known.loggedRevision == logged.revision {
-			batch.Changes = append(batch.Changes, known.change)
+	for _, change := range d.log.since(after) {
+		e := d.entries[change.key]
+		if e != nil && e.loggedRevision == change.revision {
+			batch.Changes = append(batch.Changes, e.change)
 		}
 	}
 	d.log.compact(d.entries)
@@ -40,13 +40,13 @@
 	if batch.GetComplete() {
 		return batch
 	}
-	named := make(map[Key]bool, len(batch.GetChanges()))
+	included := make(map[Key]bool, len(batch.GetChanges()))
 	for _, change := range batch.GetChanges() {
-		named[KeyOf(change)] = true
+		included[KeyOf(change)] = true
 	}
-	for key, known := range d.tombstones {
-		if !named[key] {
-			batch.Changes = append(batch.Changes, known.change)
+	for key, e := range d.tombstones {
+		if !included[key] {
+			batch.Changes = append(batch.Changes, e.change)
 		}
 	}
 	return batch
--- a/internal/directory/changelog.go
+++ b/internal/directory/changelog.go
@@ -30,8 +30,8 @@
 // since returns the changes after a revision, in order.
 func (c *changeLog) since(after uint64) []loggedChange {
 	c.sort()
-	first := sort.Search(len(c.changes), func(place int) bool {
-		return c.changes[place].revision > after
+	first := sort.Search(len(c.changes), func(i int) bool {
+		return c.changes[i].revision > after
 	})
 	return c.changes[first:]
 }
@@ -51,8 +51,8 @@
 	if len(c.changes) <= 2*len(entries)+1 {
 		return
 	}
-	c.changes = slices.DeleteFunc(c.changes, func(logged loggedChange) bool {
-		known := entries[logged.key]
-		return known == nil || known.loggedRevision != logged.revision
+	c.changes = slices.DeleteFunc(c.changes, func(change loggedChange) bool {
+		e := entries[change.key]
+		return e == nil || e.loggedRevision != change.revision
 	})
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -133,12 +133,12 @@
 		return d.addUnknownBackends(batch, now)
 	}
 	changed := false
-	from := batchContext{stale: batch.GetRevision() < d.revision, newEra: d.entersNewEra(batch, now), receivedAt: now}
+	context := batchContext{stale: batch.GetRevision() < d.revision, newEra: d.entersNewEra(batch, now), receivedAt: now}
 	for _, change := range batch.GetChanges() {
-		changed = d.applyChange(change, from) || changed
+		changed = d.applyChange(change, context) || changed
 	}
 	if batch.GetComplete() {
-		changed = d.removeMissing(batch, from) || changed
+		changed = d.removeMissing(batch, context) || changed
 	}
 	d.advance(batch.GetRevision())
 	if batch.GetRevision() != 0 {
@@ -158,16 +158,16 @@
 }
 
 // applyChange merges one change, and decides what is believed of its entry.
-func (d *Directory) applyChange(change *apiv1.DirectoryChange, from batchContext) bool {
+func (d *Directory) applyChange(change *apiv1.DirectoryChange, context batchContext) bool {
 	key := KeyOf(change)
-	known := d.entries[key]
-	if known == nil {
-		return d.merge(key, change, from)
+	e := d.entries[key]
+	if e == nil {
+		return d.merge(key, change, context)
 	}
-	before := stateOf(known)
-	changed := d.merge(key, change, from)
-	if known.change != before.stored {
-		changed = d.reconcile(key, known, before, from) || changed
+	before := stateOf(e)
+	changed := d.merge(key, change, context)
+	if e.change != before.stored {
+		changed = d.reconcile(key, e, before, context) || changed
 	}
 	return changed
 }
@@ -202,86 +202,86 @@
 // at the start of a step has the same content, and who saw something in between
 // gets a complete batch. A late batch, one that is older than what is known,
 // brings no entry back: had it lasted, it would be known.
-func (d *Directory) merge(key Key, change *apiv1.DirectoryChange, from batchContext) bool {
-	late, now := from.stale, from.receivedAt
+func (d *Directory) merge(key Key, change *apiv1.DirectoryChange, context batchContext) bool {
+	stale, now := context.stale, context.receivedAt
 	if key.Kind == KindNone {
 		return false
 	}
-	known := d.entries[key]
-	if isNameOnly(change) && (known == nil || known.change.GetGone()) {
+	e := d.entries[key]
+	if isNameOnly(change) && (e == nil || e.change.GetGone()) {
 		return false
 	}
-	if late && !change.GetGone() && (known == nil || known.change.GetGone()) {
-		return known == nil && d.addTombstone(key, change, now)
+	if stale && !change.GetGone() && (e == nil || e.change.GetGone()) {
+		return e == nil && d.addTombstone(key, change, now)
 	}
-	if known == nil {
-		made := &entry{change: change, seenLive: !change.GetGone(), learnedAt: now, startSeenAt: now}
+	if e == nil {
+		added := &entry{change: change, seenLive: !change.GetGone(), learnedAt: now, startSeenAt: now}
 		if change.GetGone() {
-			made.removedAt = now
-			d.tombstones[key] = made
+			added.removedAt = now
+			d.tombstones[key] = added
 			d.scheduleTombstoneExpiry(now)
 		}
-		d.entries[key] = made
-		d.recordContent(key, made)
+		d.entries[key] = added
+		d.recordContent(key, added)
 		return true
 	}
-	if change.GetRevision() <= known.change.GetRevision() {
-		known.noteStoredPolicy(change)
+	if change.GetRevision() <= e.change.GetRevision() {
+		e.noteStoredPolicy(change)
 		return false
 	}
-	if known.rolledBackBy(change, from.newEra) {
-		d.markContested(key, known, change.GetRevision())
-		known.noteStoredPolicy(change)
+	if e.rolledBackBy(change, context.newEra) {
+		d.markContested(key, e, change.GetRevision())
+		e.noteStoredPolicy(change)
 		return false
 	}
 	if change.GetGone() {
-		return d.markRemoved(key, known, change.GetRevision(), now)
+		return d.markRemoved(key, e, change.GetRevision(), now)
 	}
 	if isNameOnly(change) {
-		return d.markUnreadable(key, known, change.GetRevision())
+		return d.markUnreadable(key, e, change.GetRevision())
 	}
-	if known.supersedes(change, from) {
-		d.markContested(key, known, change.GetRevision())
+	if e.supersedes(change, context) {
+		d.markContested(key, e, change.GetRevision())
 		return false
 	}
-	known.observeStart(change, now)
-	same := !known.change.GetGone() && known.override == nil && sameContent(known.change, change)
-	known.change = change
-	d.trackLostPolicy(key, known)
-	known.removedAt = time.Time{}
+	e.observeStart(change, now)
+	same := !e.change.GetGone() && e.override == nil && sameContent(e.change, change)
+	e.change = change
+	d.trackLostPolicy(key, e)
+	e.removedAt = time.Time{}
 	delete(d.tombstones, key)
-	known.seenLive = true
+	e.seenLive = true
 	if !same {
-		known.learnedAt = now
-		d.recordContent(key, known)
+		e.learnedAt = now
+		d.recordContent(key, e)
 	}
 	return !same
 }
 
 // recordContent puts the content of an entry into the log.
-func (d *Directory) recordContent(key Key, known *entry) {
+func (d *Directory) recordContent(key Key, e *entry) {
 	switch key.Kind {
 	case KindBalancer:
 		d.balancerChanges++
 	case KindBackend:
 		d.backends.markChanged(key.Name)
 	case KindEvacuation:
-		d.evacuations[key.Name] = known
+		d.evacuations[key.Name] = e
 	}
-	known.loggedRevision = known.change.GetRevision()
-	d.log.add(known.loggedRevision, key)
+	e.loggedRevision = e.change.GetRevision()
+	d.log.add(e.loggedRevision, key)
 }
 
 // markRemoved turns an entry into a tombstone that keeps what the entry last held.
-func (d *Directory) markRemoved(key Key, known *entry, revision uint64, now time.Time) bool {
-	wasGone := known.change.GetGone()
-	buried := proto.CloneOf(known.change)
-	buried.Revision, buried.Gone, buried.Contested = revision, true, false
-	known.change = buried
-	d.recordContent(key, known)
-	d.tombstones[key] = known
+func (d *Directory) markRemoved(key Key, e *entry, revision uint64, now time.Time) bool {
+	wasGone := e.change.GetGone()
+	tombstone := proto.CloneOf(e.change)
+	tombstone.Revision, tombstone.Gone, tombstone.Contested = revision, true, false
+	e.change = tombstone
+	d.recordContent(key, e)
+	d.tombstones[key] = e
 	if !wasGone {
-		known.removedAt = now
+		e.removedAt = now
 		d.scheduleTombstoneExpiry(now)
 	}
 	return !wasGone
@@ -290,49 +290,49 @@
 // addTombstone keeps what an entry held that is gone by now, so that its open
 // flows still find it.
 func (d *Directory) addTombstone(key Key, change *apiv1.DirectoryChange, now time.Time) bool {
-	buried := proto.CloneOf(change)
-	buried.Revision = d.revision
-	buried.Gone = true
-	made := &entry{change: buried, removedAt: now}
+	tombstone := proto.CloneOf(change)
+	tombstone.Revision = d.revision
+	tombstone.Gone = true
+	added := &entry{change: tombstone, removedAt: now}
 	d.scheduleTombstoneExpiry(now)
-	d.entries[key] = made
-	d.tombstones[key] = made
-	d.recordContent(key, made)
+	d.entries[key] = added
+	d.tombstones[key] = added
+	d.recordContent(key, added)
 	return true
 }
 
-func sameContent(known, offered *apiv1.DirectoryChange) bool {
-	compared := &apiv1.DirectoryChange{Revision: known.GetRevision(), Entry: offered.GetEntry()}
-	return proto.Equal(known, compared)
+func sameContent(e, offered *apiv1.DirectoryChange) bool {
+	compared := &apiv1.DirectoryChange{Revision: e.GetRevision(), Entry: offered.GetEntry()}
+	return proto.Equal(e, compared)
 }
 
 // removeMissing buries the entries that a complete batch would have named if
 // they still existed. A tombstone in the batch names nothing: it may be older
 // than an entry that was made and removed again since.
 // Those stand that outlast a copy.
-func (d *Directory) removeMissing(batch *apiv1.DirectoryBatch, from batchContext) bool {
-	named := make(map[Key]bool, len(batch.GetChanges()))
+func (d *Directory) removeMissing(batch *apiv1.DirectoryBatch, context batchContext) bool {
+	present := make(map[Key]bool, len(batch.GetChanges()))
 	for _, change := range batch.GetChanges() {
 		if !change.GetGone() {
-			named[KeyOf(change)] = true
+			present[KeyOf(change)] = true
 		}
 	}
 	changed := false
-	for key, known := range d.entries {
-		if named[key] || known.change.GetRevision() > batch.GetRevision() {
+	for key, e := range d.entries {
+		if present[key] || e.change.GetRevision() > batch.GetRevision() {
 			continue
 		}
-		if known.change.GetGone() {
-			known.storedRevision = 0
+		if e.change.GetGone() {
+			e.storedRevision = 0
 			continue
 		}
-		if known.keptWhenMissing(key.Kind, from) {
-			d.markContestedOnce(key, known, batch.GetRevision())
+		if e.keptWhenMissing(key.Kind, context) {
+			d.markContestedOnce(key, e, batch.GetRevision())
 			continue
 		}
-		before := stateOf(known)
-		changed = d.markRemoved(key, known, batch.GetRevision(), from.receivedAt) || changed
-		changed = d.reconcile(key, known, before, from) || changed
+		before := stateOf(e)
+		changed = d.markRemoved(key, e, batch.GetRevision(), context.receivedAt) || changed
+		changed = d.reconcile(key, e, before, context) || changed
 	}
 	return changed
 }
@@ -345,12 +345,12 @@
 	}
 	d.nextExpiry = time.Time{}
 	dropped := d.dropExpiredOverrides(now)
-	for key, known := range d.tombstones {
-		if now.Sub(known.removedAt) < d.retention {
-			d.scheduleTombstoneExpiry(known.removedAt)
+	for key, e := range d.tombstones {
+		if now.Sub(e.removedAt) < d.retention {
+			d.scheduleTombstoneExpiry(e.removedAt)
 			continue
 		}
-		d.compactedRevision = max(d.compactedRevision, known.change.GetRevision())
+		d.compactedRevision = max(d.compactedRevision, e.change.GetRevision())
 		d.deleteEntry(key)
 		dropped = true
 	}
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -92,24 +92,24 @@
 
 // LostPolicies returns what is to be written again of policies: nobody else remembers them.
 func (d *Directory) LostPolicies() []LostPolicy {
-	var found []LostPolicy
-	for key, known := range d.lostPolicies {
-		if !known.change.GetContested() {
+	var policies []LostPolicy
+	for key, e := range d.lostPolicies {
+		if !e.change.GetContested() {
 			delete(d.lostPolicies, key)
 			continue
 		}
-		if known.change.GetGone() && known.storedRevision == 0 {
+		if e.change.GetGone() && e.storedRevision == 0 {
 			continue // nothing stands that would have to be removed
 		}
-		found = append(found, LostPolicy{Policy: known.change.GetPolicy(), Removed: known.change.GetGone(), StoredRevision: known.storedRevision})
+		policies = append(policies, LostPolicy{Policy: e.change.GetPolicy(), Removed: e.change.GetGone(), StoredRevision: e.storedRevision})
 	}
-	return found
+	return policies
 }
 
 // trackLostPolicy notes that a policy is to be written again, if an entry is one.
-func (d *Directory) trackLostPolicy(key Key, known *entry) {
-	if key.Kind == KindPolicy && known.change.GetContested() {
-		d.lostPolicies[key] = known
+func (d *Directory) trackLostPolicy(key Key, e *entry) {
+	if key.Kind == KindPolicy && e.change.GetContested() {
+		d.lostPolicies[key] = e
 	}
 }
 
@@ -122,8 +122,8 @@
 
 // keptWhenMissing tells whether an entry stands that a complete batch does not name: the table of
 // routes, and a policy that the store has lost.
-func (e *entry) keptWhenMissing(kind Kind, from batchContext) bool {
-	return kind == KindRoutes || kind == KindPolicy && (from.newEra || e.change.GetContested())
+func (e *entry) keptWhenMissing(kind Kind, context batchContext) bool {
+	return kind == KindRoutes || kind == KindPolicy && (context.newEra || e.change.GetContested())
 }
 
 // entryState is what was believed of an entry before a change of it.
@@ -134,48 +134,48 @@
 	removedAt time.Time
 }
 
-func stateOf(known *entry) entryState {
-	return entryState{stored: known.change, effective: known.effective(), removedAt: known.removedAt}
+func stateOf(e *entry) entryState {
+	return entryState{stored: e.change, effective: e.effective(), removedAt: e.removedAt}
 }
 
 // reconcile decides what is believed of an entry after a change of it. It tells whether the
 // entry is held or released by that.
-func (d *Directory) reconcile(key Key, known *entry, before entryState, from batchContext) bool {
-	limit := time.Duration(0)
-	if from.newEra {
-		limit = overrideTime(before.effective, known.change)
+func (d *Directory) reconcile(key Key, e *entry, before entryState, context batchContext) bool {
+	duration := time.Duration(0)
+	if context.newEra {
+		duration = overrideTime(before.effective, e.change)
 	}
-	if limit == 0 {
-		return d.dropOverride(key, known)
+	if duration == 0 {
+		return d.dropOverride(key, e)
 	}
-	known.override, known.overrideUntil = before.effective, from.receivedAt.Add(limit)
+	e.override, e.overrideUntil = before.effective, context.receivedAt.Add(duration)
 	if before.effective.GetGone() {
-		known.removedAt = before.removedAt
+		e.removedAt = before.removedAt
 	}
-	d.overridden[key] = known
-	d.scheduleExpiry(known.overrideUntil)
+	d.overridden[key] = e
+	d.scheduleExpiry(e.overrideUntil)
 	d.reindex(key)
 	return true
 }
 
 // overrideTime is for how long what was known of an entry is held against what the copy shows; 0
 // is not at all.
-func overrideTime(before, shown *apiv1.DirectoryChange) time.Duration {
+func overrideTime(before, after *apiv1.DirectoryChange) time.Duration {
 	switch before.GetEntry().(type) {
 	case *apiv1.DirectoryChange_Backend, *apiv1.DirectoryChange_Evacuation:
 	default:
 		return 0
 	}
 	switch {
-	case shown.GetGone() && !before.GetGone():
+	case after.GetGone() && !before.GetGone():
 		return missingOverrideTime
-	case startTime(shown) != startTime(before):
+	case startTime(after) != startTime(before):
 		return 0
-	case before.GetGone() && !shown.GetGone():
+	case before.GetGone() && !after.GetGone():
 		return endedOverrideTime
-	case reportsDraining(before) && !shown.GetGone() && !shown.GetBackend().GetDraining():
+	case reportsDraining(before) && !after.GetGone() && !after.GetBackend().GetDraining():
 		return endedOverrideTime
-	case !shown.GetBackend().GetDraining() && !sameContent(before, shown):
+	case !after.GetBackend().GetDraining() && !sameContent(before, after):
 		// The copy may show it colder than it is by now.
 		return missingOverrideTime
 	}
@@ -188,13 +188,13 @@
 }
 
 // dropOverride lets an entry be what the store says. It tells whether the entry was held.
-func (d *Directory) dropOverride(key Key, known *entry) bool {
-	if known.override == nil {
+func (d *Directory) dropOverride(key Key, e *entry) bool {
+	if e.override == nil {
 		return false
 	}
-	known.override = nil
-	if !known.change.GetGone() {
-		known.removedAt = time.Time{}
+	e.override = nil
+	if !e.change.GetGone() {
+		e.removedAt = time.Time{}
 	}
 	delete(d.overridden, key)
 	d.reindex(key)
@@ -205,12 +205,12 @@
 // tells whether any was.
 func (d *Directory) dropExpiredOverrides(now time.Time) bool {
 	released := false
-	for key, known := range d.overridden {
-		if now.Before(known.overrideUntil) {
-			d.scheduleExpiry(known.overrideUntil)
+	for key, e := range d.overridden {
+		if now.Before(e.overrideUntil) {
+			d.scheduleExpiry(e.overrideUntil)
 			continue
 		}
-		released = d.dropOverride(key, known) || released
+		released = d.dropOverride(key, e) || released
 	}
 	return released
 }
--- a/internal/directory/lookup.go
+++ b/internal/directory/lookup.go
@@ -10,11 +10,11 @@
 
 // Routes returns the table of routes, or nil while none is known.
 func (d *Directory) Routes() *apiv1.RouteTable {
-	known := d.entries[Key{Kind: KindRoutes}]
-	if known == nil {
+	e := d.entries[Key{Kind: KindRoutes}]
+	if e == nil {
 		return nil
 	}
-	return known.change.GetRoutes()
+	return e.change.GetRoutes()
 }
 
 // BackendEntry is a back end and whether its entry was removed.
@@ -54,16 +54,16 @@
 // Evacuations returns the orders to evacuate zones, by zone, those that were
 // taken back lately too.
 func (d *Directory) Evacuations() []Evacuation {
-	var found []Evacuation
-	for zone, known := range d.evacuations {
-		order := Evacuation{Zone: zone, Revision: known.effective().GetRevision(), LearnedAt: known.learnedAt}
-		if known.effective().GetGone() {
-			order.RevokedAt = known.removedAt
+	var evacuations []Evacuation
+	for zone, e := range d.evacuations {
+		order := Evacuation{Zone: zone, Revision: e.effective().GetRevision(), LearnedAt: e.learnedAt}
+		if e.effective().GetGone() {
+			order.RevokedAt = e.removedAt
 		}
-		found = append(found, order)
+		evacuations = append(evacuations, order)
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Zone < found[j].Zone })
-	return found
+	sort.Slice(evacuations, func(i, j int) bool { return evacuations[i].Zone < evacuations[j].Zone })
+	return evacuations
 }
 
 // Contradicts tells whether a read of the operators' orders alone, as of a revision,
@@ -74,23 +74,23 @@
 	if orders.GetOrdersRevision() <= d.revision {
 		return false
 	}
-	named := make(map[string]uint64)
+	listed := make(map[string]uint64)
 	for _, change := range orders.GetChanges() {
 		if order := change.GetEvacuation(); order != nil {
-			named[order.GetZone()] = change.GetRevision()
+			listed[order.GetZone()] = change.GetRevision()
 		}
 	}
-	holding := 0
-	for zone, known := range d.evacuations {
-		if known.change.GetGone() {
+	active := 0
+	for zone, e := range d.evacuations {
+		if e.change.GetGone() {
 			continue
 		}
-		holding++
-		if named[zone] != known.change.GetRevision() {
+		active++
+		if listed[zone] != e.change.GetRevision() {
 			return true
 		}
 	}
-	return holding != len(named)
+	return active != len(listed)
 }
 
 // BalancerChanges rises whenever the balancers that have an entry may have changed.
@@ -98,30 +98,30 @@
 
 // RevisionOf returns the revision of an entry that exists, or 0.
 func (d *Directory) RevisionOf(key Key) uint64 {
-	known := d.entries[key]
-	if known == nil || known.change.GetGone() {
+	e := d.entries[key]
+	if e == nil || e.change.GetGone() {
 		return 0
 	}
-	return known.change.GetRevision()
+	return e.change.GetRevision()
 }
 
 // Balancers returns the balancers that have an entry, by name.
 func (d *Directory) Balancers() []*apiv1.Balancer {
-	var found []*apiv1.Balancer
-	for key, known := range d.entries {
-		if key.Kind == KindBalancer && !known.change.GetGone() {
-			found = append(found, known.change.GetBalancer())
+	var balancers []*apiv1.Balancer
+	for key, e := range d.entries {
+		if key.Kind == KindBalancer && !e.change.GetGone() {
+			balancers = append(balancers, e.change.GetBalancer())
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].GetName() < found[j].GetName() })
-	return found
+	sort.Slice(balancers, func(i, j int) bool { return balancers[i].GetName() < balancers[j].GetName() })
+	return balancers
 }
 
 // Policy returns the policy of a name, or nil.
 func (d *Directory) Policy(name string) *apiv1.Policy {
-	known := d.entries[Key{Kind: KindPolicy, Name: name}]
-	if known == nil || known.change.GetGone() {
+	e := d.entries[Key{Kind: KindPolicy, Name: name}]
+	if e == nil || e.change.GetGone() {
 		return nil
 	}
-	return known.change.GetPolicy()
+	return e.change.GetPolicy()
 }
--- a/internal/directory/size_test.go
+++ b/internal/directory/size_test.go
@@ -16,16 +16,16 @@
 var sizes = []int{1_000, 10_000, 140_000}
 
 func manyBackends(count int) *apiv1.DirectoryBatch {
-	made := &apiv1.DirectoryBatch{Revision: uint64(count), Complete: true}
+	snapshot := &apiv1.DirectoryBatch{Revision: uint64(count), Complete: true}
 	for number := range count {
 		change := backendChange(uint64(number+1), fmt.Sprintf("i-%010x", number), false, false)
 		change.GetBackend().Number = uint64(number)
 		change.GetBackend().Pool = fmt.Sprintf("pool-%d", number/6)
 		change.GetBackend().Zone = "maadi"
 		change.GetBackend().Capacity = 2
-		made.Changes = append(made.Changes, change)
+		snapshot.Changes = append(snapshot.Changes, change)
 	}
-	return made
+	return snapshot
 }
 
 // BenchmarkSnapshot is the cost of merging everything, and its bytes and memory.
@@ -45,18 +45,18 @@
 func BenchmarkOneChange(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			known := New(time.Minute)
-			known.Apply(manyBackends(size), start)
-			revision := known.Revision()
+			dir := New(time.Minute)
+			dir.Apply(manyBackends(size), start)
+			revision := dir.Revision()
 			for b.Loop() {
 				revision++
-				known.Apply(batch(revision, false, backendChange(revision, "i-0000000000", revision%2 == 0, false)), start)
-				told := known.Since(revision - 1)
-				if len(told.GetChanges()) != 1 {
+				dir.Apply(batch(revision, false, backendChange(revision, "i-0000000000", revision%2 == 0, false)), start)
+				reported := dir.Since(revision - 1)
+				if len(reported.GetChanges()) != 1 {
 					b.Fatal("one change is told")
 				}
 			}
-			b.ReportMetric(float64(proto.Size(known.Since(revision-1))), "bytes")
+			b.ReportMetric(float64(proto.Size(dir.Since(revision-1))), "bytes")
 		})
 	}
 }
@@ -69,12 +69,12 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				known := New(time.Minute)
-				known.Apply(manyBackends(size), start)
+				dir := New(time.Minute)
+				dir.Apply(manyBackends(size), start)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "B/backend")
-				runtime.KeepAlive(known)
+				runtime.KeepAlive(dir)
 			}
 		})
 	}
@@ -85,31 +85,31 @@
 func BenchmarkExpire(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			known := New(time.Minute)
-			known.Apply(manyBackends(size), start)
-			known.Apply(batch(uint64(size)+1, false, backendChange(uint64(size)+1, "i-0000000000", false, true)), start)
+			dir := New(time.Minute)
+			dir.Apply(manyBackends(size), start)
+			dir.Apply(batch(uint64(size)+1, false, backendChange(uint64(size)+1, "i-0000000000", false, true)), start)
 			for b.Loop() {
-				known.Expire(start)
+				dir.Expire(start)
 			}
 		})
 	}
 }
 
-// BenchmarkDropOne is the cost of a tombstone that has had its time: 0.36 ms beside 10,000
+// BenchmarkExpireOneTombstone is the cost of a tombstone that has had its time: 0.36 ms beside 10,000
 // back ends while all entries were looked at, 2.3 us since only tombstones are.
-func BenchmarkDropOne(b *testing.B) {
+func BenchmarkExpireOneTombstone(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			known := New(time.Minute)
-			known.Apply(manyBackends(size), start)
+			dir := New(time.Minute)
+			dir.Apply(manyBackends(size), start)
 			revision, now := uint64(size), start
 			for b.Loop() {
 				revision++
 				now = now.Add(2 * time.Minute)
-				known.Apply(batch(revision, false, backendChange(revision, "j-1", false, false)), now)
+				dir.Apply(batch(revision, false, backendChange(revision, "j-1", false, false)), now)
 				revision++
-				known.Apply(batch(revision, false, backendChange(revision, "j-1", false, true)), now)
-				if !known.Expire(now.Add(time.Minute)) {
+				dir.Apply(batch(revision, false, backendChange(revision, "j-1", false, true)), now)
+				if !dir.Expire(now.Add(time.Minute)) {
 					b.Fatal("it has had its time")
 				}
 			}
--- a/internal/directory/starts.go
+++ b/internal/directory/starts.go
@@ -22,12 +22,12 @@
 
 // supersedes tells whether a change with a higher revision comes from an earlier start of a
 // back end: its successor lives, or what shows the earlier one is a copy of the store.
-func (e *entry) supersedes(change *apiv1.DirectoryChange, from batchContext) bool {
-	offered, known := startTime(change), startTime(e.change)
-	if offered == 0 || offered >= known {
+func (e *entry) supersedes(change *apiv1.DirectoryChange, context batchContext) bool {
+	changeStart, knownStart := startTime(change), startTime(e.change)
+	if changeStart == 0 || changeStart >= knownStart {
 		return false
 	}
-	return from.newEra || !e.change.GetGone() && from.receivedAt.Sub(e.startSeenAt) < lateWriteWindow
+	return context.newEra || !e.change.GetGone() && context.receivedAt.Sub(e.startSeenAt) < lateWriteWindow
 }
 
 // observeStart takes that a change of the known start has come, or one of another start.
@@ -41,18 +41,18 @@
 // markContested takes that the store shows what is older than what is known: what an earlier start
 // of a back end wrote last, or what a copy of the store held or lacks. Somebody may hold that,
 // so what is written next differs from what is known here, and is told.
-func (d *Directory) markContested(key Key, known *entry, revision uint64) {
-	contested := proto.CloneOf(known.change)
+func (d *Directory) markContested(key Key, e *entry, revision uint64) {
+	contested := proto.CloneOf(e.change)
 	contested.Revision, contested.Contested = revision, true
-	known.change = contested
-	d.trackLostPolicy(key, known)
-	d.recordContent(key, known)
+	e.change = contested
+	d.trackLostPolicy(key, e)
+	d.recordContent(key, e)
 }
 
 // markContestedOnce is contest for what stays contested with each read until it is written again.
-func (d *Directory) markContestedOnce(key Key, known *entry, revision uint64) {
-	if !known.change.GetContested() {
-		d.markContested(key, known, revision)
+func (d *Directory) markContestedOnce(key Key, e *entry, revision uint64) {
+	if !e.change.GetContested() {
+		d.markContested(key, e, revision)
 	}
 }
 
@@ -65,14 +65,14 @@
 // markUnreadable takes that an entry exists and can't be read. A back end of whom that holds gets
 // no new flows until it can be read again; what was known of it stays for its open flows.
 // Of other entries what was known holds.
-func (d *Directory) markUnreadable(key Key, known *entry, revision uint64) bool {
-	if key.Kind != KindBackend || known.change.GetGone() || known.change.GetBackend().GetDraining() {
+func (d *Directory) markUnreadable(key Key, e *entry, revision uint64) bool {
+	if key.Kind != KindBackend || e.change.GetGone() || e.change.GetBackend().GetDraining() {
 		return false
 	}
-	aside := proto.CloneOf(known.change)
-	aside.Revision, aside.Unreadable = revision, true
-	aside.GetBackend().Draining = true
-	known.change = aside
-	d.recordContent(key, known)
+	unreadable := proto.CloneOf(e.change)
+	unreadable.Revision, unreadable.Unreadable = revision, true
+	unreadable.GetBackend().Draining = true
+	e.change = unreadable
+	d.recordContent(key, e)
 	return true
 }
--- a/internal/directory/starts_test.go
+++ b/internal/directory/starts_test.go
@@ -14,57 +14,57 @@
 
 // startChange is an entry of one start of a back end, whose address tells the start.
 func startChange(revision uint64, id string, start uint64) *apiv1.DirectoryChange {
-	made := backendChange(revision, id, false, false)
-	made.GetBackend().Address = uint32(start)
-	made.GetBackend().StartedMilliseconds = start
-	return made
+	change := backendChange(revision, id, false, false)
+	change.GetBackend().Address = uint32(start)
+	change.GetBackend().StartedMilliseconds = start
+	return change
 }
 
-func addressesOf(known *Directory) map[string]uint32 {
-	found := make(map[string]uint32)
-	for _, backend := range known.Backends() {
+func addressesOf(dir *Directory) map[string]uint32 {
+	addresses := make(map[string]uint32)
+	for _, backend := range dir.Backends() {
 		if !backend.Gone {
-			found[backend.GetId()] = backend.GetAddress()
+			addresses[backend.GetId()] = backend.GetAddress()
 		}
 	}
-	return found
+	return addresses
 }
 
-func TestAnotherStartUnderTheSameIDIsToldAndMarked(t *testing.T) {
-	known := New(time.Minute)
-	known.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
-	require.False(t, known.Backends()[0].Restarted)
-	require.True(t, known.Apply(batch(2, false, startChange(2, "i-1", 9)), start))
-	require.True(t, known.Backends()[0].Restarted)
-	require.Len(t, known.Since(1).GetChanges(), 1)
+func TestRestartUnderSameIDIsReportedAndMarked(t *testing.T) {
+	dir := New(time.Minute)
+	dir.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
+	require.False(t, dir.Backends()[0].Restarted)
+	require.True(t, dir.Apply(batch(2, false, startChange(2, "i-1", 9)), start))
+	require.True(t, dir.Backends()[0].Restarted)
+	require.Len(t, dir.Since(1).GetChanges(), 1)
 	fresh := New(time.Minute)
-	fresh.Apply(known.Since(0), start)
+	fresh.Apply(dir.Since(0), start)
 	require.False(t, fresh.Backends()[0].Restarted, "who knows one start only knows no flows of another")
 }
 
 // A call to the store that got no answer may be done seconds later: the entry of a start
 // that has ended then stands over that of its successor, with a higher revision.
-func TestLateWriteOfAnEarlierStartIsNotTaken(t *testing.T) {
-	known := New(time.Minute)
-	known.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
-	known.Apply(batch(2, false, startChange(2, "i-1", 9)), start)
-	require.False(t, known.Apply(batch(3, false, startChange(3, "i-1", 5)), start.Add(2*time.Second)))
-	require.Equal(t, uint32(9), known.Backends()[0].GetAddress())
-	require.True(t, known.Apply(batch(4, false, startChange(4, "i-1", 9)), start.Add(3*time.Second)),
+func TestLateWriteOfEarlierStartIsIgnored(t *testing.T) {
+	dir := New(time.Minute)
+	dir.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
+	dir.Apply(batch(2, false, startChange(2, "i-1", 9)), start)
+	require.False(t, dir.Apply(batch(3, false, startChange(3, "i-1", 5)), start.Add(2*time.Second)))
+	require.Equal(t, uint32(9), dir.Backends()[0].GetAddress())
+	require.True(t, dir.Apply(batch(4, false, startChange(4, "i-1", 9)), start.Add(3*time.Second)),
 		"who has read the late write hears of the living start again")
-	require.Len(t, known.Since(3).GetChanges(), 1)
+	require.Len(t, dir.Since(3).GetChanges(), 1)
 }
 
 // A clock that was set back gives the next start an earlier time.
-func TestStartThatGoesOnWritingIsTaken(t *testing.T) {
-	known := New(time.Minute)
-	known.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
+func TestStartThatKeepsWritingIsAccepted(t *testing.T) {
+	dir := New(time.Minute)
+	dir.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
 	for second := 1; second <= 9; second++ {
-		require.False(t, known.Apply(batch(uint64(second+1), false, startChange(uint64(second+1), "i-1", 5)),
+		require.False(t, dir.Apply(batch(uint64(second+1), false, startChange(uint64(second+1), "i-1", 5)),
 			start.Add(time.Duration(second)*time.Second)))
 	}
-	require.True(t, known.Apply(batch(12, false, startChange(12, "i-1", 5)), start.Add(lateWriteWindow)))
-	require.Equal(t, uint32(5), known.Backends()[0].GetAddress())
+	require.True(t, dir.Apply(batch(12, false, startChange(12, "i-1", 5)), start.Add(lateWriteWindow)))
+	require.Equal(t, uint32(5), dir.Backends()[0].GetAddress())
 	gone := New(time.Minute)
 	gone.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
 	gone.Apply(batch(2, false, backendChange(2, "i-1", false, true)), start)
@@ -74,21 +74,21 @@
 // Back ends start again under their ids, and writes of starts that have ended come late.
 // Directories learn from the store and from each other, in any order. Once each living start
 // has written once more and all have read, all hold the living starts.
-func TestDirectoriesAgreeOnTheLivingStarts(t *testing.T) {
+func TestDirectoriesConvergeOnLiveStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
-		known := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
+		dirs := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
 		living := make(map[string]uint64)
 		now := start
 		write := func(id string, started uint64) {
 			store.revision++
-			made := startChange(store.revision, id, started)
-			store.history = append(store.history, made)
-			store.entries[id] = made
+			change := startChange(store.revision, id, started)
+			store.history = append(store.history, change)
+			store.entries[id] = change
 		}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "pause ms")) * time.Millisecond)
-			place := rapid.IntRange(0, 2).Draw(t, "place")
+			index := rapid.IntRange(0, 2).Draw(t, "place")
 			id := fmt.Sprintf("i-%d", rapid.IntRange(0, 3).Draw(t, "id"))
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
@@ -99,12 +99,12 @@
 					write(id, rapid.Uint64Range(1, earlier).Draw(t, "start"))
 				}
 			case 2:
-				known[place].Apply(store.snapshot(), now)
+				dirs[index].Apply(store.snapshot(), now)
 			case 3:
-				known[place].Apply(store.since(known[place].Revision()), now)
+				dirs[index].Apply(store.since(dirs[index].Revision()), now)
 			default:
 				other := rapid.IntRange(0, 2).Draw(t, "other")
-				known[place].Apply(known[other].Since(known[place].Revision()), now)
+				dirs[index].Apply(dirs[other].Since(dirs[index].Revision()), now)
 			}
 		}
 		want := make(map[string]uint32)
@@ -112,11 +112,11 @@
 			write(id, started)
 			want[id] = uint32(started)
 		}
-		known[0].Apply(store.since(known[0].Revision()), now)
-		for _, each := range known[1:] {
-			each.Apply(proto.CloneOf(known[0].Since(each.Revision())), now)
+		dirs[0].Apply(store.since(dirs[0].Revision()), now)
+		for _, each := range dirs[1:] {
+			each.Apply(proto.CloneOf(dirs[0].Since(each.Revision())), now)
 		}
-		for _, each := range known {
+		for _, each := range dirs {
 			require.Equal(t, want, addressesOf(each))
 		}
 	})
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -100,23 +100,23 @@
 	if route == nil {
 		return Decision{Verdict: Drop, Reason: ReasonNoRoute}
 	}
-	named := table.Resolve(route, packet.Token)
-	if named == nil && table.Known(packet.Token) {
+	backend := table.Resolve(route, packet.Token)
+	if backend == nil && table.Known(packet.Token) {
 		return Decision{Verdict: Drop, Reason: ReasonForeignToken}
 	}
-	if named == nil {
+	if backend == nil {
 		return Decision{Verdict: Drop, Reason: ReasonUnknownToken}
 	}
 	f.rotate(now)
 	state := f.cache.find(packet.Key)
-	chosen := f.backendFor(state, named, now)
+	chosen := f.backendFor(state, backend, now)
 	if f.observe(packet, state, chosen, now) {
 		return Decision{Verdict: Refuse, Reason: ReasonDeadBackend, Backend: chosen}
 	}
-	if chosen != named {
+	if chosen != backend {
 		return Decision{Verdict: Forward, Reason: ReasonOpenedElsewhere, Backend: chosen}
 	}
-	return Decision{Verdict: Forward, Reason: ReasonToken, Backend: named}
+	return Decision{Verdict: Forward, Reason: ReasonToken, Backend: backend}
 }
 
 // observe takes a later packet of a flow that goes to a back end, and tells
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -32,8 +32,8 @@
 	newFlows, responses, refusals int
 	// local counts what is asked of the pool, at its place in this balancer's zone; asks
 	// is used there only.
-	local   *poolZoneDemand
-	offered int
+	local    *poolZoneDemand
+	requests int
 	// responseTime is the mean time of an answer in seconds, and way the least from a flow's opening
 	// to its first request, which takes the way there and back and no work. The mean would
 	// hold what clients think meanwhile, and openings that were lost and repeated.
@@ -51,58 +51,58 @@
 
 // demandFor returns what is asked of a place.
 func (f *Flows) demandFor(pool, zone string) *poolZoneDemand {
-	place := demand.Place{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
-	known := f.demands[place]
-	if known != nil {
-		return known
+	poolZone := demand.Place{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
+	poolDemand := f.demands[poolZone]
+	if poolDemand != nil {
+		return poolDemand
 	}
-	known = &poolZoneDemand{}
+	poolDemand = &poolZoneDemand{}
 	if f.demands == nil {
 		f.demands = make(map[demand.Place]*poolZoneDemand)
 	}
-	f.demands[place] = known
-	known.local = known
+	f.demands[poolZone] = poolDemand
+	poolDemand.local = poolDemand
 	if zone != f.liveness.zone {
-		known.local = f.demandFor(pool, f.liveness.zone)
+		poolDemand.local = f.demandFor(pool, f.liveness.zone)
 	}
-	return known
+	return poolDemand
 }
 
 // countNewFlow counts a new flow that goes to a back end; first is set unless it went to
 // another one before.
 func (f *Flows) countNewFlow(backend *Backend, first bool) {
-	place := f.loadFor(backend).demand
-	place.newFlows++
+	poolDemand := f.loadFor(backend).demand
+	poolDemand.newFlows++
 	if first {
-		place.local.offered++
+		poolDemand.local.requests++
 	}
 }
 
 // CountRefusal counts a new flow that was refused for want of room in a pool.
 func (f *Flows) CountRefusal(pool string) {
-	place := f.demandFor(pool, f.liveness.zone)
-	place.refusals++
-	place.offered++
+	poolDemand := f.demandFor(pool, f.liveness.zone)
+	poolDemand.refusals++
+	poolDemand.requests++
 }
 
 // countRequest counts a request that begins, or one that was answered. The first request of
 // a flow that opened here counts with its opening.
 func (s *flowState) countRequest(begins bool, now time.Time) {
-	place := s.load.demand
+	poolDemand := s.load.demand
 	if !begins {
 		s.lost = false
-		place.responses++
-		updateMean(&place.responseTime, now.Sub(s.inFlightSince))
+		poolDemand.responses++
+		updateMean(&poolDemand.responseTime, now.Sub(s.inFlightSince))
 		return
 	}
-	opens := !s.requestSeen && s.opening.count > 0
-	if opens {
-		place.minRTT.add(now.Sub(s.opening.sentAt), now)
+	opensFlow := !s.requestSeen && s.opening.count > 0
+	if opensFlow {
+		poolDemand.minRTT.add(now.Sub(s.opening.sentAt), now)
 	} else {
-		place.local.offered++
+		poolDemand.local.requests++
 	}
 	s.requestSeen, s.lost, s.undelivered, s.sending, s.inFlightSince = true, false, false, false, now
-	place.addPending(s)
+	poolDemand.addPending(s)
 }
 
 // addPending notes a request that waits.
@@ -155,13 +155,13 @@
 
 // updateDemand counts whether the flow is a demand on its pool and place.
 func (s *flowState) updateDemand(now time.Time) {
-	using := s.inFlight && !s.undelivered && !s.sending
-	if s.inDemand == using {
+	inDemand := s.inFlight && !s.undelivered && !s.sending
+	if s.inDemand == inDemand {
 		return
 	}
-	s.inDemand = using
+	s.inDemand = inDemand
 	change := 1
-	if !using {
+	if !inDemand {
 		change = -1
 	}
 	s.load.pool.use.Add(change, now)
@@ -202,19 +202,19 @@
 // dropLostRequests ends the wait of requests that nobody answers any more. The memory would keep
 // them for seconds, and a place look full long after its back ends had reset flows.
 func (p *poolZoneDemand) dropLostRequests(now time.Time) {
-	usual := time.Duration(lostMultiple * p.responseTime * float64(time.Second))
-	waiting := p.pending
+	timeout := time.Duration(lostMultiple * p.responseTime * float64(time.Second))
+	pending := p.pending
 	p.pending = nil
-	for _, each := range waiting {
-		state := each.state
+	for _, request := range pending {
+		state := request.state
 		switch {
-		case !state.inFlight || !state.inFlightSince.Equal(each.startedAt):
-		case now.Sub(state.tracker.passedAt) > min(max(usual, state.retransmissionTimeout()), maxLostTimeout):
+		case !state.inFlight || !state.inFlightSince.Equal(request.startedAt):
+		case now.Sub(state.tracker.passedAt) > min(max(timeout, state.retransmissionTimeout()), maxLostTimeout):
 			state.detach(now)
 			state.lost = true
 		default:
 			state.countIfComplete(now)
-			p.pending = append(p.pending, each)
+			p.pending = append(p.pending, request)
 		}
 	}
 }
@@ -240,18 +240,18 @@
 // summarizeDemand returns what was asked of each place since the last summary, and begins
 // anew.
 func (f *Flows) summarizeDemand(elapsed time.Duration, now time.Time) map[demand.Place]demand.Load {
-	made := make(map[demand.Place]demand.Load, len(f.demands))
+	loads := make(map[demand.Place]demand.Load, len(f.demands))
 	rate := func(count int) float64 { return float64(count) / max(elapsed, summaryInterval).Seconds() }
-	for place, asked := range f.demands {
-		asked.dropLostRequests(now)
-		made[place] = demand.Load{
-			Waiting:  asked.use.Mean(now) * asked.serviceFraction(),
-			Openings: rate(asked.newFlows),
-			Answers:  rate(asked.responses),
-			Refusals: rate(asked.refusals),
-			Asks:     rate(asked.offered),
+	for poolZone, poolDemand := range f.demands {
+		poolDemand.dropLostRequests(now)
+		loads[poolZone] = demand.Load{
+			Waiting:  poolDemand.use.Mean(now) * poolDemand.serviceFraction(),
+			Openings: rate(poolDemand.newFlows),
+			Answers:  rate(poolDemand.responses),
+			Refusals: rate(poolDemand.refusals),
+			Asks:     rate(poolDemand.requests),
 		}
-		asked.newFlows, asked.responses, asked.refusals, asked.offered = 0, 0, 0, 0
+		poolDemand.newFlows, poolDemand.responses, poolDemand.refusals, poolDemand.requests = 0, 0, 0, 0
 	}
-	return made
+	return loads
 }
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -14,22 +14,22 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingIn(zone string) demand.Place {
+func lendingPoolZone(zone string) demand.Place {
 	return demand.Place{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
-// summaryAt lets a summary be made at a time, one second after the last.
-func summaryAt(flows *Flows, now int) map[demand.Place]demand.Load {
+// summarizeAt lets a summary be made at a time, one second after the last.
+func summarizeAt(flows *Flows, now int) map[demand.Place]demand.Load {
 	flows.summarizedAt = at(now - 1000)
 	return flows.Summarize(at(now)).Places
 }
 
 // What is asked counts for the zone of the clients, wherever it goes; what waits and is
 // answered for that of the back end.
-func TestAskedCountsByPlace(t *testing.T) {
+func TestDemandIsCountedByPoolZone(t *testing.T) {
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("giza")
-	summaryAt(flows, -1000)
-	summaryAt(flows, 0)
+	summarizeAt(flows, -1000)
+	summarizeAt(flows, 0)
 	opened := flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(0)).Backend
 	require.NotNil(t, opened)
 	flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(100))
@@ -38,33 +38,33 @@
 	}
 	answered(flows, table, 2, 2, 400)
 	flows.CountRefusal("lending")
-	places := summaryAt(flows, 1000)
+	places := summarizeAt(flows, 1000)
 	all := demand.Load{}
 	for _, load := range places {
 		all = all.Plus(load)
 	}
 	require.Equal(t, 1.0, all.Openings, "a copy opens nothing")
 	require.Equal(t, 3.0, all.Answers, "the third request still waits")
-	require.Equal(t, 1.0, places[lendingIn("giza")].Refusals)
-	require.Equal(t, 5.0, places[lendingIn("giza")].Asks, "three of one flow, one of another, and the refused one")
-	require.Zero(t, places[lendingIn("maadi")].Asks, "no client of that zone asks here")
-	require.Positive(t, places[lendingIn("maadi")].Answers)
-	require.Zero(t, summaryAt(flows, 2000)[lendingIn("giza")].Asks, "each counts once")
+	require.Equal(t, 1.0, places[lendingPoolZone("giza")].Refusals)
+	require.Equal(t, 5.0, places[lendingPoolZone("giza")].Asks, "three of one flow, one of another, and the refused one")
+	require.Zero(t, places[lendingPoolZone("maadi")].Asks, "no client of that zone asks here")
+	require.Positive(t, places[lendingPoolZone("maadi")].Answers)
+	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Asks, "each counts once")
 }
 
 // Back ends that are full reset flows, which clients don't tell: in bursts, 1,483
 // requests seemed to wait for 40 slots, and 1,120 did four seconds after its end.
-func TestRequestsThatNobodyAnswersDontWaitForLong(t *testing.T) {
+func TestUnansweredRequestsStopCountingAsInFlight(t *testing.T) {
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	answered(flows, table, 9, 2, 0)
 	for client := range byte(8) {
 		flows.Decide(table, request(client, 2, 1), at(1000))
 	}
 	flows.Decide(table, request(20, 2, 1), at(1000))
-	summaryAt(flows, 1400)
+	summarizeAt(flows, 1400)
 	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlight)
 	flows.Decide(table, request(20, 2, 1), at(1450)) // its client still waits
-	summaryAt(flows, 1700)
+	summarizeAt(flows, 1700)
 	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlight)
 	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].flows, "flows that were reset are none")
 	flows.Decide(table, request(1, 2, 2), at(1800))
@@ -72,60 +72,60 @@
 }
 
 // The time on the way is no work of a back end.
-func TestWayIsNoWork(t *testing.T) {
+func TestServiceTimeExcludesRoundTrip(t *testing.T) {
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
-	summaryAt(flows, 0)
+	summarizeAt(flows, 0)
 	opened := flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(0)).Backend
 	for now, n := 30, uint32(1); now < 1000; now, n = now+100, n+1 {
 		flows.Decide(table, request(1, opened.Token, n), at(now))
 		flows.Decide(table, Packet{Key: clientKey(1), Token: opened.Token, Acknowledged: 5000*n + 1}, at(now+60))
 	}
-	place := summaryAt(flows, 1030)[lendingIn(opened.Zone)]
-	require.InDelta(t, 0.6*0.5, place.Waiting, 0.03, "60 ms in 100, half of them on the way")
+	load := summarizeAt(flows, 1030)[lendingPoolZone(opened.Zone)]
+	require.InDelta(t, 0.6*0.5, load.Waiting, 0.03, "60 ms in 100, half of them on the way")
 }
 
 // A zone of a small weight takes its part, which the least used among the back ends of
 // several zones would hardly ever leave it.
-func TestWeightsChooseTheZone(t *testing.T) {
-	known := zoned()
-	weigh := func(zone string) uint32 {
+func TestByZoneSharesFollowWeights(t *testing.T) {
+	dir := zoned()
+	weightOf := func(zone string) uint32 {
 		if zone == "giza" {
 			return 200
 		}
 		return 1000
 	}
 	for _, byZone := range []bool{false, true} {
-		made := options()
-		made.ByZone = func(pool string) bool { return byZone && pool == "lending" }
-		made.Weigh = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
-		table, flows := NewTable(known, made), NewFlows(mechanism.Set{}).WithZone("maadi")
-		there := 0
+		opts := options()
+		opts.ByZone = func(pool string) bool { return byZone && pool == "lending" }
+		opts.Weigh = func(entry directory.BackendEntry) uint32 { return weightOf(entry.GetZone()) }
+		table, flows := NewTable(dir, opts), NewFlows(mechanism.Set{}).WithZone("maadi")
+		inGiza := 0
 		for port := range 2200 {
 			now := at(port)
 			packet := Packet{Key: key(1000 + port), First: true}
 			chosen := flows.Decide(table, packet, now).Backend
 			if chosen.Zone == "giza" {
-				there++
+				inGiza++
 			}
 			packet.First, packet.Token, packet.Closing = false, chosen.Token, true
 			flows.Decide(table, packet, now.Add(time.Millisecond))
 		}
 		if byZone {
-			require.InDelta(t, 200, there, 45, "0.2 of 2.2 of 2200")
+			require.InDelta(t, 200, inGiza, 45, "0.2 of 2.2 of 2200")
 		} else {
-			require.Less(t, there, 20)
+			require.Less(t, inGiza, 20)
 		}
 	}
 }
 
-// slowly lets 8 clients always wait for answers that take so long; those whose requests are
+// runSlowBackend lets 8 clients always wait for answers that take so long; those whose requests are
 // not acknowledged repeat them as clients do. It returns what waits on average, how many
 // answers were counted, and how often nothing seemed to wait at a summary.
-func slowly(table *Table, flows *Flows, took, rounds int, acknowledged bool) (waiting, answers float64, idle int) {
+func runSlowBackend(table *Table, flows *Flows, responseTime, rounds int, acknowledged bool) (inFlight, responses float64, idle int) {
 	flows.Summarize(at(0))
 	summaries := 0.0
-	for now := 0; now <= rounds*took; now += 50 {
-		round, since := now/took, now%took
+	for now := 0; now <= rounds*responseTime; now += 50 {
+		round, since := now/responseTime, now%responseTime
 		for client := range byte(8) {
 			if since == 0 && round > 0 {
 				flows.Decide(table, Packet{Key: clientKey(client), Token: 2, Acknowledged: 5000*uint32(round) + 1}, at(now))
@@ -146,31 +146,31 @@
 		}
 		summaries++
 		for _, load := range summary.Places {
-			waiting += load.Waiting
-			answers += load.Answers * summaryInterval.Seconds()
+			inFlight += load.Waiting
+			responses += load.Answers * summaryInterval.Seconds()
 		}
 		if flows.loads[incarnation.ID{Number: 2}].inFlight == 0 {
 			idle++
 		}
 	}
-	return waiting / summaries, answers, idle
+	return inFlight / summaries, responses, idle
 }
 
 // Slow back ends are no idle ones. Clients that wait pause for up to 1.6 s, and their
 // requests counted no longer after 0.5 s of that: none of 72 answers was counted, and half of
 // the looks found nobody waiting. But requests that are repeated have reached nobody, and are
 // no demand on the room of those that live.
-func TestSlowAnswersCountWhileClientsWait(t *testing.T) {
-	for _, took := range []int{1300, 2500, 4000} {
+func TestSlowRequestsStayInFlightWhileClientsRetransmit(t *testing.T) {
+	for _, responseTime := range []int{1300, 2500, 4000} {
 		for _, quickBefore := range []bool{false, true} {
 			table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 			if quickBefore {
 				answered(flows, table, 9, 2, -3000)
 			}
-			waiting, answers, idle := slowly(table, flows, took, 10, false)
-			t.Logf("took %d ms, quick before %v: waiting %.2f, answers %.0f, idle %d", took, quickBefore, waiting, answers, idle)
-			require.InDelta(t, 8*200/float64(took), waiting, 0.2, "up to the first repetition")
-			require.InDelta(t, 80, answers, 2)
+			inFlight, responses, idle := runSlowBackend(table, flows, responseTime, 10, false)
+			t.Logf("took %d ms, quick before %v: waiting %.2f, answers %.0f, idle %d", responseTime, quickBefore, inFlight, responses, idle)
+			require.InDelta(t, 8*200/float64(responseTime), inFlight, 0.2, "up to the first repetition")
+			require.InDelta(t, 80, responses, 2)
 			require.Zero(t, idle, "in the choice of a back end they count on")
 		}
 	}
@@ -178,18 +178,18 @@
 
 // Back ends that live acknowledge a request while it waits in their queue, so nothing is
 // repeated, and it is a demand as long as it waits there.
-func TestAcknowledgedRequestsAreDemandWhileTheyWait(t *testing.T) {
-	for _, took := range []int{400, 1300, 2500} {
+func TestAcknowledgedRequestsCountAsDemandUntilAnswered(t *testing.T) {
+	for _, responseTime := range []int{400, 1300, 2500} {
 		table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
-		waiting, answers, _ := slowly(table, flows, took, 20, true)
-		require.Greater(t, waiting, 7.0, "took %d ms", took)
-		require.InDelta(t, 160, answers, 10)
+		inFlight, responses, _ := runSlowBackend(table, flows, responseTime, 20, true)
+		require.Greater(t, inFlight, 7.0, "took %d ms", responseTime)
+		require.InDelta(t, 160, responses, 10)
 	}
 }
 
 // A third of the back ends is dead: requests to them must not make the pool look short of
 // room that the others have.
-func TestRequestsToDeadBackendsAreNoDemand(t *testing.T) {
+func TestRequestsToDeadBackendsAreNotDemand(t *testing.T) {
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for client := range byte(50) {
 		for _, since := range []int{0, 200, 600} {
@@ -197,34 +197,34 @@
 		}
 	}
 	flows.Summarize(at(1650))
-	load := summaryAt(flows, 2000)[lendingIn("maadi")]
+	load := summarizeAt(flows, 2000)[lendingPoolZone("maadi")]
 	require.Zero(t, load.Waiting)
 }
 
 // The answer to a request that was taken for lost tells how slow the back end is.
-func TestLateAnswersAreLearned(t *testing.T) {
+func TestLateResponsesUpdateResponseTime(t *testing.T) {
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Decide(table, request(1, 2, 1), at(0))
-	summaryAt(flows, 1500)
+	summarizeAt(flows, 1500)
 	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 5001}, at(2000))
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 6001}, at(2010))
-	require.Equal(t, 1.0, summaryAt(flows, 2500)[lendingIn("maadi")].Answers)
+	require.Equal(t, 1.0, summarizeAt(flows, 2500)[lendingPoolZone("maadi")].Answers)
 	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].demand.responseTime, 1e-9)
 	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
 }
 
 // What clients think before their first request is no way.
-func TestThinkingIsNoWay(t *testing.T) {
-	made := options()
-	made.Weigh = func(entry directory.BackendEntry) uint32 {
+func TestClientThinkTimeIsNotRoundTripTime(t *testing.T) {
+	opts := options()
+	opts.Weigh = func(entry directory.BackendEntry) uint32 {
 		if entry.GetZone() == "maadi" {
 			return 1000
 		}
 		return 0
 	}
-	table, flows := NewTable(zoned(), made), NewFlows(mechanism.Set{}).WithZone("maadi")
-	summaryAt(flows, 0)
+	table, flows := NewTable(zoned(), opts), NewFlows(mechanism.Set{}).WithZone("maadi")
+	summarizeAt(flows, 0)
 	thinks := []int{400, 20, 300, 400}
 	tokens := make([]Token, len(thinks))
 	for now := 0; now < 1000; now += 10 {
@@ -245,9 +245,9 @@
 	require.InDelta(t, 0.75, flows.demandFor("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
 }
 
-// manyZoned has so many back ends in each of two zones, named from 1 on; those of giza have
+// twoZoneDirectory has so many back ends in each of two zones, named from 1 on; those of giza have
 // the greater numbers.
-func manyZoned(each int) *directory.Directory {
+func twoZoneDirectory(each int) *directory.Directory {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	for number := 1; number <= 2*each; number++ {
 		zone := "maadi"
@@ -261,11 +261,11 @@
 
 // Four back ends of the chosen zone are compared, the first four in the flow's order, and
 // the least used of them is taken.
-func TestFourOfTheChosenZoneAreCompared(t *testing.T) {
-	made := options()
-	made.ByZone = func(string) bool { return true }
-	table := NewTable(manyZoned(8), made)
-	none := func(*Backend) Preference { return Preferred }
+func TestFourBackendsOfChosenZoneAreCompared(t *testing.T) {
+	opts := options()
+	opts.ByZone = func(string) bool { return true }
+	table := NewTable(twoZoneDirectory(8), opts)
+	preferAll := func(*Backend) Preference { return Preferred }
 	zones := make(map[string]int)
 	for port := range 400 {
 		used := func(backend *Backend) int { return int(backend.Number*7+uint64(port)) % 17 }
@@ -276,18 +276,18 @@
 		require.Equal(t, 1, first.leaders(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
 		zone := first.backend(leader[0]).Zone
 		zones[zone]++
-		chosen := route.Choose(key(port).Hash(), none, func(backend *Backend) int {
+		chosen := route.Choose(key(port).Hash(), preferAll, func(backend *Backend) int {
 			compared[backend.Number] = backend
 			return used(backend)
 		})
 		require.Len(t, compared, 4)
-		ahead := 0
-		of := first.parts[leader[0].Rule]
-		for _, score := range of.rule.Score(key(port).Hash()) {
-			backend := of.chosen[score.Backend-1]
-			if ahead < 4 {
+		rank := 0
+		group := first.parts[leader[0].Rule]
+		for _, score := range group.rule.Score(key(port).Hash()) {
+			backend := group.chosen[score.Backend-1]
+			if rank < 4 {
 				require.Contains(t, compared, backend.Number, "the first in the flow's order")
-				ahead++
+				rank++
 			}
 		}
 		for _, each := range compared {
@@ -299,16 +299,16 @@
 }
 
 // An upload whose packets come slowly over a narrow link waits for no slot until it is whole.
-func TestUploadsAreDemandOnceTheyAreWhole(t *testing.T) {
+func TestUploadsCountAsDemandOnceComplete(t *testing.T) {
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for sequence := range 20 {
 		packet := request(1, 2, 1)
 		packet.Sequence += 1200 * uint32(sequence)
 		flows.Decide(table, packet, at(1000+40*sequence))
 	}
-	load := summaryAt(flows, 1780)[lendingIn("maadi")]
+	load := summarizeAt(flows, 1780)[lendingPoolZone("maadi")]
 	require.Less(t, load.Waiting, 0.1)
 	flows.Summarize(at(2040))
-	load = summaryAt(flows, 2300)[lendingIn("maadi")]
+	load = summarizeAt(flows, 2300)[lendingPoolZone("maadi")]
 	require.InDelta(t, 1, load.Waiting, 0.05, "whole, and not answered")
 }
--- a/internal/tokenroute/flowcache.go
+++ b/internal/tokenroute/flowcache.go
@@ -60,12 +60,12 @@
 
 // responseCounts returns the tally of the back end's answers to an address.
 func (l *backendLoad) responseCounts(address flow.Address) *observe.Tally {
-	known := l.responses[address]
-	if known == nil {
-		known = &observe.Answers{}
-		l.responses[address] = known
+	responses := l.responses[address]
+	if responses == nil {
+		responses = &observe.Answers{}
+		l.responses[address] = responses
 	}
-	return known.Latest()
+	return responses.Latest()
 }
 
 // poolUse is what the flows that pass here use of a pool.
@@ -86,22 +86,22 @@
 
 // setInFlight counts whether the flow waits for an answer, and what it asked. The answer to a
 // request that was taken for lost counts too.
-func (s *flowState) setInFlight(waits bool, now time.Time) {
-	late := s.lost && !waits
-	if s.load == nil || s.inFlight == waits && !late {
+func (s *flowState) setInFlight(inFlight bool, now time.Time) {
+	answersLost := s.lost && !inFlight
+	if s.load == nil || s.inFlight == inFlight && !answersLost {
 		return
 	}
-	s.countRequest(waits, now)
-	if late {
+	s.countRequest(inFlight, now)
+	if answersLost {
 		return // its wait has ended already
 	}
-	s.countInFlight(waits, now)
+	s.countInFlight(inFlight, now)
 }
 
 // countInFlight counts that the flow begins or ends to wait.
-func (s *flowState) countInFlight(waits bool, now time.Time) {
-	s.inFlight = waits
-	if waits {
+func (s *flowState) countInFlight(inFlight bool, now time.Time) {
+	s.inFlight = inFlight
+	if inFlight {
 		s.load.inFlight++
 	} else {
 		s.load.inFlight--
@@ -158,31 +158,31 @@
 
 // find returns the state of a flow, or nil when it is not known.
 func (m *flowCache) find(key flow.Key) *flowState {
-	if known := m.current[key]; known != nil {
-		return known
+	if state := m.current[key]; state != nil {
+		return state
 	}
-	known := m.previous[key]
-	if known != nil && len(m.current) < maxGenerationFlows {
+	state := m.previous[key]
+	if state != nil && len(m.current) < maxGenerationFlows {
 		delete(m.previous, key)
-		m.current[key] = known
+		m.current[key] = state
 	}
-	return known
+	return state
 }
 
 // add returns the state of a flow that is not known yet. It is not remembered
 // when there are too many.
 func (m *flowCache) add(key flow.Key) *flowState {
-	made := &flowState{cached: len(m.current) < maxGenerationFlows}
-	if made.cached {
-		m.current[key] = made
+	state := &flowState{cached: len(m.current) < maxGenerationFlows}
+	if state.cached {
+		m.current[key] = state
 	}
-	return made
+	return state
 }
 
 // forget drops a flow.
-func (m *flowCache) forget(key flow.Key, known *flowState, now time.Time) {
-	known.detach(now)
-	known.cached = false
+func (m *flowCache) forget(key flow.Key, state *flowState, now time.Time) {
+	state.detach(now)
+	state.cached = false
 	delete(m.current, key)
 	delete(m.previous, key)
 }
@@ -195,9 +195,9 @@
 	}
 	m.rotatedAt = now
 	m.expireIdle(now)
-	for key, known := range m.previous {
-		m.retainIdle(key, known)
-		known.detach(now)
+	for key, state := range m.previous {
+		m.retainIdle(key, state)
+		state.detach(now)
 	}
 	m.previous, m.current = m.current, make(map[flow.Key]*flowState)
 	return true
@@ -206,8 +206,8 @@
 // retainIdle keeps of a flow what is needed to reset it when its back end dies: its
 // next request would else be the one that finds out, and be lost where it must not
 // be repeated.
-func (m *flowCache) retainIdle(key flow.Key, known *flowState) {
-	backend := known.tracker.backend
+func (m *flowCache) retainIdle(key flow.Key, state *flowState) {
+	backend := state.tracker.backend
 	if backend == nil || m.idleTimeout == 0 || m.idleCount >= maxIdleFlows {
 		return
 	}
@@ -219,19 +219,19 @@
 	if _, found := flows[key]; !found {
 		m.idleCount++
 	}
-	flows[key] = idleFlow{lastAck: known.tracker.lastAck, firstRequestAt: known.firstRequestAt, passedAt: known.tracker.passedAt}
+	flows[key] = idleFlow{lastAck: state.tracker.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.tracker.passedAt}
 }
 
 // removeIdle forgets that a flow rests, and returns when its first request passed; zero where
 // it did not rest.
 func (m *flowCache) removeIdle(key flow.Key, backend incarnation.ID) time.Time {
 	flows := m.idle[backend]
-	known, found := flows[key]
+	removed, found := flows[key]
 	if found {
 		m.idleCount--
 		delete(flows, key)
 	}
-	return known.firstRequestAt
+	return removed.firstRequestAt
 }
 
 // takeIdle returns the flows of a back end that rest, and forgets them.
@@ -239,11 +239,11 @@
 	flows := m.idle[backend]
 	delete(m.idle, backend)
 	m.idleCount -= len(flows)
-	taken := make([]idleFlowKey, 0, len(flows))
+	idle := make([]idleFlowKey, 0, len(flows))
 	for key, each := range flows {
-		taken = append(taken, idleFlowKey{key: key, lastAck: each.lastAck})
+		idle = append(idle, idleFlowKey{key: key, lastAck: each.lastAck})
 	}
-	return taken
+	return idle
 }
 
 // expireIdle drops the flows that have rested for longer than one may.
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -109,14 +109,14 @@
 	if state == nil {
 		state = f.cache.add(key)
 	}
-	known := &state.opening
-	if known.openedBy != nil {
-		return known.openedBy
+	opening := &state.opening
+	if opening.openedBy != nil {
+		return opening.openedBy
 	}
-	if known.count > 0 && (now.Sub(known.sentAt) < ResponseTimeout || known.count == maxAttempts) && route.Takes(known.last()) {
-		return known.last()
+	if opening.count > 0 && (now.Sub(opening.sentAt) < ResponseTimeout || opening.count == maxAttempts) && route.Takes(opening.last()) {
+		return opening.last()
 	}
-	prefer := func(backend *Backend) Preference { return f.preference(known, backend, now) }
+	prefer := func(backend *Backend) Preference { return f.preference(opening, backend, now) }
 	chosen := route.Choose(key.Hash(), prefer, f.usage)
 	if chosen == nil {
 		return nil
@@ -126,95 +126,95 @@
 }
 
 // preference is how willingly a back end is sent the new flow of an opening.
-func (f *Flows) preference(known *flowOpening, backend *Backend, now time.Time) Preference {
-	warmth := f.warmupAllowance.preference(backend, now)
-	if warmth == Forbidden {
+func (f *Flows) preference(opening *flowOpening, backend *Backend, now time.Time) Preference {
+	preference := f.warmupAllowance.preference(backend, now)
+	if preference == Forbidden {
 		return Forbidden
 	}
-	if known.wasTried(backend) || f.liveness.Dead(backend, now) {
+	if opening.wasTried(backend) || f.liveness.Dead(backend, now) {
 		return Avoided
 	}
-	silent := f.backoffs[backend.Incarnation()]
-	if silent != nil && now.Before(silent.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
+	state := f.backoffs[backend.Incarnation()]
+	if state != nil && now.Before(state.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
 		return Avoided
 	}
 	if f.zones.avoids(backend.Zone, now) {
-		return max(warmth, Distrusted)
+		return max(preference, Distrusted)
 	}
-	return warmth
+	return preference
 }
 
 // usage is how much of a back end the flows use that pass here.
 func (f *Flows) usage(backend *Backend) int {
-	known := f.loads[backend.Incarnation()]
-	if known == nil || f.disabled.Has(mechanism.LeastUsed) {
+	load := f.loads[backend.Incarnation()]
+	if load == nil || f.disabled.Has(mechanism.LeastUsed) {
 		return 0
 	}
-	return known.flows + inFlightWeight*known.inFlight
+	return load.flows + inFlightWeight*load.inFlight
 }
 
 // loadFor returns the load of a back end.
 func (f *Flows) loadFor(backend *Backend) *backendLoad {
-	known := f.loads[backend.Incarnation()]
-	if known == nil {
-		known = &backendLoad{pool: f.poolUse(backend.Pool), demand: f.demandFor(backend.Pool, backend.Zone),
+	load := f.loads[backend.Incarnation()]
+	if load == nil {
+		load = &backendLoad{pool: f.poolUse(backend.Pool), demand: f.demandFor(backend.Pool, backend.Zone),
 			responses: make(map[flow.Address]*observe.Answers)}
-		f.loads[backend.Incarnation()] = known
+		f.loads[backend.Incarnation()] = load
 	}
-	return known
+	return load
 }
 
 func (f *Flows) poolUse(name string) *poolUse {
-	known := f.pools[name]
-	if known == nil {
-		known = &poolUse{name: name}
-		f.pools[name] = known
+	use := f.pools[name]
+	if use == nil {
+		use = &poolUse{name: name}
+		f.pools[name] = use
 	}
-	return known
+	return use
 }
 
 func (f *Flows) recordAttempt(state *flowState, chosen *Backend, now time.Time) {
-	known := &state.opening
-	if known.count > 0 {
+	opening := &state.opening
+	if opening.count > 0 {
 		f.Retried.Add(1)
 	}
 	f.warmupAllowance.take(chosen, now)
-	f.countNewFlow(chosen, known.count == 0)
-	known.count = min(known.count, maxAttempts-1)
-	known.attempts[known.count] = chosen
-	known.count++
-	known.sentAt = now
-	if silent := f.backoffs[chosen.Incarnation()]; silent != nil {
+	f.countNewFlow(chosen, opening.count == 0)
+	opening.count = min(opening.count, maxAttempts-1)
+	opening.attempts[opening.count] = chosen
+	opening.count++
+	opening.sentAt = now
+	if state := f.backoffs[chosen.Incarnation()]; state != nil {
 		// It is tried by one flow, not by all that find it the least used.
-		silent.avoidUntil = now.Add(ResponseTimeout)
+		state.avoidUntil = now.Add(ResponseTimeout)
 	}
 	f.zones.recordAttempt(chosen.Zone, now)
 	state.attach(f.loadFor(chosen), now)
 	if len(f.pendingOpenings) < maxGenerationFlows {
-		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: known, backend: chosen, sentAt: now})
+		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: opening, backend: chosen, sentAt: now})
 	}
 }
 
 // backendFor returns the back end for a later packet of a flow whose token names the given back
 // end. The state is nil where no earlier packet passed here.
-func (f *Flows) backendFor(state *flowState, named *Backend, now time.Time) *Backend {
+func (f *Flows) backendFor(state *flowState, tokenBackend *Backend, now time.Time) *Backend {
 	if state == nil {
-		return named
+		return tokenBackend
 	}
-	known := &state.opening
-	if known.openedBy == nil && known.wasTried(named) {
-		known.openedBy = named
-		f.countOpened(now.Sub(known.sentAt))
-		delete(f.backoffs, named.Incarnation())
-		if known.last().Number == named.Number {
-			f.zones.recordResponse(named, known.sentAt)
+	opening := &state.opening
+	if opening.openedBy == nil && opening.wasTried(tokenBackend) {
+		opening.openedBy = tokenBackend
+		f.countOpened(now.Sub(opening.sentAt))
+		delete(f.backoffs, tokenBackend.Incarnation())
+		if opening.last().Number == tokenBackend.Number {
+			f.zones.recordResponse(tokenBackend, opening.sentAt)
 		}
 	}
-	if known.openedBy == nil || known.openedBy.Number == named.Number {
-		return named
+	if opening.openedBy == nil || opening.openedBy.Number == tokenBackend.Number {
+		return tokenBackend
 	}
 	f.TokenOverrides.Add(1)
-	return known.openedBy
+	return opening.openedBy
 }
 
 // countOpened counts a flow by how long it took to open. What took longer than an
@@ -235,16 +235,16 @@
 	f.pendingOpenings = f.pendingOpenings[:copy(f.pendingOpenings, f.pendingOpenings[due:])]
 }
 
-func (f *Flows) recordMiss(due pendingOpening, now time.Time) {
-	if due.opening.openedBy != nil {
+func (f *Flows) recordMiss(pending pendingOpening, now time.Time) {
+	if pending.opening.openedBy != nil {
 		return
 	}
 	f.Unanswered.Add(1)
-	f.zones.recordMiss(due.backend, due.sentAt, now)
-	state := f.backoffs[due.backend.Incarnation()]
+	f.zones.recordMiss(pending.backend, pending.sentAt, now)
+	state := f.backoffs[pending.backend.Incarnation()]
 	if state == nil {
 		state = &backoff{}
-		f.backoffs[due.backend.Incarnation()] = state
+		f.backoffs[pending.backend.Incarnation()] = state
 	}
 	avoid := min(minAvoidTime<<state.misses, maxAvoidTime)
 	if avoid < maxAvoidTime {
@@ -265,8 +265,8 @@
 			delete(f.backoffs, id)
 		}
 	}
-	for id, known := range f.loads {
-		if known.flows == 0 && len(known.responses) == 0 {
+	for id, load := range f.loads {
+		if load.flows == 0 && len(load.responses) == 0 {
 			delete(f.loads, id)
 		}
 	}
--- a/internal/tokenroute/link.go
+++ b/internal/tokenroute/link.go
@@ -81,7 +81,7 @@
 	// maxLinkLossForFailure is up to which doubt a balancer judges by what passed here: one request
 	// in 500 times as many as are answered in the window. Of 20 balancers behind links that lose 10
 	// to 70 in 100 packets none then reset a flow of a living back end in 8 s, where 188 were
-	// reset without (TestBalancersBehindFullLinksResetNoLivingFlow); the dead were known as soon.
+	// reset without (TestBalancersBehindCongestedLinksResetNoLiveFlows); the dead were known as soon.
 	maxLinkLossForFailure = 0.002
 	// maxLinkLossForReport is up to which doubt others are told. They judge by two witnesses at
 	// least, and may know better.
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -30,7 +30,7 @@
 		f.comparedAt = now
 		f.compareResponses()
 	}
-	made := &observe.Summary{
+	summary := &observe.Summary{
 		At:      now,
 		Waiting: make(map[string]float64, len(f.pools)),
 		Places:  f.summarizeDemand(elapsed, now),
@@ -39,14 +39,14 @@
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
 	for name, pool := range f.pools {
-		made.Waiting[name] = pool.use.Mean(now)
+		summary.Waiting[name] = pool.use.Mean(now)
 	}
-	for id, known := range f.loads {
-		if !known.finding.Nothing() {
-			made.Findings[id] = known.finding
+	for id, load := range f.loads {
+		if !load.finding.Nothing() {
+			summary.Findings[id] = load.finding
 		}
 	}
-	return made
+	return summary
 }
 
 // responseGroup is what back ends of a pool are asked alike: the address.
@@ -58,38 +58,38 @@
 // compareResponses compares the answers of the back ends of each pool to each
 // address.
 func (f *Flows) compareResponses() {
-	asked := make(map[responseGroup][]*backendLoad, len(f.pools))
-	for _, known := range f.loads {
-		known.finding = observe.Finding{}
-		for address, answers := range known.responses {
-			if answers.Empty() {
-				delete(known.responses, address)
+	groups := make(map[responseGroup][]*backendLoad, len(f.pools))
+	for _, load := range f.loads {
+		load.finding = observe.Finding{}
+		for address, responses := range load.responses {
+			if responses.Empty() {
+				delete(load.responses, address)
 				continue
 			}
-			question := responseGroup{pool: known.pool, address: address}
-			asked[question] = append(asked[question], known)
+			group := responseGroup{pool: load.pool, address: address}
+			groups[group] = append(groups[group], load)
 		}
 	}
-	for question, loads := range asked {
+	for question, loads := range groups {
 		f.compareGroup(question, loads)
 	}
 }
 
 // compareGroup compares the answers of the back ends of a pool to one address. While the pool is
 // saturated, only those count that had settled before.
-func (f *Flows) compareGroup(question responseGroup, loads []*backendLoad) {
-	saturated := f.isSaturated(question.pool.name)
+func (f *Flows) compareGroup(group responseGroup, loads []*backendLoad) {
+	saturated := f.isSaturated(group.pool.name)
 	tallies := make([]*observe.Tally, len(loads))
-	for place, known := range loads {
-		answers := known.responses[question.address]
+	for i, load := range loads {
+		responses := load.responses[group.address]
 		if saturated {
-			answers.Forget()
+			responses.Forget()
 		}
-		tallies[place] = answers.Known()
-		answers.Settle(responseDecay)
+		tallies[i] = responses.Known()
+		responses.Settle(responseDecay)
 	}
-	for place, finding := range observe.Compare(tallies) {
-		loads[place].finding = loads[place].finding.Plus(finding.BeyondChance())
+	for i, finding := range observe.Compare(tallies) {
+		loads[i].finding = loads[i].finding.Plus(finding.BeyondChance())
 	}
 }
 
--- a/internal/tokenroute/tracker.go
+++ b/internal/tokenroute/tracker.go
@@ -30,11 +30,11 @@
 // countResponseLength counts the length of the answer to the last request of a flow, once
 // the client has acknowledged the last of it.
 func (s *flowState) countResponseLength(address flow.Address, acknowledged uint32) {
-	known := &s.tracker
-	if s.load == nil || known.backend == nil {
+	tracker := &s.tracker
+	if s.load == nil || tracker.backend == nil {
 		return
 	}
-	if length := acknowledged - known.acknowledged; length > 0 && length < maxResponseLength {
+	if length := acknowledged - tracker.acknowledged; length > 0 && length < maxResponseLength {
 		s.load.responseCounts(address).Length(length)
 	}
 }
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -75,22 +75,22 @@
 }
 
 func (z *zoneMonitor) zone(zone string) *zoneState {
-	known := z.zones[zone]
-	if known == nil {
-		known = &zoneState{}
-		z.zones[zone] = known
+	state := z.zones[zone]
+	if state == nil {
+		state = &zoneState{}
+		z.zones[zone] = state
 	}
-	return known
+	return state
 }
 
 // recordResponse takes that a back end answered at once what was sent at a time.
 func (z *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
-	known := z.zone(backend.Zone)
-	if !sentAt.After(known.respondedAt) {
+	state := z.zone(backend.Zone)
+	if !sentAt.After(state.respondedAt) {
 		return
 	}
-	known.respondedAt = sentAt
-	known.dropMisses(sentAt)
+	state.respondedAt = sentAt
+	state.dropMisses(sentAt)
 }
 
 // recordMiss takes that a back end left unanswered what was sent at a time.
@@ -98,32 +98,32 @@
 	if z.disabled.Has(mechanism.SilentZones) {
 		return
 	}
-	known := z.zone(backend.Zone)
-	if !sentAt.After(known.respondedAt) {
+	state := z.zone(backend.Zone)
+	if !sentAt.After(state.respondedAt) {
 		return
 	}
-	silent := known.isSilent()
-	known.dropMisses(now.Add(-zoneMissAge))
-	known.addMiss(zoneMiss{backend: backend.Incarnation(), sentAt: sentAt})
-	if !known.isSilent() || now.Before(known.avoidUntil) {
+	wasSilent := state.isSilent()
+	state.dropMisses(now.Add(-zoneMissAge))
+	state.addMiss(zoneMiss{backend: backend.Incarnation(), sentAt: sentAt})
+	if !state.isSilent() || now.Before(state.avoidUntil) {
 		return
 	}
-	known.avoidUntil = now.Add(zoneAvoidTime)
-	z.avoidUntil = maxTime(z.avoidUntil, known.avoidUntil)
-	if !silent {
+	state.avoidUntil = now.Add(zoneAvoidTime)
+	z.avoidUntil = maxTime(z.avoidUntil, state.avoidUntil)
+	if !wasSilent {
 		z.silentCount.Add(1)
-		z.report(backend.Zone, known, now)
+		z.report(backend.Zone, state, now)
 	}
 }
 
 // report lets the log know that a zone was found silent, now and then.
-func (z *zoneMonitor) report(zone string, known *zoneState, now time.Time) {
-	known.unlogged++
-	if !known.loggedAt.IsZero() && now.Sub(known.loggedAt) < zoneLogInterval {
+func (z *zoneMonitor) report(zone string, state *zoneState, now time.Time) {
+	state.unlogged++
+	if !state.loggedAt.IsZero() && now.Sub(state.loggedAt) < zoneLogInterval {
 		return
 	}
-	z.silentZones = append(z.silentZones, SilentZone{Zone: zone, Since: known.misses[0].sentAt, Times: known.unlogged})
-	known.loggedAt, known.unlogged = now, 0
+	z.silentZones = append(z.silentZones, SilentZone{Zone: zone, Since: state.misses[0].sentAt, Times: state.unlogged})
+	state.loggedAt, state.unlogged = now, 0
 }
 
 // avoids tells whether new flows avoid a zone.
@@ -131,16 +131,16 @@
 	if !now.Before(z.avoidUntil) {
 		return false
 	}
-	known := z.zones[zone]
-	return known != nil && known.isSilent() && now.Before(known.avoidUntil)
+	state := z.zones[zone]
+	return state != nil && state.isSilent() && now.Before(state.avoidUntil)
 }
 
 // recordAttempt takes that a new flow goes to a zone: where it was silent, the flow tries it
 // for the others.
 func (z *zoneMonitor) recordAttempt(zone string, now time.Time) {
-	if known := z.zones[zone]; known != nil && known.isSilent() && !now.Before(known.avoidUntil) {
-		known.avoidUntil = now.Add(ResponseTimeout)
-		z.avoidUntil = maxTime(z.avoidUntil, known.avoidUntil)
+	if state := z.zones[zone]; state != nil && state.isSilent() && !now.Before(state.avoidUntil) {
+		state.avoidUntil = now.Add(ResponseTimeout)
+		z.avoidUntil = maxTime(z.avoidUntil, state.avoidUntil)
 	}
 }
 
