--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -126,8 +126,8 @@
 	now := came.Add(300 * time.Millisecond)
 	traffic.sendEarly(table, now)
 	require.EqualValues(t, 2, traffic.counts[tokenroute.ReasonToken].Load())
-	hear := func(sentAt time.Time) []evidence.Statement {
-		traffic.flows.Hear(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
+	hear := func(sentAt time.Time) []evidence.Observation {
+		traffic.flows.Hear(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
 		return traffic.flows.TakeStatements()
 	}
 	require.Empty(t, hear(came.Add(100*time.Millisecond)))
--- a/internal/balancer/followed.go
+++ b/internal/balancer/followed.go
@@ -23,7 +23,7 @@
 	}
 	part := 1 - math.Exp(-summary.At.Sub(f.seenAt).Seconds()/within.Seconds())
 	f.seenAt = summary.At
-	for pool, waiting := range summary.Waiting {
+	for pool, waiting := range summary.InFlight {
 		f.waiting[pool] += part * (waiting - f.waiting[pool])
 	}
 	return true
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -16,13 +16,13 @@
 	// filled saves the traffic goroutine the lock at each packet.
 	filled     atomic.Bool
 	mutex      sync.Mutex
-	statements []evidence.Statement
+	statements []evidence.Observation
 	// lost counts the statements for which there was no room.
 	lost atomic.Uint64
 }
 
 // put adds statements as far as there is room.
-func (m *mailbox) put(statements []evidence.Statement) {
+func (m *mailbox) put(statements []evidence.Observation) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	room := min(len(statements), mailboxLimit-len(m.statements))
@@ -32,7 +32,7 @@
 }
 
 // take empties the mailbox.
-func (m *mailbox) take() []evidence.Statement {
+func (m *mailbox) take() []evidence.Observation {
 	if !m.filled.Load() {
 		return nil
 	}
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -100,7 +100,7 @@
 	counter(earlyDescription, traffic.early.sent.Load(), "sent")
 	counter(earlyDescription, traffic.early.lost.Load(), "lost")
 	counter(statementsDescription, traffic.heard.lost.Load()+traffic.statements.lost.Load(), "mailbox")
-	counter(statementsDescription, balancer.control.testimony.board.Refused.Load(), "a_second")
+	counter(statementsDescription, balancer.control.testimony.board.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
@@ -123,10 +123,10 @@
 	}
 	told := make(map[string]bool)
 	for _, level := range traffic.flows.Refusals().All() {
-		gauge(refusedPartDescription, level.Refused, level.Pool, urgencyLabel(level.Urgency))
+		gauge(refusedPartDescription, level.Fraction, level.Pool, urgencyLabel(level.Priority))
 		if !told[level.Pool] {
 			told[level.Pool] = true
-			gauge(refusedByDescription, level.Pressure.Waiting, level.Pool)
+			gauge(refusedByDescription, level.Pressure.RequestsPerSlot, level.Pool)
 		}
 	}
 	if table := balancer.table.Load(); table != nil {
@@ -143,7 +143,7 @@
 	gauge(readyDescription, ready)
 }
 
-func urgencyLabel(urgency admission.Urgency) string { return strconv.FormatUint(uint64(urgency), 10) }
+func urgencyLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
 
 // serveMetrics serves the metrics if the settings give them an address.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -82,7 +82,7 @@
 
 // tell lets the traffic goroutine judge by what another balancer saw, also while no
 // packet comes.
-func (t *traffic) tell(statements []evidence.Statement) {
+func (t *traffic) tell(statements []evidence.Observation) {
 	t.heard.put(statements)
 	t.wakeAt(longPast)
 }
--- a/internal/directory/backendindex.go
+++ b/internal/directory/backendindex.go
@@ -49,7 +49,7 @@
 // BackendGroups returns all back ends by place, the places by pool and zone. Groups hold until the
 // directory changes.
 func (d *Directory) BackendGroups() []*BackendGroup {
-	l := &d.backends
+	l := &d.backendIndex
 	if len(l.changed) == 0 {
 		return l.ordered
 	}
@@ -83,7 +83,7 @@
 
 // addAffected notes the places where a back end was listed and is to be.
 func (d *Directory) addAffected(id string, affected map[PoolZone]bool) {
-	if before, listed := d.backends.poolZoneOf[id]; listed {
+	if before, listed := d.backendIndex.poolZoneOf[id]; listed {
 		affected[before] = true
 	}
 	if entry, found := d.backendEntry(id); found {
@@ -93,7 +93,7 @@
 
 // updateBackend brings one back end up to date.
 func (d *Directory) updateBackend(id string) {
-	l := &d.backends
+	l := &d.backendIndex
 	entry, found := d.backendEntry(id)
 	if before, listed := l.poolZoneOf[id]; listed && (!found || before != entry.poolZone()) {
 		group := l.groups[before]
@@ -116,7 +116,7 @@
 
 // rebuildGroups lists some groups anew.
 func (d *Directory) rebuildGroups(affected map[PoolZone]bool) {
-	l := &d.backends
+	l := &d.backendIndex
 	for poolZone := range affected {
 		group := l.group(poolZone)
 		for _, each := range group.Entries {
@@ -142,19 +142,19 @@
 // updateVersions gives groups that have changed their versions, and drops the empty ones.
 func (l *backendIndex) updateVersions(affected map[PoolZone]bool) {
 	for poolZone := range affected {
-		group := l.groups[poolZone]
-		if group == nil {
+		existing := l.groups[poolZone]
+		if existing == nil {
 			continue
 		}
-		if len(group.Entries) == 0 {
+		if len(existing.Entries) == 0 {
 			delete(l.groups, poolZone)
 			continue
 		}
 		l.version++
-		group.Version, group.TombstoneCount = l.version, 0
-		for i := range group.Entries {
-			if group.Entries[i].Gone {
-				group.TombstoneCount++
+		existing.Version, existing.TombstoneCount = l.version, 0
+		for i := range existing.Entries {
+			if existing.Entries[i].Gone {
+				existing.TombstoneCount++
 			}
 		}
 	}
@@ -168,12 +168,12 @@
 }
 
 func (l *backendIndex) group(poolZone PoolZone) *BackendGroup {
-	group := l.groups[poolZone]
-	if group == nil {
-		group = &BackendGroup{PoolZone: poolZone}
-		l.groups[poolZone] = group
+	existing := l.groups[poolZone]
+	if existing == nil {
+		existing = &BackendGroup{PoolZone: poolZone}
+		l.groups[poolZone] = existing
 	}
-	return group
+	return existing
 }
 
 // find returns where a back end stands or would stand.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -153,28 +153,28 @@
 	history  []*apiv1.DirectoryChange
 }
 
-func (world *fakeStore) change(id string, draining, gone bool) {
-	world.revision++
-	change := backendChange(world.revision, id, draining, gone)
-	world.history = append(world.history, change)
+func (s *fakeStore) change(id string, draining, gone bool) {
+	s.revision++
+	event := backendChange(s.revision, id, draining, gone)
+	s.history = append(s.history, event)
 	if gone {
-		delete(world.entries, id)
+		delete(s.entries, id)
 		return
 	}
-	world.entries[id] = change
+	s.entries[id] = event
 }
 
-func (world *fakeStore) snapshot() *apiv1.DirectoryBatch {
-	result := batch(world.revision, true)
-	for _, entry := range world.entries {
+func (s *fakeStore) snapshot() *apiv1.DirectoryBatch {
+	result := batch(s.revision, true)
+	for _, entry := range s.entries {
 		result.Changes = append(result.Changes, proto.CloneOf(entry))
 	}
 	return result
 }
 
-func (world *fakeStore) since(after uint64) *apiv1.DirectoryBatch {
-	result := batch(world.revision, false)
-	for _, event := range world.history {
+func (s *fakeStore) since(after uint64) *apiv1.DirectoryBatch {
+	result := batch(s.revision, false)
+	for _, event := range s.history {
 		if event.GetRevision() > after {
 			result.Changes = append(result.Changes, proto.CloneOf(event))
 		}
--- a/internal/directory/lookup.go
+++ b/internal/directory/lookup.go
@@ -54,28 +54,28 @@
 // Evacuations returns the orders to evacuate zones, by zone, those that were
 // taken back lately too.
 func (d *Directory) Evacuations() []Evacuation {
-	var evacuations []Evacuation
+	var result []Evacuation
 	for zone, e := range d.evacuations {
 		order := Evacuation{Zone: zone, Revision: e.effective().GetRevision(), LearnedAt: e.learnedAt}
 		if e.effective().GetGone() {
 			order.RevokedAt = e.removedAt
 		}
-		evacuations = append(evacuations, order)
+		result = append(result, order)
 	}
-	sort.Slice(evacuations, func(i, j int) bool { return evacuations[i].Zone < evacuations[j].Zone })
-	return evacuations
+	sort.Slice(result, func(i, j int) bool { return result[i].Zone < result[j].Zone })
+	return result
 }
 
 // Contradicts tells whether a read of the operators' orders alone, as of a revision,
 // shows other orders than are known here, so that some change was missed. Nothing is
 // taken from such a read: it says nothing of the rest of the store, and who knows
 // entries beyond its revision would not learn from others that they are gone.
-func (d *Directory) Contradicts(orders *apiv1.DirectoryBatch) bool {
-	if orders.GetOrdersRevision() <= d.revision {
+func (d *Directory) Contradicts(evacuations *apiv1.DirectoryBatch) bool {
+	if evacuations.GetOrdersRevision() <= d.revision {
 		return false
 	}
 	listed := make(map[string]uint64)
-	for _, change := range orders.GetChanges() {
+	for _, change := range evacuations.GetChanges() {
 		if order := change.GetEvacuation(); order != nil {
 			listed[order.GetZone()] = change.GetRevision()
 		}
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -178,7 +178,7 @@
 }
 
 func (b *builder) route(configured *apiv1.ServiceRoute, former map[string]bool) *Route {
-	made := &Route{Name: configured.GetName(), urgency: admission.Urgency(configured.GetPriority()), admitted: make(map[string]bool), admitAll: b.options.AdmitAll}
+	made := &Route{Name: configured.GetName(), urgency: admission.Priority(configured.GetPriority()), admitted: make(map[string]bool), admitAll: b.options.AdmitAll}
 	for name := range former {
 		made.admitted[name] = true
 	}
--- a/internal/tokenroute/congestedlinks_test.go
+++ b/internal/tokenroute/congestedlinks_test.go
@@ -31,8 +31,8 @@
 	if gone {
 		fleet.table = tombstoneTable(backends)
 	}
-	fleet.late = func(index, now int) int {
-		if fleet.isCongested(index, now) {
+	fleet.late = func(balancer, now int) int {
+		if fleet.isCongested(balancer, now) {
 			return delay
 		}
 		return 0
@@ -40,8 +40,8 @@
 	return fleet
 }
 
-func (l *congestedFleet) isCongested(index, now int) bool {
-	return index%l.congestedEvery == l.congestedEvery-1 && now >= l.congestedFrom
+func (l *congestedFleet) isCongested(balancer, now int) bool {
+	return balancer%l.congestedEvery == l.congestedEvery-1 && now >= l.congestedFrom
 }
 
 func (l *congestedFleet) run(until int) {
@@ -49,9 +49,9 @@
 		for index := range l.flows {
 			l.stepFlow(&l.flows[index], now)
 		}
-		for index := range l.nodes {
-			l.evaluate(index, now)
-			l.pass(index, now)
+		for balancer := range l.nodes {
+			l.evaluate(balancer, now)
+			l.pass(balancer, now)
 		}
 	}
 }
@@ -84,31 +84,31 @@
 		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000
 		return
 	}
-	delay := 25
+	responseDelay := 25
 	if l.isCongested(f.judge, now) {
 		if l.chance.Float64() < l.loss {
 			return
 		}
-		delay += l.chance.IntN(l.delay + 1)
+		responseDelay += l.chance.IntN(l.delay + 1)
 	}
-	if f.answeredAt == 0 || now+delay < f.answeredAt {
-		f.answeredAt = now + delay
+	if f.answeredAt == 0 || now+responseDelay < f.answeredAt {
+		f.answeredAt = now + responseDelay
 	}
 }
 
-func (l *congestedFleet) countReset(index int) {
-	if index%l.congestedEvery == l.congestedEvery-1 {
+func (l *congestedFleet) countReset(balancer int) {
+	if balancer%l.congestedEvery == l.congestedEvery-1 {
 		l.congestedResets++
 	} else {
 		l.otherResets++
 	}
 }
 
-func (l *congestedFleet) evaluate(index, now int) {
-	node := &l.nodes[index]
+func (l *congestedFleet) evaluate(balancer, now int) {
+	node := &l.nodes[balancer]
 	node.flows.Settle(at(now))
 	for range node.flows.TakeAbandonedFlows() {
-		l.countReset(index)
+		l.countReset(balancer)
 	}
 }
 
@@ -130,10 +130,10 @@
 	const balancers, backends = 60, 90
 	for _, gone := range []bool{false, true} {
 		for _, loss := range []float64{0.1, 0.2, 0.3, 0.4, 0.5, 0.7} {
-			for _, delay := range []int{0, 300, 600} {
-				t.Run(fmt.Sprintf("loss %v, delay %d ms, entries gone %v", loss, delay, gone), func(t *testing.T) {
+			for _, responseDelay := range []int{0, 300, 600} {
+				t.Run(fmt.Sprintf("loss %v, delay %d ms, entries gone %v", loss, responseDelay, gone), func(t *testing.T) {
 					t.Parallel()
-					fleet := newCongestedFleet(balancers, backends, busyFlows, gone, loss, delay)
+					fleet := newCongestedFleet(balancers, backends, busyFlows, gone, loss, responseDelay)
 					fleet.run(12_000)
 					require.Zero(t, fleet.congestedResets, "by balancers behind full links")
 					require.Zero(t, fleet.otherResets, "by the others")
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -79,7 +79,7 @@
 	Reason  Reason
 	Backend *Backend
 	// Refusal is that by which the flow was refused for want of room.
-	Refusal *admission.Level
+	Refusal *admission.Refusal
 }
 
 // Decide decides one packet by a table, which may be nil while nothing is
@@ -91,7 +91,7 @@
 	}
 	f.Renew(table, now)
 	if !f.disabled.Has(mechanism.RestedFlows) {
-		f.cache.idleTimeout = table.Rest
+		f.flowCache.idleTimeout = table.Rest
 	}
 	route := table.Route(packet.Key.Address())
 	if packet.First {
@@ -108,7 +108,7 @@
 		return Decision{Verdict: Drop, Reason: ReasonUnknownToken}
 	}
 	f.rotate(now)
-	state := f.cache.find(packet.Key)
+	state := f.flowCache.find(packet.Key)
 	chosen := f.backendFor(state, backend, now)
 	if f.observe(packet, state, chosen, now) {
 		return Decision{Verdict: Refuse, Reason: ReasonDeadBackend, Backend: chosen}
@@ -122,17 +122,17 @@
 // observe takes a later packet of a flow that goes to a back end, and tells
 // whether the back end counts as dead for it.
 func (f *Flows) observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
-	var seenAt time.Time
+	var firstRequestAt time.Time
 	if state == nil && (packet.Length > 0 || packet.Closing) {
-		seenAt = f.cache.removeIdle(packet.Key, backend.Incarnation())
+		firstRequestAt = f.flowCache.removeIdle(packet.Key, backend.Incarnation())
 	}
 	if packet.Closing {
 		f.close(packet, state, now)
 		return false
 	}
 	if state == nil && packet.Length > 0 {
-		state = f.cache.add(packet.Key)
-		state.firstRequestAt = seenAt
+		state = f.flowCache.add(packet.Key)
+		state.firstRequestAt = firstRequestAt
 	}
 	if state != nil {
 		state.attach(f.loadFor(backend), now)
@@ -147,20 +147,20 @@
 		return
 	}
 	state.countResponseLength(packet.Key.Address(), packet.Acknowledged)
-	if state.opening.count > 1 {
+	if state.o.count > 1 {
 		state.detach(now)
 		return
 	}
-	f.cache.forget(packet.Key, state, now)
+	f.flowCache.forget(packet.Key, state, now)
 }
 
 func (f *Flows) decideFirst(route *Route, packet Packet, now time.Time) Decision {
 	if route == nil {
 		return Decision{Verdict: Refuse, Reason: ReasonNoRoute}
 	}
-	if level := f.refusalFor(route, packet); level != nil {
-		f.CountRefusal(level.Pool)
-		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Refusal: level}
+	if refusal := f.refusalFor(route, packet); refusal != nil {
+		f.CountRefusal(refusal.Pool)
+		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Refusal: refusal}
 	}
 	chosen := f.ChooseForFirst(route, packet.Key, now)
 	if chosen == nil {
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -28,7 +28,7 @@
 // poolZoneDemand is what the flows that pass here ask of the back ends of a pool in a zone
 // since the last summary.
 type poolZoneDemand struct {
-	use                           observe.Use
+	use                           observe.InFlightAverage
 	newFlows, responses, refusals int
 	// local counts what is asked of the pool, at its place in this balancer's zone; asks
 	// is used there only.
@@ -39,8 +39,8 @@
 	// hold what clients think meanwhile, and openings that were lost and repeated.
 	responseTime float64
 	minRTT       windowedMin
-	// pending are the requests in the order in which they began.
-	pending []pendingRequest
+	// previous are the requests in the order in which they began.
+	previous []pendingRequest
 }
 
 // pendingRequest is a request that waits, or waited.
@@ -49,21 +49,21 @@
 	startedAt time.Time
 }
 
-// demandFor returns what is asked of a place.
-func (f *Flows) demandFor(pool, zone string) *poolZoneDemand {
-	poolZone := demand.Place{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
+// poolZoneDemand returns what is asked of a place.
+func (f *Flows) poolZoneDemand(pool, zone string) *poolZoneDemand {
+	poolZone := demand.ZonePool{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
 	poolDemand := f.demands[poolZone]
 	if poolDemand != nil {
 		return poolDemand
 	}
 	poolDemand = &poolZoneDemand{}
 	if f.demands == nil {
-		f.demands = make(map[demand.Place]*poolZoneDemand)
+		f.demands = make(map[demand.ZonePool]*poolZoneDemand)
 	}
 	f.demands[poolZone] = poolDemand
 	poolDemand.local = poolDemand
 	if zone != f.liveness.zone {
-		poolDemand.local = f.demandFor(pool, f.liveness.zone)
+		poolDemand.local = f.poolZoneDemand(pool, f.liveness.zone)
 	}
 	return poolDemand
 }
@@ -71,7 +71,7 @@
 // countNewFlow counts a new flow that goes to a back end; first is set unless it went to
 // another one before.
 func (f *Flows) countNewFlow(backend *Backend, first bool) {
-	poolDemand := f.loadFor(backend).demand
+	poolDemand := f.loadFor(backend).poolDemand
 	poolDemand.newFlows++
 	if first {
 		poolDemand.local.requests++
@@ -80,7 +80,7 @@
 
 // CountRefusal counts a new flow that was refused for want of room in a pool.
 func (f *Flows) CountRefusal(pool string) {
-	poolDemand := f.demandFor(pool, f.liveness.zone)
+	poolDemand := f.poolZoneDemand(pool, f.liveness.zone)
 	poolDemand.refusals++
 	poolDemand.requests++
 }
@@ -88,16 +88,16 @@
 // countRequest counts a request that begins, or one that was answered. The first request of
 // a flow that opened here counts with its opening.
 func (s *flowState) countRequest(begins bool, now time.Time) {
-	poolDemand := s.load.demand
+	poolDemand := s.load.poolDemand
 	if !begins {
 		s.lost = false
 		poolDemand.responses++
 		updateMean(&poolDemand.responseTime, now.Sub(s.inFlightSince))
 		return
 	}
-	opensFlow := !s.requestSeen && s.opening.count > 0
+	opensFlow := !s.requestSeen && s.o.count > 0
 	if opensFlow {
-		poolDemand.minRTT.add(now.Sub(s.opening.sentAt), now)
+		poolDemand.minRTT.add(now.Sub(s.o.sentAt), now)
 	} else {
 		poolDemand.local.requests++
 	}
@@ -107,8 +107,8 @@
 
 // addPending notes a request that waits.
 func (p *poolZoneDemand) addPending(s *flowState) {
-	if len(p.pending) < maxGenerationFlows {
-		p.pending = append(p.pending, pendingRequest{state: s, startedAt: s.inFlightSince})
+	if len(p.previous) < maxGenerationFlows {
+		p.previous = append(p.previous, pendingRequest{state: s, startedAt: s.inFlightSince})
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	s.lost = false
 	s.countInFlight(true, now)
-	s.load.demand.addPending(s)
+	s.load.poolDemand.addPending(s)
 }
 
 // markUndelivered takes that a request was repeated, so that it has reached nobody: who lives
@@ -147,7 +147,7 @@
 
 // countIfComplete counts a request as a demand once it is whole.
 func (s *flowState) countIfComplete(now time.Time) {
-	if s.sending && now.Sub(s.tracker.passedAt) >= requestCompleteTime {
+	if s.sending && now.Sub(s.request.passedAt) >= requestCompleteTime {
 		s.sending = false
 		s.updateDemand(now)
 	}
@@ -165,7 +165,7 @@
 		change = -1
 	}
 	s.load.pool.use.Add(change, now)
-	s.load.demand.use.Add(change, now)
+	s.load.poolDemand.use.Add(change, now)
 }
 
 // windowedMin is the least of some samples in minRTTWindow to twice as long, in seconds; 0 is none.
@@ -203,25 +203,25 @@
 // them for seconds, and a place look full long after its back ends had reset flows.
 func (p *poolZoneDemand) dropLostRequests(now time.Time) {
 	timeout := time.Duration(lostMultiple * p.responseTime * float64(time.Second))
-	pending := p.pending
-	p.pending = nil
-	for _, request := range pending {
+	previous := p.previous
+	p.previous = nil
+	for _, request := range previous {
 		state := request.state
 		switch {
 		case !state.inFlight || !state.inFlightSince.Equal(request.startedAt):
-		case now.Sub(state.tracker.passedAt) > min(max(timeout, state.retransmissionTimeout()), maxLostTimeout):
+		case now.Sub(state.request.passedAt) > min(max(timeout, state.retransmissionTimeout()), maxLostTimeout):
 			state.detach(now)
 			state.lost = true
 		default:
 			state.countIfComplete(now)
-			p.pending = append(p.pending, request)
+			p.previous = append(p.previous, request)
 		}
 	}
 }
 
 // retransmissionTimeout is within what time from its latest packet a flow that waits shows another.
 func (s *flowState) retransmissionTimeout() time.Duration {
-	return s.tracker.passedAt.Sub(s.inFlightSince) + firstRetransmission + retransmissionSlack
+	return s.request.passedAt.Sub(s.inFlightSince) + firstRetransmission + retransmissionSlack
 }
 
 // serviceFraction is the part of the time of a request that it is at its back end.
@@ -239,17 +239,17 @@
 
 // summarizeDemand returns what was asked of each place since the last summary, and begins
 // anew.
-func (f *Flows) summarizeDemand(elapsed time.Duration, now time.Time) map[demand.Place]demand.Load {
-	loads := make(map[demand.Place]demand.Load, len(f.demands))
+func (f *Flows) summarizeDemand(elapsed time.Duration, now time.Time) map[demand.ZonePool]demand.Load {
+	loads := make(map[demand.ZonePool]demand.Load, len(f.demands))
 	rate := func(count int) float64 { return float64(count) / max(elapsed, summaryInterval).Seconds() }
 	for poolZone, poolDemand := range f.demands {
 		poolDemand.dropLostRequests(now)
 		loads[poolZone] = demand.Load{
-			Waiting:  poolDemand.use.Mean(now) * poolDemand.serviceFraction(),
-			Openings: rate(poolDemand.newFlows),
-			Answers:  rate(poolDemand.responses),
-			Refusals: rate(poolDemand.refusals),
-			Asks:     rate(poolDemand.requests),
+			InFlight:  poolDemand.use.Mean(now) * poolDemand.serviceFraction(),
+			NewFlows:  rate(poolDemand.newFlows),
+			Responses: rate(poolDemand.responses),
+			Refusals:  rate(poolDemand.refusals),
+			Offered:   rate(poolDemand.requests),
 		}
 		poolDemand.newFlows, poolDemand.responses, poolDemand.refusals, poolDemand.requests = 0, 0, 0, 0
 	}
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -14,14 +14,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingPoolZone(zone string) demand.Place {
-	return demand.Place{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingPoolZone(zone string) demand.ZonePool {
+	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
 // summarizeAt lets a summary be made at a time, one second after the last.
-func summarizeAt(flows *Flows, now int) map[demand.Place]demand.Load {
+func summarizeAt(flows *Flows, now int) map[demand.ZonePool]demand.Load {
 	flows.summarizedAt = at(now - 1000)
-	return flows.Summarize(at(now)).Places
+	return flows.Summarize(at(now)).Loads
 }
 
 // What is asked counts for the zone of the clients, wherever it goes; what waits and is
@@ -43,13 +43,13 @@
 	for _, load := range places {
 		all = all.Plus(load)
 	}
-	require.Equal(t, 1.0, all.Openings, "a copy opens nothing")
-	require.Equal(t, 3.0, all.Answers, "the third request still waits")
+	require.Equal(t, 1.0, all.NewFlows, "a copy opens nothing")
+	require.Equal(t, 3.0, all.Responses, "the third request still waits")
 	require.Equal(t, 1.0, places[lendingPoolZone("giza")].Refusals)
-	require.Equal(t, 5.0, places[lendingPoolZone("giza")].Asks, "three of one flow, one of another, and the refused one")
-	require.Zero(t, places[lendingPoolZone("maadi")].Asks, "no client of that zone asks here")
-	require.Positive(t, places[lendingPoolZone("maadi")].Answers)
-	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Asks, "each counts once")
+	require.Equal(t, 5.0, places[lendingPoolZone("giza")].Offered, "three of one flow, one of another, and the refused one")
+	require.Zero(t, places[lendingPoolZone("maadi")].Offered, "no client of that zone asks here")
+	require.Positive(t, places[lendingPoolZone("maadi")].Responses)
+	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Offered, "each counts once")
 }
 
 // Back ends that are full reset flows, which clients don't tell: in bursts, 1,483
@@ -62,13 +62,13 @@
 	}
 	flows.Decide(table, request(20, 2, 1), at(1000))
 	summarizeAt(flows, 1400)
-	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 	flows.Decide(table, request(20, 2, 1), at(1450)) // its client still waits
 	summarizeAt(flows, 1700)
-	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].flows, "flows that were reset are none")
 	flows.Decide(table, request(1, 2, 2), at(1800))
-	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlight, "one that goes on counts again")
+	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlightRequests, "one that goes on counts again")
 }
 
 // The time on the way is no work of a back end.
@@ -81,7 +81,7 @@
 		flows.Decide(table, Packet{Key: clientKey(1), Token: opened.Token, Acknowledged: 5000*n + 1}, at(now+60))
 	}
 	load := summarizeAt(flows, 1030)[lendingPoolZone(opened.Zone)]
-	require.InDelta(t, 0.6*0.5, load.Waiting, 0.03, "60 ms in 100, half of them on the way")
+	require.InDelta(t, 0.6*0.5, load.InFlight, 0.03, "60 ms in 100, half of them on the way")
 }
 
 // A zone of a small weight takes its part, which the least used among the back ends of
@@ -145,11 +145,11 @@
 			continue
 		}
 		summaries++
-		for _, load := range summary.Places {
-			inFlight += load.Waiting
-			responses += load.Answers * summaryInterval.Seconds()
+		for _, load := range summary.Loads {
+			inFlight += load.InFlight
+			responses += load.Responses * summaryInterval.Seconds()
 		}
-		if flows.loads[incarnation.ID{Number: 2}].inFlight == 0 {
+		if flows.loads[incarnation.ID{Number: 2}].inFlightRequests == 0 {
 			idle++
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	flows.Summarize(at(1650))
 	load := summarizeAt(flows, 2000)[lendingPoolZone("maadi")]
-	require.Zero(t, load.Waiting)
+	require.Zero(t, load.InFlight)
 }
 
 // The answer to a request that was taken for lost tells how slow the back end is.
@@ -206,12 +206,12 @@
 	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Decide(table, request(1, 2, 1), at(0))
 	summarizeAt(flows, 1500)
-	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 5001}, at(2000))
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 6001}, at(2010))
-	require.Equal(t, 1.0, summarizeAt(flows, 2500)[lendingPoolZone("maadi")].Answers)
-	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].demand.responseTime, 1e-9)
-	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Equal(t, 1.0, summarizeAt(flows, 2500)[lendingPoolZone("maadi")].Responses)
+	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].poolDemand.responseTime, 1e-9)
+	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 }
 
 // What clients think before their first request is no way.
@@ -242,12 +242,12 @@
 			}
 		}
 	}
-	require.InDelta(t, 0.75, flows.demandFor("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
+	require.InDelta(t, 0.75, flows.poolZoneDemand("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
 }
 
-// twoZoneDirectory has so many back ends in each of two zones, named from 1 on; those of giza have
+// largeTwoZoneDirectory has so many back ends in each of two zones, named from 1 on; those of giza have
 // the greater numbers.
-func twoZoneDirectory(each int) *directory.Directory {
+func largeTwoZoneDirectory(each int) *directory.Directory {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	for number := 1; number <= 2*each; number++ {
 		zone := "maadi"
@@ -264,7 +264,7 @@
 func TestFourBackendsOfChosenZoneAreCompared(t *testing.T) {
 	opts := options()
 	opts.ByZone = func(string) bool { return true }
-	table := NewTable(twoZoneDirectory(8), opts)
+	table := NewTable(largeTwoZoneDirectory(8), opts)
 	preferAll := func(*Backend) Preference { return Preferred }
 	zones := make(map[string]int)
 	for port := range 400 {
@@ -272,7 +272,7 @@
 		compared := make(map[uint64]*Backend)
 		route := table.Route(key(port).Address())
 		first := route.poolFor(key(port).Hash())
-		var leader [1]rule.Leader
+		var leader [1]rule.RankedCandidate
 		require.Equal(t, 1, first.leaders(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
 		zone := first.backend(leader[0]).Zone
 		zones[zone]++
@@ -282,7 +282,7 @@
 		})
 		require.Len(t, compared, 4)
 		rank := 0
-		group := first.parts[leader[0].Rule]
+		group := first.parts[leader[0].RuleIndex]
 		for _, score := range group.rule.Score(key(port).Hash()) {
 			backend := group.chosen[score.Backend-1]
 			if rank < 4 {
@@ -307,8 +307,8 @@
 		flows.Decide(table, packet, at(1000+40*sequence))
 	}
 	load := summarizeAt(flows, 1780)[lendingPoolZone("maadi")]
-	require.Less(t, load.Waiting, 0.1)
+	require.Less(t, load.InFlight, 0.1)
 	flows.Summarize(at(2040))
 	load = summarizeAt(flows, 2300)[lendingPoolZone("maadi")]
-	require.InDelta(t, 1, load.Waiting, 0.05, "whole, and not answered")
+	require.InDelta(t, 1, load.InFlight, 0.05, "whole, and not answered")
 }
--- a/internal/tokenroute/flowcache.go
+++ b/internal/tokenroute/flowcache.go
@@ -20,14 +20,14 @@
 
 // flowState is what is remembered of a flow that passed here lately.
 type flowState struct {
-	opening flowOpening
-	tracker requestTracker
+	o       flowOpening
+	request requestTracker
 	// cached is set while the memory holds this state, and only then does the flow
 	// count anywhere.
 	cached bool
 	// load is where the flow counts as in use, nil for nowhere.
 	load *backendLoad
-	// inFlight is set while the flow counts as waiting for an answer there.
+	// inFlightRequests is set while the flow counts as waiting for an answer there.
 	inFlight bool
 	// requestSeen is set once the flow's first request has begun, and inFlightSince is when the
 	// latest one did.
@@ -45,33 +45,33 @@
 
 // backendLoad is how much of a back end the flows use that pass here.
 type backendLoad struct {
-	flows    int
-	inFlight int
+	flows            int
+	inFlightRequests int
 	// pool is what the flows use of the back end's pool, and place what they ask of it
 	// in the back end's zone.
-	pool   *poolUse
-	demand *poolZoneDemand
-	// responses are those of the back end by the address that was asked: what is
+	pool       *poolUse
+	poolDemand *poolZoneDemand
+	// history are those of the back end by the address that was asked: what is
 	// usual differs between addresses, and flows that last make some back ends
 	// serve one more than another.
-	responses map[flow.Address]*observe.Answers
-	finding   observe.Finding
+	history map[flow.Address]*observe.ResponseHistory
+	finding observe.Finding
 }
 
 // responseCounts returns the tally of the back end's answers to an address.
-func (l *backendLoad) responseCounts(address flow.Address) *observe.Tally {
-	responses := l.responses[address]
-	if responses == nil {
-		responses = &observe.Answers{}
-		l.responses[address] = responses
+func (l *backendLoad) responseCounts(address flow.Address) *observe.ResponseCounts {
+	history := l.history[address]
+	if history == nil {
+		history = &observe.ResponseHistory{}
+		l.history[address] = history
 	}
-	return responses.Latest()
+	return history.Current()
 }
 
 // poolUse is what the flows that pass here use of a pool.
 type poolUse struct {
 	name string
-	use  observe.Use
+	use  observe.InFlightAverage
 }
 
 // attach counts a flow at the load of its back end.
@@ -102,9 +102,9 @@
 func (s *flowState) countInFlight(inFlight bool, now time.Time) {
 	s.inFlight = inFlight
 	if inFlight {
-		s.load.inFlight++
+		s.load.inFlightRequests++
 	} else {
-		s.load.inFlight--
+		s.load.inFlightRequests--
 	}
 	s.updateDemand(now)
 }
@@ -207,7 +207,7 @@
 // next request would else be the one that finds out, and be lost where it must not
 // be repeated.
 func (m *flowCache) retainIdle(key flow.Key, state *flowState) {
-	backend := state.tracker.backend
+	backend := state.request.backend
 	if backend == nil || m.idleTimeout == 0 || m.idleCount >= maxIdleFlows {
 		return
 	}
@@ -219,7 +219,7 @@
 	if _, found := flows[key]; !found {
 		m.idleCount++
 	}
-	flows[key] = idleFlow{lastAck: state.tracker.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.tracker.passedAt}
+	flows[key] = idleFlow{lastAck: state.request.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.request.passedAt}
 }
 
 // removeIdle forgets that a flow rests, and returns when its first request passed; zero where
@@ -239,11 +239,11 @@
 	flows := m.idle[backend]
 	delete(m.idle, backend)
 	m.idleCount -= len(flows)
-	idle := make([]idleFlowKey, 0, len(flows))
+	keys := make([]idleFlowKey, 0, len(flows))
 	for key, each := range flows {
-		idle = append(idle, idleFlowKey{key: key, lastAck: each.lastAck})
+		keys = append(keys, idleFlowKey{key: key, lastAck: each.lastAck})
 	}
-	return idle
+	return keys
 }
 
 // expireIdle drops the flows that have rested for longer than one may.
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -16,21 +16,21 @@
 // Flows is the memory of one traffic goroutine.
 type Flows struct {
 	disabled        mechanism.Set
-	cache           *flowCache
+	flowCache       *flowCache
 	pendingOpenings []pendingOpening
 	// demands are what is asked of each pool in each zone.
-	demands  map[demand.Place]*poolZoneDemand
-	backoffs map[incarnation.ID]*backoff
-	zones    *zoneMonitor
-	loads    map[incarnation.ID]*backendLoad
-	pools    map[string]*poolUse
+	demands     map[demand.ZonePool]*poolZoneDemand
+	backoffs    map[incarnation.ID]*backoff
+	zoneMonitor *zoneMonitor
+	loads       map[incarnation.ID]*backendLoad
+	pools       map[string]*poolUse
 	// summarizedAt is when the last summary was made, comparedAt when answers were
 	// last compared.
 	summarizedAt, comparedAt time.Time
 	// warmupAllowance counts what goes to cold back ends.
 	warmupAllowance allowance
 	// refusals say which new flows are refused for want of room.
-	refusals atomic.Pointer[admission.Levels]
+	refusals atomic.Pointer[admission.Refusals]
 	// saturated are the pools whose answers tell of their queues.
 	saturated atomic.Pointer[map[string]bool]
 	// table is the latest one, and restarted are the starts whose earlier flows were given
@@ -51,16 +51,16 @@
 }
 
 // NewFlows makes an empty memory, for decisions without the given mechanisms.
-func NewFlows(off mechanism.Set) *Flows {
-	memory, zones := newFlowCache(), newZoneMonitor(off)
+func NewFlows(disabled mechanism.Set) *Flows {
+	flowCache, zoneMonitor := newFlowCache(), newZoneMonitor(disabled)
 	return &Flows{
-		disabled: off,
-		cache:    memory,
-		backoffs: make(map[incarnation.ID]*backoff),
-		zones:    zones,
-		loads:    make(map[incarnation.ID]*backendLoad),
-		pools:    make(map[string]*poolUse),
-		liveness: newLiveness(memory, zones, off),
+		disabled:    disabled,
+		flowCache:   flowCache,
+		backoffs:    make(map[incarnation.ID]*backoff),
+		zoneMonitor: zoneMonitor,
+		loads:       make(map[incarnation.ID]*backendLoad),
+		pools:       make(map[string]*poolUse),
+		liveness:    newLiveness(flowCache, zoneMonitor, disabled),
 	}
 }
 
@@ -81,12 +81,12 @@
 }
 
 // SilentZoneCount is how often a zone was found silent.
-func (f *Flows) SilentZoneCount() uint64 { return f.zones.silentCount.Load() }
+func (f *Flows) SilentZoneCount() uint64 { return f.zoneMonitor.silentCount.Load() }
 
 // TakeSilentZones returns the zones that were found silent since the last call.
 func (f *Flows) TakeSilentZones() []SilentZone {
-	taken := f.zones.silentZones
-	f.zones.silentZones = nil
+	taken := f.zoneMonitor.silentZones
+	f.zoneMonitor.silentZones = nil
 	return taken
 }
 
@@ -105,18 +105,18 @@
 func (f *Flows) ChooseForFirst(route *Route, key flow.Key, now time.Time) *Backend {
 	f.rotate(now)
 	f.collectOverdue(now)
-	state := f.cache.find(key)
+	state := f.flowCache.find(key)
 	if state == nil {
-		state = f.cache.add(key)
+		state = f.flowCache.add(key)
 	}
-	opening := &state.opening
-	if opening.openedBy != nil {
-		return opening.openedBy
+	o := &state.o
+	if o.openedBy != nil {
+		return o.openedBy
 	}
-	if opening.count > 0 && (now.Sub(opening.sentAt) < ResponseTimeout || opening.count == maxAttempts) && route.Takes(opening.last()) {
-		return opening.last()
+	if o.count > 0 && (now.Sub(o.sentAt) < ResponseTimeout || o.count == maxAttempts) && route.Takes(o.last()) {
+		return o.last()
 	}
-	prefer := func(backend *Backend) Preference { return f.preference(opening, backend, now) }
+	prefer := func(backend *Backend) Preference { return f.preference(o, backend, now) }
 	chosen := route.Choose(key.Hash(), prefer, f.usage)
 	if chosen == nil {
 		return nil
@@ -126,22 +126,22 @@
 }
 
 // preference is how willingly a back end is sent the new flow of an opening.
-func (f *Flows) preference(opening *flowOpening, backend *Backend, now time.Time) Preference {
-	preference := f.warmupAllowance.preference(backend, now)
-	if preference == Forbidden {
+func (f *Flows) preference(o *flowOpening, backend *Backend, now time.Time) Preference {
+	warmupPreference := f.warmupAllowance.warmupPreference(backend, now)
+	if warmupPreference == Forbidden {
 		return Forbidden
 	}
-	if opening.wasTried(backend) || f.liveness.Dead(backend, now) {
+	if o.wasTried(backend) || f.liveness.Dead(backend, now) {
 		return Avoided
 	}
-	state := f.backoffs[backend.Incarnation()]
-	if state != nil && now.Before(state.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
+	backoff := f.backoffs[backend.Incarnation()]
+	if backoff != nil && now.Before(backoff.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
 		return Avoided
 	}
-	if f.zones.avoids(backend.Zone, now) {
-		return max(preference, Distrusted)
+	if f.zoneMonitor.avoids(backend.Zone, now) {
+		return max(warmupPreference, Distrusted)
 	}
-	return preference
+	return warmupPreference
 }
 
 // usage is how much of a back end the flows use that pass here.
@@ -150,15 +150,15 @@
 	if load == nil || f.disabled.Has(mechanism.LeastUsed) {
 		return 0
 	}
-	return load.flows + inFlightWeight*load.inFlight
+	return load.flows + inFlightWeight*load.inFlightRequests
 }
 
 // loadFor returns the load of a back end.
 func (f *Flows) loadFor(backend *Backend) *backendLoad {
 	load := f.loads[backend.Incarnation()]
 	if load == nil {
-		load = &backendLoad{pool: f.poolUse(backend.Pool), demand: f.demandFor(backend.Pool, backend.Zone),
-			responses: make(map[flow.Address]*observe.Answers)}
+		load = &backendLoad{pool: f.poolUse(backend.Pool), poolDemand: f.poolZoneDemand(backend.Pool, backend.Zone),
+			history: make(map[flow.Address]*observe.ResponseHistory)}
 		f.loads[backend.Incarnation()] = load
 	}
 	return load
@@ -174,24 +174,24 @@
 }
 
 func (f *Flows) recordAttempt(state *flowState, chosen *Backend, now time.Time) {
-	opening := &state.opening
-	if opening.count > 0 {
+	o := &state.o
+	if o.count > 0 {
 		f.Retried.Add(1)
 	}
 	f.warmupAllowance.take(chosen, now)
-	f.countNewFlow(chosen, opening.count == 0)
-	opening.count = min(opening.count, maxAttempts-1)
-	opening.attempts[opening.count] = chosen
-	opening.count++
-	opening.sentAt = now
-	if state := f.backoffs[chosen.Incarnation()]; state != nil {
+	f.countNewFlow(chosen, o.count == 0)
+	o.count = min(o.count, maxAttempts-1)
+	o.attempts[o.count] = chosen
+	o.count++
+	o.sentAt = now
+	if backoff := f.backoffs[chosen.Incarnation()]; backoff != nil {
 		// It is tried by one flow, not by all that find it the least used.
-		state.avoidUntil = now.Add(ResponseTimeout)
+		backoff.avoidUntil = now.Add(ResponseTimeout)
 	}
-	f.zones.recordAttempt(chosen.Zone, now)
+	f.zoneMonitor.recordProbe(chosen.Zone, now)
 	state.attach(f.loadFor(chosen), now)
 	if len(f.pendingOpenings) < maxGenerationFlows {
-		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: opening, backend: chosen, sentAt: now})
+		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: o, backend: chosen, sentAt: now})
 	}
 }
 
@@ -201,20 +201,20 @@
 	if state == nil {
 		return tokenBackend
 	}
-	opening := &state.opening
-	if opening.openedBy == nil && opening.wasTried(tokenBackend) {
-		opening.openedBy = tokenBackend
-		f.countOpened(now.Sub(opening.sentAt))
+	o := &state.o
+	if o.openedBy == nil && o.wasTried(tokenBackend) {
+		o.openedBy = tokenBackend
+		f.countOpened(now.Sub(o.sentAt))
 		delete(f.backoffs, tokenBackend.Incarnation())
-		if opening.last().Number == tokenBackend.Number {
-			f.zones.recordResponse(tokenBackend, opening.sentAt)
+		if o.last().Number == tokenBackend.Number {
+			f.zoneMonitor.recordResponse(tokenBackend, o.sentAt)
 		}
 	}
-	if opening.openedBy == nil || opening.openedBy.Number == tokenBackend.Number {
+	if o.openedBy == nil || o.openedBy.Number == tokenBackend.Number {
 		return tokenBackend
 	}
 	f.TokenOverrides.Add(1)
-	return opening.openedBy
+	return o.openedBy
 }
 
 // countOpened counts a flow by how long it took to open. What took longer than an
@@ -229,18 +229,18 @@
 func (f *Flows) collectOverdue(now time.Time) {
 	due := 0
 	for due < len(f.pendingOpenings) && now.Sub(f.pendingOpenings[due].sentAt) >= ResponseTimeout {
-		f.recordMiss(f.pendingOpenings[due], now)
+		f.recordOverdue(f.pendingOpenings[due], now)
 		due++
 	}
 	f.pendingOpenings = f.pendingOpenings[:copy(f.pendingOpenings, f.pendingOpenings[due:])]
 }
 
-func (f *Flows) recordMiss(pending pendingOpening, now time.Time) {
+func (f *Flows) recordOverdue(pending pendingOpening, now time.Time) {
 	if pending.opening.openedBy != nil {
 		return
 	}
 	f.Unanswered.Add(1)
-	f.zones.recordMiss(pending.backend, pending.sentAt, now)
+	f.zoneMonitor.recordMiss(pending.backend, pending.sentAt, now)
 	state := f.backoffs[pending.backend.Incarnation()]
 	if state == nil {
 		state = &backoff{}
@@ -255,7 +255,7 @@
 
 // rotate drops what is too old.
 func (f *Flows) rotate(now time.Time) {
-	if !f.cache.rotate(now) {
+	if !f.flowCache.rotate(now) {
 		return
 	}
 	f.liveness.forget(now)
@@ -266,7 +266,7 @@
 		}
 	}
 	for id, load := range f.loads {
-		if load.flows == 0 && len(load.responses) == 0 {
+		if load.flows == 0 && len(load.history) == 0 {
 			delete(f.loads, id)
 		}
 	}
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -30,25 +30,25 @@
 
 // Hear takes what another balancer saw. Statements on back ends that the table does
 // not have, or has another start of, are of no concern.
-func (f *Flows) Hear(statement evidence.Statement, table *Table, now time.Time) {
+func (f *Flows) Hear(statement evidence.Observation, table *Table, now time.Time) {
 	if table == nil || f.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	backend := table.Backend(statement.About())
+	backend := table.Backend(statement.BackendID())
 	if backend == nil {
 		return
 	}
 	switch heard := statement.(type) {
-	case evidence.Witness:
+	case evidence.UnansweredRequest:
 		f.liveness.hear(heard, backend, now)
-	case evidence.SignOfLife:
+	case evidence.Activity:
 		f.liveness.prove(backend, heard.At)
 	}
 }
 
 // TakeStatements returns what this balancer has seen since the last call and others
 // should know.
-func (f *Flows) TakeStatements() []evidence.Statement {
+func (f *Flows) TakeStatements() []evidence.Observation {
 	taken := f.liveness.statements
 	f.liveness.statements = nil
 	return taken
@@ -65,7 +65,7 @@
 // the back end by the way that the other one does: from the same zone, or where the
 // other one stands in the zone of the back end. A zone that is cut off thus accuses
 // the others to itself only.
-func (l *Liveness) hear(heard evidence.Witness, backend *Backend, now time.Time) {
+func (l *Liveness) hear(heard evidence.UnansweredRequest, backend *Backend, now time.Time) {
 	if heard.Zone != l.zone && heard.Zone != backend.Zone {
 		return
 	}
@@ -146,7 +146,7 @@
 
 // testify lets the other balancers know of a client whose request stayed unanswered.
 func (l *Liveness) testify(backend *Backend, client clientAddress, sentAt time.Time) {
-	l.state(evidence.Witness{
+	l.state(evidence.UnansweredRequest{
 		Backend: backend.Incarnation(),
 		Client:  evidence.Client(binary.BigEndian.Uint32(client[:])),
 		Zone:    l.zone,
@@ -156,18 +156,18 @@
 
 // answer lets the other balancers know that a back end lived later than they think.
 func (l *Liveness) answer(backend *Backend, judged *judgement) {
-	l.state(evidence.SignOfLife{Backend: backend.Incarnation(), At: judged.provenAt})
+	l.state(evidence.Activity{Backend: backend.Incarnation(), At: judged.provenAt})
 }
 
 // state lets the other balancers know of a statement, as far as there is room.
-func (l *Liveness) state(statement evidence.Statement) {
+func (l *Liveness) state(statement evidence.Observation) {
 	if l.off.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	_, life := statement.(evidence.SignOfLife)
+	_, life := statement.(evidence.Activity)
 	waiting := 0
 	for _, each := range l.statements {
-		if _, is := each.(evidence.SignOfLife); is == life {
+		if _, is := each.(evidence.Activity); is == life {
 			waiting++
 		}
 	}
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -35,7 +35,7 @@
 
 type judge struct {
 	flows *Flows
-	board evidence.Board
+	board evidence.Buffer
 	// told is the sequence up to which the neighbours were told.
 	told        uint64
 	nextMessage int
@@ -45,7 +45,7 @@
 // mail are statements under way to a balancer.
 type mail struct {
 	from       string
-	statements []evidence.Statement
+	statements []evidence.Observation
 	arrivesAt  int
 }
 
@@ -195,7 +195,7 @@
 	for _, statement := range node.flows.TakeStatements() {
 		node.board.Add(statement, "", at(now))
 	}
-	if now < node.nextMessage || node.told == node.board.Latest() {
+	if now < node.nextMessage || node.told == node.board.LastSequence() {
 		return
 	}
 	node.nextMessage = now + gather
@@ -205,7 +205,7 @@
 	for child := place*judgeWidth + 1; child <= min(place*judgeWidth+judgeWidth, len(j.nodes)-1); child++ {
 		j.send(place, child, now)
 	}
-	node.told = node.board.Latest()
+	node.told = node.board.LastSequence()
 }
 
 func (j *judges) send(from, to, now int) {
@@ -259,8 +259,8 @@
 	fleet := newJudges(88, 150, 50, mechanism.Set{})
 	fleet.run(7000)
 	for place := range fleet.nodes {
-		require.Zero(t, fleet.nodes[place].board.Refused.Load())
-		require.Less(t, int(fleet.nodes[place].board.Latest()), 600)
+		require.Zero(t, fleet.nodes[place].board.Dropped.Load())
+		require.Less(t, int(fleet.nodes[place].board.LastSequence()), 600)
 	}
 	require.NotEmpty(t, fleet.times())
 }
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -22,8 +22,8 @@
 		inZone(backend(2, 4, "lending"), "giza"))
 }
 
-func speak(number uint64, client evidence.Client, zone string, sentAt int) evidence.Witness {
-	return evidence.Witness{Backend: evidence.Backend{Number: number}, Client: client, Zone: zone, SentAt: at(sentAt)}
+func speak(number uint64, client evidence.Client, zone string, sentAt int) evidence.UnansweredRequest {
+	return evidence.UnansweredRequest{Backend: evidence.Backend{Number: number}, Client: client, Zone: zone, SentAt: at(sentAt)}
 }
 
 // resets settles and returns how many flows are reset.
@@ -68,7 +68,7 @@
 	require.Equal(t, []Verdict{Forward}, ask(flows, table, 2, []byte{1}, 0, 600))
 	told := flows.TakeStatements()
 	require.Len(t, told, 1)
-	require.Equal(t, at(0), told[0].When())
+	require.Equal(t, at(0), told[0].Time())
 	flows.Hear(speak(2, 102, "", 10), table, at(650))
 	require.Equal(t, 1, resets(flows, 650+hold))
 }
@@ -90,7 +90,7 @@
 	before.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	before.Hear(speak(2, 102, "maadi", 150), table, at(700))
 	require.Zero(t, resets(before, 700+hold), "it answered since")
-	require.Equal(t, []evidence.Statement{evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}},
+	require.Equal(t, []evidence.Observation{evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}},
 		before.TakeStatements(), "and the others are told")
 
 	meanwhile := NewFlows(mechanism.Set{}).WithZone("maadi")
@@ -104,7 +104,7 @@
 	answered(told, table, 1, 2, 0)
 	told.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	told.Hear(speak(2, 102, "maadi", 150), table, at(700))
-	told.Hear(evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(160)}, table, at(800))
+	told.Hear(evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(160)}, table, at(800))
 	require.Zero(t, resets(told, 700+hold), "another balancer saw an answer")
 	told.Hear(speak(2, 103, "maadi", 155), table, at(900))
 	require.Zero(t, resets(told, 1500), "older than that answer")
@@ -121,7 +121,7 @@
 	flows.Hear(speak(2, 101, "maadi", 100), table, at(700))
 	told := flows.TakeStatements()
 	require.Len(t, told, statementsLimit+1)
-	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[statementsLimit])
+	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[statementsLimit])
 }
 
 // A sign of life ends a verdict too.
@@ -131,7 +131,7 @@
 	flows.Hear(speak(2, 102, "maadi", 150), table, at(700))
 	resets(flows, 700+hold)
 	require.Equal(t, Refuse, flows.Decide(table, request(4, 2, 1), at(1000)).Verdict)
-	flows.Hear(evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(1000)}, table, at(1050))
+	flows.Hear(evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(1000)}, table, at(1050))
 	require.Equal(t, Forward, flows.Decide(table, request(4, 2, 1), at(1060)).Verdict)
 }
 
@@ -204,7 +204,7 @@
 		found[abandoned.Key.Source[3]] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[byte]uint32{1: 9, 3: 9, 4: 9}, found)
-	require.Zero(t, flows.cache.idleCount)
+	require.Zero(t, flows.flowCache.idleCount)
 }
 
 func TestRestedFlowsAreForgottenInTime(t *testing.T) {
@@ -213,15 +213,15 @@
 	for now := 0; now <= 19_000; now += 500 {
 		answered(flows, table, 50, 3, now)
 	}
-	require.Zero(t, flows.cache.idleCount)
-	require.Empty(t, flows.cache.idle)
+	require.Zero(t, flows.flowCache.idleCount)
+	require.Empty(t, flows.flowCache.idle)
 	for port := range 200_000 {
 		packet := request(1, 2, 1)
 		packet.Key = key(port)
 		packet.Key.Source[1] = byte(port >> 16)
 		flows.Decide(table, packet, at(20_000+port/20))
 	}
-	require.LessOrEqual(t, flows.cache.idleCount, maxIdleFlows)
+	require.LessOrEqual(t, flows.flowCache.idleCount, maxIdleFlows)
 }
 
 // Whatever the clients do, however balancers stall and messages between them are late,
@@ -285,7 +285,7 @@
 
 // letter is a statement under way.
 type letter struct {
-	statement evidence.Statement
+	statement evidence.Observation
 	arrivesAt int
 }
 
--- a/internal/tokenroute/link.go
+++ b/internal/tokenroute/link.go
@@ -29,13 +29,13 @@
 }
 
 // countResponse counts an answer; recovered is set if it took a repetition.
-func (l *linkMonitor) countResponse(recovered bool, now time.Time) {
-	step := now.UnixNano() / int64(linkBucketTime)
-	slot := &l.buckets[step%linkBuckets]
-	if slot.number != step {
-		*slot = linkBucket{number: step}
+func (l *linkMonitor) countResponse(retransmitted bool, now time.Time) {
+	number := now.UnixNano() / int64(linkBucketTime)
+	slot := &l.buckets[number%linkBuckets]
+	if slot.number != number {
+		*slot = linkBucket{number: number}
 	}
-	if recovered {
+	if retransmitted {
 		slot.retransmitted++
 	} else {
 		slot.prompt++
@@ -43,36 +43,36 @@
 }
 
 // countSince counts the answers since a time, at most those of the window.
-func (l *linkMonitor) countSince(at, now time.Time) (prompt, recovered int) {
+func (l *linkMonitor) countSince(at, now time.Time) (prompt, retransmitted int) {
 	first := max(at.UnixNano(), now.Add(-linkWindow).UnixNano()) / int64(linkBucketTime)
 	last := now.UnixNano() / int64(linkBucketTime)
 	for i := range l.buckets {
 		if slot := &l.buckets[i]; slot.number >= first && slot.number <= last {
 			prompt += slot.prompt
-			recovered += slot.retransmitted
+			retransmitted += slot.retransmitted
 		}
 	}
-	return prompt, recovered
+	return prompt, retransmitted
 }
 
 // expectedLinkLoss is how many requests, of as many as are answered here in the window, the link alone
 // would leave unanswered through so many copies. The latest request was sent at a time; a
 // link that has turned bad since is known by the answers since.
 func (l *linkMonitor) expectedLinkLoss(copies int, sentAt, now time.Time) float64 {
-	doubt := expectedLost(copies)(l.countSince(now.Add(-linkWindow), now))
-	if prompt, recovered := l.countSince(sentAt, now); recovered > 0 {
-		doubt = max(doubt, expectedLost(copies)(prompt, recovered))
+	expectedLinkLoss := expectedLost(copies)(l.countSince(now.Add(-linkWindow), now))
+	if prompt, retransmitted := l.countSince(sentAt, now); retransmitted > 0 {
+		expectedLinkLoss = max(expectedLinkLoss, expectedLost(copies)(prompt, retransmitted))
 	}
-	return doubt
+	return expectedLinkLoss
 }
 
 // expectedLost is how many of the requests that were answered promptly, or after a
 // repetition, are to be expected to lose so many copies each. The loss is taken for what one
 // answer more of each kind would show, so that few answers say little.
-func expectedLost(copies int) func(prompt, recovered int) float64 {
-	return func(prompt, recovered int) float64 {
-		answers := float64(prompt + recovered)
-		loss := (float64(recovered) + 1) / (answers + 2)
+func expectedLost(copies int) func(prompt, retransmitted int) float64 {
+	return func(prompt, retransmitted int) float64 {
+		answers := float64(prompt + retransmitted)
+		loss := (float64(retransmitted) + 1) / (answers + 2)
 		return (answers + 1) * math.Pow(loss, float64(copies))
 	}
 }
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -74,7 +74,7 @@
 	abandoned []AbandonedFlow
 	verdicts  []DeathVerdict
 	// statements are what other balancers have yet to be told.
-	statements []evidence.Statement
+	statements []evidence.Observation
 	// held are the back ends whose joined witnesses wait for an answer.
 	held []held
 	// Verdicts counts the verdicts that back ends are dead.
@@ -107,11 +107,11 @@
 // once when it has received something.
 func (l *Liveness) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	l.prove(backend, now)
-	if state == nil || state.tracker.backend == nil {
+	if state == nil || state.request.backend == nil {
 		return
 	}
-	state.tracker.lastAck = packet.Acknowledged
-	if state.tracker.acknowledged != packet.Acknowledged {
+	state.request.lastAck = packet.Acknowledged
+	if state.request.acknowledged != packet.Acknowledged {
 		l.answered(packet.Key, state, backend, now)
 	}
 }
@@ -120,7 +120,7 @@
 // acknowledges more than the one before proves that the back end lived when
 // that one passed, at least.
 func (l *Liveness) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	known := &state.tracker
+	known := &state.request
 	switch {
 	case known.backend == nil:
 		l.follow(packet, state, backend, now)
@@ -150,7 +150,7 @@
 	if state.firstRequestAt.IsZero() {
 		state.firstRequestAt = now
 	}
-	state.tracker = requestTracker{
+	state.request = requestTracker{
 		backend:  backend,
 		sequence: packet.Sequence, acknowledged: packet.Acknowledged, lastAck: packet.Acknowledged,
 		passedAt: now, sentAt: now, retransmittedAt: now,
@@ -177,11 +177,11 @@
 // answered takes that the oldest request of a flow was answered.
 func (l *Liveness) answered(key flow.Key, state *flowState, backend *Backend, now time.Time) {
 	state.setInFlight(false, now)
-	known := &state.tracker
+	known := &state.request
 	judged := l.judgementOf(backend)
 	if state.load != nil && known.retransmissions == 0 && !known.ackCounted {
 		known.ackCounted = true
-		state.load.responseCounts(key.Address()).Time(now.Sub(known.sentAt))
+		state.load.responseCounts(key.Address()).AddTime(now.Sub(known.sentAt))
 	}
 	if !known.responseCounted {
 		known.responseCounted = true
@@ -244,7 +244,7 @@
 func (l *Liveness) abandon(backend *Backend, now time.Time) {
 	for _, generation := range []map[flow.Key]*flowState{l.memory.current, l.memory.previous} {
 		for key, state := range generation {
-			known := &state.tracker
+			known := &state.request
 			if known.backend == nil || known.backend.Incarnation() != backend.Incarnation() {
 				continue
 			}
--- a/internal/tokenroute/liveness_test.go
+++ b/internal/tokenroute/liveness_test.go
@@ -271,7 +271,7 @@
 		packet.Key = key(port)
 		flows.Decide(table, packet, at(port/100))
 	}
-	memory := flows.cache
+	memory := flows.flowCache
 	require.LessOrEqual(t, len(memory.current)+len(memory.previous), 2*maxGenerationFlows)
 	flows.rotate(at(600_000))
 	flows.rotate(at(600_000 + int(generationTime/time.Millisecond)))
@@ -294,10 +294,10 @@
 		number++
 		packet := request(byte(number), 2, number)
 		packet.Key.SourcePort = uint16(number % 14000)
-		flows.observe(packet, flows.cache.find(packet.Key), backend, start)
+		flows.observe(packet, flows.flowCache.find(packet.Key), backend, start)
 		packet.Length = 0
 		packet.Acknowledged++
-		flows.observe(packet, flows.cache.find(packet.Key), backend, start)
+		flows.observe(packet, flows.flowCache.find(packet.Key), backend, start)
 	}
 }
 
@@ -314,7 +314,7 @@
 		for port := range count {
 			packet := request(1, 2, 1)
 			packet.Key.SourcePort = uint16(port)
-			flows.observe(packet, flows.cache.find(packet.Key), backend, start)
+			flows.observe(packet, flows.flowCache.find(packet.Key), backend, start)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/tokenroute/refusal.go
+++ b/internal/tokenroute/refusal.go
@@ -6,17 +6,17 @@
 
 // SetRefusals takes the levels by which new flows are refused for want of room; nil refuses
 // nobody. It may be called by any goroutine.
-func (f *Flows) SetRefusals(levels *admission.Levels) { f.refusals.Store(levels) }
+func (f *Flows) SetRefusals(refusals *admission.Refusals) { f.refusals.Store(refusals) }
 
 // Refusals are those in force.
-func (f *Flows) Refusals() *admission.Levels { return f.refusals.Load() }
+func (f *Flows) Refusals() *admission.Refusals { return f.refusals.Load() }
 
 // refusalFor returns the level by which the first packet of a flow is refused, or nil.
 // A copy passes: an earlier one may have been forwarded here or by another balancer, and
 // to refuse it would be to say of a flow that may have opened that it was not.
-func (f *Flows) refusalFor(route *Route, packet Packet) *admission.Level {
-	levels := f.refusals.Load()
-	if levels == nil || packet.Retransmission {
+func (f *Flows) refusalFor(route *Route, packet Packet) *admission.Refusal {
+	refusals := f.refusals.Load()
+	if refusals == nil || packet.Retransmission {
 		return nil
 	}
 	key := packet.Key
@@ -24,12 +24,12 @@
 	if chosen == nil {
 		return nil
 	}
-	level := levels.Refusing(chosen.name, route.urgency, key.Hash())
-	if level == nil {
+	refusal := refusals.Match(chosen.name, route.urgency, key.Hash())
+	if refusal == nil {
 		return nil
 	}
-	if state := f.cache.find(key); state != nil && (state.opening.count > 0 || state.tracker.backend != nil) {
+	if state := f.flowCache.find(key); state != nil && (state.o.count > 0 || state.request.backend != nil) {
 		return nil
 	}
-	return level
+	return refusal
 }
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -38,23 +38,23 @@
 		f.liveness.abandoned = append(f.liveness.abandoned,
 			AbandonedFlow{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
 	}
-	for _, generation := range []map[flow.Key]*flowState{f.cache.current, f.cache.previous} {
+	for _, generation := range []map[flow.Key]*flowState{f.flowCache.current, f.flowCache.previous} {
 		for key, state := range generation {
-			known := &state.tracker
+			known := &state.request
 			if known.backend != nil && former(known.backend.Incarnation()) && outlived(state.firstRequestAt) {
 				giveUp(key, known.lastAck)
-				f.cache.forget(key, state, now)
+				f.flowCache.forget(key, state, now)
 			}
 		}
 	}
-	for id, flows := range f.cache.idle {
+	for id, flows := range f.flowCache.idle {
 		if !former(id) {
 			continue
 		}
 		for key, each := range flows {
 			if outlived(each.firstRequestAt) {
 				giveUp(key, each.lastAck)
-				f.cache.idleCount--
+				f.flowCache.idleCount--
 				delete(flows, key)
 			}
 		}
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -31,18 +31,18 @@
 		f.compareResponses()
 	}
 	summary := &observe.Summary{
-		At:      now,
-		Waiting: make(map[string]float64, len(f.pools)),
-		Places:  f.summarizeDemand(elapsed, now),
-		Dead:    f.liveness.dead(now),
+		At:       now,
+		InFlight: make(map[string]float64, len(f.pools)),
+		Loads:    f.summarizeDemand(elapsed, now),
+		Dead:     f.liveness.dead(now),
 
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
 	for name, pool := range f.pools {
-		summary.Waiting[name] = pool.use.Mean(now)
+		summary.InFlight[name] = pool.use.Mean(now)
 	}
 	for id, load := range f.loads {
-		if !load.finding.Nothing() {
+		if !load.finding.IsZero() {
 			summary.Findings[id] = load.finding
 		}
 	}
@@ -61,17 +61,17 @@
 	groups := make(map[responseGroup][]*backendLoad, len(f.pools))
 	for _, load := range f.loads {
 		load.finding = observe.Finding{}
-		for address, responses := range load.responses {
+		for address, responses := range load.history {
 			if responses.Empty() {
-				delete(load.responses, address)
+				delete(load.history, address)
 				continue
 			}
 			group := responseGroup{pool: load.pool, address: address}
 			groups[group] = append(groups[group], load)
 		}
 	}
-	for question, loads := range groups {
-		f.compareGroup(question, loads)
+	for group, loads := range groups {
+		f.compareGroup(group, loads)
 	}
 }
 
@@ -79,17 +79,17 @@
 // saturated, only those count that had settled before.
 func (f *Flows) compareGroup(group responseGroup, loads []*backendLoad) {
 	saturated := f.isSaturated(group.pool.name)
-	tallies := make([]*observe.Tally, len(loads))
+	tallies := make([]*observe.ResponseCounts, len(loads))
 	for i, load := range loads {
-		responses := load.responses[group.address]
+		responses := load.history[group.address]
 		if saturated {
-			responses.Forget()
+			responses.DiscardRecent()
 		}
-		tallies[i] = responses.Known()
-		responses.Settle(responseDecay)
+		tallies[i] = responses.Total()
+		responses.Advance(responseDecay)
 	}
 	for i, finding := range observe.Compare(tallies) {
-		loads[i].finding = loads[i].finding.Plus(finding.BeyondChance())
+		loads[i].finding = loads[i].finding.Merge(finding.AboveNoise())
 	}
 }
 
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -87,7 +87,7 @@
 	admitted map[string]bool
 	admitAll bool
 	// urgency is that of the route's requests.
-	urgency admission.Urgency
+	urgency admission.Priority
 }
 
 // pool is the back ends of one pool that may take new flows.
@@ -253,7 +253,7 @@
 		return nil
 	}
 	for _, least := range []Preference{Preferred, Distrusted, Avoided} {
-		var leaders [choices]rule.Leader
+		var leaders [choices]rule.RankedCandidate
 		count := chosen.leaders(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > least })
 		if count > 0 {
 			return chosen.leastUsed(leaders[:count], inUse)
@@ -265,30 +265,30 @@
 // leaders puts the first back ends in a flow's order into found, as far as they are not left
 // out, and returns how many there are. Where the weights alone choose the zone, all are of
 // the zone of the first one.
-func (p *pool) leaders(hash uint64, found []rule.Leader, except func(*Backend) bool) int {
-	count := rule.Leaders(p.rules, hash, found, func(place int, candidate uint32) bool {
+func (p *pool) leaders(hash uint64, found []rule.RankedCandidate, except func(*Backend) bool) int {
+	count := rule.TopCandidates(p.rules, hash, found, func(place int, candidate uint32) bool {
 		return except(p.parts[place].chosen[candidate-1])
 	})
 	if !p.byZone || count < 2 {
 		return count
 	}
-	zone := found[0].Rule
-	elsewhere := func(each rule.Leader) bool { return each.Rule != zone }
+	zone := found[0].RuleIndex
+	elsewhere := func(each rule.RankedCandidate) bool { return each.RuleIndex != zone }
 	if !slices.ContainsFunc(found[:count], elsewhere) {
 		return count
 	}
-	count = rule.Leaders(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
+	count = rule.TopCandidates(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
 		return except(p.parts[zone].chosen[candidate-1])
 	})
 	for place := range found[:count] {
-		found[place].Rule = zone
+		found[place].RuleIndex = zone
 	}
 	return count
 }
 
 // backend is the back end of a leader.
-func (p *pool) backend(leader rule.Leader) *Backend {
-	return p.parts[leader.Rule].chosen[leader.Backend-1]
+func (p *pool) backend(leader rule.RankedCandidate) *Backend {
+	return p.parts[leader.RuleIndex].chosen[leader.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil.
@@ -332,7 +332,7 @@
 }
 
 // leastUsed returns the back end that is least in use for its weight.
-func (p *pool) leastUsed(leaders []rule.Leader, inUse func(*Backend) int) *Backend {
+func (p *pool) leastUsed(leaders []rule.RankedCandidate, inUse func(*Backend) int) *Backend {
 	var best *Backend
 	bestUse, bestWeight := 0, 1
 	for _, leader := range leaders {
--- a/internal/tokenroute/tracker.go
+++ b/internal/tokenroute/tracker.go
@@ -30,12 +30,12 @@
 // countResponseLength counts the length of the answer to the last request of a flow, once
 // the client has acknowledged the last of it.
 func (s *flowState) countResponseLength(address flow.Address, acknowledged uint32) {
-	tracker := &s.tracker
-	if s.load == nil || tracker.backend == nil {
+	request := &s.request
+	if s.load == nil || request.backend == nil {
 		return
 	}
-	if length := acknowledged - tracker.acknowledged; length > 0 && length < maxResponseLength {
-		s.load.responseCounts(address).Length(length)
+	if length := acknowledged - request.acknowledged; length > 0 && length < maxResponseLength {
+		s.load.responseCounts(address).AddLength(length)
 	}
 }
 
--- a/internal/tokenroute/warming.go
+++ b/internal/tokenroute/warming.go
@@ -29,9 +29,9 @@
 	sent map[incarnation.ID][]time.Time
 }
 
-// preference tells whether a back end may be sent a new flow as far as its warmth
+// warmupPreference tells whether a back end may be sent a new flow as far as its warmth
 // goes.
-func (a *allowance) preference(backend *Backend, now time.Time) Preference {
+func (a *allowance) warmupPreference(backend *Backend, now time.Time) Preference {
 	warming := &backend.Warming
 	if !now.Before(warming.Until) {
 		return Preferred
--- a/internal/tokenroute/zonefailures_test.go
+++ b/internal/tokenroute/zonefailures_test.go
@@ -92,7 +92,7 @@
 			if seenHere {
 				z.flows.Decide(z.table, acknowledgement(client, Token(client)), at(1910))
 			} else {
-				z.flows.Hear(evidence.SignOfLife{Backend: evidence.Backend{Number: uint64(client)}, At: at(1910)}, z.table, at(1910+hold-20))
+				z.flows.Hear(evidence.Activity{Backend: evidence.Backend{Number: uint64(client)}, At: at(1910)}, z.table, at(1910+hold-20))
 			}
 		}
 		require.Empty(t, z.resetClients(2100))
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -35,9 +35,9 @@
 type zoneMonitor struct {
 	disabled mechanism.Set
 	zones    map[string]*zoneState
-	// avoidUntil is when the last zone is avoided. A new flow asks for each back end.
-	avoidUntil  time.Time
-	silentZones []SilentZone
+	// lastAvoidUntil is when the last zone is avoided. A new flow asks for each back end.
+	lastAvoidUntil time.Time
+	silentZones    []SilentZone
 	// silentCount counts how often a zone was found silent.
 	silentCount atomic.Uint64
 }
@@ -70,11 +70,11 @@
 	Times int
 }
 
-func newZoneMonitor(off mechanism.Set) *zoneMonitor {
-	return &zoneMonitor{disabled: off, zones: make(map[string]*zoneState)}
+func newZoneMonitor(disabled mechanism.Set) *zoneMonitor {
+	return &zoneMonitor{disabled: disabled, zones: make(map[string]*zoneState)}
 }
 
-func (z *zoneMonitor) zone(zone string) *zoneState {
+func (z *zoneMonitor) stateOf(zone string) *zoneState {
 	state := z.zones[zone]
 	if state == nil {
 		state = &zoneState{}
@@ -85,7 +85,7 @@
 
 // recordResponse takes that a back end answered at once what was sent at a time.
 func (z *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
-	state := z.zone(backend.Zone)
+	state := z.stateOf(backend.Zone)
 	if !sentAt.After(state.respondedAt) {
 		return
 	}
@@ -93,12 +93,12 @@
 	state.dropMisses(sentAt)
 }
 
-// recordMiss takes that a back end left unanswered what was sent at a time.
+// recordOverdue takes that a back end left unanswered what was sent at a time.
 func (z *zoneMonitor) recordMiss(backend *Backend, sentAt, now time.Time) {
 	if z.disabled.Has(mechanism.SilentZones) {
 		return
 	}
-	state := z.zone(backend.Zone)
+	state := z.stateOf(backend.Zone)
 	if !sentAt.After(state.respondedAt) {
 		return
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	state.avoidUntil = now.Add(zoneAvoidTime)
-	z.avoidUntil = maxTime(z.avoidUntil, state.avoidUntil)
+	z.lastAvoidUntil = maxTime(z.lastAvoidUntil, state.avoidUntil)
 	if !wasSilent {
 		z.silentCount.Add(1)
 		z.report(backend.Zone, state, now)
@@ -128,19 +128,19 @@
 
 // avoids tells whether new flows avoid a zone.
 func (z *zoneMonitor) avoids(zone string, now time.Time) bool {
-	if !now.Before(z.avoidUntil) {
+	if !now.Before(z.lastAvoidUntil) {
 		return false
 	}
 	state := z.zones[zone]
 	return state != nil && state.isSilent() && now.Before(state.avoidUntil)
 }
 
-// recordAttempt takes that a new flow goes to a zone: where it was silent, the flow tries it
+// recordProbe takes that a new flow goes to a zone: where it was silent, the flow tries it
 // for the others.
-func (z *zoneMonitor) recordAttempt(zone string, now time.Time) {
+func (z *zoneMonitor) recordProbe(zone string, now time.Time) {
 	if state := z.zones[zone]; state != nil && state.isSilent() && !now.Before(state.avoidUntil) {
 		state.avoidUntil = now.Add(ResponseTimeout)
-		z.avoidUntil = maxTime(z.avoidUntil, state.avoidUntil)
+		z.lastAvoidUntil = maxTime(z.lastAvoidUntil, state.avoidUntil)
 	}
 }
 
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -32,8 +32,8 @@
 	lost map[string]int
 }
 
-func newOpener(off mechanism.Set, answers func(*Backend) bool) *flowOpener {
-	return &flowOpener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), responds: answers, pause: 10, lost: make(map[string]int)}
+func newOpener(off mechanism.Set, responds func(*Backend) bool) *flowOpener {
+	return &flowOpener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), responds: responds, pause: 10, lost: make(map[string]int)}
 }
 
 func (o *flowOpener) open(count int) {
@@ -84,7 +84,7 @@
 	recovered = true
 	opener.open(150)
 	opener.responds = func(*Backend) bool { return true }
-	require.False(t, opener.flows.zones.avoids("giza", at(opener.now)))
+	require.False(t, opener.flows.zoneMonitor.avoids("giza", at(opener.now)))
 }
 
 // A balancer whose own link is full, or an outage of everything, finds all zones
@@ -138,7 +138,7 @@
 	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+2))
 	require.EqualValues(t, 1, monitor.silentCount.Load())
 	monitor.recordResponse(&Backend{Number: 9, Zone: "giza"}, at(1))
-	require.True(t, monitor.zone("giza").isSilent(), "what was sent before says nothing")
+	require.True(t, monitor.stateOf("giza").isSilent(), "what was sent before says nothing")
 }
 
 // A zone of which some answer and others do not goes back and forth; the log is told of it
