--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -121,7 +121,7 @@
 // renew makes a table by the findings of now.
 func (b *burstFleet) renew() {
 	b.table = tokenroute.NewTable(b.known, tokenroute.Options{Now: b.now, Previous: b.table,
-		Weigh: func(entry directory.BackendEntry) uint32 {
+		Weight: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.share[entry.GetNumber()-1] * shares.HealthWeight(b.unwell[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
@@ -145,7 +145,7 @@
 			}
 		}
 		b.callers = kept
-		if b.now.Sub(burstStart)%lookPause == 0 {
+		if b.now.Sub(burstStart)%observationInterval == 0 {
 			b.look()
 		}
 	}
@@ -257,7 +257,7 @@
 		}
 	}
 	b.pictures = append(b.pictures, all.WithSlots(map[demand.ZonePool]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
-	if late := len(b.pictures) - 1 - int(b.lag/lookPause); late >= 0 {
+	if late := len(b.pictures) - 1 - int(b.lag/observationInterval); late >= 0 {
 		for place := range b.nodes {
 			b.nodes[place].take(b.pictures[late], b.now)
 		}
@@ -279,7 +279,7 @@
 	var demands []admission.PoolState
 	for pool := range picture.ZonePools() {
 		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.gate.urgencies[string(pool)],
-			Pressure: n.gate.pressures.on(pool, "maadi", picture, listing{"maadi": burstBalancers})})
+			Pressure: n.gate.pressures.on(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
 	}
 	n.flows.SetRefusals(n.gate.core.Update(demands, now))
 }
@@ -328,7 +328,7 @@
 func (b *burstFleet) foundIn(number uint64, length time.Duration) float64 {
 	before := b.found[number]
 	b.run(length)
-	return float64(b.found[number]-before) / float64(length/lookPause)
+	return float64(b.found[number]-before) / float64(length/observationInterval)
 }
 
 // A back end that answers half of its requests with an error is found before a burst, and counts
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -37,7 +37,7 @@
 func (c *control) newWarming(now time.Time) *warming {
 	settings := c.balancer.settings.Load()
 	made := &warming{
-		known:     c.known,
+		known:     c.directory,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -46,10 +46,10 @@
 		takenBack: make(map[string]time.Time),
 		now:       now,
 	}
-	for _, pool := range c.known.Routes().GetWarmups() {
+	for _, pool := range c.directory.Routes().GetWarmups() {
 		made.pools[pool.GetPool()] = pool
 	}
-	for _, order := range c.known.Evacuations() {
+	for _, order := range c.directory.Evacuations() {
 		if !order.Active() {
 			made.takenBack[order.Zone] = order.RevokedAt
 		}
@@ -81,7 +81,7 @@
 func (w *warming) bounded() bool { return w.overshoot != 0 || w.slack != 0 }
 
 // teller tells how cold a back end is, or is nil where all are taken for warm.
-func (w *warming) teller() func(directory.BackendEntry) tokenroute.Warming {
+func (w *warming) teller() func(directory.BackendEntry) tokenroute.Warmup {
 	if !w.bounded() {
 		return nil
 	}
@@ -89,16 +89,16 @@
 }
 
 // of tells how cold a back end is.
-func (w *warming) of(backend directory.BackendEntry) tokenroute.Warming {
+func (w *warming) of(backend directory.BackendEntry) tokenroute.Warmup {
 	until := w.warmFrom(backend)
 	if !w.now.Before(until) {
-		return tokenroute.Warming{}
+		return tokenroute.Warmup{}
 	}
 	rate := w.pools[backend.GetPool()].GetFlowsPerSecond()
-	return tokenroute.Warming{
+	return tokenroute.Warmup{
 		Until:          until,
 		FlowsPerSecond: w.allowance(backend.GetNumber(), rate*w.overshoot+w.slack),
-		Rated:          rate > 0,
+		LimitKnown:     rate > 0,
 	}
 }
 
@@ -166,7 +166,7 @@
 // the order.
 func (c *control) evacuated() map[string]uint64 {
 	zones := make(map[string]uint64)
-	for _, order := range c.known.Evacuations() {
+	for _, order := range c.directory.Evacuations() {
 		if order.Active() {
 			zones[order.Zone] = order.Revision
 		}
--- a/internal/tokenroute/congestedlinks_test.go
+++ b/internal/tokenroute/congestedlinks_test.go
@@ -13,7 +13,7 @@
 // congestedFleet are judges a part of which stand behind links that are full: what they forward is
 // late or lost, and so are their messages. All back ends live.
 type congestedFleet struct {
-	*judges
+	*simulation
 	// congestedEvery is that one balancer in so many is behind a full link, from congestedFrom on.
 	congestedEvery, congestedFrom int
 	// loss is the part of the packets that is lost there, and delay what the others wait, in
@@ -26,12 +26,12 @@
 
 func newCongestedFleet(balancers, backends, flows int, gone bool, loss float64, delay int) *congestedFleet {
 	nowhere := func(int) string { return "" }
-	fleet := &congestedFleet{judges: newJudgesAt(balancers, backends, 0, flows, mechanism.Set{}, nowhere, nowhere),
+	fleet := &congestedFleet{simulation: newSimulationWithFlows(balancers, backends, 0, flows, mechanism.Set{}, nowhere, nowhere),
 		congestedEvery: 3, congestedFrom: 4000, loss: loss, delay: delay}
 	if gone {
 		fleet.table = tombstoneTable(backends)
 	}
-	fleet.late = func(balancer, now int) int {
+	fleet.extraDelay = func(balancer, now int) int {
 		if fleet.isCongested(balancer, now) {
 			return delay
 		}
@@ -45,21 +45,21 @@
 }
 
 func (l *congestedFleet) run(until int) {
-	for now := 0; now < until; now += judgeStep {
+	for now := 0; now < until; now += stepTime {
 		for index := range l.flows {
 			l.stepFlow(&l.flows[index], now)
 		}
-		for balancer := range l.nodes {
+		for balancer := range l.balancers {
 			l.evaluate(balancer, now)
-			l.pass(balancer, now)
+			l.exchange(balancer, now)
 		}
 	}
 }
 
 // stepFlow moves a flow on: f.nextAt is when its client sends next, f.answeredAt when the answer
 // comes.
-func (l *congestedFleet) stepFlow(f *judgedFlow, now int) {
-	node := &l.nodes[f.judge]
+func (l *congestedFleet) stepFlow(f *simulatedFlow, now int) {
+	node := &l.balancers[f.balancer]
 	switch {
 	case f.waiting && f.answeredAt > 0 && now >= f.answeredAt:
 		node.flows.Decide(l.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n,
@@ -75,17 +75,17 @@
 		f.repeats++
 	}
 	f.nextAt = never
-	if f.repeats < len(repeats) {
-		f.nextAt = f.sentAt + repeats[f.repeats]
+	if f.repeats < len(retransmitTimes) {
+		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n, Acknowledged: 5000 * f.n, Length: 500}
 	if node.flows.Decide(l.table, packet, at(now)).Verdict == Refuse {
-		l.countReset(f.judge)
+		l.countReset(f.balancer)
 		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000
 		return
 	}
 	responseDelay := 25
-	if l.isCongested(f.judge, now) {
+	if l.isCongested(f.balancer, now) {
 		if l.chance.Float64() < l.loss {
 			return
 		}
@@ -105,8 +105,8 @@
 }
 
 func (l *congestedFleet) evaluate(balancer, now int) {
-	node := &l.nodes[balancer]
-	node.flows.Settle(at(now))
+	node := &l.balancers[balancer]
+	node.flows.EvaluatePending(at(now))
 	for range node.flows.TakeAbandonedFlows() {
 		l.countReset(balancer)
 	}
@@ -119,7 +119,7 @@
 	for number := range backends {
 		changes = append(changes, gone(backend(2, uint64(number+1), "lending")))
 	}
-	return NewTable(known(changes...), options())
+	return NewTable(newDirectory(changes...), defaultOptions())
 }
 
 // A third of the balancers stand behind links that lose a part of the packets and hold up the
@@ -163,14 +163,14 @@
 // A balancer that has seen next to nothing answered knows little of its own link.
 func TestExpectedLinkLossFallsWithResponses(t *testing.T) {
 	var monitor linkMonitor
-	require.Greater(t, monitor.expectedLinkLoss(repeatsForWitness, at(0), at(600)), maxLinkLossForFailure)
+	require.Greater(t, monitor.expectedLinkLoss(retransmitsToReport, at(0), at(600)), maxLinkLossForFailure)
 	for now := range 250 {
 		monitor.countResponse(false, at(40*now))
 	}
-	require.LessOrEqual(t, monitor.expectedLinkLoss(repeatsForProof, at(8600), at(10_000)), maxLinkLossForFailure)
+	require.LessOrEqual(t, monitor.expectedLinkLoss(retransmitsToFail, at(8600), at(10_000)), maxLinkLossForFailure)
 	for now := range 10 {
 		monitor.countResponse(now%3 == 0, at(10_000+40*now))
 	}
-	require.Greater(t, monitor.expectedLinkLoss(repeatsForProof, at(10_000), at(10_400)), maxLinkLossForFailure, "it has turned bad since")
+	require.Greater(t, monitor.expectedLinkLoss(retransmitsToFail, at(10_000), at(10_400)), maxLinkLossForFailure, "it has turned bad since")
 	require.Zero(t, func() int { prompt, _ := monitor.countSince(at(0), at(40_000)); return prompt }(), "what is old is forgotten")
 }
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -28,7 +28,7 @@
 	// last compared.
 	summarizedAt, comparedAt time.Time
 	// warmupAllowance counts what goes to cold back ends.
-	warmupAllowance allowance
+	warmupAllowance warmupLimiter
 	// refusals say which new flows are refused for want of room.
 	refusals atomic.Pointer[admission.Refusals]
 	// saturated are the pools whose answers tell of their queues.
@@ -38,7 +38,7 @@
 	table     *Table
 	restarted map[incarnation.ID]bool
 	// liveness judges back ends by the later packets of their flows.
-	liveness *Liveness
+	liveness *FailureDetector
 	// Retried counts first packets that went to another back end.
 	Retried atomic.Uint64
 	// Unanswered counts back ends that did not answer in time.
@@ -60,7 +60,7 @@
 		zoneMonitor: zoneMonitor,
 		loads:       make(map[incarnation.ID]*backendLoad),
 		pools:       make(map[string]*poolUse),
-		liveness:    newLiveness(flowCache, zoneMonitor, disabled),
+		liveness:    newFailureDetector(flowCache, zoneMonitor, disabled),
 	}
 }
 
@@ -71,12 +71,12 @@
 }
 
 // BackendFailures is how often a back end was judged dead.
-func (f *Flows) BackendFailures() uint64 { return f.liveness.Verdicts.Load() }
+func (f *Flows) BackendFailures() uint64 { return f.liveness.FailureCount.Load() }
 
 // TakeBackendFailures returns the back ends that were judged dead since the last call.
-func (f *Flows) TakeBackendFailures() []DeathVerdict {
-	taken := f.liveness.verdicts
-	f.liveness.verdicts = nil
+func (f *Flows) TakeBackendFailures() []BackendFailure {
+	taken := f.liveness.failures
+	f.liveness.failures = nil
 	return taken
 }
 
@@ -113,7 +113,7 @@
 	if o.openedBy != nil {
 		return o.openedBy
 	}
-	if o.count > 0 && (now.Sub(o.sentAt) < ResponseTimeout || o.count == maxAttempts) && route.Takes(o.last()) {
+	if o.count > 0 && (now.Sub(o.sentAt) < ResponseTimeout || o.count == maxAttempts) && route.Accepts(o.last()) {
 		return o.last()
 	}
 	prefer := func(backend *Backend) Preference { return f.preference(o, backend, now) }
@@ -131,7 +131,7 @@
 	if warmupPreference == Forbidden {
 		return Forbidden
 	}
-	if o.wasTried(backend) || f.liveness.Dead(backend, now) {
+	if o.wasTried(backend) || f.liveness.Failed(backend, now) {
 		return Avoided
 	}
 	backoff := f.backoffs[backend.Incarnation()]
@@ -139,7 +139,7 @@
 		return Avoided
 	}
 	if f.zoneMonitor.avoids(backend.Zone, now) {
-		return max(warmupPreference, Distrusted)
+		return max(warmupPreference, Suspected)
 	}
 	return warmupPreference
 }
@@ -178,7 +178,7 @@
 	if o.count > 0 {
 		f.Retried.Add(1)
 	}
-	f.warmupAllowance.take(chosen, now)
+	f.warmupAllowance.record(chosen, now)
 	f.countNewFlow(chosen, o.count == 0)
 	o.count = min(o.count, maxAttempts-1)
 	o.attempts[o.count] = chosen
@@ -258,8 +258,8 @@
 	if !f.flowCache.rotate(now) {
 		return
 	}
-	f.liveness.forget(now)
-	f.warmupAllowance.forget(now)
+	f.liveness.expire(now)
+	f.warmupAllowance.expire(now)
 	for id, state := range f.backoffs {
 		if now.Sub(state.avoidUntil) > maxAvoidTime {
 			delete(f.backoffs, id)
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -16,7 +16,7 @@
 	for number := range uint64(20) {
 		changes = append(changes, inZone(backend(2, number+1, "lending"), "maadi"), inZone(backend(2, number+101, "lending"), "giza"))
 	}
-	return NewTable(known(changes...), options())
+	return NewTable(newDirectory(changes...), defaultOptions())
 }
 
 // flowOpener opens flows from new ports, one a pause, whose back ends answer if they do.
@@ -40,7 +40,7 @@
 	for range count {
 		o.now += o.pause
 		o.port++
-		packet := first(1)
+		packet := firstPacket(1)
 		packet.Key.SourcePort = o.port
 		chosen := o.flows.Decide(o.table, packet, at(o.now)).Backend
 		if !o.responds(chosen) {
@@ -108,7 +108,7 @@
 		for number := range uint64(20) {
 			changes = append(changes, inZone(backend(2, number+1, "lending"), "maadi"))
 		}
-		opener.table = NewTable(known(changes...), options())
+		opener.table = NewTable(newDirectory(changes...), defaultOptions())
 		opener.pause = 100
 		opener.open(1000)
 		return opener.lost["maadi"]
