--- a/internal/directory/backendindex.go
+++ b/internal/directory/backendindex.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// PoolZone is a pool in a zone.
+// PoolZone identifies the back ends of a pool in one zone.
 type PoolZone struct {
 	Pool, Zone string
 }
 
-// BackendGroup is the back ends of a place, those with a tombstone too.
+// BackendGroup is the back ends of a pool in one zone, including those with a tombstone.
 type BackendGroup struct {
 	PoolZone
-	// Entries are by id. They hold until the directory changes, and are not to be
-	// changed.
+	// Entries are sorted by id. They are valid until the directory changes, and must not be
+	// modified.
 	Entries []BackendEntry
-	// Version is another one after each change of the group.
+	// Version changes with each change of the group.
 	Version uint64
-	// TombstoneCount is how many of the entries are tombstones.
+	// TombstoneCount is the number of entries that are tombstones.
 	TombstoneCount int
 }
 
-// backendIndex is all back ends by their places, kept in order as entries change, so that what is
-// made of them costs by the places that have changed. Listed and sorted anew for each table,
-// they were half of what one change cost a balancer: 91 ms with 10,000 back ends
-// (BenchmarkRenewAfterOneChange).
+// backendIndex groups all back ends by pool and zone and is updated as entries change, so that the
+// cost of deriving a table depends on the number of groups that changed. Listing and sorting all
+// back ends anew for each table took half of the cost of a single change to a balancer, 91 ms with
+// 10,000 back ends (BenchmarkRenewAfterOneChange).
 type backendIndex struct {
 	groups     map[PoolZone]*BackendGroup
 	ordered    []*BackendGroup
 	poolZoneOf map[string]PoolZone
-	// changed are the back ends whose entries have changed since.
+	// changed holds the back ends whose entries have changed since the last update.
 	changed map[string]bool
 	version uint64
 }
@@ -39,15 +39,15 @@
 	return backendIndex{groups: make(map[PoolZone]*BackendGroup), poolZoneOf: make(map[string]PoolZone), changed: make(map[string]bool)}
 }
 
-// markChanged notes that the entry of a back end has changed.
+// markChanged records that the entry of a back end has changed.
 func (l *backendIndex) markChanged(id string) { l.changed[id] = true }
 
-// rebuildThreshold is from how many changed back ends on their groups are listed anew: each one
-// that comes or goes moves half of its group.
+// rebuildThreshold is the number of changed back ends from which their groups are rebuilt as a
+// whole: each insertion or removal moves half of a group.
 const rebuildThreshold = 64
 
-// BackendGroups returns all back ends by place, the places by pool and zone. Groups hold until the
-// directory changes.
+// BackendGroups returns all back ends in groups, sorted by pool and zone. The groups are valid
+// until the directory changes.
 func (d *Directory) BackendGroups() []*BackendGroup {
 	l := &d.backendIndex
 	if len(l.changed) == 0 {
@@ -69,7 +69,7 @@
 	return l.ordered
 }
 
-// Backends returns all back ends, those with a tombstone too, by id.
+// Backends returns all back ends, including those with a tombstone, sorted by id.
 func (d *Directory) Backends() []BackendEntry {
 	var backends []BackendEntry
 	for _, group := range d.BackendGroups() {
@@ -81,7 +81,7 @@
 
 func byID(one, other BackendEntry) int { return cmp.Compare(one.GetId(), other.GetId()) }
 
-// addAffected notes the places where a back end was listed and is to be.
+// addAffected adds the groups that a back end was in and that it belongs to now.
 func (d *Directory) addAffected(id string, affected map[PoolZone]bool) {
 	if before, listed := d.backendIndex.poolZoneOf[id]; listed {
 		affected[before] = true
@@ -91,7 +91,7 @@
 	}
 }
 
-// updateBackend brings one back end up to date.
+// updateBackend updates the index for one back end.
 func (d *Directory) updateBackend(id string) {
 	l := &d.backendIndex
 	entry, found := d.backendEntry(id)
@@ -114,7 +114,7 @@
 	l.poolZoneOf[id] = entry.poolZone()
 }
 
-// rebuildGroups lists some groups anew.
+// rebuildGroups rebuilds the given groups from all entries.
 func (d *Directory) rebuildGroups(affected map[PoolZone]bool) {
 	l := &d.backendIndex
 	for poolZone := range affected {
@@ -139,7 +139,7 @@
 	}
 }
 
-// updateVersions gives groups that have changed their versions, and drops the empty ones.
+// updateVersions assigns new versions to the changed groups and removes empty ones.
 func (l *backendIndex) updateVersions(affected map[PoolZone]bool) {
 	for poolZone := range affected {
 		existing := l.groups[poolZone]
@@ -176,14 +176,15 @@
 	return existing
 }
 
-// find returns where a back end stands or would stand.
+// find returns the index at which a back end is or would be inserted, and whether it is there.
 func (g *BackendGroup) find(id string) (int, bool) {
 	return slices.BinarySearchFunc(g.Entries, id, func(each BackendEntry, id string) int { return cmp.Compare(each.GetId(), id) })
 }
 
 func (b BackendEntry) poolZone() PoolZone { return PoolZone{Pool: b.GetPool(), Zone: b.GetZone()} }
 
-// backendEntry is the entry of a back end as it is listed, if it has one that tells an address.
+// backendEntry returns the entry of a back end as it is indexed, and whether there is one that has
+// an address.
 func (d *Directory) backendEntry(id string) (BackendEntry, bool) {
 	e := d.entries[Key{Kind: KindBackend, Name: id}]
 	if e == nil || e.effective().GetBackend().GetAddress() == 0 {
--- a/internal/directory/batches.go
+++ b/internal/directory/batches.go
@@ -2,14 +2,14 @@
 
 import apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 
-// NeedsSnapshot tells whether who knows everything up to a revision has to be told all entries;
-// with everything set, whether Everything tells it so.
+// NeedsSnapshot reports whether a follower that knows everything up to a revision must be sent all
+// entries. With everything set, it answers for SinceWithTombstones, and otherwise for Since.
 func (d *Directory) NeedsSnapshot(after uint64, everything bool) bool {
 	return after == 0 || after < d.compactedRevision || d.insideStep(after) || everything && after > d.revision
 }
 
-// Since returns what changed after a revision. When the asker may know of
-// entries whose removal can't be told, or knows nothing, the batch is complete.
+// Since returns the changes after a revision. The batch is complete if the requester knows nothing,
+// or may know entries whose removal is no longer recorded here.
 func (d *Directory) Since(after uint64) *apiv1.DirectoryBatch {
 	complete := d.NeedsSnapshot(after, false)
 	batch := &apiv1.DirectoryBatch{Revision: d.revision, Complete: complete}
@@ -29,9 +29,10 @@
 	return batch
 }
 
-// SinceWithTombstones returns what changed after a revision, and all tombstones besides.
-// Who has read the store lacks only those. Who has read more of it than is known
-// here gets all entries: one that has gone meanwhile is not a tombstone here yet.
+// SinceWithTombstones returns the changes after a revision together with all tombstones, which are
+// all that a requester lacks that has read the store. A requester that has read a later revision of
+// the store than is known here gets all entries, because an entry that was removed meanwhile is not
+// a tombstone here yet.
 func (d *Directory) SinceWithTombstones(after uint64) *apiv1.DirectoryBatch {
 	if after > d.revision {
 		after = 0
--- a/internal/directory/changelog.go
+++ b/internal/directory/changelog.go
@@ -5,21 +5,21 @@
 	"sort"
 )
 
-// loggedChange says that an entry had a revision.
+// loggedChange records that an entry changed at a revision.
 type loggedChange struct {
 	revision uint64
 	key      Key
 }
 
-// changeLog lists changes by revision, so that telling what is new costs by
-// what is new and not by what is known. It may hold changes that later ones
-// have replaced; who reads it compares revisions.
+// changeLog lists changes by revision, so that the cost of a delta depends on the number of new
+// changes and not on the number of entries. It may hold changes that later ones have replaced;
+// readers compare revisions to skip them.
 type changeLog struct {
 	changes []loggedChange
 	sorted  bool
 }
 
-// add notes a change.
+// add appends a change.
 func (c *changeLog) add(revision uint64, key Key) {
 	last := len(c.changes) - 1
 	inOrder := last < 0 || c.changes[last].revision <= revision
@@ -46,7 +46,7 @@
 	c.sorted = true
 }
 
-// compact drops replaced changes once they are the larger part.
+// compact removes replaced changes once they outnumber the others.
 func (c *changeLog) compact(entries map[Key]*entry) {
 	if len(c.changes) <= 2*len(entries)+1 {
 		return
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -8,7 +8,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Kind tells what an entry describes.
+// Kind is the type of object that an entry describes.
 type Kind uint8
 
 // The kinds of entries.
@@ -21,13 +21,14 @@
 	KindEvacuation
 )
 
-// Key names an entry. The table of routes has no name.
+// Key identifies an entry. The route table, of which there is only one, has no name.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// KeyOf returns the key of the entry that a change is about.
+// KeyOf returns the key of the entry that a change is about, or the zero Key if the change has no
+// known entry.
 func KeyOf(change *apiv1.DirectoryChange) Key {
 	switch entry := change.GetEntry().(type) {
 	case *apiv1.DirectoryChange_Routes:
@@ -44,78 +45,79 @@
 	return Key{}
 }
 
-// entry is one entry and when this directory learned of its removal.
+// entry is one entry with what this directory knows about its history.
 type entry struct {
 	change *apiv1.DirectoryChange
-	// loggedRevision is the revision under which the log has the content. The change's
-	// own revision rises without it when an entry was written anew as it was.
+	// loggedRevision is the revision under which the change log lists the content. The revision of
+	// change rises above it when an entry is rewritten with the same content.
 	loggedRevision uint64
 	// learnedAt is when this directory learned of the content.
 	learnedAt time.Time
 	removedAt time.Time
-	// seenLive is set when the entry was known here before it was removed. When
-	// one that was not has gone, nobody here knows.
+	// seenLive is set if this directory knew the entry before it was removed. Otherwise the time of
+	// the removal is not known.
 	seenLive bool
-	// startSeenAt is when an entry of this start of a back end was last heard of, and
-	// restartedAt when this start took the place of another one.
+	// startSeenAt is when an entry of the current start of a back end was last seen, and
+	// restartedAt is when this start replaced another one.
 	startSeenAt, restartedAt time.Time
-	// override is believed in place of the change until overrideUntil; nil is not.
+	// override, if not nil, is used in place of change until overrideUntil.
 	override      *apiv1.DirectoryChange
 	overrideUntil time.Time
-	// storedRevision is the revision of what the store has in place of a policy that it lost; 0 is
-	// nothing, or not known.
+	// storedRevision is the revision of what the store holds in place of a policy that it lost; 0
+	// means nothing or unknown.
 	storedRevision uint64
 }
 
-// Directory is the knowledge of one balancer. It belongs to one goroutine.
+// Directory is what one balancer knows of the store's content. It must be used by a single
+// goroutine.
 type Directory struct {
 	retention time.Duration
 	revision  uint64
-	// updatedAt is when something last told what holds up to a revision.
+	// updatedAt is when a batch that states its revision was last applied.
 	updatedAt time.Time
-	// compactedRevision is the highest revision of a tombstone that was dropped. Who
-	// knows less than that needs a complete batch.
+	// compactedRevision is the highest revision of a tombstone that was dropped. A follower that
+	// knows less needs a complete batch.
 	compactedRevision uint64
-	// steps are the latest rises of the revision, the oldest first.
+	// steps are the latest increases of the revision, the oldest first.
 	steps   []revisionStep
 	entries map[Key]*entry
-	// nextExpiry is no later than the end of the first tombstone or held entry; the zero
-	// time is none. Expire is called with each event and looks at them only then.
+	// nextExpiry is no later than the end of the first tombstone or override; the zero time means
+	// that there is none. Expire is called with each event and examines them only from then on.
 	nextExpiry time.Time
 	log        changeLog
-	// tombstones are the entries that were removed: to find those that have had their time
-	// costs by them, and not by all that is known.
+	// tombstones holds the removed entries, so that the cost of finding expired ones depends on the
+	// number of tombstones and not on that of all entries.
 	tombstones map[Key]*entry
-	// overridden are the entries that are held against the store's copy, and lost the policies
-	// that were to be written again when they were last looked at.
+	// overridden holds the entries that have an override, and lostPolicies the policies that had to
+	// be written again when they were last examined.
 	overridden, lostPolicies map[Key]*entry
-	// evacuations are the entries of orders to evacuate, by zone.
+	// evacuations holds the entries of evacuation orders, by zone.
 	evacuations map[string]*entry
-	// backendIndex are the back ends in order.
+	// backendIndex holds the back ends, grouped and sorted.
 	backendIndex backendIndex
-	// balancerChanges counts the changes of the entries of balancers.
+	// balancerChanges counts the changes to entries of balancers.
 	balancerChanges uint64
 }
 
-// revisionStep is one rise of the revision. What was both made and removed in between
-// may never have been seen here. Somebody whose revision lies in between may
-// know it, and needs a complete batch to learn of the removal.
+// revisionStep is one increase of the revision. An entry that was both created and removed within a
+// step may never have been seen here. A follower whose revision lies inside the step may know that
+// entry, and needs a complete batch to learn of the removal.
 type revisionStep struct {
 	from, to uint64
 }
 
-// maxSteps is how many steps are remembered; a poll a second makes them last
-// longer than a follower is behind.
+// maxSteps is the number of remembered steps. At one poll a second they cover more time than a
+// follower is behind.
 const maxSteps = 256
 
-// New makes an empty directory that keeps tombstones for the given time.
+// New returns an empty directory that keeps tombstones for the given time.
 func New(retention time.Duration) *Directory {
 	return &Directory{retention: retention, entries: make(map[Key]*entry), evacuations: make(map[string]*entry),
 		tombstones: make(map[Key]*entry), overridden: make(map[Key]*entry), lostPolicies: make(map[Key]*entry), backendIndex: newBackendIndex()}
 }
 
-// Clear forgets everything. What was learned from an old copy of the store may be later than
-// the store itself, when that has just come back from an older one.
+// Clear removes everything. It is needed when the store has just been restored from an older
+// backup, because what was learned from a stale read may be later than the store itself.
 func (d *Directory) Clear() {
 	for key := range d.entries {
 		d.deleteEntry(key)
@@ -124,10 +126,10 @@
 	d.balancerChanges++
 }
 
-// Revision is the revision up to which everything is known; 0 is nothing.
+// Revision returns the revision up to which the directory is complete, or 0 while it is empty.
 func (d *Directory) Revision() uint64 { return d.revision }
 
-// Apply merges a batch and tells whether any entry changed.
+// Apply merges a batch and reports whether any entry changed.
 func (d *Directory) Apply(batch *apiv1.DirectoryBatch, now time.Time) bool {
 	if d.fromPastEra(batch) {
 		return d.addUnknownBackends(batch, now)
@@ -147,17 +149,17 @@
 	return changed
 }
 
-// batchContext is how a batch came.
+// batchContext describes the batch that a change arrived in.
 type batchContext struct {
-	// stale is set when it is older than what is known.
+	// stale is set if the batch is older than the directory.
 	stale bool
-	// newEra is set when it is the first one of a later era, and what is known may be
-	// later than what it shows.
+	// newEra is set if the batch is the first one of a later era, so that the directory may know
+	// later content than the batch shows.
 	newEra     bool
 	receivedAt time.Time
 }
 
-// applyChange merges one change, and decides what is believed of its entry.
+// applyChange merges one change and decides whether the entry is overridden.
 func (d *Directory) applyChange(change *apiv1.DirectoryChange, context batchContext) bool {
 	key := KeyOf(change)
 	e := d.entries[key]
@@ -184,7 +186,7 @@
 	}
 }
 
-// insideStep tells whether a revision lies inside of a step.
+// insideStep reports whether a revision lies inside a step.
 func (d *Directory) insideStep(revision uint64) bool {
 	for _, step := range d.steps {
 		if step.from < revision && revision < step.to {
@@ -194,14 +196,16 @@
 	return false
 }
 
-// merge takes one change if it is newer than what is known. It tells whether
-// the content changed, or was written again while it was held against. The
-// revision is taken in any case: another balancer may have seen a change in
-// between that this one missed. The log is not told of a revision without a new
-// content, since back ends write their entries all the time: who knows what held
-// at the start of a step has the same content, and who saw something in between
-// gets a complete batch. A late batch, one that is older than what is known,
-// brings no entry back: had it lasted, it would be known.
+// merge applies a change if it is newer than the entry. It reports whether the content changed, or
+// was written again while it was overridden.
+//
+// The revision is taken over in any case, because another balancer may have seen a change in
+// between that this one missed. The change log does not list a new revision of the same content,
+// since back ends rewrite their entries all the time: a follower that has the content from the
+// start of a step has the same content, and one that saw something in between gets a complete
+// batch.
+//
+// A stale batch does not restore an entry: if the entry still existed, it would be known here.
 func (d *Directory) merge(key Key, change *apiv1.DirectoryChange, context batchContext) bool {
 	stale, now := context.stale, context.receivedAt
 	if key.Kind == KindNone {
@@ -258,7 +262,7 @@
 	return !same
 }
 
-// recordContent puts the content of an entry into the log.
+// recordContent adds the content of an entry to the change log and to the indexes.
 func (d *Directory) recordContent(key Key, e *entry) {
 	switch key.Kind {
 	case KindBalancer:
@@ -272,7 +276,7 @@
 	d.log.add(e.loggedRevision, key)
 }
 
-// markRemoved turns an entry into a tombstone that keeps what the entry last held.
+// markRemoved turns an entry into a tombstone that keeps the last content of the entry.
 func (d *Directory) markRemoved(key Key, e *entry, revision uint64, now time.Time) bool {
 	wasGone := e.change.GetGone()
 	tombstone := proto.CloneOf(e.change)
@@ -287,8 +291,8 @@
 	return !wasGone
 }
 
-// addTombstone keeps what an entry held that is gone by now, so that its open
-// flows still find it.
+// addTombstone adds the content of an entry that has been removed meanwhile, so that its open flows
+// can still be forwarded.
 func (d *Directory) addTombstone(key Key, change *apiv1.DirectoryChange, now time.Time) bool {
 	tombstone := proto.CloneOf(change)
 	tombstone.Revision = d.revision
@@ -306,10 +310,10 @@
 	return proto.Equal(e, compared)
 }
 
-// removeMissing buries the entries that a complete batch would have named if
-// they still existed. A tombstone in the batch names nothing: it may be older
-// than an entry that was made and removed again since.
-// Those stand that outlast a copy.
+// removeMissing marks the entries as removed that a complete batch would list if they still
+// existed. A tombstone in the batch does not count: it may be older than an entry that was created
+// and removed again since. Entries that the store may have lost when it was restored from a backup
+// are kept, see keptWhenMissing.
 func (d *Directory) removeMissing(batch *apiv1.DirectoryBatch, context batchContext) bool {
 	present := make(map[Key]bool, len(batch.GetChanges()))
 	for _, change := range batch.GetChanges() {
@@ -337,8 +341,8 @@
 	return changed
 }
 
-// Expire drops tombstones that are older than the retention, and lets entries be what the
-// store says that were held for long enough. It tells whether there were any.
+// Expire drops tombstones that are older than the retention time, and overrides whose time is over.
+// It reports whether there were any.
 func (d *Directory) Expire(now time.Time) bool {
 	if d.nextExpiry.IsZero() || now.Before(d.nextExpiry) {
 		return false
@@ -357,7 +361,7 @@
 	return dropped
 }
 
-// deleteEntry forgets an entry.
+// deleteEntry removes an entry without leaving a tombstone.
 func (d *Directory) deleteEntry(key Key) {
 	delete(d.entries, key)
 	delete(d.tombstones, key)
@@ -371,12 +375,12 @@
 	}
 }
 
-// scheduleTombstoneExpiry notes that a tombstone was made at a time.
+// scheduleTombstoneExpiry makes Expire consider a tombstone that was created at the given time.
 func (d *Directory) scheduleTombstoneExpiry(goneAt time.Time) {
 	d.scheduleExpiry(goneAt.Add(d.retention))
 }
 
-// scheduleExpiry notes that something has had its time at a time.
+// scheduleExpiry makes Expire examine tombstones and overrides at the given time or earlier.
 func (d *Directory) scheduleExpiry(end time.Time) {
 	if d.nextExpiry.IsZero() || end.Before(d.nextExpiry) {
 		d.nextExpiry = end
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -9,45 +9,49 @@
 	"github.com/indigobarrow/indigobarrow/internal/revision"
 )
 
-// When the store comes back from a copy of itself, it lacks what was written last, and shows
-// what was replaced or removed since as if it still held. Operators and back ends write theirs
-// again within some seconds. Until then what this directory knows is later than what the store
-// says, though the store's revisions are of a later era.
+// When the store is restored from a backup, it lacks the latest writes, and it shows content that
+// was replaced or removed since as if it were still valid. Operators and back ends write their
+// entries again within some seconds. Until then this directory knows later content than the store,
+// although the store's revisions belong to a later era.
 //
-// The table of routes has versions, which tell an older one for good. Policies have none and
-// are nobody else's to write again, so what is known here stands until it has been written.
-// Of back ends and orders, what was known is held for a bounded time, since what is not
-// written again by then has in truth gone.
+// The version of the route table identifies an older one reliably. Policies have no version, and
+// nobody else writes them again, so the known ones are kept until they have been written.
+// Known back ends and evacuation orders are kept for a limited time only, because an entry that is
+// not written again by then is really gone.
 
 const (
-	// missingOverrideTime is for how long an entry is held that the copy lacks: its writer is back
-	// within about 2 s, and the last second is for the news to arrive. New flows to one
+	// missingOverrideTime is how long an entry is kept that the backup lacks. Its writer is back
+	// within about 2 s, and the last second is for the change to arrive. New flows to a back end
 	// that has left meanwhile end within the time that a leaving back end has.
 	missingOverrideTime = 3 * time.Second
-	// endedOverrideTime is for how long an entry stays ended that the copy shows as it was before:
-	// until its back end would have been missed had it fallen silent, three times 3 s.
+	// endedOverrideTime is how long an entry stays removed, or draining, although the backup shows
+	// its earlier state. It is the time after which its back end would have been missed if it had
+	// gone silent: three times 3 s.
 	endedOverrideTime = 10 * time.Second
-	// maxOverrideAge is after how long without a word what is known is no longer held against a
-	// later era: who was away for longer may come long after the copy, and what it shows
-	// otherwise was written since. A drill takes some seconds.
+	// maxOverrideAge is the time without an update after which the content of this directory no
+	// longer overrides that of a later era. A balancer that was cut off for longer may read the
+	// store long after the restore, and differences are then later writes. A restore drill takes
+	// some seconds.
 	maxOverrideAge = 10 * time.Second
 )
 
-// entersNewEra tells whether a batch is the first one of a later era, and comes soon enough after the
-// last word of the earlier one for what is known to be later than what it shows.
+// entersNewEra reports whether a batch is the first one of a later era and arrives soon enough
+// after the last update from the earlier era that the directory may know later content than the
+// batch.
 func (d *Directory) entersNewEra(batch *apiv1.DirectoryBatch, now time.Time) bool {
 	later := d.revision != 0 && revision.EraOf(batch.GetRevision()) > revision.EraOf(d.revision)
 	return later && now.Sub(d.updatedAt) <= maxOverrideAge
 }
 
-// fromPastEra tells whether a batch speaks of an era that the store has left. It says nothing of
-// what holds now, and its revisions are above those that the copy goes back to.
+// fromPastEra reports whether a batch belongs to an era that the store has left. Such a batch says
+// nothing about the current content, and its revisions are above those that the backup goes back
+// to.
 func (d *Directory) fromPastEra(batch *apiv1.DirectoryBatch) bool {
 	return batch.GetRevision() != 0 && revision.EraOf(batch.GetRevision()) < revision.EraOf(d.revision)
 }
 
-// addUnknownBackends takes from a batch of a past era the back ends that are not known here, as
-// tombstones: their open flows still have to find them.
+// addUnknownBackends adds the back ends of a batch from a past era that are not known here as
+// tombstones, because their open flows still have to be forwarded.
 func (d *Directory) addUnknownBackends(batch *apiv1.DirectoryBatch, now time.Time) bool {
 	added := false
 	for _, change := range batch.GetChanges() {
@@ -59,9 +63,9 @@
 	return added
 }
 
-// rolledBackBy tells whether a change would put an older table of routes in force, or a policy
-// back to what the store's copy holds. Both stand until they have been written again. A policy
-// whose number is above the known one's is not the copy's: that one was given out earlier.
+// rolledBackBy reports whether a change would restore an older route table, or put a policy back to what the store's backup holds. The known ones are kept until they have been written again.
+// A policy whose number is above that of the known one is not from the backup, which only holds
+// numbers that were assigned earlier.
 func (e *entry) rolledBackBy(change *apiv1.DirectoryChange, entering bool) bool {
 	if offered := change.GetRoutes(); offered != nil {
 		return offered.GetVersion() < e.change.GetRoutes().GetVersion()
@@ -73,7 +77,7 @@
 	return change.GetGone() != e.change.GetGone() || !proto.Equal(offered, e.change.GetPolicy())
 }
 
-// effective is what holds of an entry: what the store says, or what is held against it.
+// effective returns the content that is in use: the override, or else what the store holds.
 func (e *entry) effective() *apiv1.DirectoryChange {
 	if e.override != nil {
 		return e.override
@@ -84,13 +88,14 @@
 // LostPolicy is a policy, or the removal of one, that the store has lost.
 type LostPolicy struct {
 	Policy *apiv1.Policy
-	// Removed is set where it was the removal.
+	// Removed is set if the removal was lost.
 	Removed bool
-	// StoredRevision is the store's revision of what it has in its place; 0 is nothing.
+	// StoredRevision is the revision of what the store holds in its place; 0 means nothing.
 	StoredRevision uint64
 }
 
-// LostPolicies returns what is to be written again of policies: nobody else remembers them.
+// LostPolicies returns the policies and removals that have to be written again, because nobody else
+// remembers them.
 func (d *Directory) LostPolicies() []LostPolicy {
 	var policies []LostPolicy
 	for key, e := range d.lostPolicies {
@@ -99,38 +104,38 @@
 			continue
 		}
 		if e.change.GetGone() && e.storedRevision == 0 {
-			continue // nothing stands that would have to be removed
+			continue // the store holds nothing that would have to be removed
 		}
 		policies = append(policies, LostPolicy{Policy: e.change.GetPolicy(), Removed: e.change.GetGone(), StoredRevision: e.storedRevision})
 	}
 	return policies
 }
 
-// trackLostPolicy notes that a policy is to be written again, if an entry is one.
+// trackLostPolicy records that an entry has to be written again if it is a contested policy.
 func (d *Directory) trackLostPolicy(key Key, e *entry) {
 	if key.Kind == KindPolicy && e.change.GetContested() {
 		d.lostPolicies[key] = e
 	}
 }
 
-// noteStoredPolicy takes what the store has in place of a policy that it lost.
+// noteStoredPolicy records the revision of what the store holds in place of a policy that it lost.
 func (e *entry) noteStoredPolicy(change *apiv1.DirectoryChange) {
 	if e.change.GetContested() && change.GetPolicy() != nil && !change.GetGone() && !change.GetContested() {
 		e.storedRevision = change.GetRevision()
 	}
 }
 
-// keptWhenMissing tells whether an entry stands that a complete batch does not name: the table of
-// routes, and a policy that the store has lost.
+// keptWhenMissing reports whether an entry is kept although a complete batch does not list it. This
+// holds for the route table and for policies that the store has lost.
 func (e *entry) keptWhenMissing(kind Kind, context batchContext) bool {
 	return kind == KindRoutes || kind == KindPolicy && (context.newEra || e.change.GetContested())
 }
 
-// entryState is what was believed of an entry before a change of it.
+// entryState is the state of an entry before a change is applied.
 type entryState struct {
-	// stored is what the store had said.
+	// stored is what the store held, and effective what was in use.
 	stored, effective *apiv1.DirectoryChange
-	// removedAt is when it was removed, if it was.
+	// removedAt is when the entry was removed, or zero.
 	removedAt time.Time
 }
 
@@ -138,8 +143,8 @@
 	return entryState{stored: e.change, effective: e.effective(), removedAt: e.removedAt}
 }
 
-// reconcile decides what is believed of an entry after a change of it. It tells whether the
-// entry is held or released by that.
+// reconcile decides after a change whether the earlier content overrides the new one. It reports
+// whether an override was set or removed.
 func (d *Directory) reconcile(key Key, e *entry, before entryState, context batchContext) bool {
 	duration := time.Duration(0)
 	if context.newEra {
@@ -158,8 +163,8 @@
 	return true
 }
 
-// overrideTime is for how long what was known of an entry is held against what the copy shows; 0
-// is not at all.
+// overrideTime returns how long the known content overrides what the restored store shows; 0 means
+// not at all.
 func overrideTime(before, after *apiv1.DirectoryChange) time.Duration {
 	switch before.GetEntry().(type) {
 	case *apiv1.DirectoryChange_Backend, *apiv1.DirectoryChange_Evacuation:
@@ -176,18 +181,19 @@
 	case reportsDraining(before) && !after.GetGone() && !after.GetBackend().GetDraining():
 		return endedOverrideTime
 	case !after.GetBackend().GetDraining() && !sameContent(before, after):
-		// The copy may show it colder than it is by now.
+		// The backup may show the back end colder than it is by now.
 		return missingOverrideTime
 	}
 	return 0
 }
 
-// reportsDraining tells whether a back end has said that it leaves.
+// reportsDraining reports whether a back end itself has announced that it is leaving.
 func reportsDraining(change *apiv1.DirectoryChange) bool {
 	return change.GetBackend().GetDraining() && !change.GetUnreadable()
 }
 
-// dropOverride lets an entry be what the store says. It tells whether the entry was held.
+// dropOverride makes the store's content effective again. It reports whether the entry had an
+// override.
 func (d *Directory) dropOverride(key Key, e *entry) bool {
 	if e.override == nil {
 		return false
@@ -201,8 +207,7 @@
 	return true
 }
 
-// dropExpiredOverrides lets entries be what the store says whose time to be written again is over. It
-// tells whether any was.
+// dropExpiredOverrides drops the overrides whose time is over. It reports whether there were any.
 func (d *Directory) dropExpiredOverrides(now time.Time) bool {
 	released := false
 	for key, e := range d.overridden {
@@ -215,10 +220,11 @@
 	return released
 }
 
-// OverrideCount is how many entries are held against what the store's copy shows.
+// OverrideCount returns the number of entries whose known content overrides what the restored store
+// shows.
 func (d *Directory) OverrideCount() int { return len(d.overridden) }
 
-// reindex has an entry listed anew.
+// reindex marks the entry to be indexed again if it is a back end.
 func (d *Directory) reindex(key Key) {
 	if key.Kind == KindBackend {
 		d.backendIndex.markChanged(key.Name)
--- a/internal/directory/lookup.go
+++ b/internal/directory/lookup.go
@@ -8,7 +8,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 )
 
-// Routes returns the table of routes, or nil while none is known.
+// Routes returns the route table, or nil while none is known.
 func (d *Directory) Routes() *apiv1.RouteTable {
 	e := d.entries[Key{Kind: KindRoutes}]
 	if e == nil {
@@ -17,42 +17,41 @@
 	return e.change.GetRoutes()
 }
 
-// BackendEntry is a back end and whether its entry was removed.
+// BackendEntry is a back end and the state of its entry.
 type BackendEntry struct {
 	*apiv1.PoolBackend
 	Gone bool
-	// RemovalSeenAt is when this directory learned of the removal, if it knew the
-	// back end before. It is zero for a tombstone that was learned as such,
-	// which may be of any age.
+	// RemovalSeenAt is when this directory learned of the removal, if it knew the back end before.
+	// It is zero for an entry that was first learned as a tombstone, which may be of any age.
 	RemovalSeenAt time.Time
-	// LearnedAt is when this directory learned of what the entry holds, which is
-	// no earlier than when it was written.
+	// LearnedAt is when this directory learned of the content of the entry, which is no earlier
+	// than when it was written.
 	LearnedAt time.Time
-	// Restarted is set when another start of the back end was known before.
+	// Restarted is set if another start of the back end was known before.
 	Restarted bool
 }
 
-// Incarnation is the start of the back end that the entry is of.
+// Incarnation returns the start of the back end that the entry belongs to.
 func (b BackendEntry) Incarnation() incarnation.ID {
 	return incarnation.ID{Number: b.GetNumber(), Start: incarnation.Start(b.GetStartedMilliseconds())}
 }
 
-// Evacuation is an operator's order that a zone gets no new flows, or that such
-// an order was taken back.
+// Evacuation is an operator's order that a zone gets no new flows, or the revocation of such an
+// order.
 type Evacuation struct {
 	Zone string
-	// Revision is the store's revision of the order, or of its end.
+	// Revision is the store's revision of the order, or of its revocation.
 	Revision uint64
-	// LearnedAt is when this directory learned of the order, and RevokedAt when it
-	// learned that it was taken back; RevokedAt is zero while it holds.
+	// LearnedAt is when this directory learned of the order, and RevokedAt when it learned of its
+	// revocation; RevokedAt is zero while the order is in force.
 	LearnedAt, RevokedAt time.Time
 }
 
-// Active tells whether the order is in force.
+// Active reports whether the order is in force.
 func (e Evacuation) Active() bool { return e.RevokedAt.IsZero() }
 
-// Evacuations returns the orders to evacuate zones, by zone, those that were
-// taken back lately too.
+// Evacuations returns the orders to evacuate zones, including recently revoked ones, sorted by
+// zone.
 func (d *Directory) Evacuations() []Evacuation {
 	var result []Evacuation
 	for zone, e := range d.evacuations {
@@ -66,10 +65,10 @@
 	return result
 }
 
-// Contradicts tells whether a read of the operators' orders alone, as of a revision,
-// shows other orders than are known here, so that some change was missed. Nothing is
-// taken from such a read: it says nothing of the rest of the store, and who knows
-// entries beyond its revision would not learn from others that they are gone.
+// Contradicts reports whether a read of only the operators' entries, as of a later revision, shows
+// other evacuation orders than are known here, which means that a change was missed. Nothing is
+// taken over from such a read. It says nothing about the rest of the store, and a directory that
+// knew entries beyond its revision would not learn from others that they were removed.
 func (d *Directory) Contradicts(evacuations *apiv1.DirectoryBatch) bool {
 	if evacuations.GetOrdersRevision() <= d.revision {
 		return false
@@ -93,7 +92,8 @@
 	return active != len(listed)
 }
 
-// BalancerChanges rises whenever the balancers that have an entry may have changed.
+// BalancerChanges returns a counter that increases whenever the set of balancers with an entry may
+// have changed.
 func (d *Directory) BalancerChanges() uint64 { return d.balancerChanges }
 
 // RevisionOf returns the revision of an entry that exists, or 0.
@@ -105,7 +105,7 @@
 	return e.change.GetRevision()
 }
 
-// Balancers returns the balancers that have an entry, by name.
+// Balancers returns the balancers that have an entry, sorted by name.
 func (d *Directory) Balancers() []*apiv1.Balancer {
 	var balancers []*apiv1.Balancer
 	for key, e := range d.entries {
@@ -117,7 +117,7 @@
 	return balancers
 }
 
-// Policy returns the policy of a name, or nil.
+// Policy returns the policy with the given name, or nil.
 func (d *Directory) Policy(name string) *apiv1.Policy {
 	e := d.entries[Key{Kind: KindPolicy, Name: name}]
 	if e == nil || e.change.GetGone() {
--- a/internal/directory/starts.go
+++ b/internal/directory/starts.go
@@ -8,20 +8,20 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// lateWriteWindow is for how long after its successor was heard of an earlier start of a back end
-// may still come with a higher revision: a call to the store that got no answer may be done
-// seconds later. After that the successor is silent, and the clock by which starts are told
-// apart has been set back. Back ends write every 3 s at the most.
+// lateWriteWindow is how long after a later start of a back end was last seen a write of an earlier
+// start may still arrive with a higher revision: a store call that timed out may take effect
+// seconds later. After that time the later start has stopped writing, so the clock that orders
+// starts must have been set back. Back ends write every 3 s at the latest.
 const lateWriteWindow = 10 * time.Second
 
-// startTime is the start of the back end that a change is about; 0 where it does not say, or
-// is about something else.
+// startTime returns the start time of the back end that a change is about, or 0 if it is not given
+// or the change is about something else.
 func startTime(change *apiv1.DirectoryChange) uint64 {
 	return change.GetBackend().GetStartedMilliseconds()
 }
 
-// supersedes tells whether a change with a higher revision comes from an earlier start of a
-// back end: its successor lives, or what shows the earlier one is a copy of the store.
+// supersedes reports whether a change with a higher revision comes from an earlier start of a back
+// end. That is so if the later start is alive, or if the change is read from a restored store.
 func (e *entry) supersedes(change *apiv1.DirectoryChange, context batchContext) bool {
 	changeStart, knownStart := startTime(change), startTime(e.change)
 	if changeStart == 0 || changeStart >= knownStart {
@@ -30,7 +30,7 @@
 	return context.newEra || !e.change.GetGone() && context.receivedAt.Sub(e.startSeenAt) < lateWriteWindow
 }
 
-// observeStart takes that a change of the known start has come, or one of another start.
+// observeStart records that an entry was seen, and whether it belongs to another start.
 func (e *entry) observeStart(change *apiv1.DirectoryChange, now time.Time) {
 	e.startSeenAt = now
 	if startTime(change) != startTime(e.change) && startTime(change) != 0 {
@@ -38,9 +38,10 @@
 	}
 }
 
-// markContested takes that the store shows what is older than what is known: what an earlier start
-// of a back end wrote last, or what a copy of the store held or lacks. Somebody may hold that,
-// so what is written next differs from what is known here, and is told.
+// markContested records that the store shows something older than what is known: the last write of
+// an earlier start of a back end, or what a backup holds or lacks. Other balancers may have taken
+// that over, so the mark makes the next write differ from the known content, which causes it to be
+// propagated.
 func (d *Directory) markContested(key Key, e *entry, revision uint64) {
 	contested := proto.CloneOf(e.change)
 	contested.Revision, contested.Contested = revision, true
@@ -49,22 +50,23 @@
 	d.recordContent(key, e)
 }
 
-// markContestedOnce is contest for what stays contested with each read until it is written again.
+// markContestedOnce is like markContested, for entries that stay contested at each read until they
+// are written again.
 func (d *Directory) markContestedOnce(key Key, e *entry, revision uint64) {
 	if !e.change.GetContested() {
 		d.markContested(key, e, revision)
 	}
 }
 
-// isNameOnly tells whether a change says that an entry exists and can't be read, and not what
-// it held before.
+// isNameOnly reports whether a change only says that an entry exists but can't be read, without its
+// earlier content.
 func isNameOnly(change *apiv1.DirectoryChange) bool {
 	return change.GetUnreadable() && change.GetBackend().GetAddress() == 0
 }
 
-// markUnreadable takes that an entry exists and can't be read. A back end of whom that holds gets
-// no new flows until it can be read again; what was known of it stays for its open flows.
-// Of other entries what was known holds.
+// markUnreadable records that an entry exists but can't be read. A back end with such an entry gets
+// no new flows until the entry can be read again, and its known content stays in use for its open
+// flows. For other kinds of entries the known content stays in force.
 func (d *Directory) markUnreadable(key Key, e *entry, revision uint64) bool {
 	if key.Kind != KindBackend || e.change.GetGone() || e.change.GetBackend().GetDraining() {
 		return false
