--- a/internal/directory/backendindex.go
+++ b/internal/directory/backendindex.go
@@ -142,19 +142,19 @@
 // updateVersions assigns new versions to the changed groups and removes empty ones.
 func (l *backendIndex) updateVersions(affected map[PoolZone]bool) {
 	for poolZone := range affected {
-		existing := l.groups[poolZone]
-		if existing == nil {
+		group := l.groups[poolZone]
+		if group == nil {
 			continue
 		}
-		if len(existing.Entries) == 0 {
+		if len(group.Entries) == 0 {
 			delete(l.groups, poolZone)
 			continue
 		}
 		l.version++
-		existing.Version, existing.TombstoneCount = l.version, 0
-		for i := range existing.Entries {
-			if existing.Entries[i].Gone {
-				existing.TombstoneCount++
+		group.Version, group.TombstoneCount = l.version, 0
+		for i := range group.Entries {
+			if group.Entries[i].Gone {
+				group.TombstoneCount++
 			}
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -376,8 +376,8 @@
 }
 
 // scheduleTombstoneExpiry makes Expire consider a tombstone that was created at the given time.
-func (d *Directory) scheduleTombstoneExpiry(goneAt time.Time) {
-	d.scheduleExpiry(goneAt.Add(d.retention))
+func (d *Directory) scheduleTombstoneExpiry(removedAt time.Time) {
+	d.scheduleExpiry(removedAt.Add(d.retention))
 }
 
 // scheduleExpiry makes Expire examine tombstones and overrides at the given time or earlier.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -287,35 +287,35 @@
 	const retention = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		dir := New(retention)
-		goneAt := make(map[string]time.Time)
+		removedAt := make(map[string]time.Time)
 		now := start
 		for revision := range uint64(60) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause ms")) * time.Millisecond)
 			id := fmt.Sprintf("i-%d", rapid.IntRange(0, 5).Draw(t, "id"))
 			gone := rapid.Bool().Draw(t, "gone")
 			dir.Apply(batch(revision+1, false, backendChange(revision+1, id, false, gone)), now)
-			_, wasGone := goneAt[id]
+			_, wasGone := removedAt[id]
 			switch {
 			case !gone:
-				delete(goneAt, id)
+				delete(removedAt, id)
 			case !wasGone:
-				goneAt[id] = now
+				removedAt[id] = now
 			}
 			dir.Expire(now)
-			for id, at := range goneAt {
+			for id, at := range removedAt {
 				if now.Sub(at) >= retention {
-					delete(goneAt, id)
+					delete(removedAt, id)
 				}
 			}
 			listed := make(map[string]bool)
 			for _, backend := range dir.Backends() {
 				listed[backend.GetId()] = backend.Gone
 			}
-			for id := range goneAt {
+			for id := range removedAt {
 				require.True(t, listed[id], id)
 			}
 			for id, isGone := range listed {
-				_, wanted := goneAt[id]
+				_, wanted := removedAt[id]
 				require.Equal(t, wanted, isGone, id)
 			}
 		}
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -66,12 +66,12 @@
 // rolledBackBy reports whether a change would restore an older route table, or put a policy back to what the store's backup holds. The known ones are kept until they have been written again.
 // A policy whose number is above that of the known one is not from the backup, which only holds
 // numbers that were assigned earlier.
-func (e *entry) rolledBackBy(change *apiv1.DirectoryChange, entering bool) bool {
+func (e *entry) rolledBackBy(change *apiv1.DirectoryChange, newEra bool) bool {
 	if offered := change.GetRoutes(); offered != nil {
 		return offered.GetVersion() < e.change.GetRoutes().GetVersion()
 	}
 	offered := change.GetPolicy()
-	if offered == nil || !entering || revision.NumberOf(change.GetRevision()) > revision.NumberOf(e.change.GetRevision()) {
+	if offered == nil || !newEra || revision.NumberOf(change.GetRevision()) > revision.NumberOf(e.change.GetRevision()) {
 		return false
 	}
 	return change.GetGone() != e.change.GetGone() || !proto.Equal(offered, e.change.GetPolicy())
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -147,7 +147,7 @@
 		return
 	}
 	state.countResponseLength(packet.Key.Address(), packet.Acknowledged)
-	if state.o.count > 1 {
+	if state.opening.count > 1 {
 		state.detach(now)
 		return
 	}
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -39,8 +39,8 @@
 	// hold what clients think meanwhile, and openings that were lost and repeated.
 	responseTime float64
 	minRTT       windowedMin
-	// previous are the requests in the order in which they began.
-	previous []pendingRequest
+	// pending are the requests in the order in which they began.
+	pending []pendingRequest
 }
 
 // pendingRequest is a request that waits, or waited.
@@ -95,9 +95,9 @@
 		updateMean(&poolDemand.responseTime, now.Sub(s.inFlightSince))
 		return
 	}
-	opensFlow := !s.requestSeen && s.o.count > 0
+	opensFlow := !s.requestSeen && s.opening.count > 0
 	if opensFlow {
-		poolDemand.minRTT.add(now.Sub(s.o.sentAt), now)
+		poolDemand.minRTT.add(now.Sub(s.opening.sentAt), now)
 	} else {
 		poolDemand.local.requests++
 	}
@@ -107,8 +107,8 @@
 
 // addPending notes a request that waits.
 func (p *poolZoneDemand) addPending(s *flowState) {
-	if len(p.previous) < maxGenerationFlows {
-		p.previous = append(p.previous, pendingRequest{state: s, startedAt: s.inFlightSince})
+	if len(p.pending) < maxGenerationFlows {
+		p.pending = append(p.pending, pendingRequest{state: s, startedAt: s.inFlightSince})
 	}
 }
 
@@ -147,7 +147,7 @@
 
 // countIfComplete counts a request as a demand once it is whole.
 func (s *flowState) countIfComplete(now time.Time) {
-	if s.sending && now.Sub(s.request.passedAt) >= requestCompleteTime {
+	if s.sending && now.Sub(s.tracker.passedAt) >= requestCompleteTime {
 		s.sending = false
 		s.updateDemand(now)
 	}
@@ -203,25 +203,25 @@
 // them for seconds, and a place look full long after its back ends had reset flows.
 func (p *poolZoneDemand) dropLostRequests(now time.Time) {
 	timeout := time.Duration(lostMultiple * p.responseTime * float64(time.Second))
-	previous := p.previous
-	p.previous = nil
+	previous := p.pending
+	p.pending = nil
 	for _, request := range previous {
 		state := request.state
 		switch {
 		case !state.inFlight || !state.inFlightSince.Equal(request.startedAt):
-		case now.Sub(state.request.passedAt) > min(max(timeout, state.retransmissionTimeout()), maxLostTimeout):
+		case now.Sub(state.tracker.passedAt) > min(max(timeout, state.retransmissionTimeout()), maxLostTimeout):
 			state.detach(now)
 			state.lost = true
 		default:
 			state.countIfComplete(now)
-			p.previous = append(p.previous, request)
+			p.pending = append(p.pending, request)
 		}
 	}
 }
 
 // retransmissionTimeout is within what time from its latest packet a flow that waits shows another.
 func (s *flowState) retransmissionTimeout() time.Duration {
-	return s.request.passedAt.Sub(s.inFlightSince) + firstRetransmission + retransmissionSlack
+	return s.tracker.passedAt.Sub(s.inFlightSince) + firstRetransmission + retransmissionSlack
 }
 
 // serviceFraction is the part of the time of a request that it is at its back end.
--- a/internal/tokenroute/flowcache.go
+++ b/internal/tokenroute/flowcache.go
@@ -20,8 +20,8 @@
 
 // flowState is what is remembered of a flow that passed here lately.
 type flowState struct {
-	o       flowOpening
-	request requestTracker
+	opening flowOpening
+	tracker requestTracker
 	// cached is set while the memory holds this state, and only then does the flow
 	// count anywhere.
 	cached bool
@@ -51,19 +51,19 @@
 	// in the back end's zone.
 	pool       *poolUse
 	poolDemand *poolZoneDemand
-	// history are those of the back end by the address that was asked: what is
+	// responses are those of the back end by the address that was asked: what is
 	// usual differs between addresses, and flows that last make some back ends
 	// serve one more than another.
-	history map[flow.Address]*observe.ResponseHistory
-	finding observe.Finding
+	responses map[flow.Address]*observe.ResponseHistory
+	finding   observe.Finding
 }
 
 // responseCounts returns the tally of the back end's answers to an address.
 func (l *backendLoad) responseCounts(address flow.Address) *observe.ResponseCounts {
-	history := l.history[address]
+	history := l.responses[address]
 	if history == nil {
 		history = &observe.ResponseHistory{}
-		l.history[address] = history
+		l.responses[address] = history
 	}
 	return history.Current()
 }
@@ -207,7 +207,7 @@
 // next request would else be the one that finds out, and be lost where it must not
 // be repeated.
 func (m *flowCache) retainIdle(key flow.Key, state *flowState) {
-	backend := state.request.backend
+	backend := state.tracker.backend
 	if backend == nil || m.idleTimeout == 0 || m.idleCount >= maxIdleFlows {
 		return
 	}
@@ -219,7 +219,7 @@
 	if _, found := flows[key]; !found {
 		m.idleCount++
 	}
-	flows[key] = idleFlow{lastAck: state.request.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.request.passedAt}
+	flows[key] = idleFlow{lastAck: state.tracker.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.tracker.passedAt}
 }
 
 // removeIdle forgets that a flow rests, and returns when its first request passed; zero where
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -109,7 +109,7 @@
 	if state == nil {
 		state = f.flowCache.add(key)
 	}
-	o := &state.o
+	o := &state.opening
 	if o.openedBy != nil {
 		return o.openedBy
 	}
@@ -127,7 +127,7 @@
 
 // preference is how willingly a back end is sent the new flow of an opening.
 func (f *Flows) preference(o *flowOpening, backend *Backend, now time.Time) Preference {
-	warmupPreference := f.warmupAllowance.warmupPreference(backend, now)
+	warmupPreference := f.warmupAllowance.preference(backend, now)
 	if warmupPreference == Forbidden {
 		return Forbidden
 	}
@@ -158,7 +158,7 @@
 	load := f.loads[backend.Incarnation()]
 	if load == nil {
 		load = &backendLoad{pool: f.poolUse(backend.Pool), poolDemand: f.poolZoneDemand(backend.Pool, backend.Zone),
-			history: make(map[flow.Address]*observe.ResponseHistory)}
+			responses: make(map[flow.Address]*observe.ResponseHistory)}
 		f.loads[backend.Incarnation()] = load
 	}
 	return load
@@ -174,7 +174,7 @@
 }
 
 func (f *Flows) recordAttempt(state *flowState, chosen *Backend, now time.Time) {
-	o := &state.o
+	o := &state.opening
 	if o.count > 0 {
 		f.Retried.Add(1)
 	}
@@ -201,7 +201,7 @@
 	if state == nil {
 		return tokenBackend
 	}
-	o := &state.o
+	o := &state.opening
 	if o.openedBy == nil && o.wasTried(tokenBackend) {
 		o.openedBy = tokenBackend
 		f.countOpened(now.Sub(o.sentAt))
@@ -266,7 +266,7 @@
 		}
 	}
 	for id, load := range f.loads {
-		if load.flows == 0 && len(load.history) == 0 {
+		if load.flows == 0 && len(load.responses) == 0 {
 			delete(f.loads, id)
 		}
 	}
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -107,11 +107,11 @@
 // once when it has received something.
 func (l *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	l.recordAlive(backend, now)
-	if state == nil || state.request.backend == nil {
+	if state == nil || state.tracker.backend == nil {
 		return
 	}
-	state.request.lastAck = packet.Acknowledged
-	if state.request.acknowledged != packet.Acknowledged {
+	state.tracker.lastAck = packet.Acknowledged
+	if state.tracker.acknowledged != packet.Acknowledged {
 		l.recordAnswer(packet.Key, state, backend, now)
 	}
 }
@@ -120,7 +120,7 @@
 // acknowledges more than the one before proves that the back end lived when
 // that one passed, at least.
 func (l *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	known := &state.request
+	known := &state.tracker
 	switch {
 	case known.backend == nil:
 		l.trackRequest(packet, state, backend, now)
@@ -150,7 +150,7 @@
 	if state.firstRequestAt.IsZero() {
 		state.firstRequestAt = now
 	}
-	state.request = requestTracker{
+	state.tracker = requestTracker{
 		backend:  backend,
 		sequence: packet.Sequence, acknowledged: packet.Acknowledged, lastAck: packet.Acknowledged,
 		passedAt: now, sentAt: now, retransmittedAt: now,
@@ -177,7 +177,7 @@
 // recordAnswer takes that the oldest request of a flow was answered.
 func (l *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
 	state.setInFlight(false, now)
-	known := &state.request
+	known := &state.tracker
 	judged := l.healthOf(backend)
 	if state.load != nil && known.retransmissions == 0 && !known.ackCounted {
 		known.ackCounted = true
@@ -244,7 +244,7 @@
 func (l *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
 	for _, generation := range []map[flow.Key]*flowState{l.memory.current, l.memory.previous} {
 		for key, state := range generation {
-			known := &state.request
+			known := &state.tracker
 			if known.backend == nil || known.backend.Incarnation() != backend.Incarnation() {
 				continue
 			}
--- a/internal/tokenroute/refusal.go
+++ b/internal/tokenroute/refusal.go
@@ -28,7 +28,7 @@
 	if refusal == nil {
 		return nil
 	}
-	if state := f.flowCache.find(key); state != nil && (state.o.count > 0 || state.request.backend != nil) {
+	if state := f.flowCache.find(key); state != nil && (state.opening.count > 0 || state.tracker.backend != nil) {
 		return nil
 	}
 	return refusal
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -40,7 +40,7 @@
 	}
 	for _, generation := range []map[flow.Key]*flowState{f.flowCache.current, f.flowCache.previous} {
 		for key, state := range generation {
-			known := &state.request
+			known := &state.tracker
 			if known.backend != nil && former(known.backend.Incarnation()) && outlived(state.firstRequestAt) {
 				giveUp(key, known.lastAck)
 				f.flowCache.forget(key, state, now)
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -61,9 +61,9 @@
 	groups := make(map[responseGroup][]*backendLoad, len(f.pools))
 	for _, load := range f.loads {
 		load.finding = observe.Finding{}
-		for address, responses := range load.history {
-			if responses.Empty() {
-				delete(load.history, address)
+		for address, history := range load.responses {
+			if history.Empty() {
+				delete(load.responses, address)
 				continue
 			}
 			group := responseGroup{pool: load.pool, address: address}
@@ -81,12 +81,12 @@
 	saturated := f.isSaturated(group.pool.name)
 	tallies := make([]*observe.ResponseCounts, len(loads))
 	for i, load := range loads {
-		responses := load.history[group.address]
+		history := load.responses[group.address]
 		if saturated {
-			responses.DiscardRecent()
+			history.DiscardRecent()
 		}
-		tallies[i] = responses.Total()
-		responses.Advance(responseDecay)
+		tallies[i] = history.Total()
+		history.Advance(responseDecay)
 	}
 	for i, finding := range observe.Compare(tallies) {
 		loads[i].finding = loads[i].finding.Merge(finding.AboveNoise())
--- a/internal/tokenroute/tracker.go
+++ b/internal/tokenroute/tracker.go
@@ -30,7 +30,7 @@
 // countResponseLength counts the length of the answer to the last request of a flow, once
 // the client has acknowledged the last of it.
 func (s *flowState) countResponseLength(address flow.Address, acknowledged uint32) {
-	request := &s.request
+	request := &s.tracker
 	if s.load == nil || request.backend == nil {
 		return
 	}
--- a/internal/tokenroute/warming.go
+++ b/internal/tokenroute/warming.go
@@ -29,9 +29,9 @@
 	sent map[incarnation.ID][]time.Time
 }
 
-// warmupPreference tells whether a back end may be sent a new flow as far as its warmth
+// preference tells whether a back end may be sent a new flow as far as its warmth
 // goes.
-func (a *warmupLimiter) warmupPreference(backend *Backend, now time.Time) Preference {
+func (a *warmupLimiter) preference(backend *Backend, now time.Time) Preference {
 	warming := &backend.Warmup
 	if !now.Before(warming.Until) {
 		return Preferred
