--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -63,8 +63,9 @@
 	return added
 }
 
-// rolledBackBy reports whether a change would restore an older route table, or put a policy back to what the store's backup holds. The known ones are kept until they have been written again.
-// A policy whose number is above that of the known one is not from the backup, which only holds
+// rolledBackBy reports whether a change would restore an older route table, or put a policy back to
+// what the store's backup holds. The known ones are kept until they have been written again. A
+// policy whose number is above that of the known one is not from the backup, which only holds
 // numbers that were assigned earlier.
 func (e *entry) rolledBackBy(change *apiv1.DirectoryChange, newEra bool) bool {
 	if offered := change.GetRoutes(); offered != nil {
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -8,31 +8,31 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// Packet is what a decision needs to know of a packet.
+// Packet is the part of a packet that a decision depends on.
 type Packet struct {
 	Key flow.Key
 	// First is set on the packet that opens a flow.
 	First bool
-	// Retransmission is set on repetitions of a first packet.
+	// Retransmission is set on retransmissions of a first packet.
 	Retransmission bool
 	Token          Token
-	// Sequence, Acknowledged and Length are those of the packet's data.
+	// Sequence, Acknowledged and Length describe the packet's data.
 	Sequence, Acknowledged uint32
 	Length                 uint16
 	// Closing is set on packets that end their flow.
 	Closing bool
 }
 
-// Verdict is what happens to a packet.
+// Verdict is what is done with a packet.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Forward: the packet goes to the back end.
+	// Forward sends the packet to the back end.
 	Forward Verdict = iota
-	// Refuse: the client is told at once that the flow can't be served.
+	// Refuse tells the client at once that the flow can't be served.
 	Refuse
-	// Drop: the packet is dropped without a word; its sender repeats it.
+	// Drop discards the packet silently; its sender retransmits it.
 	Drop
 )
 
@@ -50,14 +50,15 @@
 	ReasonUnknownToken
 	ReasonForeignToken
 	ReasonDeadBackend
-	// ReasonEvacuated: all back ends that could take the flow are in evacuated zones.
+	// ReasonEvacuated means that all back ends that could take the flow are in evacuated zones.
 	ReasonEvacuated
-	// ReasonCold: only cold back ends are left, and they bear no more now.
+	// ReasonCold means that only cold back ends are left, and they can take no more new flows now.
 	ReasonCold
-	// ReasonNoRoom: the pool is short of room, and the flow was drawn to give way.
+	// ReasonNoRoom means that the pool is short of capacity and the flow is among those selected
+	// for refusal.
 	ReasonNoRoom
-	// ReasonRestarted: the back end has started again since the flow was opened, and
-	// holds none from before.
+	// ReasonRestarted means that the back end has restarted since the flow was opened, and holds no
+	// flows from before.
 	ReasonRestarted
 	reasonCount
 )
@@ -67,24 +68,24 @@
 	"evacuated", "cold_backend", "no_room", "restarted_backend",
 }
 
-// String names the reason as logs and metrics do.
+// String returns the name of the reason that logs and metrics use.
 func (r Reason) String() string { return reasonNames[r] }
 
-// ReasonCount is the number of reasons, for counters.
+// ReasonCount is the number of reasons, for arrays of counters.
 const ReasonCount = int(reasonCount)
 
-// Decision is the verdict on one packet.
+// Decision is the verdict on one packet, and the reason for it.
 type Decision struct {
 	Verdict Verdict
 	Reason  Reason
 	Backend *Backend
-	// Refusal is that by which the flow was refused for want of room.
+	// Refusal is the refusal that applied if the pool is short of capacity, or else nil.
 	Refusal *admission.Refusal
 }
 
-// Decide decides one packet by a table, which may be nil while nothing is
-// known. An open flow is refused only when its own back end is known to be
-// dead: what one balancer does not know of an open flow, another one may.
+// Decide decides on one packet using a table, which may be nil while nothing is known. An open flow
+// is refused only if its own back end is known to be dead: another balancer may know an open flow
+// that this one does not.
 func (f *Flows) Decide(table *Table, packet Packet, now time.Time) Decision {
 	if table == nil {
 		return Decision{Verdict: Drop, Reason: ReasonNoTable}
@@ -119,8 +120,8 @@
 	return Decision{Verdict: Forward, Reason: ReasonToken, Backend: backend}
 }
 
-// observe takes a later packet of a flow that goes to a back end, and tells
-// whether the back end counts as dead for it.
+// observe processes a later packet of a flow that goes to a back end, and reports whether the back
+// end counts as dead for this flow.
 func (f *Flows) observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	var firstRequestAt time.Time
 	if state == nil && (packet.Length > 0 || packet.Closing) {
@@ -140,8 +141,8 @@
 	return f.liveness.Observe(packet, state, backend, now)
 }
 
-// close takes the packet that ends a flow. Who opened a contested flow is still
-// remembered, for packets that come after it.
+// close processes the packet that ends a flow. If the flow was sent to more than one back end, the
+// one that opened it is still remembered, for packets that follow.
 func (f *Flows) close(packet Packet, state *flowState, now time.Time) {
 	if state == nil {
 		return
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -8,48 +8,52 @@
 )
 
 const (
-	// responseTimeWeight is the part by which one answer moves the mean times of a place.
+	// responseTimeWeight is the weight of one response in the moving average of response times.
 	responseTimeWeight = 1.0 / 32
-	// A request that waits for lostMultiple the mean without another packet of its flow is
-	// lost: the back end has reset the flow, which clients don't tell. It counts no longer
-	// than maxLostTimeout.
+	// A request that has been in flight for lostMultiple times the mean response time without
+	// another packet of its flow counts as lost: the back end has reset the flow, and clients send
+	// nothing that shows this. It stays in flight for maxLostTimeout at most.
 	lostMultiple   = 8
 	maxLostTimeout = 3 * time.Second
-	// firstRetransmission is when clients repeat a request first, and each pause after that is as
-	// long as they have waited, and firstRetransmission more: 200, 600, 1400, 3000 ms. So a client
-	// that still waits shows it by then, and retransmissionSlack later on a busy machine: with both,
-	// a request that is never repeated counts for 0.5 s at least. No request is lost before.
+	// firstRetransmission is the time after which clients first retransmit a request. Each further
+	// pause is as long as the time waited so far plus firstRetransmission, which gives
+	// retransmissions after 200, 600, 1400 and 3000 ms. A client that is still waiting shows it by
+	// then, or retransmissionSlack later if its machine is busy. The two together keep a request
+	// that is never retransmitted in flight for at least 0.5 s; no request counts as lost before
+	// that.
 	firstRetransmission = 200 * time.Millisecond
 	retransmissionSlack = 300 * time.Millisecond
-	// minRTTWindow is for how long the least way counts at least; ways change with routes.
+	// minRTTWindow is how long the minimum round-trip time is kept at least. It is limited because
+	// round-trip times change with network routes.
 	minRTTWindow = 10 * time.Second
 )
 
-// poolZoneDemand is what the flows that pass here ask of the back ends of a pool in a zone
+// poolZoneDemand is the demand of the flows that pass here on the back ends of a pool in one zone
 // since the last summary.
 type poolZoneDemand struct {
 	use                           observe.InFlightAverage
 	newFlows, responses, refusals int
-	// local counts what is asked of the pool, at its place in this balancer's zone; asks
-	// is used there only.
+	// local is the demand on the same pool in this balancer's zone. All requests and new flows for
+	// the pool are counted in its field requests, which is not used for other zones.
 	local    *poolZoneDemand
 	requests int
-	// responseTime is the mean time of an answer in seconds, and way the least from a flow's opening
-	// to its first request, which takes the way there and back and no work. The mean would
-	// hold what clients think meanwhile, and openings that were lost and repeated.
+	// responseTime is the mean response time in seconds. minRTT is the minimum time from the
+	// opening of a flow to its first request, which includes the round trip but no work of the back
+	// end. A mean would include the think time of clients, and openings that were lost and
+	// retransmitted.
 	responseTime float64
 	minRTT       windowedMin
-	// pending are the requests in the order in which they began.
+	// pending holds the requests in flight in the order in which they started.
 	pending []pendingRequest
 }
 
-// pendingRequest is a request that waits, or waited.
+// pendingRequest is a request that is, or was, in flight.
 type pendingRequest struct {
 	state     *flowState
 	startedAt time.Time
 }
 
-// poolZoneDemand returns what is asked of a place.
+// poolZoneDemand returns the demand on a pool in a zone.
 func (f *Flows) poolZoneDemand(pool, zone string) *poolZoneDemand {
 	poolZone := demand.ZonePool{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
 	poolDemand := f.demands[poolZone]
@@ -68,8 +72,8 @@
 	return poolDemand
 }
 
-// countNewFlow counts a new flow that goes to a back end; first is set unless it went to
-// another one before.
+// countNewFlow counts a new flow that is sent to a back end. first is set unless the flow was sent
+// to another back end before.
 func (f *Flows) countNewFlow(backend *Backend, first bool) {
 	poolDemand := f.loadFor(backend).poolDemand
 	poolDemand.newFlows++
@@ -78,15 +82,15 @@
 	}
 }
 
-// CountRefusal counts a new flow that was refused for want of room in a pool.
+// CountRefusal counts a new flow that was refused because its pool is short of capacity.
 func (f *Flows) CountRefusal(pool string) {
 	poolDemand := f.poolZoneDemand(pool, f.liveness.zone)
 	poolDemand.refusals++
 	poolDemand.requests++
 }
 
-// countRequest counts a request that begins, or one that was answered. The first request of
-// a flow that opened here counts with its opening.
+// countRequest counts a request that starts, or one that was answered. The first request of a flow
+// that opened here was already counted with the opening.
 func (s *flowState) countRequest(begins bool, now time.Time) {
 	poolDemand := s.load.poolDemand
 	if !begins {
@@ -105,15 +109,15 @@
 	poolDemand.addPending(s)
 }
 
-// addPending notes a request that waits.
+// addPending adds the latest request of a flow to the pending ones.
 func (p *poolZoneDemand) addPending(s *flowState) {
 	if len(p.pending) < maxGenerationFlows {
 		p.pending = append(p.pending, pendingRequest{state: s, startedAt: s.inFlightSince})
 	}
 }
 
-// resumeRequest takes that a request was repeated. One that was taken for lost waits again, and
-// has waited all along: else slow back ends would look the least used.
+// resumeRequest records that a request was retransmitted. A request that was counted as lost is in
+// flight again, and has been all along: otherwise slow back ends would look the least used.
 func (s *flowState) resumeRequest(now time.Time) {
 	if !s.lost || s.load == nil {
 		return
@@ -123,29 +127,30 @@
 	s.load.poolDemand.addPending(s)
 }
 
-// markUndelivered takes that a request was repeated, so that it has reached nobody: who lives
-// acknowledges a request while it waits in the queue there, and of 14,500 that waited up to
-// 0.6 s for full back ends five were repeated. It is no demand on room that is not there; the
-// requests to dead back ends would else make a pool look short of it. In the choice of a back
-// end it counts on.
+// markUndelivered records that a request was retransmitted, which means that it has reached no back
+// end: a live one acknowledges a request while it is still queued there. Of 14,500 requests that
+// waited up to 0.6 s for full back ends, five were retransmitted. Such a request does not count as
+// demand, since otherwise the requests to dead back ends would make the pool look short of
+// capacity. It still counts as in flight when a back end is chosen.
 func (s *flowState) markUndelivered(now time.Time) {
 	s.undelivered = true
 	s.updateDemand(now)
 }
 
-// requestCompleteTime is for how long no further packet of a request must have passed for it to be whole:
-// more than a round trip between far clients and back ends, and less than the tightest
-// targets. A back end works on whole requests, and what a narrow link holds up needs no slot:
-// uploads over windows of 200 ms made a pressure of 3 where a half of the slots was in use.
+// requestCompleteTime is the time without a further packet after which a request counts as
+// complete. It is longer than a round trip between distant clients and back ends, and shorter than
+// the tightest latency targets. A back end works on complete requests, and one that a slow link
+// holds up needs no slot: uploads over windows of 200 ms caused a pressure of 3 while half of the
+// slots were in use.
 const requestCompleteTime = 50 * time.Millisecond
 
-// markSending takes that a further packet of the latest request has passed.
+// markSending records that a further packet of the latest request has passed.
 func (s *flowState) markSending(now time.Time) {
 	s.sending = s.inFlight
 	s.updateDemand(now)
 }
 
-// countIfComplete counts a request as a demand once it is whole.
+// countIfComplete counts a request as demand once it is complete.
 func (s *flowState) countIfComplete(now time.Time) {
 	if s.sending && now.Sub(s.tracker.passedAt) >= requestCompleteTime {
 		s.sending = false
@@ -153,7 +158,7 @@
 	}
 }
 
-// updateDemand counts whether the flow is a demand on its pool and place.
+// updateDemand updates whether the flow counts as demand on its pool and zone.
 func (s *flowState) updateDemand(now time.Time) {
 	inDemand := s.inFlight && !s.undelivered && !s.sending
 	if s.inDemand == inDemand {
@@ -168,7 +173,8 @@
 	s.load.poolDemand.use.Add(change, now)
 }
 
-// windowedMin is the least of some samples in minRTTWindow to twice as long, in seconds; 0 is none.
+// windowedMin is the minimum of the samples of a period between minRTTWindow and twice that, in
+// seconds; 0 means that there are none.
 type windowedMin struct {
 	current, previous float64
 	rotatedAt         time.Time
@@ -190,7 +196,7 @@
 	return l.previous
 }
 
-// updateMean moves a mean, in seconds, by one time.
+// updateMean updates an exponentially weighted moving average, in seconds, with one sample.
 func updateMean(mean *float64, sample time.Duration) {
 	if *mean == 0 {
 		*mean = sample.Seconds()
@@ -199,8 +205,9 @@
 	*mean += responseTimeWeight * (sample.Seconds() - *mean)
 }
 
-// dropLostRequests ends the wait of requests that nobody answers any more. The memory would keep
-// them for seconds, and a place look full long after its back ends had reset flows.
+// dropLostRequests ends requests that will not be answered any more. The flow cache would keep them
+// in flight for seconds, and the back ends of a zone would look full long after they have reset the
+// flows.
 func (p *poolZoneDemand) dropLostRequests(now time.Time) {
 	timeout := time.Duration(lostMultiple * p.responseTime * float64(time.Second))
 	previous := p.pending
@@ -219,12 +226,13 @@
 	}
 }
 
-// retransmissionTimeout is within what time from its latest packet a flow that waits shows another.
+// retransmissionTimeout returns the time after its latest packet within which a flow with a request
+// in flight shows another packet.
 func (s *flowState) retransmissionTimeout() time.Duration {
 	return s.tracker.passedAt.Sub(s.inFlightSince) + firstRetransmission + retransmissionSlack
 }
 
-// serviceFraction is the part of the time of a request that it is at its back end.
+// serviceFraction returns the fraction of the response time that a request spends at its back end.
 func (p *poolZoneDemand) serviceFraction() float64 {
 	if p.responseTime <= 0 {
 		return 1
@@ -232,13 +240,14 @@
 	return min(1, max(minServiceFraction, 1-p.minRTT.value()/p.responseTime))
 }
 
-// minServiceFraction is the least part, where answers take hardly longer than their way, or less
-// than openings did. With none, a place would look idle however much is asked of it, and draw
-// what others have no room for; a twentieth is the 5 ms of work in an answer of 100 ms.
+// minServiceFraction is the lower bound of serviceFraction, which applies if responses take hardly
+// longer than the round trip, or less than openings did. Without it a zone would look idle whatever
+// the demand, and would draw requests that other zones have no capacity for. One twentieth
+// corresponds to 5 ms of work in a response time of 100 ms.
 const minServiceFraction = 0.05
 
-// summarizeDemand returns what was asked of each place since the last summary, and begins
-// anew.
+// summarizeDemand returns the demand on each pool in each zone since the last summary, and resets
+// the counters.
 func (f *Flows) summarizeDemand(elapsed time.Duration, now time.Time) map[demand.ZonePool]demand.Load {
 	loads := make(map[demand.ZonePool]demand.Load, len(f.demands))
 	rate := func(count int) float64 { return float64(count) / max(elapsed, summaryInterval).Seconds() }
--- a/internal/tokenroute/flowcache.go
+++ b/internal/tokenroute/flowcache.go
@@ -9,56 +9,55 @@
 )
 
 const (
-	// generationTime is how long a flow that no packet passed for is remembered
-	// at least; it may be twice as long.
+	// generationTime is the minimum time that a flow without packets is remembered; the maximum is
+	// twice that.
 	generationTime = 3 * time.Second
-	// maxGenerationFlows bounds the flows remembered in one generation.
+	// maxGenerationFlows limits the number of flows in one generation.
 	maxGenerationFlows = 32768
-	// maxIdleFlows bounds the flows that rest and are remembered.
+	// maxIdleFlows limits the number of idle flows that are remembered.
 	maxIdleFlows = 65536
 )
 
-// flowState is what is remembered of a flow that passed here lately.
+// flowState is the state of a flow that passed here recently.
 type flowState struct {
 	opening flowOpening
 	tracker requestTracker
-	// cached is set while the memory holds this state, and only then does the flow
-	// count anywhere.
+	// cached is set while the cache holds this state. Only then is the flow counted anywhere.
 	cached bool
-	// load is where the flow counts as in use, nil for nowhere.
+	// load is the back end load that the flow is counted in, or nil.
 	load *backendLoad
-	// inFlightRequests is set while the flow counts as waiting for an answer there.
+	// inFlight is set while a request of the flow is counted there as in flight.
 	inFlight bool
-	// requestSeen is set once the flow's first request has begun, and inFlightSince is when the
+	// requestSeen is set once the flow's first request has started, and inFlightSince is when the
 	// latest one did.
 	requestSeen   bool
 	inFlightSince time.Time
-	// firstRequestAt is when the first request of the flow passed that is remembered.
+	// firstRequestAt is when the first remembered request of the flow passed.
 	firstRequestAt time.Time
-	// inDemand is set while the flow counts as a demand on its pool and place: it waits, and
-	// the latest request is neither unreached, which is one that was repeated, nor sending,
-	// with packets that still pass.
+	// inDemand is set while the flow counts as demand on its pool and zone: a request is in flight
+	// and is neither undelivered, which means that it was retransmitted, nor sending, which means
+	// that further packets of it still pass.
 	inDemand, undelivered, sending bool
-	// lost is set while the latest request was taken for lost and has not been answered.
+	// lost is set while the latest request counts as lost and has not been answered.
 	lost bool
 }
 
-// backendLoad is how much of a back end the flows use that pass here.
+// backendLoad is the load on a back end from the flows that pass here.
 type backendLoad struct {
 	flows            int
 	inFlightRequests int
-	// pool is what the flows use of the back end's pool, and place what they ask of it
-	// in the back end's zone.
+	// pool is the use of the back end's pool, and poolDemand the demand on that pool in the back
+	// end's zone.
 	pool       *poolUse
 	poolDemand *poolZoneDemand
-	// responses are those of the back end by the address that was asked: what is
-	// usual differs between addresses, and flows that last make some back ends
-	// serve one more than another.
+	// responses holds the responses of the back end by the address of the service. They are kept
+	// apart because what is usual differs between services, and because long-lived flows make some
+	// back ends serve one service more than another.
 	responses map[flow.Address]*observe.ResponseHistory
 	finding   observe.Finding
 }
 
-// responseCounts returns the tally of the back end's answers to an address.
+// responseCounts returns the current counts of the back end's responses for an address.
 func (l *backendLoad) responseCounts(address flow.Address) *observe.ResponseCounts {
 	history := l.responses[address]
 	if history == nil {
@@ -68,13 +67,13 @@
 	return history.Current()
 }
 
-// poolUse is what the flows that pass here use of a pool.
+// poolUse is the use of a pool by the flows that pass here.
 type poolUse struct {
 	name string
 	use  observe.InFlightAverage
 }
 
-// attach counts a flow at the load of its back end.
+// attach counts the flow in the load of its back end.
 func (s *flowState) attach(l *backendLoad, now time.Time) {
 	if s.load == l || !s.cached {
 		return
@@ -84,8 +83,8 @@
 	l.flows++
 }
 
-// setInFlight counts whether the flow waits for an answer, and what it asked. The answer to a
-// request that was taken for lost counts too.
+// setInFlight records that a request of the flow has started or was answered. The answer to a
+// request that counts as lost is recorded too.
 func (s *flowState) setInFlight(inFlight bool, now time.Time) {
 	answersLost := s.lost && !inFlight
 	if s.load == nil || s.inFlight == inFlight && !answersLost {
@@ -93,12 +92,12 @@
 	}
 	s.countRequest(inFlight, now)
 	if answersLost {
-		return // its wait has ended already
+		return // the request is no longer counted as in flight
 	}
 	s.countInFlight(inFlight, now)
 }
 
-// countInFlight counts that the flow begins or ends to wait.
+// countInFlight counts the flow's request as in flight, or no longer so.
 func (s *flowState) countInFlight(inFlight bool, now time.Time) {
 	s.inFlight = inFlight
 	if inFlight {
@@ -109,7 +108,7 @@
 	s.updateDemand(now)
 }
 
-// detach takes a flow off the load where it counts.
+// detach removes the flow from the load that it is counted in.
 func (s *flowState) detach(now time.Time) {
 	if s.load == nil {
 		return
@@ -121,28 +120,27 @@
 	s.load = nil
 }
 
-// flowCache remembers the flows that passed lately, in two generations: one that
-// passes moves to the current one, and the older one is dropped as a whole. Of flows
-// that rest longer only their back end is remembered.
+// flowCache holds the flows that passed recently in two generations. A flow that passes moves to
+// the current generation, and the previous one is dropped as a whole. Of flows that stay idle for
+// longer, only their back end and what is needed to reset them are remembered.
 type flowCache struct {
 	current, previous map[flow.Key]*flowState
 	rotatedAt         time.Time
-	// idle are the flows that rest, by back end.
+	// idle holds the idle flows by back end.
 	idle map[incarnation.ID]map[flow.Key]idleFlow
-	// idleCount is how many there are, and rest for how long they are remembered.
+	// idleCount is the number of idle flows, and idleTimeout how long they are remembered.
 	idleCount   int
 	idleTimeout time.Duration
 }
 
-// idleFlow is what is remembered of a flow for which no packet has passed for a
-// while: what its client acknowledged last, and when its first request passed and its
-// latest packet did.
+// idleFlow is what is remembered of an idle flow: the latest acknowledgement of its client, when
+// its first request passed, and when its latest packet passed.
 type idleFlow struct {
 	lastAck                  uint32
 	firstRequestAt, passedAt time.Time
 }
 
-// idleFlowKey is a flow that rests.
+// idleFlowKey identifies an idle flow that is to be reset.
 type idleFlowKey struct {
 	key     flow.Key
 	lastAck uint32
@@ -156,7 +154,7 @@
 	}
 }
 
-// find returns the state of a flow, or nil when it is not known.
+// find returns the state of a flow, or nil if it is not cached.
 func (m *flowCache) find(key flow.Key) *flowState {
 	if state := m.current[key]; state != nil {
 		return state
@@ -169,8 +167,8 @@
 	return state
 }
 
-// add returns the state of a flow that is not known yet. It is not remembered
-// when there are too many.
+// add returns a new state for a flow that is not cached. The state is not cached if there are too
+// many.
 func (m *flowCache) add(key flow.Key) *flowState {
 	state := &flowState{cached: len(m.current) < maxGenerationFlows}
 	if state.cached {
@@ -179,7 +177,7 @@
 	return state
 }
 
-// forget drops a flow.
+// forget removes a flow.
 func (m *flowCache) forget(key flow.Key, state *flowState, now time.Time) {
 	state.detach(now)
 	state.cached = false
@@ -187,8 +185,8 @@
 	delete(m.previous, key)
 }
 
-// rotate drops the older generation when the current one is old enough, and tells
-// whether it did.
+// rotate drops the previous generation once the current one is old enough, and reports whether it
+// did.
 func (m *flowCache) rotate(now time.Time) bool {
 	if now.Sub(m.rotatedAt) < generationTime {
 		return false
@@ -203,9 +201,9 @@
 	return true
 }
 
-// retainIdle keeps of a flow what is needed to reset it when its back end dies: its
-// next request would else be the one that finds out, and be lost where it must not
-// be repeated.
+// retainIdle keeps what is needed to reset a flow when its back end dies. Otherwise the flow's next
+// request would be the one to detect this, and would be lost, which is harmful where requests must
+// not be repeated.
 func (m *flowCache) retainIdle(key flow.Key, state *flowState) {
 	backend := state.tracker.backend
 	if backend == nil || m.idleTimeout == 0 || m.idleCount >= maxIdleFlows {
@@ -222,8 +220,8 @@
 	flows[key] = idleFlow{lastAck: state.tracker.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.tracker.passedAt}
 }
 
-// removeIdle forgets that a flow rests, and returns when its first request passed; zero where
-// it did not rest.
+// removeIdle removes a flow from the idle ones and returns when its first request passed, or the
+// zero time if it was not idle.
 func (m *flowCache) removeIdle(key flow.Key, backend incarnation.ID) time.Time {
 	flows := m.idle[backend]
 	removed, found := flows[key]
@@ -234,7 +232,7 @@
 	return removed.firstRequestAt
 }
 
-// takeIdle returns the flows of a back end that rest, and forgets them.
+// takeIdle removes and returns the idle flows of a back end.
 func (m *flowCache) takeIdle(backend incarnation.ID) []idleFlowKey {
 	flows := m.idle[backend]
 	delete(m.idle, backend)
@@ -246,7 +244,7 @@
 	return keys
 }
 
-// expireIdle drops the flows that have rested for longer than one may.
+// expireIdle drops the flows that have been idle for longer than idleTimeout.
 func (m *flowCache) expireIdle(now time.Time) {
 	for backend, flows := range m.idle {
 		for key, each := range flows {
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -13,44 +13,43 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// Flows is the memory of one traffic goroutine.
+// Flows holds the flows of one traffic goroutine and decides on their packets.
 type Flows struct {
 	disabled        mechanism.Set
 	flowCache       *flowCache
 	pendingOpenings []pendingOpening
-	// demands are what is asked of each pool in each zone.
+	// demands is the demand on each pool in each zone.
 	demands     map[demand.ZonePool]*poolZoneDemand
 	backoffs    map[incarnation.ID]*backoff
 	zoneMonitor *zoneMonitor
 	loads       map[incarnation.ID]*backendLoad
 	pools       map[string]*poolUse
-	// summarizedAt is when the last summary was made, comparedAt when answers were
-	// last compared.
+	// summarizedAt is when the last summary was made, comparedAt when responses were last compared.
 	summarizedAt, comparedAt time.Time
-	// warmupAllowance counts what goes to cold back ends.
+	// warmupAllowance limits the new flows to cold back ends.
 	warmupAllowance warmupLimiter
-	// refusals say which new flows are refused for want of room.
+	// refusals select the new flows that are refused because their pool is short of capacity.
 	refusals atomic.Pointer[admission.Refusals]
-	// saturated are the pools whose answers tell of their queues.
+	// saturated holds the pools whose response times depend on their queues.
 	saturated atomic.Pointer[map[string]bool]
-	// table is the latest one, and restarted are the starts whose earlier flows were given
-	// up.
+	// table is the latest one, and restarted are the starts of back ends whose earlier flows were
+	// abandoned.
 	table     *Table
 	restarted map[incarnation.ID]bool
-	// liveness judges back ends by the later packets of their flows.
+	// liveness detects failed back ends by the later packets of their flows.
 	liveness *FailureDetector
-	// Retried counts first packets that went to another back end.
+	// Retried counts first packets that were sent to another back end.
 	Retried atomic.Uint64
-	// Unanswered counts back ends that did not answer in time.
+	// Unanswered counts openings that a back end did not answer in time.
 	Unanswered atomic.Uint64
-	// OpenedByTime counts flows by how long they took to open.
+	// OpenedByTime counts opened flows by the time that they took to open.
 	OpenedByTime [aside.Steps]atomic.Uint64
-	// TokenOverrides counts packets sent to the back end that opened their flow although
-	// their token named another.
+	// TokenOverrides counts packets sent to the back end that opened their flow although their
+	// token named another one.
 	TokenOverrides atomic.Uint64
 }
 
-// NewFlows makes an empty memory, for decisions without the given mechanisms.
+// NewFlows returns an empty Flows that decides without the given mechanisms.
 func NewFlows(disabled mechanism.Set) *Flows {
 	flowCache, zoneMonitor := newFlowCache(), newZoneMonitor(disabled)
 	return &Flows{
@@ -64,44 +63,43 @@
 	}
 }
 
-// WithZone sets the zone of this balancer and returns the memory.
+// WithZone sets the zone of this balancer and returns f.
 func (f *Flows) WithZone(zone string) *Flows {
 	f.liveness.zone = zone
 	return f
 }
 
-// BackendFailures is how often a back end was judged dead.
+// BackendFailures returns how often a back end was detected as failed.
 func (f *Flows) BackendFailures() uint64 { return f.liveness.FailureCount.Load() }
 
-// TakeBackendFailures returns the back ends that were judged dead since the last call.
+// TakeBackendFailures returns the back ends that were detected as failed since the last call.
 func (f *Flows) TakeBackendFailures() []BackendFailure {
 	taken := f.liveness.failures
 	f.liveness.failures = nil
 	return taken
 }
 
-// SilentZoneCount is how often a zone was found silent.
+// SilentZoneCount returns how often a zone became silent.
 func (f *Flows) SilentZoneCount() uint64 { return f.zoneMonitor.silentCount.Load() }
 
-// TakeSilentZones returns the zones that were found silent since the last call.
+// TakeSilentZones returns the zones that became silent since the last call.
 func (f *Flows) TakeSilentZones() []SilentZone {
 	taken := f.zoneMonitor.silentZones
 	f.zoneMonitor.silentZones = nil
 	return taken
 }
 
-// TakeAbandonedFlows returns the flows whose back end was judged dead since the last
-// call, to be reset.
+// TakeAbandonedFlows returns the flows whose back end was detected as failed, or restarted, since
+// the last call. They are to be reset.
 func (f *Flows) TakeAbandonedFlows() []AbandonedFlow {
 	taken := f.liveness.abandoned
 	f.liveness.abandoned = nil
 	return taken
 }
 
-// ChooseForFirst returns the back end for the first packet of a flow, or a repetition
-// of it, or nil when the route has none. A repetition that comes before the
-// answer was due goes where the earlier one went, while that still takes new
-// flows.
+// ChooseForFirst returns the back end for the first packet of a flow, or for a retransmission of
+// it, or nil if the route has none. A retransmission that comes before the answer was due goes to
+// the same back end as the earlier packet, provided that this one still takes new flows.
 func (f *Flows) ChooseForFirst(route *Route, key flow.Key, now time.Time) *Backend {
 	f.rotate(now)
 	f.collectOverdue(now)
@@ -125,7 +123,7 @@
 	return chosen
 }
 
-// preference is how willingly a back end is sent the new flow of an opening.
+// preference returns how willingly a new flow is sent to a back end.
 func (f *Flows) preference(o *flowOpening, backend *Backend, now time.Time) Preference {
 	warmupPreference := f.warmupAllowance.preference(backend, now)
 	if warmupPreference == Forbidden {
@@ -144,7 +142,7 @@
 	return warmupPreference
 }
 
-// usage is how much of a back end the flows use that pass here.
+// usage returns how much of a back end the flows that pass here use.
 func (f *Flows) usage(backend *Backend) int {
 	load := f.loads[backend.Incarnation()]
 	if load == nil || f.disabled.Has(mechanism.LeastUsed) {
@@ -185,7 +183,7 @@
 	o.count++
 	o.sentAt = now
 	if backoff := f.backoffs[chosen.Incarnation()]; backoff != nil {
-		// It is tried by one flow, not by all that find it the least used.
+		// One flow probes the back end, instead of all those that find it the least used.
 		backoff.avoidUntil = now.Add(ResponseTimeout)
 	}
 	f.zoneMonitor.recordProbe(chosen.Zone, now)
@@ -195,8 +193,8 @@
 	}
 }
 
-// backendFor returns the back end for a later packet of a flow whose token names the given back
-// end. The state is nil where no earlier packet passed here.
+// backendFor returns the back end for a later packet of a flow whose token names tokenBackend. The
+// state is nil if no earlier packet passed here.
 func (f *Flows) backendFor(state *flowState, tokenBackend *Backend, now time.Time) *Backend {
 	if state == nil {
 		return tokenBackend
@@ -217,15 +215,15 @@
 	return o.openedBy
 }
 
-// countOpened counts a flow by how long it took to open. What took longer than an
-// answer may is counted as missed.
+// countOpened counts a flow by the time that it took to open. A flow that took longer than
+// ResponseTimeout is counted as unanswered instead.
 func (f *Flows) countOpened(took time.Duration) {
 	if took < ResponseTimeout {
 		f.OpenedByTime[aside.StepOf(took)].Add(1)
 	}
 }
 
-// collectOverdue counts the back ends whose answers are overdue.
+// collectOverdue records the back ends whose answers are overdue.
 func (f *Flows) collectOverdue(now time.Time) {
 	due := 0
 	for due < len(f.pendingOpenings) && now.Sub(f.pendingOpenings[due].sentAt) >= ResponseTimeout {
@@ -253,7 +251,7 @@
 	state.avoidUntil = now.Add(avoid)
 }
 
-// rotate drops what is too old.
+// rotate drops state that is too old.
 func (f *Flows) rotate(now time.Time) {
 	if !f.flowCache.rotate(now) {
 		return
--- a/internal/tokenroute/link.go
+++ b/internal/tokenroute/link.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// linkMonitor is what the requests that pass here tell of the balancer's own link. A back end that
-// is dead leaves every copy of a request unanswered; a link that loses packets leaves some,
-// and most requests are answered after a repetition. So the part of the answers that took a
-// repetition is about the part of the packets that gets lost here, and dead back ends, which
-// answer nothing, don't move it.
+// linkMonitor estimates the packet loss on the balancer's own link from the requests that pass
+// here. A dead back end leaves every copy of a request unanswered. A link that loses packets leaves
+// only some unanswered, and most requests are answered after a retransmission. The fraction of
+// responses that took a retransmission is therefore about the fraction of packets lost here, and
+// dead back ends, which answer nothing, do not change it.
 type linkMonitor struct {
 	buckets [linkBuckets]linkBucket
 }
 
 const (
-	// linkWindow is for how long answers count. A machine that sees one request a second,
-	// as where a thousand stand before ten thousand back ends, has some ten of them.
+	// linkWindow is how long responses count. A machine that sees one request a second, as in a
+	// fleet of a thousand balancers and ten thousand back ends, has about ten of them.
 	linkWindow     = 10 * time.Second
 	linkBuckets    = 50
 	linkBucketTime = linkWindow / linkBuckets
 )
 
-// linkBucket counts the answers within one linkBucketTime.
+// linkBucket counts the responses within one linkBucketTime.
 type linkBucket struct {
 	number                int64
 	prompt, retransmitted int
 }
 
-// countResponse counts an answer; recovered is set if it took a repetition.
+// countResponse counts a response. retransmitted is set if it took a retransmission.
 func (l *linkMonitor) countResponse(retransmitted bool, now time.Time) {
 	number := now.UnixNano() / int64(linkBucketTime)
 	slot := &l.buckets[number%linkBuckets]
@@ -42,7 +42,7 @@
 	}
 }
 
-// countSince counts the answers since a time, at most those of the window.
+// countSince counts the responses since a time, but no more than those within the window.
 func (l *linkMonitor) countSince(at, now time.Time) (prompt, retransmitted int) {
 	first := max(at.UnixNano(), now.Add(-linkWindow).UnixNano()) / int64(linkBucketTime)
 	last := now.UnixNano() / int64(linkBucketTime)
@@ -55,9 +55,10 @@
 	return prompt, retransmitted
 }
 
-// expectedLinkLoss is how many requests, of as many as are answered here in the window, the link alone
-// would leave unanswered through so many copies. The latest request was sent at a time; a
-// link that has turned bad since is known by the answers since.
+// expectedLinkLoss returns how many requests, out of as many as were answered here within the
+// window, would stay unanswered through the given number of copies because of packet loss on the
+// link alone. sentAt is when the latest request was sent; the responses since then show whether the
+// link has become worse.
 func (l *linkMonitor) expectedLinkLoss(copies int, sentAt, now time.Time) float64 {
 	expectedLinkLoss := expectedLost(copies)(l.countSince(now.Add(-linkWindow), now))
 	if prompt, retransmitted := l.countSince(sentAt, now); retransmitted > 0 {
@@ -66,9 +67,9 @@
 	return expectedLinkLoss
 }
 
-// expectedLost is how many of the requests that were answered promptly, or after a
-// repetition, are to be expected to lose so many copies each. The loss is taken for what one
-// answer more of each kind would show, so that few answers say little.
+// expectedLost returns how many of the requests that were answered promptly, or after a
+// retransmission, are expected to lose the given number of copies each. The loss is estimated with
+// one more response of each kind, so that few responses say little.
 func expectedLost(copies int) func(prompt, retransmitted int) float64 {
 	return func(prompt, retransmitted int) float64 {
 		answers := float64(prompt + retransmitted)
@@ -78,12 +79,13 @@
 }
 
 const (
-	// maxLinkLossForFailure is up to which doubt a balancer judges by what passed here: one request
-	// in 500 times as many as are answered in the window. Of 20 balancers behind links that lose 10
-	// to 70 in 100 packets none then reset a flow of a living back end in 8 s, where 188 were
-	// reset without (TestBalancersBehindCongestedLinksResetNoLiveFlows); the dead were known as soon.
+	// maxLinkLossForFailure is the expected link loss up to which a balancer declares a back end
+	// dead by what passed here: one request in 500 times as many as are answered within the window.
+	// With this limit, 20 balancers behind links that lose 10 to 70 of 100 packets reset no flows
+	// of live back ends in 8 s, compared to 188 without it
+	// (TestBalancersBehindCongestedLinksResetNoLiveFlows). Dead back ends were detected as early.
 	maxLinkLossForFailure = 0.002
-	// maxLinkLossForReport is up to which doubt others are told. They judge by two witnesses at
-	// least, and may know better.
+	// maxLinkLossForReport is the expected link loss up to which unanswered requests are reported
+	// to other balancers. They need at least two of them to detect a failure, and may know better.
 	maxLinkLossForReport = 0.3
 )
--- a/internal/tokenroute/opening.go
+++ b/internal/tokenroute/opening.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// The pace of a new flow.
+// Timeouts and limits for new flows.
 const (
-	// ResponseTimeout is the time within which a back end that is well has answered
-	// the first packet of a flow and the client has gone on. It stays below the
-	// first repetition by clients, 200 ms.
+	// ResponseTimeout is the time within which a healthy back end has answered the first packet of
+	// a flow and the client has continued. It is shorter than the time to the first retransmission
+	// by clients, 200 ms.
 	ResponseTimeout = 150 * time.Millisecond
-	// maxAttempts is how many back ends one new flow is offered to.
+	// maxAttempts is the number of back ends that one new flow is sent to.
 	maxAttempts = 3
-	// inFlightWeight is how many open flows count as much as one request that waits: what
-	// waits fills a slot or a queue now, an open flow may rest for long. With 1 the bursts
-	// of two short fleets were served 0.003 worse, alike on both.
+	// inFlightWeight is the number of open flows that count as much as one request in flight. A
+	// request in flight occupies a slot or a place in a queue now, while an open flow may stay idle
+	// for long. A weight of 1 lowered the fraction served in bursts by 0.003 in each of two small
+	// fleets.
 	inFlightWeight = 8
-	// The time for which a back end that did not answer is avoided doubles from
-	// the shortest to the longest.
+	// The time for which a back end that did not answer is avoided doubles from minAvoidTime to
+	// maxAvoidTime.
 	minAvoidTime = time.Second
 	maxAvoidTime = 8 * time.Second
 )
 
-// flowOpening is a flow whose first packet passed here.
+// flowOpening is the opening of a flow whose first packet passed here.
 type flowOpening struct {
 	attempts [maxAttempts]*Backend
 	count    int
-	// sentAt is when the first packet last went to a back end.
+	// sentAt is when the first packet was last sent to a back end.
 	sentAt time.Time
-	// openedBy is the back end whose answer the client went on with.
+	// openedBy is the back end whose answer the client accepted.
 	openedBy *Backend
 }
 
@@ -41,14 +42,15 @@
 	return false
 }
 
-// pendingOpening is an opening in the order in which answers fall due.
+// pendingOpening is an attempt to open a flow. Attempts are queued in the order in which their
+// answers are due.
 type pendingOpening struct {
 	opening *flowOpening
 	backend *Backend
 	sentAt  time.Time
 }
 
-// backoff counts how a back end failed to answer. It ends with the first answer.
+// backoff counts the openings that a back end did not answer. It is removed with the first answer.
 type backoff struct {
 	misses     int
 	avoidUntil time.Time
--- a/internal/tokenroute/refusal.go
+++ b/internal/tokenroute/refusal.go
@@ -4,16 +4,16 @@
 	"github.com/indigobarrow/indigobarrow/internal/admission"
 )
 
-// SetRefusals takes the levels by which new flows are refused for want of room; nil refuses
-// nobody. It may be called by any goroutine.
+// SetRefusals sets the refusals of new flows to pools that are short of capacity; nil refuses none.
+// It may be called by any goroutine.
 func (f *Flows) SetRefusals(refusals *admission.Refusals) { f.refusals.Store(refusals) }
 
-// Refusals are those in force.
+// Refusals returns the refusals in force.
 func (f *Flows) Refusals() *admission.Refusals { return f.refusals.Load() }
 
-// refusalFor returns the level by which the first packet of a flow is refused, or nil.
-// A copy passes: an earlier one may have been forwarded here or by another balancer, and
-// to refuse it would be to say of a flow that may have opened that it was not.
+// refusalFor returns the refusal that applies to the first packet of a flow, or nil. A
+// retransmission is never refused: this or another balancer may have forwarded an earlier copy, and
+// a refusal would tell the client that a flow was not opened that may have been.
 func (f *Flows) refusalFor(route *Route, packet Packet) *admission.Refusal {
 	refusals := f.refusals.Load()
 	if refusals == nil || packet.Retransmission {
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -11,15 +11,14 @@
 const (
 	// summaryInterval is the time between two summaries.
 	summaryInterval = 250 * time.Millisecond
-	// comparisonInterval is the time between two comparisons of answers.
+	// comparisonInterval is the time between two comparisons of responses.
 	comparisonInterval = time.Second
-	// responseDecay is the part of what is known of answers that is kept from one
-	// comparison to the next: half of it lasts 6.6 seconds.
+	// responseDecay is the factor by which the counts of responses are multiplied at each
+	// comparison. Their half-life is 6.6 seconds.
 	responseDecay = 0.9
 )
 
-// Summarize returns what was observed since the last summary, or nil while
-// another one is not due.
+// Summarize returns what was observed since the last summary, or nil while the next one is not due.
 func (f *Flows) Summarize(now time.Time) *observe.Summary {
 	if now.Sub(f.summarizedAt) < summaryInterval {
 		return nil
@@ -49,14 +48,14 @@
 	return summary
 }
 
-// responseGroup is what back ends of a pool are asked alike: the address.
+// responseGroup identifies responses that can be compared: those of the back ends of one pool for
+// one address.
 type responseGroup struct {
 	pool    *poolUse
 	address flow.Address
 }
 
-// compareResponses compares the answers of the back ends of each pool to each
-// address.
+// compareResponses compares the responses of the back ends of each pool for each address.
 func (f *Flows) compareResponses() {
 	groups := make(map[responseGroup][]*backendLoad, len(f.pools))
 	for _, load := range f.loads {
@@ -75,8 +74,8 @@
 	}
 }
 
-// compareGroup compares the answers of the back ends of a pool to one address. While the pool is
-// saturated, only those count that had settled before.
+// compareGroup compares the responses of the back ends of a pool for one address. While the pool is
+// saturated, only responses from before the last comparison are used.
 func (f *Flows) compareGroup(group responseGroup, loads []*backendLoad) {
 	saturated := f.isSaturated(group.pool.name)
 	tallies := make([]*observe.ResponseCounts, len(loads))
@@ -93,9 +92,9 @@
 	}
 }
 
-// SetSaturatedPools takes the pools that have no free slot. Requests wait in queues there, the longer
-// the busier their back end is, and what is shed is answered at once: neither tells which back
-// end is unwell. It may be called by any goroutine.
+// SetSaturatedPools sets the pools that have no free slot. Requests to them wait in queues, the
+// longer the busier their back end is, and requests that are shed are answered at once. Neither
+// shows which back end is unhealthy. It may be called by any goroutine.
 func (f *Flows) SetSaturatedPools(pools map[string]bool) { f.saturated.Store(&pools) }
 
 func (f *Flows) isSaturated(pool string) bool {
--- a/internal/tokenroute/tracker.go
+++ b/internal/tokenroute/tracker.go
@@ -6,29 +6,29 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// clientAddress is the address of a client.
+// clientAddress is the IPv4 address of a client.
 type clientAddress [4]byte
 
-// requestTracker is the oldest unanswered packet with data of one flow, as far as it
-// passed here.
+// requestTracker tracks the oldest unanswered data packet of a flow, as far as it passed here.
 type requestTracker struct {
 	// backend is nil until a packet with data has passed.
 	backend                *Backend
 	sequence, acknowledged uint32
-	// lastAck is what the client acknowledged last: a reset has to stand near it.
+	// lastAck is the client's latest acknowledgement. The sequence number of a reset has to be near
+	// it.
 	lastAck uint32
-	// passedAt is when a packet of the flow last passed, sentAt when the
-	// request did first, and retransmittedAt when its last counted copy did.
+	// passedAt is when a packet of the flow last passed, sentAt when the request first passed, and
+	// retransmittedAt when its last counted retransmission did.
 	passedAt, sentAt, retransmittedAt time.Time
 	retransmissions                   int
-	// ackCounted is set once the first acknowledgement of the answer was counted.
+	// ackCounted is set once the first acknowledgement of the response was counted.
 	ackCounted bool
-	// responseCounted is set once the answer was counted for the link.
+	// responseCounted is set once the response was counted for the link.
 	responseCounted bool
 }
 
-// countResponseLength counts the length of the answer to the last request of a flow, once
-// the client has acknowledged the last of it.
+// countResponseLength counts the length of the response to the last request of a flow, once the
+// client has acknowledged all of it.
 func (s *flowState) countResponseLength(address flow.Address, acknowledged uint32) {
 	request := &s.tracker
 	if s.load == nil || request.backend == nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// maxResponseLength tells an answer, in bytes, from an acknowledgement that is older
-// than the one before.
+// maxResponseLength, in bytes, distinguishes a response from an acknowledgement that is older than
+// the one before.
 const maxResponseLength = 1 << 30
 
 // AbandonedFlow is a flow whose back end no longer holds it.
@@ -49,6 +49,6 @@
 	Backend *Backend
 	// Reason is ReasonDeadBackend or ReasonRestarted.
 	Reason Reason
-	// Acknowledged is what the client acknowledged last.
+	// Acknowledged is the client's latest acknowledgement.
 	Acknowledged uint32
 }
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -10,48 +10,52 @@
 )
 
 const (
-	// silentZoneMisses is how many back ends of a zone must have left something unanswered,
-	// with nothing sent since answered by any of the zone, for the zone to count as
-	// silent.
+	// silentZoneMisses is the number of back ends of a zone that must have left something
+	// unanswered for the zone to count as silent, with nothing sent since being answered by any
+	// back end of the zone.
 	silentZoneMisses = 3
-	// zoneAvoidTime is for how long new flows avoid a silent zone until one tries it again.
+	// zoneAvoidTime is how long new flows avoid a silent zone until one of them probes it.
 	zoneAvoidTime = time.Second
-	// zoneMissAge is how long something unanswered speaks against its zone.
+	// zoneMissAge is how long an unanswered packet counts against its zone.
 	zoneMissAge = 4 * time.Second
-	// zoneLogInterval is how often the log is told of a zone: one that loses some packets goes
-	// back and forth, 25 times in 120 s at few flows a second.
+	// zoneLogInterval is the minimum time between two log messages about a zone. A zone that loses
+	// some packets alternates between the states, 25 times in 120 s at a few flows a second.
 	zoneLogInterval = 10 * time.Second
 )
 
-// zoneMonitor tells zones out of reach from here by what their back ends leave unanswered:
-// first packets, and requests that are repeated. It decides only where new flows go: a
-// zone behind a cut and a zone that died look the same from here. What it costs when it is
-// wrong is load: the other zones get the new flows of a zone that lives, for a second at a
-// time. A balancer whose own link is full finds all zones silent; within a silent zone
-// those that answered nothing themselves come last (Distrusted), so that the living are
-// found as if no zone were.
-// Each back end for itself is avoided after one flow was lost to it (Flows), and a cut
-// zone has a hundred of them.
+// zoneMonitor detects zones that can't be reached from here by what their back ends leave
+// unanswered: first packets, and requests that are retransmitted. It only decides where new flows
+// go, since a zone behind a network partition and a zone that has failed look the same from here. A
+// wrong decision costs load: the other zones get the new flows of a live zone, for a second at a
+// time.
+//
+// A balancer whose own link is congested finds all zones silent. Within a silent zone the back ends
+// that have not answered themselves come last (Suspected), so that live ones are found as if no
+// zone were silent.
+//
+// Without zoneMonitor, each back end is avoided only after one flow was lost to it (Flows), and a
+// partitioned zone has a hundred of them.
 type zoneMonitor struct {
 	disabled mechanism.Set
 	zones    map[string]*zoneState
-	// lastAvoidUntil is when the last zone is avoided. A new flow asks for each back end.
+	// lastAvoidUntil is until when any zone is avoided. It saves the lookup that a new flow would
+	// do for each back end.
 	lastAvoidUntil time.Time
 	silentZones    []SilentZone
-	// silentCount counts how often a zone was found silent.
+	// silentCount counts how often a zone became silent.
 	silentCount atomic.Uint64
 }
 
-// zoneState is what a zone left unanswered.
+// zoneState is what a zone has left unanswered.
 type zoneState struct {
-	// respondedAt is when the latest packet was sent that a back end of the zone
-	// answered without a repetition.
+	// respondedAt is when the latest packet was sent that a back end of the zone answered without a
+	// retransmission.
 	respondedAt time.Time
-	// misses are different back ends, the earliest first, each with the latest packet
-	// that it left unanswered.
+	// misses are of different back ends, the earliest first, each with the latest packet that the
+	// back end left unanswered.
 	misses     []zoneMiss
 	avoidUntil time.Time
-	// loggedAt is when the log was last told, and untold how often it was found silent since.
+	// loggedAt is when the zone was last logged, and unlogged how often it became silent since.
 	loggedAt time.Time
 	unlogged int
 }
@@ -61,12 +65,12 @@
 	sentAt  time.Time
 }
 
-// SilentZone is a zone that new flows avoid from now on, for the log.
+// SilentZone is a zone that new flows avoid from now on, for logging.
 type SilentZone struct {
 	Zone string
-	// Since is when the first packet was sent that was left unanswered.
+	// Since is when the first unanswered packet was sent.
 	Since time.Time
-	// Times is how often it was found silent since it was last told.
+	// Times is how often the zone became silent since it was last logged.
 	Times int
 }
 
@@ -83,7 +87,7 @@
 	return state
 }
 
-// recordResponse takes that a back end answered at once what was sent at a time.
+// recordResponse records that a back end answered what was sent at a time without a retransmission.
 func (z *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
 	state := z.stateOf(backend.Zone)
 	if !sentAt.After(state.respondedAt) {
@@ -93,7 +97,7 @@
 	state.dropMisses(sentAt)
 }
 
-// recordOverdue takes that a back end left unanswered what was sent at a time.
+// recordMiss records that a back end left unanswered what was sent at a time.
 func (z *zoneMonitor) recordMiss(backend *Backend, sentAt, now time.Time) {
 	if z.disabled.Has(mechanism.SilentZones) {
 		return
@@ -116,7 +120,7 @@
 	}
 }
 
-// report lets the log know that a zone was found silent, now and then.
+// report adds a silent zone to those to be logged, unless it was logged within zoneLogInterval.
 func (z *zoneMonitor) report(zone string, state *zoneState, now time.Time) {
 	state.unlogged++
 	if !state.loggedAt.IsZero() && now.Sub(state.loggedAt) < zoneLogInterval {
@@ -126,7 +130,7 @@
 	state.loggedAt, state.unlogged = now, 0
 }
 
-// avoids tells whether new flows avoid a zone.
+// avoids reports whether new flows avoid a zone.
 func (z *zoneMonitor) avoids(zone string, now time.Time) bool {
 	if !now.Before(z.lastAvoidUntil) {
 		return false
@@ -135,8 +139,8 @@
 	return state != nil && state.isSilent() && now.Before(state.avoidUntil)
 }
 
-// recordProbe takes that a new flow goes to a zone: where it was silent, the flow tries it
-// for the others.
+// recordProbe records that a new flow is sent to a zone. If the zone is silent, this flow probes it
+// and others keep avoiding it meanwhile.
 func (z *zoneMonitor) recordProbe(zone string, now time.Time) {
 	if state := z.zones[zone]; state != nil && state.isSilent() && !now.Before(state.avoidUntil) {
 		state.avoidUntil = now.Add(ResponseTimeout)
@@ -146,7 +150,7 @@
 
 func (s *zoneState) isSilent() bool { return len(s.misses) >= silentZoneMisses }
 
-// addMiss notes a miss; of a back end only the latest one counts.
+// addMiss adds a miss; only the latest one of each back end counts.
 func (s *zoneState) addMiss(miss zoneMiss) {
 	s.misses = slices.DeleteFunc(s.misses, func(each zoneMiss) bool { return each.backend == miss.backend })
 	s.misses = append(s.misses, miss)
@@ -155,7 +159,7 @@
 	}
 }
 
-// dropMisses drops the misses of what was sent up to a time.
+// dropMisses removes the misses of packets that were sent up to a time.
 func (s *zoneState) dropMisses(until time.Time) {
 	s.misses = slices.DeleteFunc(s.misses, func(each zoneMiss) bool { return !each.sentAt.After(until) })
 }
