--- a/internal/directory/backendindex_test.go
+++ b/internal/directory/backendindex_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever changes, between any two looks, the list is what the entries say.
+// The index must match the entries whatever changes between two uses of it.
 func TestBackendIndexMatchesEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir := New(5 * time.Second)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -44,24 +44,23 @@
 	require.Len(t, found, 1)
 	require.True(t, found[0].Gone)
 	require.Equal(t, "lending", found[0].GetPool())
-	require.True(t, dir.Apply(batch(6, false, backendChange(6, "i-1", false, false)), start), "it came back")
+	require.True(t, dir.Apply(batch(6, false, backendChange(6, "i-1", false, false)), start), "the entry is written again")
 	require.False(t, dir.Backends()[0].Gone)
 }
 
-// An old answer that arrives late does not bring back an entry of whose removal
-// this directory has no tombstone.
+// A stale batch that arrives late must not restore an entry whose removal left no tombstone here.
 func TestStaleBatchesRestoreNothing(t *testing.T) {
 	dir := New(time.Minute)
 	dir.Apply(batch(3, true), start)
 	dir.Apply(batch(2, true, backendChange(1, "i-1", false, false)), start)
 	found := dir.Backends()
-	require.Len(t, found, 1, "what it held is kept for its open flows (soak seeds 1001 and 1002)")
+	require.Len(t, found, 1, "the content is kept for open flows (soak seeds 1001 and 1002)")
 	require.True(t, found[0].Gone)
 	require.True(t, found[0].RemovalSeenAt.IsZero())
 	require.Equal(t, uint32(1), found[0].GetAddress())
 }
 
-// A directory that never saw an entry still tells one that did of its removal.
+// A directory that never saw an entry still passes its removal on to one that did.
 func TestUnseenRemovalIsPropagated(t *testing.T) {
 	unaware, saw := New(time.Minute), New(time.Minute)
 	unaware.Apply(batch(1, true), start)
@@ -88,16 +87,16 @@
 		{Revision: 9, Unreadable: true, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{}}},
 	}
 	require.True(t, dir.Apply(batch(9, true, unreadable...), start))
-	require.Len(t, dir.Backends(), 1, "one that was never readable is none")
+	require.Len(t, dir.Backends(), 1, "an entry that was never readable is not listed")
 	require.False(t, dir.Backends()[0].Gone)
-	require.True(t, dir.Backends()[0].GetDraining(), "it gets no new flows")
-	require.Equal(t, uint32(1), dir.Backends()[0].GetAddress(), "open flows still find it")
+	require.True(t, dir.Backends()[0].GetDraining(), "an unreadable back end gets no new flows")
+	require.Equal(t, uint32(1), dir.Backends()[0].GetAddress(), "open flows still reach it")
 	require.Equal(t, uint64(1), dir.Routes().GetVersion())
 	follower := New(time.Minute)
 	follower.Apply(dir.Since(0), start)
 	require.True(t, follower.Backends()[0].GetDraining())
 	require.True(t, dir.Apply(batch(11, false, backendChange(11, "i-1", false, false)), start))
-	require.False(t, dir.Backends()[0].GetDraining(), "it has written anew")
+	require.False(t, dir.Backends()[0].GetDraining(), "the entry is readable again")
 }
 
 func TestRewrittenContentIsNoChange(t *testing.T) {
@@ -106,8 +105,8 @@
 	require.False(t, dir.Apply(batch(8, true, backendChange(7, "i-1", false, false)), start))
 }
 
-// Back ends write their entries about every second. Followers are told of what
-// changed, not of that: at 140,000 back ends it would be 8 MB at each read.
+// Back ends rewrite their entries about every second. Followers are sent changes of content only:
+// sending every rewrite would take 8 MB per read with 140,000 back ends.
 func TestHeartbeatsAreNotReported(t *testing.T) {
 	dir := New(time.Minute)
 	dir.Apply(batch(3, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
@@ -117,12 +116,12 @@
 	require.Len(t, reported.GetChanges(), 1)
 	require.Equal(t, "i-2", reported.GetChanges()[0].GetBackend().GetId())
 	require.Equal(t, uint64(8), reported.GetRevision())
-	require.Len(t, dir.Since(2).GetChanges(), 2, "who knows less gets the content")
-	require.True(t, dir.Since(5).GetComplete(), "who saw something in between gets everything")
+	require.Len(t, dir.Since(2).GetChanges(), 2, "a follower that knows less gets the content")
+	require.True(t, dir.Since(5).GetComplete(), "a follower that saw something in between gets a complete batch")
 }
 
-// A balancer that missed a change and its reversal still tells one that saw
-// the change of the reversal. The seed that found this is in the commit.
+// A balancer that missed a change and its reversal must still pass the reversal on to one that saw
+// the change.
 func TestMissedReversalIsPropagated(t *testing.T) {
 	missed, saw := New(time.Minute), New(time.Minute)
 	missed.Apply(batch(1, true, backendChange(1, "i-1", false, false)), start)
@@ -138,7 +137,7 @@
 	dir.Apply(batch(5, false, backendChange(5, "i-1", false, true)), start)
 	require.False(t, dir.Since(3).GetComplete())
 	require.True(t, dir.Expire(start.Add(time.Second)))
-	require.True(t, dir.Since(3).GetComplete(), "the asker may not know of the removal")
+	require.True(t, dir.Since(3).GetComplete(), "the requester may not know of the removal")
 	asker := New(time.Minute)
 	asker.Apply(batch(4, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
 	asker.Apply(dir.Since(4), start)
@@ -146,7 +145,7 @@
 	require.False(t, asker.Backends()[1].Gone)
 }
 
-// fakeStore is a store in which changes happen, for the property test.
+// fakeStore is a store with a history of changes, for property tests.
 type fakeStore struct {
 	revision uint64
 	entries  map[string]*apiv1.DirectoryChange
@@ -182,9 +181,9 @@
 	return result
 }
 
-// Several directories learn from the store and from each other, in any order
-// and with old answers arriving late. None ever goes back, and all that reach
-// the store's revision hold what the store holds.
+// Several directories learn from the store and from each other in any order, with stale batches
+// arriving late. None ever goes back, and all that reach the store's revision have the store's
+// content.
 func TestDirectoriesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
@@ -233,8 +232,8 @@
 	require.Equal(t, want, held)
 }
 
-// Who has read the store asks a peer for what the store does not have, and not
-// for everything again.
+// A balancer that has read the store asks a peer only for what the store does not hold, and must
+// not be sent everything again.
 func TestSinceWithTombstones(t *testing.T) {
 	dir := New(time.Minute)
 	dir.Apply(batch(3, true, backendChange(1, "i-1", false, false), backendChange(2, "i-2", false, false),
@@ -242,14 +241,14 @@
 	dir.Apply(batch(4, false, backendChange(4, "i-1", false, true)), start)
 	dir.Apply(batch(5, false, backendChange(5, "i-4", false, false)), start)
 	require.Len(t, dir.Since(4).GetChanges(), 1)
-	require.Len(t, dir.SinceWithTombstones(4).GetChanges(), 2, "the tombstone too")
-	require.Len(t, dir.SinceWithTombstones(3).GetChanges(), 2, "the tombstone once")
+	require.Len(t, dir.SinceWithTombstones(4).GetChanges(), 2, "the change and the tombstone")
+	require.Len(t, dir.SinceWithTombstones(3).GetChanges(), 2, "the tombstone is listed once")
 	require.Len(t, dir.SinceWithTombstones(0).GetChanges(), 4)
 }
 
-// A balancer starts and reads the store just after a back end has gone. A peer that
-// has read it before still takes the back end for living, and is the only one that
-// can tell its open flows' address (soak seed 2002).
+// A balancer starts and reads the store just after a back end was removed. A peer that read the
+// store earlier still considers the back end live, and is the only one that can tell the address
+// for its open flows (soak seed 2002).
 func TestPeerBehindSendsSnapshot(t *testing.T) {
 	peer, started := New(time.Minute), New(time.Minute)
 	peer.Apply(batch(3, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
@@ -275,14 +274,14 @@
 	require.NotZero(t, first)
 	require.Equal(t, uint64(1), dir.RevisionOf(key))
 	dir.Apply(batch(2, false, backendChange(2, "i-1", false, false)), start)
-	require.Equal(t, first, dir.BalancerChanges(), "back ends are not balancers")
+	require.Equal(t, first, dir.BalancerChanges(), "changes of back ends are not counted")
 	dir.Apply(entry(3, true), start)
 	require.Greater(t, dir.BalancerChanges(), first)
 	require.Zero(t, dir.RevisionOf(key))
 }
 
-// Each tombstone ends in its time, whatever is made, removed and made again
-// between the looks.
+// Each tombstone expires on time, whatever is created, removed and created again between two calls
+// of Expire.
 func TestTombstonesExpireOnTime(t *testing.T) {
 	const retention = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/directory/evacuations_test.go
+++ b/internal/directory/evacuations_test.go
@@ -19,7 +19,7 @@
 	return &apiv1.DirectoryBatch{OrdersRevision: revision, Changes: changes}
 }
 
-// activeZones are the zones that a directory takes for evacuated.
+// activeZones returns the zones that are evacuated according to a directory.
 func activeZones(dir *Directory) []string {
 	var zones []string
 	for _, order := range dir.Evacuations() {
@@ -38,10 +38,10 @@
 	require.Empty(t, activeZones(dir))
 	require.Equal(t, start.Add(time.Second), dir.Evacuations()[0].RevokedAt)
 	dir.Apply(batch(6, false, evacuationChange(4, "maadi", false)), start)
-	require.Empty(t, activeZones(dir), "the order arrives again, late")
+	require.Empty(t, activeZones(dir), "the order arrives again after its revocation")
 	dir.Apply(batch(9, false, evacuationChange(9, "maadi", false)), start)
 	dir.Apply(batch(8, false, evacuationChange(7, "maadi", true)), start)
-	require.Equal(t, []string{"maadi"}, activeZones(dir), "the end of the first order arrives after the second order")
+	require.Equal(t, []string{"maadi"}, activeZones(dir), "the revocation of the first order arrives after the second order")
 }
 
 func TestEvacuationMissingFromSnapshotIsRevoked(t *testing.T) {
@@ -49,27 +49,27 @@
 	dir.Apply(batch(5, true, evacuationChange(4, "maadi", false), evacuationChange(3, "giza", false)), start)
 	dir.Apply(batch(10, false, evacuationChange(10, "giza", false)), start)
 	dir.Apply(batch(9, true), start)
-	require.Equal(t, []string{"giza"}, activeZones(dir), "the order for giza is newer than what was read")
+	require.Equal(t, []string{"giza"}, activeZones(dir), "the order for giza is newer than the snapshot")
 }
 
-// A read of the orders alone that shows others than are known tells that a change
-// was missed, unless it is older than what is known.
+// A read of only the operators' entries that shows other orders than are known means that a change
+// was missed, unless the read is older than what is known.
 func TestContradictingEvacuations(t *testing.T) {
 	dir := New(time.Minute)
 	dir.Apply(batch(5, true, evacuationChange(4, "maadi", false), evacuationChange(2, "giza", false)), start)
 	dir.Apply(batch(6, false, evacuationChange(6, "giza", true)), start)
 	maadi := evacuationChange(4, "maadi", false)
 	require.False(t, dir.Contradicts(evacuationBatch(9, routesChange(8), maadi)))
-	require.True(t, dir.Contradicts(evacuationBatch(9)), "taken back")
-	require.True(t, dir.Contradicts(evacuationBatch(9, maadi, evacuationChange(9, "nasr", false))), "a new one")
-	require.True(t, dir.Contradicts(evacuationBatch(9, maadi, evacuationChange(9, "giza", false))), "given again")
-	require.True(t, dir.Contradicts(evacuationBatch(9, evacuationChange(8, "maadi", false))), "taken back and given again")
+	require.True(t, dir.Contradicts(evacuationBatch(9)), "the order was revoked")
+	require.True(t, dir.Contradicts(evacuationBatch(9, maadi, evacuationChange(9, "nasr", false))), "a new order")
+	require.True(t, dir.Contradicts(evacuationBatch(9, maadi, evacuationChange(9, "giza", false))), "the order was given again")
+	require.True(t, dir.Contradicts(evacuationBatch(9, evacuationChange(8, "maadi", false))), "the order was revoked and given again")
 	require.False(t, dir.Contradicts(evacuationBatch(5, maadi, evacuationChange(2, "giza", false))), "older than what is known")
 	require.False(t, dir.Contradicts(nil))
 }
 
-// Peers that learn in any order, some from the store and some from each other, end
-// with what the operator ordered last.
+// Peers that learn in any order, some from the store and some from each other, end with the
+// operator's last order.
 func TestPeersConvergeOnEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := []*Directory{New(time.Minute), New(time.Minute), New(time.Minute)}
--- a/internal/directory/size_test.go
+++ b/internal/directory/size_test.go
@@ -11,8 +11,8 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// sizes are the numbers of back ends for which costs are measured; the largest
-// is that of two years.
+// sizes are the numbers of back ends that costs are measured for. The largest is that of two years
+// of operation.
 var sizes = []int{1_000, 10_000, 140_000}
 
 func manyBackends(count int) *apiv1.DirectoryBatch {
@@ -28,7 +28,7 @@
 	return snapshot
 }
 
-// BenchmarkSnapshot is the cost of merging everything, and its bytes and memory.
+// BenchmarkSnapshot measures merging all entries, and their size in bytes and memory.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkOneChange is the cost of merging one change and of telling it.
+// BenchmarkOneChange measures merging one change and passing it on.
 func BenchmarkOneChange(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -53,7 +53,7 @@
 				dir.Apply(batch(revision, false, backendChange(revision, "i-0000000000", revision%2 == 0, false)), start)
 				reported := dir.Since(revision - 1)
 				if len(reported.GetChanges()) != 1 {
-					b.Fatal("one change is told")
+					b.Fatal("want one change")
 				}
 			}
 			b.ReportMetric(float64(proto.Size(dir.Since(revision-1))), "bytes")
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkMemory is the memory of a directory.
+// BenchmarkMemory measures the memory of a directory.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkExpire is the cost of a look for tombstones to drop, which comes with
-// each event, while there is one.
+// BenchmarkExpire measures a call of Expire, which comes with each event, while there is one
+// tombstone.
 func BenchmarkExpire(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// BenchmarkExpireOneTombstone is the cost of a tombstone that has had its time: 0.36 ms beside 10,000
-// back ends while all entries were looked at, 2.3 us since only tombstones are.
+// BenchmarkExpireOneTombstone measures the expiry of one tombstone. With 10,000 back ends it took
+// 0.36 ms when all entries were examined, and takes 2.3 us when only tombstones are.
 func BenchmarkExpireOneTombstone(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -110,7 +110,7 @@
 				revision++
 				dir.Apply(batch(revision, false, backendChange(revision, "j-1", false, true)), now)
 				if !dir.Expire(now.Add(time.Minute)) {
-					b.Fatal("it has had its time")
+					b.Fatal("tombstone did not expire")
 				}
 			}
 		})
--- a/internal/directory/starts_test.go
+++ b/internal/directory/starts_test.go
@@ -12,7 +12,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// startChange is an entry of one start of a back end, whose address tells the start.
+// startChange returns an entry of one start of a back end, with the start as its address.
 func startChange(revision uint64, id string, start uint64) *apiv1.DirectoryChange {
 	change := backendChange(revision, id, false, false)
 	change.GetBackend().Address = uint32(start)
@@ -39,11 +39,11 @@
 	require.Len(t, dir.Since(1).GetChanges(), 1)
 	fresh := New(time.Minute)
 	fresh.Apply(dir.Since(0), start)
-	require.False(t, fresh.Backends()[0].Restarted, "who knows one start only knows no flows of another")
+	require.False(t, fresh.Backends()[0].Restarted, "a directory that knows only one start has no flows of another")
 }
 
-// A call to the store that got no answer may be done seconds later: the entry of a start
-// that has ended then stands over that of its successor, with a higher revision.
+// A store call that timed out may take effect seconds later. The entry of a start that has ended
+// then replaces that of the later start, with a higher revision.
 func TestLateWriteOfEarlierStartIsIgnored(t *testing.T) {
 	dir := New(time.Minute)
 	dir.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
@@ -51,7 +51,7 @@
 	require.False(t, dir.Apply(batch(3, false, startChange(3, "i-1", 5)), start.Add(2*time.Second)))
 	require.Equal(t, uint32(9), dir.Backends()[0].GetAddress())
 	require.True(t, dir.Apply(batch(4, false, startChange(4, "i-1", 9)), start.Add(3*time.Second)),
-		"who has read the late write hears of the living start again")
+		"a follower that read the late write is sent the live start again")
 	require.Len(t, dir.Since(3).GetChanges(), 1)
 }
 
@@ -68,12 +68,12 @@
 	gone := New(time.Minute)
 	gone.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
 	gone.Apply(batch(2, false, backendChange(2, "i-1", false, true)), start)
-	require.True(t, gone.Apply(batch(3, false, startChange(3, "i-1", 5)), start), "nothing lives that it could be earlier than")
+	require.True(t, gone.Apply(batch(3, false, startChange(3, "i-1", 5)), start), "no later start is live")
 }
 
-// Back ends start again under their ids, and writes of starts that have ended come late.
-// Directories learn from the store and from each other, in any order. Once each living start
-// has written once more and all have read, all hold the living starts.
+// Back ends restart under the same ids, and writes of starts that have ended arrive late.
+// Directories learn from the store and from each other in any order. Once each live start has
+// written once more and all directories have read that, all of them hold the live starts.
 func TestDirectoriesConvergeOnLiveStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
--- a/internal/tokenroute/congestedlinks_test.go
+++ b/internal/tokenroute/congestedlinks_test.go
@@ -10,17 +10,18 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// congestedFleet are judges a part of which stand behind links that are full: what they forward is
-// late or lost, and so are their messages. All back ends live.
+// congestedFleet is a simulated fleet in which a fraction of the balancers is behind congested
+// links: what they forward is late or lost, and so are their messages. All back ends are live.
 type congestedFleet struct {
 	*simulation
-	// congestedEvery is that one balancer in so many is behind a full link, from congestedFrom on.
+	// One balancer in congestedEvery is behind a congested link, from congestedFrom on.
 	congestedEvery, congestedFrom int
-	// loss is the part of the packets that is lost there, and delay what the others wait, in
+	// loss is the fraction of packets lost there, and delay the maximum delay of the others, in
 	// milliseconds.
 	loss  float64
 	delay int
-	// resets counts the flows reset by balancers behind full links, and by the others.
+	// congestedResets counts the flows reset by balancers behind congested links, and otherResets
+	// those reset by the others.
 	congestedResets, otherResets int
 }
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// stepFlow moves a flow on: f.nextAt is when its client sends next, f.answeredAt when the answer
-// comes.
+// stepFlow advances a flow. f.nextAt is when its client sends next, and f.answeredAt when the
+// answer arrives.
 func (l *congestedFleet) stepFlow(f *simulatedFlow, now int) {
 	node := &l.balancers[f.balancer]
 	switch {
@@ -112,7 +113,8 @@
 	}
 }
 
-// tombstoneTable has back ends whose entries have all gone; they serve on.
+// tombstoneTable returns a table of back ends whose entries have all been removed although they
+// still serve.
 func tombstoneTable(backends int) *Table {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	changes[0].GetRoutes().IdleMilliseconds = 15_000
@@ -122,10 +124,11 @@
 	return NewTable(newDirectory(changes...), defaultOptions())
 }
 
-// A third of the balancers stand behind links that lose a part of the packets and hold up the
-// others, while every back end lives; the entries of some have gone though they serve on, as
-// planned work may have it, and then no disruption excuses a reset. Without a judgement of the
-// own link 30 to 190 flows of living back ends were reset in 8 s where entries had gone.
+// A third of the balancers is behind links that lose a fraction of the packets and delay the
+// others, while every back end is live. In some cases the entries of the back ends have been
+// removed although they still serve, as planned work may do; then no disruption excuses a reset.
+// Without an estimate of the loss on the own link, 30 to 190 flows of live back ends were reset in
+// 8 s in those cases.
 func TestBalancersBehindCongestedLinksResetNoLiveFlows(t *testing.T) {
 	const balancers, backends = 60, 90
 	for _, gone := range []bool{false, true} {
@@ -135,16 +138,16 @@
 					t.Parallel()
 					fleet := newCongestedFleet(balancers, backends, busyFlows, gone, loss, responseDelay)
 					fleet.run(12_000)
-					require.Zero(t, fleet.congestedResets, "by balancers behind full links")
-					require.Zero(t, fleet.otherResets, "by the others")
+					require.Zero(t, fleet.congestedResets, "flows reset by balancers behind congested links")
+					require.Zero(t, fleet.otherResets, "flows reset by the other balancers")
 				})
 			}
 		}
 	}
 }
 
-// Where a back end has few flows, none else may know that it lives. What balancers behind
-// full links think then must not reach the others.
+// Where a back end has few flows, no other balancer may know that it is live. What balancers behind
+// congested links conclude must then not reach the others.
 func TestCongestedLinksDoNotMisleadOtherBalancers(t *testing.T) {
 	for _, size := range [][3]int{{60, 90, 5}, {60, 300, 1}, {100, 1000, 1}} {
 		for _, gone := range []bool{false, true} {
@@ -160,7 +163,7 @@
 	}
 }
 
-// A balancer that has seen next to nothing answered knows little of its own link.
+// A balancer that has seen hardly any responses knows little about its own link.
 func TestExpectedLinkLossFallsWithResponses(t *testing.T) {
 	var monitor linkMonitor
 	require.Greater(t, monitor.expectedLinkLoss(retransmitsToReport, at(0), at(600)), maxLinkLossForFailure)
@@ -171,6 +174,6 @@
 	for now := range 10 {
 		monitor.countResponse(now%3 == 0, at(10_000+40*now))
 	}
-	require.Greater(t, monitor.expectedLinkLoss(retransmitsToFail, at(10_000), at(10_400)), maxLinkLossForFailure, "it has turned bad since")
-	require.Zero(t, func() int { prompt, _ := monitor.countSince(at(0), at(40_000)); return prompt }(), "what is old is forgotten")
+	require.Greater(t, monitor.expectedLinkLoss(retransmitsToFail, at(10_000), at(10_400)), maxLinkLossForFailure, "the link has become worse since")
+	require.Zero(t, func() int { prompt, _ := monitor.countSince(at(0), at(40_000)); return prompt }(), "old responses are dropped")
 }
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -18,14 +18,14 @@
 	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
-// summarizeAt lets a summary be made at a time, one second after the last.
+// summarizeAt returns the demand in a summary made at a time, one second after the last one.
 func summarizeAt(flows *Flows, now int) map[demand.ZonePool]demand.Load {
 	flows.summarizedAt = at(now - 1000)
 	return flows.Summarize(at(now)).Loads
 }
 
-// What is asked counts for the zone of the clients, wherever it goes; what waits and is
-// answered for that of the back end.
+// Offered requests count for the zone of the clients wherever they go. Requests in flight and
+// responses count for the zone of the back end.
 func TestDemandIsCountedByPoolZone(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("giza")
 	summarizeAt(flows, -1000)
@@ -43,17 +43,17 @@
 	for _, load := range places {
 		all = all.Plus(load)
 	}
-	require.Equal(t, 1.0, all.NewFlows, "a copy opens nothing")
-	require.Equal(t, 3.0, all.Responses, "the third request still waits")
+	require.Equal(t, 1.0, all.NewFlows, "a retransmission opens no flow")
+	require.Equal(t, 3.0, all.Responses, "the third request is still in flight")
 	require.Equal(t, 1.0, places[lendingPoolZone("giza")].Refusals)
 	require.Equal(t, 5.0, places[lendingPoolZone("giza")].Offered, "three of one flow, one of another, and the refused one")
-	require.Zero(t, places[lendingPoolZone("maadi")].Offered, "no client of that zone asks here")
+	require.Zero(t, places[lendingPoolZone("maadi")].Offered, "no client of that zone sends requests here")
 	require.Positive(t, places[lendingPoolZone("maadi")].Responses)
-	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Offered, "each counts once")
+	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Offered, "each request counts once")
 }
 
-// Back ends that are full reset flows, which clients don't tell: in bursts, 1,483
-// requests seemed to wait for 40 slots, and 1,120 did four seconds after its end.
+// Full back ends reset flows, which clients do not show. In bursts, 1,483 requests then seemed to
+// be in flight to 40 slots, and 1,120 still did four seconds after the burst.
 func TestUnansweredRequestsStopCountingAsInFlight(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 9, 2, 0)
@@ -63,15 +63,15 @@
 	flows.Decide(table, request(20, 2, 1), at(1000))
 	summarizeAt(flows, 1400)
 	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
-	flows.Decide(table, request(20, 2, 1), at(1450)) // its client still waits
+	flows.Decide(table, request(20, 2, 1), at(1450)) // its client is still waiting
 	summarizeAt(flows, 1700)
 	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
-	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].flows, "flows that were reset are none")
+	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].flows, "flows that were reset do not count")
 	flows.Decide(table, request(1, 2, 2), at(1800))
-	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlightRequests, "one that goes on counts again")
+	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlightRequests, "a flow that continues counts again")
 }
 
-// The time on the way is no work of a back end.
+// Network round trips are not work of a back end.
 func TestServiceTimeExcludesRoundTrip(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	summarizeAt(flows, 0)
@@ -81,11 +81,11 @@
 		flows.Decide(table, Packet{Key: clientKey(1), Token: opened.Token, Acknowledged: 5000*n + 1}, at(now+60))
 	}
 	load := summarizeAt(flows, 1030)[lendingPoolZone(opened.Zone)]
-	require.InDelta(t, 0.6*0.5, load.InFlight, 0.03, "60 ms in 100, half of them on the way")
+	require.InDelta(t, 0.6*0.5, load.InFlight, 0.03, "60 ms in 100, half of them network round trip")
 }
 
-// A zone of a small weight takes its part, which the least used among the back ends of
-// several zones would hardly ever leave it.
+// A zone with a small weight gets its share of the new flows. Choosing the least used among back
+// ends of several zones would hardly ever leave it any.
 func TestByZoneSharesFollowWeights(t *testing.T) {
 	dir := twoZoneDirectory()
 	weightOf := func(zone string) uint32 {
@@ -118,9 +118,10 @@
 	}
 }
 
-// runSlowBackend lets 8 clients always wait for answers that take so long; those whose requests are
-// not acknowledged repeat them as clients do. It returns what waits on average, how many
-// answers were counted, and how often nothing seemed to wait at a summary.
+// runSlowBackend keeps 8 clients waiting for responses that take responseTime. Unless their
+// requests are acknowledged, they retransmit them as clients do. It returns the mean number of
+// requests in flight, the number of responses counted, and the number of summaries at which nothing
+// seemed to be in flight.
 func runSlowBackend(table *Table, flows *Flows, responseTime, rounds int, acknowledged bool) (inFlight, responses float64, idle int) {
 	flows.Summarize(at(0))
 	summaries := 0.0
@@ -156,10 +157,10 @@
 	return inFlight / summaries, responses, idle
 }
 
-// Slow back ends are no idle ones. Clients that wait pause for up to 1.6 s, and their
-// requests counted no longer after 0.5 s of that: none of 72 answers was counted, and half of
-// the looks found nobody waiting. But requests that are repeated have reached nobody, and are
-// no demand on the room of those that live.
+// Slow back ends must not look idle. Clients pause for up to 1.6 s between retransmissions, and
+// with requests counted for only 0.5 s of that, none of 72 responses was counted, and half of the
+// summaries found no request in flight. Requests that are retransmitted have reached no back end,
+// however, and must not count as demand on the capacity of live ones.
 func TestSlowRequestsStayInFlightWhileClientsRetransmit(t *testing.T) {
 	for _, responseTime := range []int{1300, 2500, 4000} {
 		for _, quickBefore := range []bool{false, true} {
@@ -168,16 +169,16 @@
 				exchange(flows, table, 9, 2, -3000)
 			}
 			inFlight, responses, idle := runSlowBackend(table, flows, responseTime, 10, false)
-			t.Logf("took %d ms, quick before %v: waiting %.2f, answers %.0f, idle %d", responseTime, quickBefore, inFlight, responses, idle)
-			require.InDelta(t, 8*200/float64(responseTime), inFlight, 0.2, "up to the first repetition")
+			t.Logf("took %d ms, quick before %v: in flight %.2f, responses %.0f, idle %d", responseTime, quickBefore, inFlight, responses, idle)
+			require.InDelta(t, 8*200/float64(responseTime), inFlight, 0.2, "up to the first retransmission")
 			require.InDelta(t, 80, responses, 2)
-			require.Zero(t, idle, "in the choice of a back end they count on")
+			require.Zero(t, idle, "they still count as in flight when a back end is chosen")
 		}
 	}
 }
 
-// Back ends that live acknowledge a request while it waits in their queue, so nothing is
-// repeated, and it is a demand as long as it waits there.
+// Live back ends acknowledge a request while it is queued there, so nothing is retransmitted, and
+// the request counts as demand as long as it is queued.
 func TestAcknowledgedRequestsCountAsDemandUntilAnswered(t *testing.T) {
 	for _, responseTime := range []int{400, 1300, 2500} {
 		table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
@@ -187,8 +188,8 @@
 	}
 }
 
-// A third of the back ends is dead: requests to them must not make the pool look short of
-// room that the others have.
+// A third of the back ends is dead. Requests to them must not make the pool look short of capacity
+// that the others have.
 func TestRequestsToDeadBackendsAreNotDemand(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for client := range byte(50) {
@@ -201,7 +202,7 @@
 	require.Zero(t, load.InFlight)
 }
 
-// The answer to a request that was taken for lost tells how slow the back end is.
+// The answer to a request that was counted as lost shows how slow the back end is.
 func TestLateResponsesUpdateResponseTime(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Decide(table, request(1, 2, 1), at(0))
@@ -214,7 +215,7 @@
 	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 }
 
-// What clients think before their first request is no way.
+// The time that clients wait before their first request is not part of the round trip.
 func TestClientThinkTimeIsNotRoundTripTime(t *testing.T) {
 	opts := defaultOptions()
 	opts.Weight = func(entry directory.BackendEntry) uint32 {
@@ -242,11 +243,11 @@
 			}
 		}
 	}
-	require.InDelta(t, 0.75, flows.poolZoneDemand("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
+	require.InDelta(t, 0.75, flows.poolZoneDemand("lending", "maadi").serviceFraction(), 0.01, "80 ms, of which 20 are network round trip")
 }
 
-// largeTwoZoneDirectory has so many back ends in each of two zones, named from 1 on; those of giza have
-// the greater numbers.
+// largeTwoZoneDirectory returns a directory with the given number of back ends in each of two
+// zones. They are numbered from 1, and those of giza have the greater numbers.
 func largeTwoZoneDirectory(each int) *directory.Directory {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	for number := 1; number <= 2*each; number++ {
@@ -259,8 +260,8 @@
 	return newDirectory(changes...)
 }
 
-// Four back ends of the chosen zone are compared, the first four in the flow's order, and
-// the least used of them is taken.
+// The first four back ends of the chosen zone in the flow's order are compared, and the least used
+// of them is chosen.
 func TestFourBackendsOfChosenZoneAreCompared(t *testing.T) {
 	opts := defaultOptions()
 	opts.ZoneByWeight = func(string) bool { return true }
@@ -286,7 +287,7 @@
 		for _, score := range group.rule.Score(key(port).Hash()) {
 			backend := group.eligible[score.Backend-1]
 			if rank < 4 {
-				require.Contains(t, compared, backend.Number, "the first in the flow's order")
+				require.Contains(t, compared, backend.Number, "the first back ends in the flow's order")
 				rank++
 			}
 		}
@@ -298,7 +299,7 @@
 	require.Len(t, zones, 2, "both zones are chosen")
 }
 
-// An upload whose packets come slowly over a narrow link waits for no slot until it is whole.
+// An upload whose packets arrive slowly over a narrow link needs no slot until it is complete.
 func TestUploadsCountAsDemandOnceComplete(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for sequence := range 20 {
@@ -310,5 +311,5 @@
 	require.Less(t, load.InFlight, 0.1)
 	flows.Summarize(at(2040))
 	load = summarizeAt(flows, 2300)[lendingPoolZone("maadi")]
-	require.InDelta(t, 1, load.InFlight, 0.05, "whole, and not answered")
+	require.InDelta(t, 1, load.InFlight, 0.05, "complete and not answered")
 }
--- a/internal/tokenroute/refusal_test.go
+++ b/internal/tokenroute/refusal_test.go
@@ -10,7 +10,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// lowPriorityRefusals are levels that refuse all less urgent flows to a pool that is short of room.
+// lowPriorityRefusals returns refusals of all low-priority flows to a pool that is short of
+// capacity.
 func lowPriorityRefusals(t *testing.T) *admission.Refusals {
 	gate := admission.NewController()
 	var levels *admission.Refusals
@@ -23,7 +24,7 @@
 	return levels
 }
 
-// twoPriorityTable has one pool behind an urgent route and one that is less so.
+// twoPriorityTable returns a table with one pool behind a high-priority and a low-priority route.
 func twoPriorityTable() *Table {
 	urgent, other := route(1, share("lending", 1)), route(2, share("lending", 1))
 	urgent.Priority, other.Priority = 1, 2
@@ -37,8 +38,8 @@
 	return packet
 }
 
-// A pool that was short of room got every flow, and shed the urgent as readily as what
-// could wait.
+// Without refusals, a pool that is short of capacity gets every flow and sheds high-priority
+// requests as readily as low-priority ones.
 func TestLowPriorityFlowsAreRefusedWhenCapacityIsShort(t *testing.T) {
 	flows, table := NewFlows(mechanism.Set{}), twoPriorityTable()
 	flows.SetRefusals(lowPriorityRefusals(t))
@@ -54,8 +55,8 @@
 	require.Equal(t, Forward, flows.Decide(table, firstPacketTo(1000, 2), at(200)).Verdict)
 }
 
-// A first packet that went to a back end may have opened its flow there: neither a copy
-// of it nor a later packet is refused.
+// A first packet that was sent to a back end may have opened its flow there. Neither a
+// retransmission of it nor a later packet may be refused.
 func TestForwardedFlowsAreNotRefused(t *testing.T) {
 	flows, table := NewFlows(mechanism.Set{}), twoPriorityTable()
 	opened := flows.Decide(table, firstPacketTo(1, 2), at(0))
@@ -68,9 +69,9 @@
 	require.Equal(t, Forward, flows.Decide(table, later, at(700)).Verdict)
 	elsewhere := NewFlows(mechanism.Set{})
 	elsewhere.SetRefusals(lowPriorityRefusals(t))
-	require.Equal(t, Forward, elsewhere.Decide(table, later, at(700)).Verdict, "nor by a balancer that the flow has come to")
+	require.Equal(t, Forward, elsewhere.Decide(table, later, at(700)).Verdict, "another balancer does not refuse the open flow either")
 	require.Equal(t, ReasonNoRoom, elsewhere.Decide(table, firstPacketTo(2, 2), at(700)).Reason)
 	copied := firstPacketTo(3, 2)
 	copied.Retransmission = true
-	require.Equal(t, Forward, elsewhere.Decide(table, copied, at(700)).Verdict, "another balancer may have forwarded the first")
+	require.Equal(t, Forward, elsewhere.Decide(table, copied, at(700)).Verdict, "another balancer may have forwarded the first packet")
 }
--- a/internal/tokenroute/zonefailures_test.go
+++ b/internal/tokenroute/zonefailures_test.go
@@ -10,14 +10,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// zoneFixture are flows of clients 1 to 10 with back ends 1 to 10 in maadi, the balancer's
-// zone, and of clients 101 to 110 with back ends 101 to 110 in giza.
+// zoneFixture holds flows of clients 1 to 10 with back ends 1 to 10 in maadi, the balancer's zone,
+// and of clients 101 to 110 with back ends 101 to 110 in giza.
 type zoneFixture struct {
 	flows *Flows
 	table *Table
 }
 
-// silentClients are those of most back ends of giza.
+// silentClients are the clients of most back ends of giza.
 var silentClients = []byte{101, 102, 103, 104, 105, 106, 107, 108}
 
 func newZoneFixture(off mechanism.Set) *zoneFixture {
@@ -29,21 +29,21 @@
 	return fixture
 }
 
-// sendRequests lets clients send their request, or repeat it.
+// sendRequests makes clients send their request, or retransmit it.
 func (z *zoneFixture) sendRequests(now int, clients ...byte) {
 	for _, client := range clients {
 		z.flows.Decide(z.table, request(client, Token(client), 5000), at(now))
 	}
 }
 
-// answerRequests lets back ends of maadi answer requests sent at a time.
+// answerRequests makes back ends of maadi answer requests sent at a time.
 func (z *zoneFixture) answerRequests(now int, clients ...byte) {
 	for _, client := range clients {
 		exchange(z.flows, z.table, client, Token(client), now)
 	}
 }
 
-// resetClients settles and returns which clients' flows are reset, in order.
+// resetClients evaluates pending failures and returns the clients whose flows are reset, in order.
 func (z *zoneFixture) resetClients(now int) []byte {
 	for earlier := now - 500; earlier <= now; earlier += 10 {
 		z.flows.EvaluatePending(at(earlier))
@@ -56,8 +56,8 @@
 	return clients
 }
 
-// leaveUnanswered lets requests of clients in giza stay unanswered through two repetitions,
-// while back ends of maadi answer.
+// leaveUnanswered leaves requests of clients in giza unanswered through two retransmissions, while
+// back ends of maadi answer.
 func (z *zoneFixture) leaveUnanswered(now int, clients ...byte) {
 	z.sendRequests(now, clients...)
 	z.answerRequests(now+50, 1, 2, 3, 4, 5, 6)
@@ -65,13 +65,14 @@
 	z.sendRequests(now+600, clients...)
 }
 
-// reportUnanswered lets a balancer of a zone tell of a request to the back end of a client.
+// reportUnanswered makes a balancer of a zone report an unanswered request to the back end of a
+// client.
 func (z *zoneFixture) reportUnanswered(zone string, client byte, sentAt int) {
 	z.flows.Receive(unanswered(uint64(client), evidence.Client(client)+100, zone, sentAt), z.table, at(sentAt+650))
 }
 
-// Back ends that answer after 0.9 s are slow, be it all of a zone: their clients have
-// repeated the request twice.
+// Back ends that answer after 0.9 s are slow, even if they are all those of a zone: their clients
+// have retransmitted the request twice.
 func TestSlowZoneFlowsAreNotReset(t *testing.T) {
 	for _, seenHere := range []bool{true, false} {
 		z := newZoneFixture(mechanism.Set{})
@@ -101,8 +102,8 @@
 	}
 }
 
-// Forty of the fifty back ends of a zone die while nobody asks the other ten, whose flows
-// are idle: the flows of the ten stay, which judges checks.
+// Forty of the fifty back ends of a zone fail while the other ten, whose flows are idle, get no
+// requests. The flows of the ten must be kept, which the simulated fleet checks.
 func TestIdleLiveBackendsOfFailedZoneKeepFlows(t *testing.T) {
 	zone := func(number int) string {
 		if number < 50 {
@@ -114,7 +115,7 @@
 		fleet := newZonedSimulation(balancers, 150, 40, mechanism.Set{}, otherZone, zone)
 		fleet.idleFrom = 40
 		fleet.run(9000)
-		require.NotEmpty(t, fleet.detectionTimes(), "the dead part is judged")
+		require.NotEmpty(t, fleet.detectionTimes(), "the dead back ends are detected")
 		kept := 0
 		for _, each := range fleet.flows {
 			if each.backend >= 40 && each.backend < 50 {
@@ -125,11 +126,12 @@
 	}
 }
 
-// otherZone puts balancers into two zones other than giza.
+// otherZone distributes balancers over two zones other than giza.
 func otherZone(index int) string { return []string{"maadi", "nasr"}[index%2] }
 
-// A balancer whose packets to one zone are lost sees all other zones answer, and must not
-// trust a verdict on a single back end there for that, by clients or by repetitions.
+// A balancer whose packets to one zone are lost sees all other zones answer. It must not take this
+// as evidence that a single back end there has failed, whether by the number of clients or by that
+// of retransmissions.
 func TestPacketLossToOneZoneFailsNoBackends(t *testing.T) {
 	z := newZoneFixture(mechanism.Set{})
 	z.leaveUnanswered(1000, append(slices.Clone(silentClients), 109, 110)...)
@@ -144,7 +146,7 @@
 	require.Empty(t, z.flows.TakeStatements())
 }
 
-// A balancer whose own link is full loses what it sends to all zones.
+// A balancer whose own link is congested loses what it sends to all zones.
 func TestCongestedLinkFailsNoZone(t *testing.T) {
 	z := newZoneFixture(mechanism.Set{})
 	for _, now := range []int{1000, 1200, 1600} {
@@ -157,9 +159,9 @@
 	require.False(t, z.flows.HasPending())
 }
 
-// A third of the back ends of all zones falls silent at once, seen by many balancers
-// that each see some of their flows: only flows of the dead are reset, which judges
-// checks. One in three balancers would else judge a zone dead.
+// A third of the back ends of all zones fails at once, seen by many balancers of which each sees
+// some of their flows. Only flows of the failed back ends may be reset, which the simulated fleet
+// checks. Otherwise one in three balancers would consider a zone failed.
 func TestThirdOfBackendsFailedInAllZonesResetsNoLiveFlows(t *testing.T) {
 	zone := func(number int) string { return string(rune('a' + number%3)) }
 	for _, balancers := range []int{8, 88} {
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -10,7 +10,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// twoLargeZones has back ends 1 to 20 in maadi and 101 to 120 in giza.
+// twoLargeZones returns a table with back ends 1 to 20 in maadi and 101 to 120 in giza.
 func twoLargeZones() *Table {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	for number := range uint64(20) {
@@ -19,14 +19,15 @@
 	return NewTable(newDirectory(changes...), defaultOptions())
 }
 
-// flowOpener opens flows from new ports, one a pause, whose back ends answer if they do.
+// flowOpener opens flows from new ports, one per pause, and answers for those back ends that
+// respond.
 type flowOpener struct {
 	flows    *Flows
 	table    *Table
 	responds func(*Backend) bool
 	port     uint16
 	now      int
-	// pause is in milliseconds, 10 unless a test says otherwise.
+	// pause is in milliseconds, 10 unless a test sets it.
 	pause int
 	// lost counts first packets to back ends that did not answer, by zone.
 	lost map[string]int
@@ -56,39 +57,38 @@
 
 func inMaadi(b *Backend) bool { return b.Zone == "maadi" }
 
-// A zone cut off has many back ends; each for itself would lose a flow before it is
-// avoided.
+// A partitioned zone has many back ends, and each would lose a flow before it is avoided by itself.
 func TestSilentZoneIsAvoided(t *testing.T) {
 	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
 	disabled, enabled := newOpener(off, inMaadi), newOpener(mechanism.Set{}, inMaadi)
 	disabled.open(90)
 	enabled.open(90)
-	require.Greater(t, disabled.lost["giza"], 19, "each back end for itself")
-	require.LessOrEqual(t, enabled.lost["giza"], 15, "those of 150 ms, until the first was due")
+	require.Greater(t, disabled.lost["giza"], 19, "each back end is avoided by itself")
+	require.LessOrEqual(t, enabled.lost["giza"], 15, "only those within 150 ms, before the first answer was due")
 	require.EqualValues(t, 1, enabled.flows.SilentZoneCount())
 	silent := enabled.flows.TakeSilentZones()
 	require.Len(t, silent, 1)
 	require.Equal(t, "giza", silent[0].Zone)
 }
 
-// One flow a while tries a silent zone, and its answer opens it for all.
+// From time to time one flow probes a silent zone, and its answer reopens the zone for all.
 func TestSilentZoneIsProbedAndRecovers(t *testing.T) {
 	recovered := false
 	opener := newOpener(mechanism.Set{}, func(b *Backend) bool { return recovered || inMaadi(b) })
 	opener.open(90)
 	before := opener.lost["giza"]
 	opener.open(400)
-	require.LessOrEqual(t, opener.lost["giza"]-before, 5, "one a second")
-	require.Greater(t, opener.lost["giza"], before, "it is tried")
+	require.LessOrEqual(t, opener.lost["giza"]-before, 5, "one probe a second")
+	require.Greater(t, opener.lost["giza"], before, "the zone is probed")
 	recovered = true
 	opener.open(150)
 	opener.responds = func(*Backend) bool { return true }
 	require.False(t, opener.flows.zoneMonitor.avoids("giza", at(opener.now)))
 }
 
-// A balancer whose own link is full, or an outage of everything, finds all zones
-// silent: new flows go where they went.
+// A balancer whose own link is congested, or during a complete outage, finds all zones silent. New
+// flows then go where they went before.
 func TestAllZonesSilentRefusesNothing(t *testing.T) {
 	opener := newOpener(mechanism.Set{}, func(*Backend) bool { return false })
 	opener.open(300)
@@ -96,9 +96,9 @@
 	require.Greater(t, opener.lost["giza"], 50)
 }
 
-// Where all zones are silent, back ends that answered nothing themselves are still told
-// from those that did: here nineteen of twenty are dead, in one zone, and the first packet
-// to the one that lives would else be as rare as to each dead one.
+// Where all zones are silent, back ends that have not answered themselves are still distinguished
+// from those that have. Here nineteen of twenty are dead, in one zone. Without the distinction a
+// first packet would reach the live one as rarely as each dead one.
 func TestAllZonesSilentStillPrefersLiveBackends(t *testing.T) {
 	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
@@ -114,11 +114,11 @@
 		return opener.lost["maadi"]
 	}
 	disabled, enabled := lost(off), lost(mechanism.Set{})
-	t.Logf("first packets lost of 1,000: each back end for itself %d, with silent zones %d", disabled, enabled)
+	t.Logf("first packets lost of 1,000: each back end by itself %d, with silent zones %d", disabled, enabled)
 	require.LessOrEqual(t, enabled, disabled+disabled/10)
 }
 
-// Back ends of a zone that answers otherwise are full or dead, each for itself.
+// If other back ends of a zone answer, those that do not are full or dead by themselves.
 func TestZoneWithSomeResponsesIsNotSilent(t *testing.T) {
 	opener := newOpener(mechanism.Set{}, func(b *Backend) bool { return inMaadi(b) || b.Number%2 == 0 })
 	opener.open(500)
@@ -133,16 +133,16 @@
 	for number := range uint64(6) {
 		miss(number, at(int(number)*int(zoneMissAge/time.Millisecond)/2))
 	}
-	require.Zero(t, monitor.silentCount.Load(), "two within the time")
+	require.Zero(t, monitor.silentCount.Load(), "only two misses within zoneMissAge")
 	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+1))
 	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+2))
 	require.EqualValues(t, 1, monitor.silentCount.Load())
 	monitor.recordResponse(&Backend{Number: 9, Zone: "giza"}, at(1))
-	require.True(t, monitor.stateOf("giza").isSilent(), "what was sent before says nothing")
+	require.True(t, monitor.stateOf("giza").isSilent(), "an answer to an earlier packet does not end the silence")
 }
 
-// A zone of which some answer and others do not goes back and forth; the log is told of it
-// once in ten seconds. Switched off, nothing is counted or told.
+// A zone of which some back ends answer and others do not alternates between silent and not, and is
+// logged once in ten seconds. With the mechanism disabled, nothing is counted or logged.
 func TestSilentZoneLoggingIsRateLimited(t *testing.T) {
 	alternate := func(off mechanism.Set) (logged, times int, counted uint64) {
 		monitor := newZoneMonitor(off)
