--- a/internal/directory/backendindex.go
+++ b/internal/directory/backendindex.go
@@ -40,7 +40,7 @@
 }
 
 // markChanged records that the entry of a back end has changed.
-func (l *backendIndex) markChanged(id string) { l.changed[id] = true }
+func (b *backendIndex) markChanged(id string) { b.changed[id] = true }
 
 // rebuildThreshold is the number of changed back ends from which their groups are rebuilt as a
 // whole: each insertion or removal moves half of a group.
@@ -49,24 +49,24 @@
 // BackendGroups returns all back ends in groups, sorted by pool and zone. The groups are valid
 // until the directory changes.
 func (d *Directory) BackendGroups() []*BackendGroup {
-	l := &d.backendIndex
-	if len(l.changed) == 0 {
-		return l.ordered
+	b := &d.backendIndex
+	if len(b.changed) == 0 {
+		return b.ordered
 	}
 	affected := make(map[PoolZone]bool)
-	for id := range l.changed {
+	for id := range b.changed {
 		d.addAffected(id, affected)
 	}
-	if len(l.changed) < rebuildThreshold {
-		for id := range l.changed {
+	if len(b.changed) < rebuildThreshold {
+		for id := range b.changed {
 			d.updateBackend(id)
 		}
 	} else {
 		d.rebuildGroups(affected)
 	}
-	clear(l.changed)
-	l.updateVersions(affected)
-	return l.ordered
+	clear(b.changed)
+	b.updateVersions(affected)
+	return b.ordered
 }
 
 // Backends returns all back ends, including those with a tombstone, sorted by id.
@@ -93,34 +93,34 @@
 
 // updateBackend updates the index for one back end.
 func (d *Directory) updateBackend(id string) {
-	l := &d.backendIndex
+	b := &d.backendIndex
 	entry, found := d.backendEntry(id)
-	if before, listed := l.poolZoneOf[id]; listed && (!found || before != entry.poolZone()) {
-		group := l.groups[before]
+	if before, listed := b.poolZoneOf[id]; listed && (!found || before != entry.poolZone()) {
+		group := b.groups[before]
 		index, _ := group.find(id)
 		group.Entries = slices.Delete(group.Entries, index, index+1)
-		delete(l.poolZoneOf, id)
+		delete(b.poolZoneOf, id)
 	}
 	if !found {
 		return
 	}
-	group := l.group(entry.poolZone())
+	group := b.group(entry.poolZone())
 	index, listed := group.find(id)
 	if listed {
 		group.Entries[index] = entry
 	} else {
 		group.Entries = slices.Insert(group.Entries, index, entry)
 	}
-	l.poolZoneOf[id] = entry.poolZone()
+	b.poolZoneOf[id] = entry.poolZone()
 }
 
 // rebuildGroups rebuilds the given groups from all entries.
 func (d *Directory) rebuildGroups(affected map[PoolZone]bool) {
-	l := &d.backendIndex
+	b := &d.backendIndex
 	for poolZone := range affected {
-		group := l.group(poolZone)
+		group := b.group(poolZone)
 		for _, each := range group.Entries {
-			delete(l.poolZoneOf, each.GetId())
+			delete(b.poolZoneOf, each.GetId())
 		}
 		group.Entries = group.Entries[:0]
 	}
@@ -129,51 +129,51 @@
 			continue
 		}
 		if entry, found := d.backendEntry(key.Name); found && affected[entry.poolZone()] {
-			group := l.group(entry.poolZone())
+			group := b.group(entry.poolZone())
 			group.Entries = append(group.Entries, entry)
-			l.poolZoneOf[key.Name] = group.PoolZone
+			b.poolZoneOf[key.Name] = group.PoolZone
 		}
 	}
 	for poolZone := range affected {
-		slices.SortFunc(l.groups[poolZone].Entries, byID)
+		slices.SortFunc(b.groups[poolZone].Entries, byID)
 	}
 }
 
 // updateVersions assigns new versions to the changed groups and removes empty ones.
-func (l *backendIndex) updateVersions(affected map[PoolZone]bool) {
+func (b *backendIndex) updateVersions(affected map[PoolZone]bool) {
 	for poolZone := range affected {
-		group := l.groups[poolZone]
+		group := b.groups[poolZone]
 		if group == nil {
 			continue
 		}
 		if len(group.Entries) == 0 {
-			delete(l.groups, poolZone)
+			delete(b.groups, poolZone)
 			continue
 		}
-		l.version++
-		group.Version, group.TombstoneCount = l.version, 0
+		b.version++
+		group.Version, group.TombstoneCount = b.version, 0
 		for i := range group.Entries {
 			if group.Entries[i].Gone {
 				group.TombstoneCount++
 			}
 		}
 	}
-	l.ordered = l.ordered[:0]
-	for _, group := range l.groups {
-		l.ordered = append(l.ordered, group)
+	b.ordered = b.ordered[:0]
+	for _, group := range b.groups {
+		b.ordered = append(b.ordered, group)
 	}
-	slices.SortFunc(l.ordered, func(one, other *BackendGroup) int {
+	slices.SortFunc(b.ordered, func(one, other *BackendGroup) int {
 		return cmp.Or(cmp.Compare(one.Pool, other.Pool), cmp.Compare(one.Zone, other.Zone))
 	})
 }
 
-func (l *backendIndex) group(poolZone PoolZone) *BackendGroup {
-	existing := l.groups[poolZone]
-	if existing == nil {
-		existing = &BackendGroup{PoolZone: poolZone}
-		l.groups[poolZone] = existing
+func (b *backendIndex) group(poolZone PoolZone) *BackendGroup {
+	g := b.groups[poolZone]
+	if g == nil {
+		g = &BackendGroup{PoolZone: poolZone}
+		b.groups[poolZone] = g
 	}
-	return existing
+	return g
 }
 
 // find returns the index at which a back end is or would be inserted, and whether it is there.
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -305,9 +305,9 @@
 	return true
 }
 
-func sameContent(e, offered *apiv1.DirectoryChange) bool {
-	compared := &apiv1.DirectoryChange{Revision: e.GetRevision(), Entry: offered.GetEntry()}
-	return proto.Equal(e, compared)
+func sameContent(known, offered *apiv1.DirectoryChange) bool {
+	compared := &apiv1.DirectoryChange{Revision: known.GetRevision(), Entry: offered.GetEntry()}
+	return proto.Equal(known, compared)
 }
 
 // removeMissing marks the entries as removed that a complete batch would list if they still
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -210,15 +210,15 @@
 
 // dropExpiredOverrides drops the overrides whose time is over. It reports whether there were any.
 func (d *Directory) dropExpiredOverrides(now time.Time) bool {
-	released := false
+	dropped := false
 	for key, e := range d.overridden {
 		if now.Before(e.overrideUntil) {
 			d.scheduleExpiry(e.overrideUntil)
 			continue
 		}
-		released = d.dropOverride(key, e) || released
+		dropped = d.dropOverride(key, e) || dropped
 	}
-	return released
+	return dropped
 }
 
 // OverrideCount returns the number of entries whose known content overrides what the restored store
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -54,9 +54,9 @@
 	ReasonEvacuated
 	// ReasonCold means that only cold back ends are left, and they can take no more new flows now.
 	ReasonCold
-	// ReasonNoRoom means that the pool is short of capacity and the flow is among those selected
+	// ReasonNoCapacity means that the pool is short of capacity and the flow is among those selected
 	// for refusal.
-	ReasonNoRoom
+	ReasonNoCapacity
 	// ReasonRestarted means that the back end has restarted since the flow was opened, and holds no
 	// flows from before.
 	ReasonRestarted
@@ -138,7 +138,7 @@
 	if state != nil {
 		state.attach(f.loadFor(backend), now)
 	}
-	return f.liveness.Observe(packet, state, backend, now)
+	return f.failureDetector.Observe(packet, state, backend, now)
 }
 
 // close processes the packet that ends a flow. If the flow was sent to more than one back end, the
@@ -161,7 +161,7 @@
 	}
 	if refusal := f.refusalFor(route, packet); refusal != nil {
 		f.CountRefusal(refusal.Pool)
-		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Refusal: refusal}
+		return Decision{Verdict: Refuse, Reason: ReasonNoCapacity, Refusal: refusal}
 	}
 	chosen := f.ChooseForFirst(route, packet.Key, now)
 	if chosen == nil {
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -66,8 +66,8 @@
 	}
 	f.demands[poolZone] = poolDemand
 	poolDemand.local = poolDemand
-	if zone != f.liveness.zone {
-		poolDemand.local = f.poolZoneDemand(pool, f.liveness.zone)
+	if zone != f.failureDetector.zone {
+		poolDemand.local = f.poolZoneDemand(pool, f.failureDetector.zone)
 	}
 	return poolDemand
 }
@@ -84,7 +84,7 @@
 
 // CountRefusal counts a new flow that was refused because its pool is short of capacity.
 func (f *Flows) CountRefusal(pool string) {
-	poolDemand := f.poolZoneDemand(pool, f.liveness.zone)
+	poolDemand := f.poolZoneDemand(pool, f.failureDetector.zone)
 	poolDemand.refusals++
 	poolDemand.requests++
 }
@@ -180,20 +180,20 @@
 	rotatedAt         time.Time
 }
 
-func (l *windowedMin) add(sample time.Duration, now time.Time) {
-	if now.Sub(l.rotatedAt) > minRTTWindow {
-		l.previous, l.current, l.rotatedAt = l.current, 0, now
+func (w *windowedMin) add(sample time.Duration, now time.Time) {
+	if now.Sub(w.rotatedAt) > minRTTWindow {
+		w.previous, w.current, w.rotatedAt = w.current, 0, now
 	}
-	if l.current == 0 || sample.Seconds() < l.current {
-		l.current = sample.Seconds()
+	if w.current == 0 || sample.Seconds() < w.current {
+		w.current = sample.Seconds()
 	}
 }
 
-func (l *windowedMin) value() float64 {
-	if l.previous == 0 || l.current > 0 && l.current < l.previous {
-		return l.current
+func (w *windowedMin) value() float64 {
+	if w.previous == 0 || w.current > 0 && w.current < w.previous {
+		return w.current
 	}
-	return l.previous
+	return w.previous
 }
 
 // updateMean updates an exponentially weighted moving average, in seconds, with one sample.
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -38,17 +38,17 @@
 	}
 	exchange(flows, table, 2, 2, 400)
 	flows.CountRefusal("lending")
-	places := summarizeAt(flows, 1000)
+	loads := summarizeAt(flows, 1000)
 	all := demand.Load{}
-	for _, load := range places {
+	for _, load := range loads {
 		all = all.Plus(load)
 	}
 	require.Equal(t, 1.0, all.NewFlows, "a retransmission opens no flow")
 	require.Equal(t, 3.0, all.Responses, "the third request is still in flight")
-	require.Equal(t, 1.0, places[lendingPoolZone("giza")].Refusals)
-	require.Equal(t, 5.0, places[lendingPoolZone("giza")].Offered, "three of one flow, one of another, and the refused one")
-	require.Zero(t, places[lendingPoolZone("maadi")].Offered, "no client of that zone sends requests here")
-	require.Positive(t, places[lendingPoolZone("maadi")].Responses)
+	require.Equal(t, 1.0, loads[lendingPoolZone("giza")].Refusals)
+	require.Equal(t, 5.0, loads[lendingPoolZone("giza")].Offered, "three of one flow, one of another, and the refused one")
+	require.Zero(t, loads[lendingPoolZone("maadi")].Offered, "no client of that zone sends requests here")
+	require.Positive(t, loads[lendingPoolZone("maadi")].Responses)
 	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Offered, "each request counts once")
 }
 
@@ -226,19 +226,19 @@
 	}
 	table, flows := NewTable(twoZoneDirectory(), opts), NewFlows(mechanism.Set{}).WithZone("maadi")
 	summarizeAt(flows, 0)
-	thinks := []int{400, 20, 300, 400}
-	tokens := make([]Token, len(thinks))
+	thinkTimes := []int{400, 20, 300, 400}
+	tokens := make([]Token, len(thinkTimes))
 	for now := 0; now < 1000; now += 10 {
-		for client, think := range thinks {
+		for client, thinkTime := range thinkTimes {
 			key := clientKey(byte(client))
-			n := uint32((now-think)/100) + 1
+			n := uint32((now-thinkTime)/100) + 1
 			switch {
 			case now == 0:
 				tokens[client] = flows.Decide(table, Packet{Key: key, First: true}, at(0)).Backend.Token
-			case now < think:
-			case (now-think)%100 == 0:
+			case now < thinkTime:
+			case (now-thinkTime)%100 == 0:
 				flows.Decide(table, request(byte(client), tokens[client], n), at(now))
-			case (now-think)%100 == 80:
+			case (now-thinkTime)%100 == 80:
 				flows.Decide(table, Packet{Key: key, Token: tokens[client], Acknowledged: 5000*n + 1}, at(now))
 			}
 		}
--- a/internal/tokenroute/flowcache.go
+++ b/internal/tokenroute/flowcache.go
@@ -155,88 +155,88 @@
 }
 
 // find returns the state of a flow, or nil if it is not cached.
-func (m *flowCache) find(key flow.Key) *flowState {
-	if state := m.current[key]; state != nil {
+func (c *flowCache) find(key flow.Key) *flowState {
+	if state := c.current[key]; state != nil {
 		return state
 	}
-	state := m.previous[key]
-	if state != nil && len(m.current) < maxGenerationFlows {
-		delete(m.previous, key)
-		m.current[key] = state
+	state := c.previous[key]
+	if state != nil && len(c.current) < maxGenerationFlows {
+		delete(c.previous, key)
+		c.current[key] = state
 	}
 	return state
 }
 
 // add returns a new state for a flow that is not cached. The state is not cached if there are too
 // many.
-func (m *flowCache) add(key flow.Key) *flowState {
-	state := &flowState{cached: len(m.current) < maxGenerationFlows}
+func (c *flowCache) add(key flow.Key) *flowState {
+	state := &flowState{cached: len(c.current) < maxGenerationFlows}
 	if state.cached {
-		m.current[key] = state
+		c.current[key] = state
 	}
 	return state
 }
 
 // forget removes a flow.
-func (m *flowCache) forget(key flow.Key, state *flowState, now time.Time) {
+func (c *flowCache) forget(key flow.Key, state *flowState, now time.Time) {
 	state.detach(now)
 	state.cached = false
-	delete(m.current, key)
-	delete(m.previous, key)
+	delete(c.current, key)
+	delete(c.previous, key)
 }
 
 // rotate drops the previous generation once the current one is old enough, and reports whether it
 // did.
-func (m *flowCache) rotate(now time.Time) bool {
-	if now.Sub(m.rotatedAt) < generationTime {
+func (c *flowCache) rotate(now time.Time) bool {
+	if now.Sub(c.rotatedAt) < generationTime {
 		return false
 	}
-	m.rotatedAt = now
-	m.expireIdle(now)
-	for key, state := range m.previous {
-		m.retainIdle(key, state)
+	c.rotatedAt = now
+	c.expireIdle(now)
+	for key, state := range c.previous {
+		c.retainIdle(key, state)
 		state.detach(now)
 	}
-	m.previous, m.current = m.current, make(map[flow.Key]*flowState)
+	c.previous, c.current = c.current, make(map[flow.Key]*flowState)
 	return true
 }
 
 // retainIdle keeps what is needed to reset a flow when its back end dies. Otherwise the flow's next
 // request would be the one to detect this, and would be lost, which is harmful where requests must
 // not be repeated.
-func (m *flowCache) retainIdle(key flow.Key, state *flowState) {
+func (c *flowCache) retainIdle(key flow.Key, state *flowState) {
 	backend := state.tracker.backend
-	if backend == nil || m.idleTimeout == 0 || m.idleCount >= maxIdleFlows {
+	if backend == nil || c.idleTimeout == 0 || c.idleCount >= maxIdleFlows {
 		return
 	}
-	flows := m.idle[backend.Incarnation()]
+	flows := c.idle[backend.Incarnation()]
 	if flows == nil {
 		flows = make(map[flow.Key]idleFlow)
-		m.idle[backend.Incarnation()] = flows
+		c.idle[backend.Incarnation()] = flows
 	}
 	if _, found := flows[key]; !found {
-		m.idleCount++
+		c.idleCount++
 	}
 	flows[key] = idleFlow{lastAck: state.tracker.lastAck, firstRequestAt: state.firstRequestAt, passedAt: state.tracker.passedAt}
 }
 
 // removeIdle removes a flow from the idle ones and returns when its first request passed, or the
 // zero time if it was not idle.
-func (m *flowCache) removeIdle(key flow.Key, backend incarnation.ID) time.Time {
-	flows := m.idle[backend]
+func (c *flowCache) removeIdle(key flow.Key, backend incarnation.ID) time.Time {
+	flows := c.idle[backend]
 	removed, found := flows[key]
 	if found {
-		m.idleCount--
+		c.idleCount--
 		delete(flows, key)
 	}
 	return removed.firstRequestAt
 }
 
 // takeIdle removes and returns the idle flows of a back end.
-func (m *flowCache) takeIdle(backend incarnation.ID) []idleFlowKey {
-	flows := m.idle[backend]
-	delete(m.idle, backend)
-	m.idleCount -= len(flows)
+func (c *flowCache) takeIdle(backend incarnation.ID) []idleFlowKey {
+	flows := c.idle[backend]
+	delete(c.idle, backend)
+	c.idleCount -= len(flows)
 	keys := make([]idleFlowKey, 0, len(flows))
 	for key, each := range flows {
 		keys = append(keys, idleFlowKey{key: key, lastAck: each.lastAck})
@@ -245,16 +245,16 @@
 }
 
 // expireIdle drops the flows that have been idle for longer than idleTimeout.
-func (m *flowCache) expireIdle(now time.Time) {
-	for backend, flows := range m.idle {
+func (c *flowCache) expireIdle(now time.Time) {
+	for backend, flows := range c.idle {
 		for key, each := range flows {
-			if now.Sub(each.passedAt) > m.idleTimeout {
+			if now.Sub(each.passedAt) > c.idleTimeout {
 				delete(flows, key)
-				m.idleCount--
+				c.idleCount--
 			}
 		}
 		if len(flows) == 0 {
-			delete(m.idle, backend)
+			delete(c.idle, backend)
 		}
 	}
 }
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -36,8 +36,8 @@
 	// abandoned.
 	table     *Table
 	restarted map[incarnation.ID]bool
-	// liveness detects failed back ends by the later packets of their flows.
-	liveness *FailureDetector
+	// failureDetector detects failed back ends by the later packets of their flows.
+	failureDetector *FailureDetector
 	// Retried counts first packets that were sent to another back end.
 	Retried atomic.Uint64
 	// Unanswered counts openings that a back end did not answer in time.
@@ -53,29 +53,29 @@
 func NewFlows(disabled mechanism.Set) *Flows {
 	flowCache, zoneMonitor := newFlowCache(), newZoneMonitor(disabled)
 	return &Flows{
-		disabled:    disabled,
-		flowCache:   flowCache,
-		backoffs:    make(map[incarnation.ID]*backoff),
-		zoneMonitor: zoneMonitor,
-		loads:       make(map[incarnation.ID]*backendLoad),
-		pools:       make(map[string]*poolUse),
-		liveness:    newFailureDetector(flowCache, zoneMonitor, disabled),
+		disabled:        disabled,
+		flowCache:       flowCache,
+		backoffs:        make(map[incarnation.ID]*backoff),
+		zoneMonitor:     zoneMonitor,
+		loads:           make(map[incarnation.ID]*backendLoad),
+		pools:           make(map[string]*poolUse),
+		failureDetector: newFailureDetector(flowCache, zoneMonitor, disabled),
 	}
 }
 
 // WithZone sets the zone of this balancer and returns f.
 func (f *Flows) WithZone(zone string) *Flows {
-	f.liveness.zone = zone
+	f.failureDetector.zone = zone
 	return f
 }
 
 // BackendFailures returns how often a back end was detected as failed.
-func (f *Flows) BackendFailures() uint64 { return f.liveness.FailureCount.Load() }
+func (f *Flows) BackendFailures() uint64 { return f.failureDetector.FailureCount.Load() }
 
 // TakeBackendFailures returns the back ends that were detected as failed since the last call.
 func (f *Flows) TakeBackendFailures() []BackendFailure {
-	taken := f.liveness.failures
-	f.liveness.failures = nil
+	taken := f.failureDetector.failures
+	f.failureDetector.failures = nil
 	return taken
 }
 
@@ -92,8 +92,8 @@
 // TakeAbandonedFlows returns the flows whose back end was detected as failed, or restarted, since
 // the last call. They are to be reset.
 func (f *Flows) TakeAbandonedFlows() []AbandonedFlow {
-	taken := f.liveness.abandoned
-	f.liveness.abandoned = nil
+	taken := f.failureDetector.abandoned
+	f.failureDetector.abandoned = nil
 	return taken
 }
 
@@ -129,7 +129,7 @@
 	if warmupPreference == Forbidden {
 		return Forbidden
 	}
-	if o.wasTried(backend) || f.liveness.Failed(backend, now) {
+	if o.wasTried(backend) || f.failureDetector.Failed(backend, now) {
 		return Avoided
 	}
 	backoff := f.backoffs[backend.Incarnation()]
@@ -256,7 +256,7 @@
 	if !f.flowCache.rotate(now) {
 		return
 	}
-	f.liveness.expire(now)
+	f.failureDetector.expire(now)
 	f.warmupAllowance.expire(now)
 	for id, state := range f.backoffs {
 		if now.Sub(state.avoidUntil) > maxAvoidTime {
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -116,7 +116,7 @@
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 1, 2, 200)
 	for client := range evidence.Client(2 * maxStatements) {
-		flows.liveness.queueStatement(unanswered(3, client, "maadi", 100))
+		flows.failureDetector.queueStatement(unanswered(3, client, "maadi", 100))
 	}
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	told := flows.TakeStatements()
--- a/internal/tokenroute/liveness_test.go
+++ b/internal/tokenroute/liveness_test.go
@@ -277,7 +277,7 @@
 	flows.rotate(at(600_000 + int(generationTime/time.Millisecond)))
 	require.Empty(t, memory.current)
 	require.Empty(t, memory.previous)
-	require.Empty(t, flows.liveness.health)
+	require.Empty(t, flows.failureDetector.health)
 	require.Empty(t, flows.backoffs)
 	flows.rotate(at(600_000 + 2*int(generationTime/time.Millisecond)))
 	require.Empty(t, flows.loads)
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -35,7 +35,7 @@
 		return !seenAt.IsZero() && backend.Start.Outlived(now.Sub(seenAt), now)
 	}
 	giveUp := func(key flow.Key, acknowledged uint32) {
-		f.liveness.abandoned = append(f.liveness.abandoned,
+		f.failureDetector.abandoned = append(f.failureDetector.abandoned,
 			AbandonedFlow{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
 	}
 	for _, generation := range []map[flow.Key]*flowState{f.flowCache.current, f.flowCache.previous} {
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -33,7 +33,7 @@
 		At:       now,
 		InFlight: make(map[string]float64, len(f.pools)),
 		Loads:    f.summarizeDemand(elapsed, now),
-		Dead:     f.liveness.failed(now),
+		Dead:     f.failureDetector.failed(now),
 
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
@@ -78,16 +78,16 @@
 // saturated, only responses from before the last comparison are used.
 func (f *Flows) compareGroup(group responseGroup, loads []*backendLoad) {
 	saturated := f.isSaturated(group.pool.name)
-	tallies := make([]*observe.ResponseCounts, len(loads))
+	counts := make([]*observe.ResponseCounts, len(loads))
 	for i, load := range loads {
 		history := load.responses[group.address]
 		if saturated {
 			history.DiscardRecent()
 		}
-		tallies[i] = history.Total()
+		counts[i] = history.Total()
 		history.Advance(responseDecay)
 	}
-	for i, finding := range observe.Compare(tallies) {
+	for i, finding := range observe.Compare(counts) {
 		loads[i].finding = loads[i].finding.Merge(finding.AboveNoise())
 	}
 }
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -78,18 +78,18 @@
 	return &zoneMonitor{disabled: disabled, zones: make(map[string]*zoneState)}
 }
 
-func (z *zoneMonitor) stateOf(zone string) *zoneState {
-	state := z.zones[zone]
+func (m *zoneMonitor) stateOf(zone string) *zoneState {
+	state := m.zones[zone]
 	if state == nil {
 		state = &zoneState{}
-		z.zones[zone] = state
+		m.zones[zone] = state
 	}
 	return state
 }
 
 // recordResponse records that a back end answered what was sent at a time without a retransmission.
-func (z *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
-	state := z.stateOf(backend.Zone)
+func (m *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
+	state := m.stateOf(backend.Zone)
 	if !sentAt.After(state.respondedAt) {
 		return
 	}
@@ -98,11 +98,11 @@
 }
 
 // recordMiss records that a back end left unanswered what was sent at a time.
-func (z *zoneMonitor) recordMiss(backend *Backend, sentAt, now time.Time) {
-	if z.disabled.Has(mechanism.SilentZones) {
+func (m *zoneMonitor) recordMiss(backend *Backend, sentAt, now time.Time) {
+	if m.disabled.Has(mechanism.SilentZones) {
 		return
 	}
-	state := z.stateOf(backend.Zone)
+	state := m.stateOf(backend.Zone)
 	if !sentAt.After(state.respondedAt) {
 		return
 	}
@@ -113,38 +113,38 @@
 		return
 	}
 	state.avoidUntil = now.Add(zoneAvoidTime)
-	z.lastAvoidUntil = maxTime(z.lastAvoidUntil, state.avoidUntil)
+	m.lastAvoidUntil = maxTime(m.lastAvoidUntil, state.avoidUntil)
 	if !wasSilent {
-		z.silentCount.Add(1)
-		z.report(backend.Zone, state, now)
+		m.silentCount.Add(1)
+		m.report(backend.Zone, state, now)
 	}
 }
 
 // report adds a silent zone to those to be logged, unless it was logged within zoneLogInterval.
-func (z *zoneMonitor) report(zone string, state *zoneState, now time.Time) {
+func (m *zoneMonitor) report(zone string, state *zoneState, now time.Time) {
 	state.unlogged++
 	if !state.loggedAt.IsZero() && now.Sub(state.loggedAt) < zoneLogInterval {
 		return
 	}
-	z.silentZones = append(z.silentZones, SilentZone{Zone: zone, Since: state.misses[0].sentAt, Times: state.unlogged})
+	m.silentZones = append(m.silentZones, SilentZone{Zone: zone, Since: state.misses[0].sentAt, Times: state.unlogged})
 	state.loggedAt, state.unlogged = now, 0
 }
 
 // avoids reports whether new flows avoid a zone.
-func (z *zoneMonitor) avoids(zone string, now time.Time) bool {
-	if !now.Before(z.lastAvoidUntil) {
+func (m *zoneMonitor) avoids(zone string, now time.Time) bool {
+	if !now.Before(m.lastAvoidUntil) {
 		return false
 	}
-	state := z.zones[zone]
+	state := m.zones[zone]
 	return state != nil && state.isSilent() && now.Before(state.avoidUntil)
 }
 
 // recordProbe records that a new flow is sent to a zone. If the zone is silent, this flow probes it
 // and others keep avoiding it meanwhile.
-func (z *zoneMonitor) recordProbe(zone string, now time.Time) {
-	if state := z.zones[zone]; state != nil && state.isSilent() && !now.Before(state.avoidUntil) {
+func (m *zoneMonitor) recordProbe(zone string, now time.Time) {
+	if state := m.zones[zone]; state != nil && state.isSilent() && !now.Before(state.avoidUntil) {
 		state.avoidUntil = now.Add(ResponseTimeout)
-		z.lastAvoidUntil = maxTime(z.lastAvoidUntil, state.avoidUntil)
+		m.lastAvoidUntil = maxTime(m.lastAvoidUntil, state.avoidUntil)
 	}
 }
 
