--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -240,7 +240,7 @@
 // look takes what the balancers observed, as their control goroutines do.
 func (b *burstFleet) look() {
 	joined := make(map[incarnation.ID]observe.Finding)
-	all := demand.Aggregate{OldestAt: b.now, Balancers: burstBalancers, ZoneBalancers: map[demand.Zone]int{"maadi": burstBalancers},
+	all := demand.Aggregate{At: b.now, Balancers: burstBalancers, ZoneBalancers: map[demand.Zone]int{"maadi": burstBalancers},
 		Loads: make(map[demand.ZonePool]demand.Load)}
 	for place := range b.nodes {
 		node := &b.nodes[place]
@@ -250,7 +250,7 @@
 			node.findings = summary.Findings
 		}
 		for id, finding := range node.findings {
-			joined[id] = joined[id].Merge(finding)
+			joined[id] = joined[id].Plus(finding)
 		}
 		for at, load := range node.own.Aggregate("maadi", b.now).Loads {
 			all.Loads[at] = all.Loads[at].Plus(load)
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -188,7 +188,7 @@
 // decodePicture reads a picture from a message that left, or came, at a time.
 func decodePicture(encoded *apiv1.DemandReport, at time.Time) demand.Aggregate {
 	made := demand.Aggregate{
-		OldestAt:      at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
+		At:            at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
 		Balancers:     int(encoded.GetBalancers()),
 		ZoneBalancers: make(map[demand.Zone]int, len(encoded.GetZones())),
 		Loads:         make(map[demand.ZonePool]demand.Load, len(encoded.GetPlaces())),
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -26,7 +26,7 @@
 
 // asksOf is the part of a balancer whose clients ask so much a second of lending.
 func asksOf(zone string, asks, waiting float64, at time.Time) demand.Aggregate {
-	return demand.Aggregate{OldestAt: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
+	return demand.Aggregate{At: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
 		Loads: map[demand.ZonePool]demand.Load{lendingIn(zone): {Offered: asks, InFlight: waiting}}}
 }
 
@@ -97,7 +97,7 @@
 				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, Offered: float64(pool)}
 		}
 	}
-	encoded := encodePicture(made, made.OldestAt)
+	encoded := encodePicture(made, made.At)
 	require.LessOrEqual(t, len(encoded.GetPlaces()), placesLimit)
 	require.LessOrEqual(t, proto.Size(encoded), 50*placesLimit)
 	counts := make(map[string]int)
@@ -117,9 +117,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		all := make(map[demand.ZonePool]float64)
-		sum := demand.Aggregate{OldestAt: now, Balancers: 2, Loads: make(map[demand.ZonePool]demand.Load)}
+		sum := demand.Aggregate{At: now, Balancers: 2, Loads: make(map[demand.ZonePool]demand.Load)}
 		for range 2 {
-			part := demand.Aggregate{OldestAt: now, Balancers: 1, Loads: make(map[demand.ZonePool]demand.Load)}
+			part := demand.Aggregate{At: now, Balancers: 1, Loads: make(map[demand.ZonePool]demand.Load)}
 			for pool := range 90 {
 				for zone := range rapid.IntRange(0, 3).Draw(t, "zones") {
 					place := demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
@@ -214,7 +214,7 @@
 	control.addBackends("lending", "fayum", 4, now)
 	control.balancersByZone = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureRoom(nil, now)
-	picture := demand.Aggregate{OldestAt: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
+	picture := demand.Aggregate{At: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
 		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {Offered: maadi, InFlight: waiting}, lendingIn("giza"): {Offered: giza},
 			lendingIn("fayum"): {Offered: fayum}}}
 	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -24,7 +24,7 @@
 
 // collectDemand gives the picture of demand and room.
 func collectDemand(picture *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
-	if picture == nil || picture.OldestAt.IsZero() {
+	if picture == nil || picture.At.IsZero() {
 		return
 	}
 	gauge(pictureAgeDescription, picture.Age(time.Now()).Seconds())
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -178,9 +178,9 @@
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
 		picture := *control.demand.picture.Load()
-		picture.OldestAt = now
+		picture.At = now
 		if step%4 == 0 {
-			picture.OldestAt = now.Add(-demand.MaximumAge - time.Second)
+			picture.At = now.Add(-demand.MaximumAge - time.Second)
 		}
 		control.demand.picture.Store(&picture)
 		if control.divide(now) {
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -77,7 +77,7 @@
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
-	control.demand.tree.SetOwn(demand.Aggregate{OldestAt: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
+	control.demand.tree.SetOwn(demand.Aggregate{At: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
 		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {InFlight: 40, Offered: 100}}}, demand.Position{})
 	picture := control.demand.tree.Aggregate(now)
 	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -57,7 +57,7 @@
 	if room == 0 || part == 0 {
 		return admission.Pressure{}
 	}
-	seenAt := picture.OldestAt
+	seenAt := picture.At
 	if p.lastSummaryAt.Before(seenAt) {
 		seenAt = p.lastSummaryAt
 	}
@@ -66,7 +66,7 @@
 	}
 	scale := float64(picture.ZoneBalancers[own]) / part
 	if waiting >= leastWaiting*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.asks.grown(pool, picture.OldestAt), mostGrown(picture.ZoneBalancers[own]))
+		waiting = p.waiting[string(pool)] * scale / min(p.asks.grown(pool, picture.At), mostGrown(picture.ZoneBalancers[own]))
 	}
 	return admission.Pressure{RequestsPerSlot: waiting / room, SeenAt: seenAt}
 }
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -24,7 +24,7 @@
 // one whose clients ask for the rest.
 func uneven(at time.Time) *demand.Aggregate {
 	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
-	made := demand.Aggregate{OldestAt: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
+	made := demand.Aggregate{At: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
 		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 40}, giza: {Offered: 300, InFlight: 40}}}
 	return made.WithSlots(map[demand.ZonePool]float64{maadi: 10, giza: 10})
 }
@@ -138,7 +138,7 @@
 				made.follow(&observe.Summary{At: begun.Add(time.Duration(step) * 250 * time.Millisecond),
 					InFlight: map[string]float64{"lending": waiting}, Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: asked}}})
 			}
-			picture := demand.Aggregate{OldestAt: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 2, "giza": 1},
+			picture := demand.Aggregate{At: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 2, "giza": 1},
 				Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 30, InFlight: 4}, giza: {Offered: 90, InFlight: 4}}}
 			pressure := made.on("lending", "maadi", picture.WithSlots(map[demand.ZonePool]float64{maadi: 3, giza: 3}), listed)
 			require.LessOrEqual(t, pressure.RequestsPerSlot, 8/6.0*1.1, "not 16 of 6 slots")
@@ -152,7 +152,7 @@
 func TestFewRequestsHereRefuseNobodyTwoSecondsAfterABurst(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 20, "giza": 40}
 	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
-	burst := demand.Aggregate{OldestAt: now.Add(-2500 * time.Millisecond), Balancers: 60, ZoneBalancers: map[demand.Zone]int{"maadi": 20, "giza": 40},
+	burst := demand.Aggregate{At: now.Add(-2500 * time.Millisecond), Balancers: 60, ZoneBalancers: map[demand.Zone]int{"maadi": 20, "giza": 40},
 		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 8}, giza: {Offered: 200, InFlight: 16}}}
 	picture := burst.WithSlots(map[demand.ZonePool]float64{maadi: 2, giza: 4})
 	here := seen(0.1, now.Add(-5*time.Second))
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -176,7 +176,7 @@
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
 	reply.TestimonyLatest = c.testimony.board.LastSequence()
 	for _, statement := range firstToTell(statements) {
-		reply.Testimony = append(reply.Testimony, encodeStatement(statement, now.Sub(statement.Time())))
+		reply.Testimony = append(reply.Testimony, encodeStatement(statement, now.Sub(statement.When())))
 	}
 }
 
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -62,8 +62,8 @@
 
 // Aggregate is the demand that a number of balancers see. It is immutable.
 type Aggregate struct {
-	// OldestAt is when the oldest part of it was seen; zero is never.
-	OldestAt time.Time
+	// At is when the oldest part of it was seen; zero is never.
+	At time.Time
 	// Balancers is how many balancers see it, and Zones how many of each zone carry traffic.
 	Balancers     int
 	ZoneBalancers map[Zone]int
@@ -76,11 +76,11 @@
 }
 
 // Age is the time since the oldest part was seen.
-func (p *Aggregate) Age(now time.Time) time.Duration { return now.Sub(p.OldestAt) }
+func (p *Aggregate) Age(now time.Time) time.Duration { return now.Sub(p.At) }
 
 // Fresh tells whether decisions may rest on the picture. A nil picture is not fresh.
 func (p *Aggregate) Fresh(now time.Time) bool {
-	return p != nil && !p.OldestAt.IsZero() && p.Age(now) <= MaximumAge
+	return p != nil && !p.At.IsZero() && p.Age(now) <= MaximumAge
 }
 
 // Pressure is the part of a place's room that is in use: from 1 on requests wait for a
@@ -131,16 +131,16 @@
 	return waiting, room
 }
 
-// merge adds what other balancers see.
-func (p Aggregate) merge(other Aggregate) Aggregate {
+// plus adds what other balancers see.
+func (p Aggregate) plus(other Aggregate) Aggregate {
 	joined := Aggregate{
-		OldestAt:      p.OldestAt,
+		At:            p.At,
 		Balancers:     p.Balancers + other.Balancers,
 		ZoneBalancers: make(map[Zone]int, len(p.ZoneBalancers)),
 		Loads:         make(map[ZonePool]Load, len(p.Loads)),
 	}
-	if joined.OldestAt.IsZero() || other.OldestAt.Before(joined.OldestAt) {
-		joined.OldestAt = other.OldestAt
+	if joined.At.IsZero() || other.At.Before(joined.At) {
+		joined.At = other.At
 	}
 	for _, each := range []Aggregate{p, other} {
 		for zone, count := range each.ZoneBalancers {
--- a/internal/demand/own.go
+++ b/internal/demand/own.go
@@ -45,11 +45,11 @@
 
 // Aggregate is the part of this balancer, which stands in a zone.
 func (o *LocalLoad) Aggregate(zone Zone, now time.Time) Aggregate {
-	made := Aggregate{OldestAt: o.observedAt, Balancers: 1, ZoneBalancers: map[Zone]int{zone: 1}, Loads: o.loads}
+	made := Aggregate{At: o.observedAt, Balancers: 1, ZoneBalancers: map[Zone]int{zone: 1}, Loads: o.loads}
 	if now.Sub(o.observedAt) > maximumObservationAge {
 		// Others carry what its zone asks: one that is aside, or left out by the routers, would
 		// else make each of them seem to carry less than it does.
-		made.OldestAt, made.Loads, made.ZoneBalancers = now, nil, nil
+		made.At, made.Loads, made.ZoneBalancers = now, nil, nil
 	}
 	return made
 }
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -68,7 +68,7 @@
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(flows, table, 2, []byte{1}, 0, 600))
 	told := flows.TakeStatements()
 	require.Len(t, told, 1)
-	require.Equal(t, at(0), told[0].Time())
+	require.Equal(t, at(0), told[0].When())
 	flows.Receive(unanswered(2, 102, "", 10), table, at(650))
 	require.Equal(t, 1, countResets(flows, 650+pendingMillis))
 }
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -88,7 +88,7 @@
 		history.Advance(responseDecay)
 	}
 	for i, finding := range observe.Compare(counts) {
-		loads[i].finding = loads[i].finding.Merge(finding.AboveNoise())
+		loads[i].finding = loads[i].finding.Plus(finding.AboveNoise())
 	}
 }
 
