--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -48,7 +48,7 @@
 
 // saturated are the pools that are saturated, or were a moment ago.
 func (g *gate) saturated(zone demand.Zone, picture *demand.Aggregate, now time.Time) map[string]bool {
-	for pool := range picture.ZonePools() {
+	for pool := range picture.PoolZones() {
 		if g.pressures.saturated(pool, zone, picture) {
 			g.saturatedUntil[string(pool)] = now.Add(saturatedFor)
 		}
@@ -74,7 +74,7 @@
 		return
 	}
 	var demands []admission.PoolState
-	for pool := range picture.ZonePools() {
+	for pool := range picture.PoolZones() {
 		if urgencies := c.gate.urgencies[string(pool)]; len(urgencies) > 0 {
 			pressure := c.gate.pressures.on(pool, zone, picture, c.balancersByZone)
 			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: urgencies, Pressure: pressure})
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -40,7 +40,7 @@
 		asked[pool] = rate * (1 - part)
 	}
 	for place, load := range summary.Loads {
-		asked[place.Pool] += part * load.Offered
+		asked[place.Pool] += part * load.RequestRate
 	}
 	a.now = asked
 	a.past = append(a.past, askedAt{at: summary.At, asks: asked})
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -121,7 +121,7 @@
 // renew makes a table by the findings of now.
 func (b *burstFleet) renew() {
 	b.table = tokenroute.NewTable(b.known, tokenroute.Options{Now: b.now, Previous: b.table,
-		Weight: func(entry directory.BackendEntry) uint32 {
+		WeightOf: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.share[entry.GetNumber()-1] * shares.HealthWeight(b.unwell[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
@@ -241,7 +241,7 @@
 func (b *burstFleet) look() {
 	joined := make(map[incarnation.ID]observe.Finding)
 	all := demand.Aggregate{At: b.now, Balancers: burstBalancers, ZoneBalancers: map[demand.Zone]int{"maadi": burstBalancers},
-		Loads: make(map[demand.ZonePool]demand.Load)}
+		Loads: make(map[demand.PoolZone]demand.Load)}
 	for place := range b.nodes {
 		node := &b.nodes[place]
 		if summary := node.flows.Summarize(b.now); summary != nil {
@@ -256,7 +256,7 @@
 			all.Loads[at] = all.Loads[at].Plus(load)
 		}
 	}
-	b.pictures = append(b.pictures, all.WithSlots(map[demand.ZonePool]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
+	b.pictures = append(b.pictures, all.WithCapacity(map[demand.PoolZone]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
 	if late := len(b.pictures) - 1 - int(b.lag/observationInterval); late >= 0 {
 		for place := range b.nodes {
 			b.nodes[place].take(b.pictures[late], b.now)
@@ -277,7 +277,7 @@
 func (n *burstNode) take(picture *demand.Aggregate, now time.Time) {
 	n.flows.SetSaturatedPools(n.gate.saturated("maadi", picture, now))
 	var demands []admission.PoolState
-	for pool := range picture.ZonePools() {
+	for pool := range picture.PoolZones() {
 		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.gate.urgencies[string(pool)],
 			Pressure: n.gate.pressures.on(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
 	}
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -51,7 +51,7 @@
 	d.tree.SetOwn(d.own.Aggregate(zone, now), demand.Position{Depth: above, TreeHeight: all})
 	d.room.look(now)
 	picture := d.tree.Aggregate(now)
-	d.picture.Store(picture.WithSlots(d.room.living(now)))
+	d.picture.Store(picture.WithCapacity(d.room.living(now)))
 	c.tellWhetherWhole(picture, now)
 }
 
@@ -173,7 +173,7 @@
 	return encoded
 }
 
-func encodeLoad(place demand.ZonePool, load demand.Load) *apiv1.PlaceLoad {
+func encodeLoad(place demand.PoolZone, load demand.Load) *apiv1.PlaceLoad {
 	return &apiv1.PlaceLoad{
 		Pool:     string(place.Pool),
 		Zone:     string(place.Zone),
@@ -181,7 +181,7 @@
 		Openings: float32(load.NewFlows),
 		Answers:  float32(load.Responses),
 		Refusals: float32(load.Refusals),
-		Asks:     float32(load.Offered),
+		Asks:     float32(load.RequestRate),
 	}
 }
 
@@ -191,19 +191,19 @@
 		At:            at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
 		Balancers:     int(encoded.GetBalancers()),
 		ZoneBalancers: make(map[demand.Zone]int, len(encoded.GetZones())),
-		Loads:         make(map[demand.ZonePool]demand.Load, len(encoded.GetPlaces())),
+		Loads:         make(map[demand.PoolZone]demand.Load, len(encoded.GetPlaces())),
 	}
 	for _, zone := range encoded.GetZones() {
 		made.ZoneBalancers[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
 	}
 	for _, each := range encoded.GetPlaces() {
-		place := demand.ZonePool{Pool: demand.Pool(each.GetPool()), Zone: demand.Zone(each.GetZone())}
+		place := demand.PoolZone{Pool: demand.Pool(each.GetPool()), Zone: demand.Zone(each.GetZone())}
 		made.Loads[place] = demand.Load{
-			InFlight:  decodeLoad(each.GetWaiting()),
-			NewFlows:  decodeLoad(each.GetOpenings()),
-			Responses: decodeLoad(each.GetAnswers()),
-			Refusals:  decodeLoad(each.GetRefusals()),
-			Offered:   decodeLoad(each.GetAsks()),
+			InFlight:    decodeLoad(each.GetWaiting()),
+			NewFlows:    decodeLoad(each.GetOpenings()),
+			Responses:   decodeLoad(each.GetAnswers()),
+			Refusals:    decodeLoad(each.GetRefusals()),
+			RequestRate: decodeLoad(each.GetAsks()),
 		}
 	}
 	return made
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -20,14 +20,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingIn(zone string) demand.ZonePool {
-	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingIn(zone string) demand.PoolZone {
+	return demand.PoolZone{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
 // asksOf is the part of a balancer whose clients ask so much a second of lending.
 func asksOf(zone string, asks, waiting float64, at time.Time) demand.Aggregate {
 	return demand.Aggregate{At: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
-		Loads: map[demand.ZonePool]demand.Load{lendingIn(zone): {Offered: asks, InFlight: waiting}}}
+		Loads: map[demand.PoolZone]demand.Load{lendingIn(zone): {RequestRate: asks, InFlight: waiting}}}
 }
 
 // pair are a balancer that leads and one that follows it, with its clock known there.
@@ -72,8 +72,8 @@
 		all := follows.demand.tree.Aggregate(now)
 		require.Equal(t, 2, all.Balancers)
 		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.ZoneBalancers)
-		require.Equal(t, 30.0, all.Loads[lendingIn("giza")].Offered)
-		require.Equal(t, 10.0, all.Loads[lendingIn("maadi")].Offered)
+		require.Equal(t, 30.0, all.Loads[lendingIn("giza")].RequestRate)
+		require.Equal(t, 10.0, all.Loads[lendingIn("maadi")].RequestRate)
 	}
 }
 
@@ -93,8 +93,8 @@
 	clear(made.Loads)
 	for pool := range 100 {
 		for _, zone := range []demand.Zone{"zone-a", "zone-b", "zone-c"} {
-			made.Loads[demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
-				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, Offered: float64(pool)}
+			made.Loads[demand.PoolZone{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
+				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, RequestRate: float64(pool)}
 		}
 	}
 	encoded := encodePicture(made, made.At)
@@ -116,15 +116,15 @@
 func TestPoolsThatAreToldAreWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
-		all := make(map[demand.ZonePool]float64)
-		sum := demand.Aggregate{At: now, Balancers: 2, Loads: make(map[demand.ZonePool]demand.Load)}
+		all := make(map[demand.PoolZone]float64)
+		sum := demand.Aggregate{At: now, Balancers: 2, Loads: make(map[demand.PoolZone]demand.Load)}
 		for range 2 {
-			part := demand.Aggregate{At: now, Balancers: 1, Loads: make(map[demand.ZonePool]demand.Load)}
+			part := demand.Aggregate{At: now, Balancers: 1, Loads: make(map[demand.PoolZone]demand.Load)}
 			for pool := range 90 {
 				for zone := range rapid.IntRange(0, 3).Draw(t, "zones") {
-					place := demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
-					part.Loads[place] = demand.Load{Offered: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
-					all[place] += part.Loads[place].Offered
+					place := demand.PoolZone{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
+					part.Loads[place] = demand.Load{RequestRate: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
+					all[place] += part.Loads[place].RequestRate
 				}
 			}
 			for place, load := range decodePicture(encodePicture(part, now), now).Loads {
@@ -132,7 +132,7 @@
 			}
 		}
 		for place, load := range decodePicture(encodePicture(sum, now), now).Loads {
-			require.InDelta(t, all[place], load.Offered, 1e-6, place)
+			require.InDelta(t, all[place], load.RequestRate, 1e-6, place)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
 			Waiting: told, Openings: told, Answers: told, Refusals: told, Asks: 5}}}
 		read := decodePicture(encoded, time.Now())
-		require.Equal(t, demand.Load{Offered: 5}, read.Loads[lendingIn("maadi")])
+		require.Equal(t, demand.Load{RequestRate: 5}, read.Loads[lendingIn("maadi")])
 	}
 }
 
@@ -153,7 +153,7 @@
 	now := time.Now()
 	leads, _ := pair(t, now)
 	place := lendingIn("maadi")
-	leads.demand.room.slots = map[demand.ZonePool]float64{place: 10}
+	leads.demand.room.slots = map[demand.PoolZone]float64{place: 10}
 	tell := func(waiting float64) (told int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
 			leads.demand.tree.SetOwn(asksOf("maadi", 10, waiting, now), demand.Position{})
@@ -215,9 +215,9 @@
 	control.balancersByZone = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureRoom(nil, now)
 	picture := demand.Aggregate{At: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
-		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {Offered: maadi, InFlight: waiting}, lendingIn("giza"): {Offered: giza},
-			lendingIn("fayum"): {Offered: fayum}}}
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
+		Loads: map[demand.PoolZone]demand.Load{lendingIn("maadi"): {RequestRate: maadi, InFlight: waiting}, lendingIn("giza"): {RequestRate: giza},
+			lendingIn("fayum"): {RequestRate: fayum}}}
+	control.demand.picture.Store(picture.WithCapacity(control.demand.room.slots))
 	return control, now
 }
 
@@ -257,7 +257,7 @@
 	control, now := divided(200, 100, 200, 50)
 	control.measureRoom(map[string]uint64{"maadi": 7}, now)
 	picture := *control.demand.picture.Load()
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
+	control.demand.picture.Store(picture.WithCapacity(control.demand.room.slots))
 	require.True(t, control.divide(now))
 	require.Zero(t, control.observed.planned["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
@@ -292,10 +292,10 @@
 func TestPressureIsToldWhereThereIsNoRoom(t *testing.T) {
 	now := time.Now()
 	picture := asksOf("maadi", 10, 2, now)
-	picture.Loads[lendingIn("giza")] = demand.Load{Offered: 5, Refusals: 5}
-	picture.Loads[lendingIn("fayum")] = demand.Load{Offered: 5}
+	picture.Loads[lendingIn("giza")] = demand.Load{RequestRate: 5, Refusals: 5}
+	picture.Loads[lendingIn("fayum")] = demand.Load{RequestRate: 5}
 	told := make(map[string]float64)
-	collectDemand(picture.WithSlots(map[demand.ZonePool]float64{lendingIn("maadi"): 4}),
+	collectDemand(picture.WithCapacity(map[demand.PoolZone]float64{lendingIn("maadi"): 4}),
 		func(description *prometheus.Desc, value float64, labels ...string) {
 			if description == pressureDescription {
 				told[labels[1]] = value
--- a/internal/balancer/divide.go
+++ b/internal/balancer/divide.go
@@ -23,7 +23,7 @@
 	}
 	own := demand.Zone(c.balancer.settings.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
-	for pool := range picture.ZonePools() {
+	for pool := range picture.PoolZones() {
 		if parts := shares.ZoneShares(shares.ZoneLoads(picture, pool, own, c.balancersByZone), own); parts != nil {
 			planned[pool] = parts
 		}
@@ -56,9 +56,9 @@
 
 // partWeight is the weight of a pool's back ends in a zone that together take their part
 // of the new flows; the greatest weight is 1.
-func (c *control) partWeight(parts map[demand.Zone]float64, place demand.ZonePool) float64 {
+func (c *control) partWeight(parts map[demand.Zone]float64, place demand.PoolZone) float64 {
 	each := func(zone demand.Zone) float64 {
-		backends := c.demand.room.backends[demand.ZonePool{Pool: place.Pool, Zone: zone}]
+		backends := c.demand.room.backends[demand.PoolZone{Pool: place.Pool, Zone: zone}]
 		return math.Max(parts[zone], leastPart) / math.Max(1, float64(backends))
 	}
 	greatest := each(place.Zone)
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -42,7 +42,7 @@
 func (control *control) plan(now time.Time) bool {
 	control.demand.tree.SetOwn(asksOf("maadi", 5, 5, now), demand.Position{})
 	picture := control.demand.tree.Aggregate(now)
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
+	control.demand.picture.Store(picture.WithCapacity(control.demand.room.slots))
 	return control.divide(now)
 }
 
@@ -131,7 +131,7 @@
 	for _, elsewhere := range []int{14, 1400, 14_000} {
 		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.room.backends = map[demand.ZonePool]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
+			control.demand.room.backends = map[demand.PoolZone]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
 			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
 			taken := func(zone string, backends int) float64 {
 				weight := math.Ceil(control.partWeight(parts, lendingIn(zone)) * rule.MaximumWeight)
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -14,13 +14,13 @@
 // flows; the others by their whole pool.
 type healthLimits struct {
 	// places are those of the back ends that are unwell and listed.
-	places map[incarnation.ID]demand.ZonePool
+	places map[incarnation.ID]demand.PoolZone
 	// sums are those of the places that have such back ends, and pools those of their pools.
-	sums  map[demand.ZonePool]healthSum
+	sums  map[demand.PoolZone]healthSum
 	pools map[demand.Pool]healthSum
 	// parts are the parts of what health takes off that may be taken off. Places that are
 	// not listed have no bound.
-	parts map[demand.ZonePool]float64
+	parts map[demand.PoolZone]float64
 }
 
 // healthSum is what the back ends of a place or a pool that take new flows handle at once.
@@ -37,8 +37,8 @@
 // measureHealth sums up the back ends that take new flows, with each new table.
 func (c *control) measureHealth(evacuated map[string]uint64, warming *warming, now time.Time) {
 	made := healthLimits{
-		places: make(map[incarnation.ID]demand.ZonePool, len(c.observed.unwell)),
-		sums:   make(map[demand.ZonePool]healthSum),
+		places: make(map[incarnation.ID]demand.PoolZone, len(c.observed.unwell)),
+		sums:   make(map[demand.PoolZone]healthSum),
 		pools:  make(map[demand.Pool]healthSum),
 	}
 	if len(c.observed.unwell) > 0 {
@@ -75,7 +75,7 @@
 
 // plan plans the parts by the demand of now, where a picture tells it.
 func (l *healthLimits) plan(picture *demand.Aggregate, now time.Time) {
-	l.parts = make(map[demand.ZonePool]float64, len(l.sums))
+	l.parts = make(map[demand.PoolZone]float64, len(l.sums))
 	for place, sum := range l.sums {
 		waiting := 0.0
 		if picture.Fresh(now) {
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -78,9 +78,9 @@
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
 	control.demand.tree.SetOwn(demand.Aggregate{At: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
-		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {InFlight: 40, Offered: 100}}}, demand.Position{})
+		Loads: map[demand.PoolZone]demand.Load{lendingIn("maadi"): {InFlight: 40, RequestRate: 100}}}, demand.Position{})
 	picture := control.demand.tree.Aggregate(now)
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
+	control.demand.picture.Store(picture.WithCapacity(control.demand.room.slots))
 	control.findings.own = slowOnes(5)
 	require.True(t, control.judgeHealth(now), "another table")
 	control.rebuildTable(now)
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -113,7 +113,7 @@
 func askedPart(pool demand.Pool, own demand.Zone, picture *demand.Aggregate) float64 {
 	mine, all := 0.0, 0.0
 	for zone := range picture.ZoneBalancers {
-		asks := picture.Loads[demand.ZonePool{Pool: pool, Zone: zone}].Offered
+		asks := picture.Loads[demand.PoolZone{Pool: pool, Zone: zone}].RequestRate
 		all += asks
 		if zone == own {
 			mine = asks
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -23,10 +23,10 @@
 // uneven is a picture of two zones: three balancers whose clients ask for a quarter, and
 // one whose clients ask for the rest.
 func uneven(at time.Time) *demand.Aggregate {
-	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	maadi, giza := demand.PoolZone{Pool: "lending", Zone: "maadi"}, demand.PoolZone{Pool: "lending", Zone: "giza"}
 	made := demand.Aggregate{At: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
-		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 40}, giza: {Offered: 300, InFlight: 40}}}
-	return made.WithSlots(map[demand.ZonePool]float64{maadi: 10, giza: 10})
+		Loads: map[demand.PoolZone]demand.Load{maadi: {RequestRate: 100, InFlight: 40}, giza: {RequestRate: 300, InFlight: 40}}}
+	return made.WithCapacity(map[demand.PoolZone]float64{maadi: 10, giza: 10})
 }
 
 // Balancers of zones in uneven demand see different parts of it, and must come to the
@@ -75,9 +75,9 @@
 func TestPressureIsNoneWhileThePictureShowsRoom(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	quiet := uneven(now)
-	quiet.Loads = map[demand.ZonePool]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Offered: 1e-9, InFlight: 1e-9},
-		{Pool: "lending", Zone: "giza"}:  {Offered: 100, InFlight: 15},
+	quiet.Loads = map[demand.PoolZone]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {RequestRate: 1e-9, InFlight: 1e-9},
+		{Pool: "lending", Zone: "giza"}:  {RequestRate: 100, InFlight: 15},
 	}
 	pressure := seen(20, now).on("lending", "maadi", quiet, listed)
 	require.Zero(t, pressure.RequestsPerSlot)
@@ -88,9 +88,9 @@
 func TestPressureOfFewRequestsIsThatOfThePicture(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	few := uneven(now)
-	few.Loads = map[demand.ZonePool]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0},
-		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 40},
+	few.Loads = map[demand.PoolZone]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {RequestRate: 1, InFlight: 0},
+		{Pool: "lending", Zone: "giza"}:  {RequestRate: 300, InFlight: 40},
 	}
 	require.InDelta(t, 2, seen(1, now).on("lending", "maadi", few, listed).RequestsPerSlot, 1e-9, "not 45")
 }
@@ -99,9 +99,9 @@
 func TestPoolIsSaturatedWhileItHasNoFreeSlot(t *testing.T) {
 	now := time.Now()
 	idle := uneven(now)
-	idle.Loads = map[demand.ZonePool]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Offered: 100, InFlight: 5},
-		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 5},
+	idle.Loads = map[demand.PoolZone]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {RequestRate: 100, InFlight: 5},
+		{Pool: "lending", Zone: "giza"}:  {RequestRate: 300, InFlight: 5},
 	}
 	require.False(t, seen(0, now).saturated("lending", "maadi", nil), "no picture")
 	require.False(t, seen(0.5, now).saturated("lending", "maadi", idle))
@@ -109,8 +109,8 @@
 	require.True(t, seen(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
 	require.False(t, seen(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
 	lone := uneven(now)
-	lone.Loads = map[demand.ZonePool]demand.Load{{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0.1},
-		{Pool: "lending", Zone: "giza"}: {Offered: 300, InFlight: 5}}
+	lone.Loads = map[demand.PoolZone]demand.Load{{Pool: "lending", Zone: "maadi"}: {RequestRate: 1, InFlight: 0.1},
+		{Pool: "lending", Zone: "giza"}: {RequestRate: 300, InFlight: 5}}
 	require.False(t, seen(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
 	require.False(t, seen(50, now).saturated("covers", "maadi", idle), "no room is known")
 	made := newGate()
@@ -126,7 +126,7 @@
 // ask passed this one, where the picture had a half of it; or this one had just started.
 func TestPressureIsNotThatOfAPartThatHasGrown(t *testing.T) {
 	begun, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
-	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	maadi, giza := demand.PoolZone{Pool: "lending", Zone: "maadi"}, demand.PoolZone{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
 		t.Run(name, func(t *testing.T) {
 			made := &pressures{smoothedWaiting: newSmoothedWaiting()}
@@ -136,11 +136,11 @@
 					asked, waiting = 30, 2
 				}
 				made.follow(&observe.Summary{At: begun.Add(time.Duration(step) * 250 * time.Millisecond),
-					InFlight: map[string]float64{"lending": waiting}, Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: asked}}})
+					InFlight: map[string]float64{"lending": waiting}, Loads: map[demand.PoolZone]demand.Load{maadi: {RequestRate: asked}}})
 			}
 			picture := demand.Aggregate{At: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 2, "giza": 1},
-				Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 30, InFlight: 4}, giza: {Offered: 90, InFlight: 4}}}
-			pressure := made.on("lending", "maadi", picture.WithSlots(map[demand.ZonePool]float64{maadi: 3, giza: 3}), listed)
+				Loads: map[demand.PoolZone]demand.Load{maadi: {RequestRate: 30, InFlight: 4}, giza: {RequestRate: 90, InFlight: 4}}}
+			pressure := made.on("lending", "maadi", picture.WithCapacity(map[demand.PoolZone]float64{maadi: 3, giza: 3}), listed)
 			require.LessOrEqual(t, pressure.RequestsPerSlot, 8/6.0*1.1, "not 16 of 6 slots")
 		})
 	}
@@ -151,10 +151,10 @@
 // which few requests pass takes what waits from the picture.
 func TestFewRequestsHereRefuseNobodyTwoSecondsAfterABurst(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 20, "giza": 40}
-	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	maadi, giza := demand.PoolZone{Pool: "lending", Zone: "maadi"}, demand.PoolZone{Pool: "lending", Zone: "giza"}
 	burst := demand.Aggregate{At: now.Add(-2500 * time.Millisecond), Balancers: 60, ZoneBalancers: map[demand.Zone]int{"maadi": 20, "giza": 40},
-		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 8}, giza: {Offered: 200, InFlight: 16}}}
-	picture := burst.WithSlots(map[demand.ZonePool]float64{maadi: 2, giza: 4})
+		Loads: map[demand.PoolZone]demand.Load{maadi: {RequestRate: 100, InFlight: 8}, giza: {RequestRate: 200, InFlight: 16}}}
+	picture := burst.WithCapacity(map[demand.PoolZone]float64{maadi: 2, giza: 4})
 	here := seen(0.1, now.Add(-5*time.Second))
 	require.Less(t, here.on("lending", "maadi", picture, listed).RequestsPerSlot, 3.0, "the least urgent give way from 3 on")
 }
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -31,18 +31,18 @@
 	seen   demand.Aggregate
 	madeAt time.Time
 	// pressures are those of seen, never changed but replaced.
-	pressures map[demand.ZonePool]float64
+	pressures map[demand.PoolZone]float64
 	told      map[string]telling
 }
 
 // telling is when a follower was told, and of which pressures, and when the next is due.
 type telling struct {
 	at, dueAt time.Time
-	pressures map[demand.ZonePool]float64
+	pressures map[demand.PoolZone]float64
 }
 
 // next is what follows a telling at a time, or none if it must wait.
-func (t telling) next(pressures map[demand.ZonePool]float64, now time.Time) (telling, bool) {
+func (t telling) next(pressures map[demand.PoolZone]float64, now time.Time) (telling, bool) {
 	made := telling{at: now, dueAt: now.Add(tellPause), pressures: pressures}
 	if now.Before(t.dueAt.Add(-tellEarly)) {
 		return made, now.Sub(t.at) >= soonPause && moved(t.pressures, pressures)
@@ -75,10 +75,10 @@
 }
 
 // renew encodes a picture, and forgets the followers that no longer call.
-func (t *tellings) renew(picture demand.Aggregate, room map[demand.ZonePool]float64, now time.Time) {
+func (t *tellings) renew(picture demand.Aggregate, room map[demand.PoolZone]float64, now time.Time) {
 	t.whole, t.seen, t.madeAt = encodePicture(picture, now), picture, now
-	t.pressures = make(map[demand.ZonePool]float64, len(picture.Loads))
-	withRoom := picture.WithSlots(room)
+	t.pressures = make(map[demand.PoolZone]float64, len(picture.Loads))
+	withRoom := picture.WithCapacity(room)
 	for place := range picture.Loads {
 		t.pressures[place] = withRoom.Pressure(place)
 	}
@@ -94,7 +94,7 @@
 
 // moved tells whether the pressure of a place has moved by enough to be told sooner. Places
 // without room are beyond all pressure before and after.
-func moved(before, after map[demand.ZonePool]float64) bool {
+func moved(before, after map[demand.PoolZone]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > pressureStep }
 	for place, pressure := range after {
 		if differs(before[place], pressure) {
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -151,8 +151,8 @@
 }
 
 // placeOf is a place of the directory as demand knows it.
-func placeOf(place directory.PoolZone) demand.ZonePool {
-	return demand.ZonePool{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
+func placeOf(place directory.PoolZone) demand.PoolZone {
+	return demand.PoolZone{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
 }
 
 // remoteWeight is the weight, 0 to 1, of a pool's back ends in other zones.
--- a/internal/demand/tree_test.go
+++ b/internal/demand/tree_test.go
@@ -16,7 +16,7 @@
 func part(name string, at time.Time) Aggregate {
 	zone := Zone("z")
 	return Aggregate{At: at, Balancers: 1, ZoneBalancers: map[Zone]int{zone: 1},
-		Loads: map[ZonePool]Load{{Pool: Pool(name), Zone: zone}: {InFlight: 1}}}
+		Loads: map[PoolZone]Load{{Pool: Pool(name), Zone: zone}: {InFlight: 1}}}
 }
 
 // lease is that of a leaf of the trees that are played, which have two levels below the
@@ -90,9 +90,9 @@
 		all := root.Aggregate(at)
 		root.SetOwn(part("root", at), levelsOf("root"))
 		all = root.Aggregate(at)
-		require.Equal(t, 1.0, all.Loads[ZonePool{"middle", "z"}].InFlight, "a dead one takes nobody with it")
+		require.Equal(t, 1.0, all.Loads[PoolZone{"middle", "z"}].InFlight, "a dead one takes nobody with it")
 		if elapsed > MaximumReportInterval {
-			require.NotContains(t, all.Loads, ZonePool{"leaf", "z"})
+			require.NotContains(t, all.Loads, PoolZone{"leaf", "z"})
 			require.Equal(t, at.Add(-time.Second/2), all.At.Add(-time.Second/2), "nor makes it the picture old")
 		}
 	}
@@ -147,7 +147,7 @@
 		report, may := leaf.ReportTo("elsewhere", moved)
 		require.True(t, may)
 		root.SetFollowerReport("leaf", report, moved)
-		require.Equal(t, 1.0, root.Aggregate(moved).Loads[ZonePool{"leaf", "z"}].InFlight)
+		require.Equal(t, 1.0, root.Aggregate(moved).Loads[PoolZone{"leaf", "z"}].InFlight)
 	}
 }
 
@@ -315,7 +315,7 @@
 			if ms < 10_000 {
 				continue
 			}
-			require.Contains(t, root.Aggregate(now).Loads, ZonePool{Pool: "moved", Zone: "z"}, "level %d", level)
+			require.Contains(t, root.Aggregate(now).Loads, PoolZone{Pool: "moved", Zone: "z"}, "level %d", level)
 		}
 	}
 }
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -62,7 +62,7 @@
 	for place, group := range b.groups {
 		listed[group.PoolZone] = true
 		known := b.previous.poolZones[group.PoolZone]
-		if known != nil && known.version == group.Version && b.options.Warmup == nil {
+		if known != nil && known.version == group.Version && b.options.WarmupOf == nil {
 			found[place] = known.backends
 			continue
 		}
@@ -104,8 +104,8 @@
 // backend is the back end of an entry; known is that of the previous table, or nil.
 func (b *builder) backend(entry directory.BackendEntry, known *Backend) *Backend {
 	wanted := newBackend(entry)
-	if b.options.Warmup != nil {
-		wanted.Warmup = b.options.Warmup(entry)
+	if b.options.WarmupOf != nil {
+		wanted.Warmup = b.options.WarmupOf(entry)
 	}
 	if known != nil && *known == wanted {
 		return known
@@ -222,7 +222,7 @@
 		if !ready {
 			joined = b.vanishedPoolZone(group, joined)
 		}
-		made.withheldByEvacuation = made.withheldByEvacuation || joined.withheldByEvacuation
+		made.withheld = made.withheld || joined.withheldByEvacuation
 		made.zones = append(made.zones, joined)
 		made.rules = append(made.rules, joined.rule)
 	}
--- a/internal/tokenroute/congestedlinks_test.go
+++ b/internal/tokenroute/congestedlinks_test.go
@@ -50,7 +50,7 @@
 		for index := range l.flows {
 			l.stepFlow(&l.flows[index], now)
 		}
-		for balancer := range l.balancers {
+		for balancer := range l.nodes {
 			l.evaluate(balancer, now)
 			l.exchange(balancer, now)
 		}
@@ -60,17 +60,17 @@
 // stepFlow advances a flow. f.nextAt is when its client sends next, and f.answeredAt when the
 // answer arrives.
 func (l *congestedFleet) stepFlow(f *simulatedFlow, now int) {
-	node := &l.balancers[f.balancer]
+	node := &l.nodes[f.balancer]
 	switch {
 	case f.waiting && f.answeredAt > 0 && now >= f.answeredAt:
-		node.flows.Decide(l.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n,
-			Acknowledged: 5000*f.n + 300}, at(now))
-		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000+l.chance.IntN(4000)
+		node.flows.Decide(l.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
+			Acknowledged: 5000*f.requests + 300}, at(now))
+		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000+l.random.IntN(4000)
 		return
 	case now < f.nextAt:
 		return
 	case !f.waiting:
-		f.n++
+		f.requests++
 		f.sentAt, f.repeats, f.waiting = now, 0, true
 	default:
 		f.repeats++
@@ -79,7 +79,7 @@
 	if f.repeats < len(retransmitTimes) {
 		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
 	}
-	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n, Acknowledged: 5000 * f.n, Length: 500}
+	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
 	if node.flows.Decide(l.table, packet, at(now)).Verdict == Refuse {
 		l.countReset(f.balancer)
 		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000
@@ -87,10 +87,10 @@
 	}
 	responseDelay := 25
 	if l.isCongested(f.balancer, now) {
-		if l.chance.Float64() < l.loss {
+		if l.random.Float64() < l.loss {
 			return
 		}
-		responseDelay += l.chance.IntN(l.delay + 1)
+		responseDelay += l.random.IntN(l.delay + 1)
 	}
 	if f.answeredAt == 0 || now+responseDelay < f.answeredAt {
 		f.answeredAt = now + responseDelay
@@ -106,7 +106,7 @@
 }
 
 func (l *congestedFleet) evaluate(balancer, now int) {
-	node := &l.balancers[balancer]
+	node := &l.nodes[balancer]
 	node.flows.EvaluatePending(at(now))
 	for range node.flows.TakeAbandonedFlows() {
 		l.countReset(balancer)
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -55,14 +55,14 @@
 
 // poolZoneDemand returns the demand on a pool in a zone.
 func (f *Flows) poolZoneDemand(pool, zone string) *poolZoneDemand {
-	poolZone := demand.ZonePool{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
+	poolZone := demand.PoolZone{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
 	poolDemand := f.demands[poolZone]
 	if poolDemand != nil {
 		return poolDemand
 	}
 	poolDemand = &poolZoneDemand{}
 	if f.demands == nil {
-		f.demands = make(map[demand.ZonePool]*poolZoneDemand)
+		f.demands = make(map[demand.PoolZone]*poolZoneDemand)
 	}
 	f.demands[poolZone] = poolDemand
 	poolDemand.local = poolDemand
@@ -248,17 +248,17 @@
 
 // summarizeDemand returns the demand on each pool in each zone since the last summary, and resets
 // the counters.
-func (f *Flows) summarizeDemand(elapsed time.Duration, now time.Time) map[demand.ZonePool]demand.Load {
-	loads := make(map[demand.ZonePool]demand.Load, len(f.demands))
+func (f *Flows) summarizeDemand(elapsed time.Duration, now time.Time) map[demand.PoolZone]demand.Load {
+	loads := make(map[demand.PoolZone]demand.Load, len(f.demands))
 	rate := func(count int) float64 { return float64(count) / max(elapsed, summaryInterval).Seconds() }
 	for poolZone, poolDemand := range f.demands {
 		poolDemand.dropLostRequests(now)
 		loads[poolZone] = demand.Load{
-			InFlight:  poolDemand.use.Mean(now) * poolDemand.serviceFraction(),
-			NewFlows:  rate(poolDemand.newFlows),
-			Responses: rate(poolDemand.responses),
-			Refusals:  rate(poolDemand.refusals),
-			Offered:   rate(poolDemand.requests),
+			InFlight:    poolDemand.use.Mean(now) * poolDemand.serviceFraction(),
+			NewFlows:    rate(poolDemand.newFlows),
+			Responses:   rate(poolDemand.responses),
+			Refusals:    rate(poolDemand.refusals),
+			RequestRate: rate(poolDemand.requests),
 		}
 		poolDemand.newFlows, poolDemand.responses, poolDemand.refusals, poolDemand.requests = 0, 0, 0, 0
 	}
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -14,12 +14,12 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingPoolZone(zone string) demand.ZonePool {
-	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingPoolZone(zone string) demand.PoolZone {
+	return demand.PoolZone{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
 // summarizeAt returns the demand in a summary made at a time, one second after the last one.
-func summarizeAt(flows *Flows, now int) map[demand.ZonePool]demand.Load {
+func summarizeAt(flows *Flows, now int) map[demand.PoolZone]demand.Load {
 	flows.summarizedAt = at(now - 1000)
 	return flows.Summarize(at(now)).Loads
 }
@@ -46,10 +46,10 @@
 	require.Equal(t, 1.0, all.NewFlows, "a retransmission opens no flow")
 	require.Equal(t, 3.0, all.Responses, "the third request is still in flight")
 	require.Equal(t, 1.0, loads[lendingPoolZone("giza")].Refusals)
-	require.Equal(t, 5.0, loads[lendingPoolZone("giza")].Offered, "three of one flow, one of another, and the refused one")
-	require.Zero(t, loads[lendingPoolZone("maadi")].Offered, "no client of that zone sends requests here")
+	require.Equal(t, 5.0, loads[lendingPoolZone("giza")].RequestRate, "three of one flow, one of another, and the refused one")
+	require.Zero(t, loads[lendingPoolZone("maadi")].RequestRate, "no client of that zone sends requests here")
 	require.Positive(t, loads[lendingPoolZone("maadi")].Responses)
-	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].Offered, "each request counts once")
+	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].RequestRate, "each request counts once")
 }
 
 // Full back ends reset flows, which clients do not show. In bursts, 1,483 requests then seemed to
@@ -97,7 +97,7 @@
 	for _, byZone := range []bool{false, true} {
 		opts := defaultOptions()
 		opts.ZoneByWeight = func(pool string) bool { return byZone && pool == "lending" }
-		opts.Weight = func(entry directory.BackendEntry) uint32 { return weightOf(entry.GetZone()) }
+		opts.WeightOf = func(entry directory.BackendEntry) uint32 { return weightOf(entry.GetZone()) }
 		table, flows := NewTable(dir, opts), NewFlows(mechanism.Set{}).WithZone("maadi")
 		inGiza := 0
 		for port := range 2200 {
@@ -218,7 +218,7 @@
 // The time that clients wait before their first request is not part of the round trip.
 func TestClientThinkTimeIsNotRoundTripTime(t *testing.T) {
 	opts := defaultOptions()
-	opts.Weight = func(entry directory.BackendEntry) uint32 {
+	opts.WeightOf = func(entry directory.BackendEntry) uint32 {
 		if entry.GetZone() == "maadi" {
 			return 1000
 		}
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -19,7 +19,7 @@
 	flowCache       *flowCache
 	pendingOpenings []pendingOpening
 	// demands is the demand on each pool in each zone.
-	demands     map[demand.ZonePool]*poolZoneDemand
+	demands     map[demand.PoolZone]*poolZoneDemand
 	backoffs    map[incarnation.ID]*backoff
 	zoneMonitor *zoneMonitor
 	loads       map[incarnation.ID]*backendLoad
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -96,19 +96,19 @@
 	// zones are those of its zones, and rules theirs, in the same order.
 	zones []*poolZone
 	rules []*rule.Rule
-	// withheldByEvacuation is set when some back end takes no new flows only because its zone
+	// withheld is set when some back end takes no new flows only because its zone
 	// is evacuated.
-	withheldByEvacuation bool
+	withheld bool
 	// zoneByWeight is set when the weights alone choose the zone.
 	zoneByWeight bool
 }
 
 // Options are what a table depends on besides the directory.
 type Options struct {
-	Weight WeightFunc
-	// PlaceWeight gives the share that each back end of a place takes, where all take the
+	WeightOf WeightFunc
+	// WeightOfPoolZone gives the share that each back end of a place takes, where all take the
 	// same, and tells whether they do. Nil asks Weigh for each.
-	PlaceWeight func(place directory.PoolZone) (weight uint32, uniform bool)
+	WeightOfPoolZone func(place directory.PoolZone) (weight uint32, uniform bool)
 	// FormerPools are the pools that a route had before, by the route's address;
 	// their open flows stay where they are.
 	FormerPools map[flow.Address]map[string]bool
@@ -119,8 +119,8 @@
 	// Evacuated are the zones whose back ends get no new flows, with the revision
 	// of the operator's order.
 	Evacuated map[string]uint64
-	// Warmup tells how cold a back end is; nil takes all for warm.
-	Warmup func(backend directory.BackendEntry) Warmup
+	// WarmupOf tells how cold a back end is; nil takes all for warm.
+	WarmupOf func(backend directory.BackendEntry) Warmup
 	// StoreRecovery is the time after an outage of the store in which entries that lapsed
 	// meanwhile may come back.
 	StoreRecovery StoreRecovery
@@ -320,7 +320,7 @@
 		return ReasonNoBackend
 	case chosen.acceptsAny(hash):
 		return ReasonCold
-	case chosen.withheldByEvacuation:
+	case chosen.withheld:
 		return ReasonEvacuated
 	}
 	return ReasonNoBackend
--- a/internal/tokenroute/takeover_test.go
+++ b/internal/tokenroute/takeover_test.go
@@ -40,7 +40,7 @@
 
 // A table takes over from the one before what has not changed. Whatever changes, in entries,
 // weights, evacuations, time, outages of the store, it decides as one made anew.
-func TestTablesThatTakeOverDecideAsNewOnes(t *testing.T) {
+func TestIncrementalTableMatchesFullBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
 		now, revision := start, uint64(100)
@@ -73,8 +73,8 @@
 				return rule.MaximumWeight
 			}
 			uneven := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			made.PlaceWeight = func(place directory.PoolZone) (uint32, bool) { return of(place), !uneven }
-			made.Weight = func(entry directory.BackendEntry) uint32 {
+			made.WeightOfPoolZone = func(place directory.PoolZone) (uint32, bool) { return of(place), !uneven }
+			made.WeightOf = func(entry directory.BackendEntry) uint32 {
 				if uneven && entry.GetNumber()%2 == 0 {
 					return 500
 				}
@@ -98,14 +98,14 @@
 }
 
 // A table after one change shares the parts of the places that have not changed.
-func TestPartsThatHaveNotChangedAreShared(t *testing.T) {
+func TestUnchangedPoolZonesAreShared(t *testing.T) {
 	var changes []*apiv1.DirectoryChange
 	for number := range uint64(60) {
 		changes = append(changes, inZone(backend(2, number+1, "lending"), fmt.Sprintf("zone-%d", number%3)))
 	}
 	all := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
 	made := defaultOptions()
-	made.PlaceWeight = func(directory.PoolZone) (uint32, bool) { return rule.MaximumWeight, true }
+	made.WeightOfPoolZone = func(directory.PoolZone) (uint32, bool) { return rule.MaximumWeight, true }
 	before := NewTable(all, made)
 	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
--- a/internal/tokenroute/zonefailures_test.go
+++ b/internal/tokenroute/zonefailures_test.go
@@ -84,7 +84,7 @@
 		}
 		z.sendRequests(1200, all...)
 		z.sendRequests(1600, all...)
-		require.Len(t, z.flows.TakeStatements(), len(all), "the link is trusted")
+		require.Len(t, z.flows.TakeObservations(), len(all), "the link is trusted")
 		for _, client := range all {
 			z.reportUnanswered("nasr", client, 1000)
 		}
@@ -143,7 +143,7 @@
 	z.sendRequests(2400, silentClients...)
 	require.Empty(t, z.resetClients(3000))
 	require.Zero(t, z.flows.BackendFailures())
-	require.Empty(t, z.flows.TakeStatements())
+	require.Empty(t, z.flows.TakeObservations())
 }
 
 // A balancer whose own link is congested loses what it sends to all zones.
