--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -178,7 +178,7 @@
 }
 
 func (b *builder) route(configured *apiv1.ServiceRoute, former map[string]bool) *Route {
-	made := &Route{Name: configured.GetName(), urgency: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
+	made := &Route{Name: configured.GetName(), priority: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
 	for name := range former {
 		made.admittedPools[name] = true
 	}
@@ -223,7 +223,7 @@
 			joined = b.vanishedPoolZone(group, joined)
 		}
 		made.withheld = made.withheld || joined.withheldByEvacuation
-		made.zones = append(made.zones, joined)
+		made.poolZones = append(made.poolZones, joined)
 		made.rules = append(made.rules, joined.rule)
 	}
 	return made
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -283,7 +283,7 @@
 		})
 		require.Len(t, compared, 4)
 		rank := 0
-		group := first.zones[leader[0].RuleIndex]
+		group := first.poolZones[leader[0].RuleIndex]
 		for _, score := range group.rule.Score(key(port).Hash()) {
 			backend := group.eligible[score.Backend-1]
 			if rank < 4 {
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -51,14 +51,14 @@
 
 // simulatedFlow is a client's flow: it asks, repeats, and asks again after a pause.
 type simulatedFlow struct {
-	key      flow.Key
-	balancer int
-	backend  int
-	requests uint32
-	sentAt   int
-	repeats  int
-	nextAt   int
-	waiting  bool
+	key         flow.Key
+	balancer    int
+	backend     int
+	requests    uint32
+	sentAt      int
+	retransmits int
+	nextAt      int
+	waiting     bool
 	// respondedAt is when the answer comes, where that is known before; 0 is not.
 	answeredAt int
 }
@@ -128,18 +128,18 @@
 		return
 	case !f.waiting:
 		f.requests++
-		f.sentAt, f.repeats, f.waiting = now, 0, true
+		f.sentAt, f.retransmits, f.waiting = now, 0, true
 		if silent {
 			j.lost++
 		}
-	case !silent && f.repeats == 0:
+	case !silent && f.retransmits == 0:
 		// The answer to the request has come: it is acknowledged.
 		j.nodes[f.balancer].flows.Decide(j.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
 			Acknowledged: 5000*f.requests + 300}, at(now))
 		f.waiting, f.nextAt = false, now+1000+j.random.IntN(4000)
 		return
 	default:
-		f.repeats++
+		f.retransmits++
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
 	if j.nodes[f.balancer].flows.Decide(j.table, packet, at(now)).Verdict == Refuse {
@@ -149,8 +149,8 @@
 	switch {
 	case !silent:
 		f.nextAt = now + 25
-	case f.repeats < len(retransmitTimes):
-		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
+	case f.retransmits < len(retransmitTimes):
+		f.nextAt = f.sentAt + retransmitTimes[f.retransmits]
 	default:
 		j.reset(f)
 	}
--- a/internal/tokenroute/refusal.go
+++ b/internal/tokenroute/refusal.go
@@ -24,7 +24,7 @@
 	if chosen == nil {
 		return nil
 	}
-	refusal := refusals.Match(chosen.name, route.urgency, key.Hash())
+	refusal := refusals.Match(chosen.name, route.priority, key.Hash())
 	if refusal == nil {
 		return nil
 	}
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -86,16 +86,16 @@
 	// those of any pool.
 	admittedPools map[string]bool
 	admitAllPools bool
-	// urgency is that of the route's requests.
-	urgency admission.Priority
+	// priority is that of the route's requests.
+	priority admission.Priority
 }
 
 // pool is the back ends of one pool that may take new flows.
 type pool struct {
 	name string
-	// zones are those of its zones, and rules theirs, in the same order.
-	zones []*poolZone
-	rules []*rule.Rule
+	// poolZones are those of its zones, and rules theirs, in the same order.
+	poolZones []*poolZone
+	rules     []*rule.Rule
 	// withheld is set when some back end takes no new flows only because its zone
 	// is evacuated.
 	withheld bool
@@ -267,7 +267,7 @@
 // the zone of the first one.
 func (p *pool) topCandidates(hash uint64, found []rule.RankedCandidate, except func(*Backend) bool) int {
 	count := rule.TopCandidates(p.rules, hash, found, func(place int, candidate uint32) bool {
-		return except(p.zones[place].eligible[candidate-1])
+		return except(p.poolZones[place].eligible[candidate-1])
 	})
 	if !p.zoneByWeight || count < 2 {
 		return count
@@ -278,7 +278,7 @@
 		return count
 	}
 	count = rule.TopCandidates(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
-		return except(p.zones[zone].eligible[candidate-1])
+		return except(p.poolZones[zone].eligible[candidate-1])
 	})
 	for place := range found[:count] {
 		found[place].RuleIndex = zone
@@ -288,7 +288,7 @@
 
 // backend is the back end of a leader.
 func (p *pool) backend(leader rule.RankedCandidate) *Backend {
-	return p.zones[leader.RuleIndex].eligible[leader.Backend-1]
+	return p.poolZones[leader.RuleIndex].eligible[leader.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil.
@@ -303,7 +303,7 @@
 // Accepts tells whether a back end still takes new flows of the route.
 func (r *Route) Accepts(backend *Backend) bool {
 	for _, each := range r.pools {
-		for _, part := range each.zones {
+		for _, part := range each.poolZones {
 			if part.accepts(backend) {
 				return true
 			}
