--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -16,7 +16,7 @@
 
 // On a day with 16781 lines, none told of a request that a balancer had refused:
 // beyond a number of lines a second they were dropped whatever they told.
-func TestPassingRequestsPushOutNoOtherLine(t *testing.T) {
+func TestPassingRequestsDoNotDisplaceOtherLines(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
@@ -47,7 +47,7 @@
 
 // A flow that was refused for want of room names what it was refused by, and many of them
 // push out no line of another failure.
-func TestRefusalsForWantOfRoomAreExplained(t *testing.T) {
+func TestCapacityRefusalsAreLoggedWithTheirCause(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -11,7 +11,7 @@
 
 // startWrite writes what is due about balancers to the store.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
-	c.core.SetLost(c.directory.LostPolicies())
+	c.core.SetLost(c.replica.LostPolicies())
 	write, found := c.core.NextWrite(now)
 	if !found {
 		return
@@ -49,12 +49,12 @@
 // no longer has needs no removal.
 func (c *control) revisionsOf(names []string) []BalancerRevision {
 	entries := make(map[string]*apiv1.Balancer)
-	for _, b := range c.directory.Balancers() {
+	for _, b := range c.replica.Balancers() {
 		entries[b.GetName()] = b
 	}
 	var found []BalancerRevision
 	for _, name := range names {
-		revision := c.directory.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
+		revision := c.replica.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
 		if revision != 0 {
 			found = append(found, BalancerRevision{Balancer: entries[name], Revision: revision})
 		}
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -31,12 +31,12 @@
 	// inbox are statements on back ends from other balancers, and statements those
 	// that they should be told.
 	inbox, outbox mailbox
-	// settleAt is when joined witnesses have waited long enough; zero is never.
-	settleAt time.Time
-	// early are the packets that came before the first table.
-	early earlyBuffer
+	// nextEvaluation is when joined witnesses have waited long enough; zero is never.
+	nextEvaluation time.Time
+	// earlyBuffer are the packets that came before the first table.
+	earlyBuffer earlyBuffer
 	// refusals are the flows refused for want of room.
-	refusals   refusals
+	refusals   refusalCounters
 	malformed  atomic.Uint64
 	sendErrors atomic.Uint64
 }
@@ -100,10 +100,10 @@
 // handleWakeup hears what other balancers saw and judges by it. The deadline is set before the
 // mailbox is looked at, so that nothing put into it meanwhile is left.
 func (t *traffic) handleWakeup() {
-	t.setWakeup(t.settleAt)
+	t.setWakeup(t.nextEvaluation)
 	t.evaluateBackends(time.Now())
-	t.setWakeup(t.settleAt)
-	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
+	t.setWakeup(t.nextEvaluation)
+	if t.inbox.nonEmpty.Load() || t.earlyBuffer.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
 }
@@ -119,7 +119,7 @@
 	for _, statement := range t.inbox.take() {
 		t.flows.Receive(statement, table, now)
 	}
-	t.settleAt = t.flows.EvaluatePending(now)
+	t.nextEvaluation = t.flows.EvaluatePending(now)
 	t.reportFailures(table, now)
 }
 
@@ -157,11 +157,11 @@
 	case table != nil:
 		t.routeEarlyPackets(table, now)
 	case !t.balancer.disabled.Has(mechanism.EarlyPackets):
-		t.early.add(packet, datagram, now)
+		t.earlyBuffer.add(packet, datagram, now)
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
-	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
+	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.nextEvaluation) {
 		t.handleWakeup()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
@@ -181,12 +181,12 @@
 
 // routeEarlyPackets sends on what came before the first table.
 func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
-	if !t.early.pending() {
+	if !t.earlyBuffer.pending() {
 		return
 	}
-	kept := t.early.take(now)
+	kept := t.earlyBuffer.take(now)
 	t.balancer.logger.Info("Traffic: packets from before the first table are sent on.", "packets", len(kept),
-		"lost", t.early.lost.Load())
+		"lost", t.earlyBuffer.lost.Load())
 	for _, each := range kept {
 		t.routeEarlyPacket(each, table, now)
 	}
@@ -211,7 +211,7 @@
 func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.decisionCounts[decision.Reason].Add(1)
 	if decision.Refusal != nil {
-		t.refusals.count(decision.Refusal)
+		t.refusals.increment(decision.Refusal)
 	}
 	codec := t.balancer.dependencies.Codec
 	var err error
