--- a/internal/directory/changelog.go
+++ b/internal/directory/changelog.go
@@ -5,21 +5,21 @@
 	"sort"
 )
 
-// loggedChange says that an entry had a revision.
+// loggedChange records that an entry changed at a revision.
 type loggedChange struct {
 	revision uint64
 	key      Key
 }
 
-// changeLog lists changes by revision, so that telling what is new costs by
-// what is new and not by what is known. It may hold changes that later ones
-// have replaced; who reads it compares revisions.
+// changeLog lists changes by revision, so that the cost of a delta depends on the number of new
+// changes and not on the number of entries. It may hold changes that later ones have replaced;
+// readers compare revisions to skip them.
 type changeLog struct {
 	changes []loggedChange
 	sorted  bool
 }
 
-// add notes a change.
+// add appends a change.
 func (c *changeLog) add(revision uint64, key Key) {
 	last := len(c.changes) - 1
 	inOrder := last < 0 || c.changes[last].revision <= revision
@@ -30,8 +30,8 @@
 // since returns the changes after a revision, in order.
 func (c *changeLog) since(after uint64) []loggedChange {
 	c.sort()
-	first := sort.Search(len(c.changes), func(place int) bool {
-		return c.changes[place].revision > after
+	first := sort.Search(len(c.changes), func(i int) bool {
+		return c.changes[i].revision > after
 	})
 	return c.changes[first:]
 }
@@ -46,13 +46,13 @@
 	c.sorted = true
 }
 
-// compact drops replaced changes once they are the larger part.
+// compact removes replaced changes once they outnumber the others.
 func (c *changeLog) compact(entries map[Key]*entry) {
 	if len(c.changes) <= 2*len(entries)+1 {
 		return
 	}
-	c.changes = slices.DeleteFunc(c.changes, func(logged loggedChange) bool {
-		known := entries[logged.key]
-		return known == nil || known.loggedRevision != logged.revision
+	c.changes = slices.DeleteFunc(c.changes, func(change loggedChange) bool {
+		e := entries[change.key]
+		return e == nil || e.loggedRevision != change.revision
 	})
 }
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -13,95 +13,93 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// Flows is the memory of one traffic goroutine.
+// Flows holds the flows of one traffic goroutine and decides on their packets.
 type Flows struct {
 	disabled        mechanism.Set
 	flowCache       *flowCache
 	pendingOpenings []pendingOpening
-	// demands are what is asked of each pool in each zone.
+	// demands is the demand on each pool in each zone.
 	demands     map[demand.PoolZone]*poolZoneDemand
 	backoffs    map[incarnation.ID]*backoff
 	zoneMonitor *zoneMonitor
 	loads       map[incarnation.ID]*backendLoad
 	pools       map[string]*poolUse
-	// summarizedAt is when the last summary was made, comparedAt when answers were
-	// last compared.
+	// summarizedAt is when the last summary was made, comparedAt when responses were last compared.
 	summarizedAt, comparedAt time.Time
-	// warmupAllowance counts what goes to cold back ends.
+	// warmupAllowance limits the new flows to cold back ends.
 	warmupAllowance warmupLimiter
-	// refusals say which new flows are refused for want of room.
+	// refusals select the new flows that are refused because their pool is short of capacity.
 	refusals atomic.Pointer[admission.Refusals]
-	// saturated are the pools whose answers tell of their queues.
+	// saturated holds the pools whose response times depend on their queues.
 	saturated atomic.Pointer[map[string]bool]
-	// table is the latest one, and restarted are the starts whose earlier flows were given
-	// up.
+	// table is the latest one, and restarted are the starts of back ends whose earlier flows were
+	// abandoned.
 	table     *Table
 	restarted map[incarnation.ID]bool
-	// failureDetector judges back ends by the later packets of their flows.
+	// failureDetector detects failed back ends by the later packets of their flows.
 	failureDetector *FailureDetector
-	// Retried counts first packets that went to another back end.
+	// Retried counts first packets that were sent to another back end.
 	Retried atomic.Uint64
-	// Unanswered counts back ends that did not answer in time.
+	// Unanswered counts openings that a back end did not answer in time.
 	Unanswered atomic.Uint64
-	// OpenedByTime counts flows by how long they took to open.
+	// OpenedByTime counts opened flows by the time that they took to open.
 	OpenedByTime [aside.Steps]atomic.Uint64
-	// TokenOverrides counts packets sent to the back end that opened their flow although
-	// their token named another.
+	// TokenOverrides counts packets sent to the back end that opened their flow although their
+	// token named another one.
 	TokenOverrides atomic.Uint64
 }
 
-// NewFlows makes an empty memory, for decisions without the given mechanisms.
-func NewFlows(off mechanism.Set) *Flows {
-	memory, zones := newFlowCache(), newZoneMonitor(off)
+// NewFlows returns an empty Flows that decides without the given mechanisms.
+func NewFlows(disabled mechanism.Set) *Flows {
+	flowCache, zoneMonitor := newFlowCache(), newZoneMonitor(disabled)
 	return &Flows{
-		disabled:        off,
-		flowCache:       memory,
+		disabled:        disabled,
+		flowCache:       flowCache,
 		backoffs:        make(map[incarnation.ID]*backoff),
-		zoneMonitor:     zones,
+		zoneMonitor:     zoneMonitor,
 		loads:           make(map[incarnation.ID]*backendLoad),
 		pools:           make(map[string]*poolUse),
-		failureDetector: newFailureDetector(memory, zones, off),
+		failureDetector: newFailureDetector(flowCache, zoneMonitor, disabled),
 	}
 }
 
-// WithZone sets the zone of this balancer and returns the memory.
+// WithZone sets the zone of this balancer and returns f.
 func (f *Flows) WithZone(zone string) *Flows {
 	f.failureDetector.zone = zone
 	return f
 }
 
-// BackendFailures is how often a back end was judged dead.
+// BackendFailures returns how often a back end was detected as failed.
 func (f *Flows) BackendFailures() uint64 { return f.failureDetector.FailureCount.Load() }
 
-// TakeBackendFailures returns the back ends that were judged dead since the last call.
+// TakeBackendFailures returns the back ends that were detected as failed since the last call.
 func (f *Flows) TakeBackendFailures() []BackendFailure {
 	taken := f.failureDetector.failures
 	f.failureDetector.failures = nil
 	return taken
 }
 
-// SilentZoneCount is how often a zone was found silent.
+// SilentZoneCount returns how often a zone became silent.
 func (f *Flows) SilentZoneCount() uint64 { return f.zoneMonitor.silentCount.Load() }
 
-// TakeSilentZones returns the zones that were found silent since the last call.
+// TakeSilentZones returns the zones that became silent since the last call.
 func (f *Flows) TakeSilentZones() []SilentZone {
 	taken := f.zoneMonitor.silentZones
 	f.zoneMonitor.silentZones = nil
 	return taken
 }
 
-// TakeAbandonedFlows returns the flows whose back end was judged dead since the last
-// call, to be reset.
+// TakeAbandonedFlows returns the flows whose back end was detected as failed, or restarted, since
+// the last call. They are to be reset.
 func (f *Flows) TakeAbandonedFlows() []AbandonedFlow {
 	taken := f.failureDetector.abandoned
 	f.failureDetector.abandoned = nil
 	return taken
 }
 
-// ChooseForFirst returns the back end for the first packet of a flow, or a repetition
-// of it, or nil when the route has none. A repetition that comes before the
-// answer was due goes where the earlier one went, while that still takes new
-// flows.
+// ChooseForFirst returns the back end for the first packet of a flow, or for a retransmission of
+// it, or nil if the route has none. A retransmission that comes before the answer was due goes to
+// the same back end as the earlier packet, provided that this one still takes new flows.
 func (f *Flows) ChooseForFirst(route *Route, key flow.Key, now time.Time) *Backend {
 	f.rotate(now)
 	f.collectOverdue(now)
@@ -109,14 +107,14 @@
 	if state == nil {
 		state = f.flowCache.add(key)
 	}
-	known := &state.opening
-	if known.openedBy != nil {
-		return known.openedBy
+	o := &state.opening
+	if o.openedBy != nil {
+		return o.openedBy
 	}
-	if known.count > 0 && (now.Sub(known.sentAt) < ResponseTimeout || known.count == maxAttempts) && route.Accepts(known.last()) {
-		return known.last()
+	if o.count > 0 && (now.Sub(o.sentAt) < ResponseTimeout || o.count == maxAttempts) && route.Accepts(o.last()) {
+		return o.last()
 	}
-	prefer := func(backend *Backend) Preference { return f.preference(known, backend, now) }
+	prefer := func(backend *Backend) Preference { return f.preference(o, backend, now) }
 	chosen := route.Choose(key.Hash(), prefer, f.usage)
 	if chosen == nil {
 		return nil
@@ -125,107 +123,107 @@
 	return chosen
 }
 
-// preference is how willingly a back end is sent the new flow of an opening.
-func (f *Flows) preference(known *flowOpening, backend *Backend, now time.Time) Preference {
-	warmth := f.warmupAllowance.preference(backend, now)
-	if warmth == Forbidden {
+// preference returns how willingly a new flow is sent to a back end.
+func (f *Flows) preference(o *flowOpening, backend *Backend, now time.Time) Preference {
+	warmupPreference := f.warmupAllowance.preference(backend, now)
+	if warmupPreference == Forbidden {
 		return Forbidden
 	}
-	if known.wasTried(backend) || f.failureDetector.Failed(backend, now) {
+	if o.wasTried(backend) || f.failureDetector.Failed(backend, now) {
 		return Avoided
 	}
-	silent := f.backoffs[backend.Incarnation()]
-	if silent != nil && now.Before(silent.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
+	backoff := f.backoffs[backend.Incarnation()]
+	if backoff != nil && now.Before(backoff.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
 		return Avoided
 	}
 	if f.zoneMonitor.avoids(backend.Zone, now) {
-		return max(warmth, Suspected)
+		return max(warmupPreference, Suspected)
 	}
-	return warmth
+	return warmupPreference
 }
 
-// usage is how much of a back end the flows use that pass here.
+// usage returns how much of a back end the flows that pass here use.
 func (f *Flows) usage(backend *Backend) int {
-	known := f.loads[backend.Incarnation()]
-	if known == nil || f.disabled.Has(mechanism.LeastUsed) {
+	load := f.loads[backend.Incarnation()]
+	if load == nil || f.disabled.Has(mechanism.LeastUsed) {
 		return 0
 	}
-	return known.flows + inFlightWeight*known.inFlightRequests
+	return load.flows + inFlightWeight*load.inFlightRequests
 }
 
 // loadFor returns the load of a back end.
 func (f *Flows) loadFor(backend *Backend) *backendLoad {
-	known := f.loads[backend.Incarnation()]
-	if known == nil {
-		known = &backendLoad{pool: f.poolUse(backend.Pool), poolDemand: f.poolZoneDemand(backend.Pool, backend.Zone),
+	load := f.loads[backend.Incarnation()]
+	if load == nil {
+		load = &backendLoad{pool: f.poolUse(backend.Pool), poolDemand: f.poolZoneDemand(backend.Pool, backend.Zone),
 			responses: make(map[flow.Address]*observe.ResponseHistory)}
-		f.loads[backend.Incarnation()] = known
+		f.loads[backend.Incarnation()] = load
 	}
-	return known
+	return load
 }
 
 func (f *Flows) poolUse(name string) *poolUse {
-	known := f.pools[name]
-	if known == nil {
-		known = &poolUse{name: name}
-		f.pools[name] = known
+	use := f.pools[name]
+	if use == nil {
+		use = &poolUse{name: name}
+		f.pools[name] = use
 	}
-	return known
+	return use
 }
 
 func (f *Flows) recordAttempt(state *flowState, chosen *Backend, now time.Time) {
-	known := &state.opening
-	if known.count > 0 {
+	o := &state.opening
+	if o.count > 0 {
 		f.Retried.Add(1)
 	}
 	f.warmupAllowance.record(chosen, now)
-	f.countNewFlow(chosen, known.count == 0)
-	known.count = min(known.count, maxAttempts-1)
-	known.attempts[known.count] = chosen
-	known.count++
-	known.sentAt = now
-	if silent := f.backoffs[chosen.Incarnation()]; silent != nil {
-		// It is tried by one flow, not by all that find it the least used.
-		silent.avoidUntil = now.Add(ResponseTimeout)
+	f.countNewFlow(chosen, o.count == 0)
+	o.count = min(o.count, maxAttempts-1)
+	o.attempts[o.count] = chosen
+	o.count++
+	o.sentAt = now
+	if backoff := f.backoffs[chosen.Incarnation()]; backoff != nil {
+		// One flow probes the back end, instead of all those that find it the least used.
+		backoff.avoidUntil = now.Add(ResponseTimeout)
 	}
 	f.zoneMonitor.recordProbe(chosen.Zone, now)
 	state.attach(f.loadFor(chosen), now)
 	if len(f.pendingOpenings) < maxGenerationFlows {
-		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: known, backend: chosen, sentAt: now})
+		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: o, backend: chosen, sentAt: now})
 	}
 }
 
-// backendFor returns the back end for a later packet of a flow whose token names the given back
-// end. The state is nil where no earlier packet passed here.
-func (f *Flows) backendFor(state *flowState, named *Backend, now time.Time) *Backend {
+// backendFor returns the back end for a later packet of a flow whose token names tokenBackend. The
+// state is nil if no earlier packet passed here.
+func (f *Flows) backendFor(state *flowState, tokenBackend *Backend, now time.Time) *Backend {
 	if state == nil {
-		return named
+		return tokenBackend
 	}
-	known := &state.opening
-	if known.openedBy == nil && known.wasTried(named) {
-		known.openedBy = named
-		f.countOpened(now.Sub(known.sentAt))
-		delete(f.backoffs, named.Incarnation())
-		if known.last().Number == named.Number {
-			f.zoneMonitor.recordResponse(named, known.sentAt)
+	o := &state.opening
+	if o.openedBy == nil && o.wasTried(tokenBackend) {
+		o.openedBy = tokenBackend
+		f.countOpened(now.Sub(o.sentAt))
+		delete(f.backoffs, tokenBackend.Incarnation())
+		if o.last().Number == tokenBackend.Number {
+			f.zoneMonitor.recordResponse(tokenBackend, o.sentAt)
 		}
 	}
-	if known.openedBy == nil || known.openedBy.Number == named.Number {
-		return named
+	if o.openedBy == nil || o.openedBy.Number == tokenBackend.Number {
+		return tokenBackend
 	}
 	f.TokenOverrides.Add(1)
-	return known.openedBy
+	return o.openedBy
 }
 
-// countOpened counts a flow by how long it took to open. What took longer than an
-// answer may is counted as missed.
+// countOpened counts a flow by the time that it took to open. A flow that took longer than
+// ResponseTimeout is counted as unanswered instead.
 func (f *Flows) countOpened(took time.Duration) {
 	if took < ResponseTimeout {
 		f.OpenedByTime[aside.StepOf(took)].Add(1)
 	}
 }
 
-// collectOverdue counts the back ends whose answers are overdue.
+// collectOverdue records the back ends whose answers are overdue.
 func (f *Flows) collectOverdue(now time.Time) {
 	due := 0
 	for due < len(f.pendingOpenings) && now.Sub(f.pendingOpenings[due].sentAt) >= ResponseTimeout {
@@ -235,16 +233,16 @@
 	f.pendingOpenings = f.pendingOpenings[:copy(f.pendingOpenings, f.pendingOpenings[due:])]
 }
 
-func (f *Flows) recordOverdue(due pendingOpening, now time.Time) {
-	if due.opening.openedBy != nil {
+func (f *Flows) recordOverdue(pending pendingOpening, now time.Time) {
+	if pending.opening.openedBy != nil {
 		return
 	}
 	f.Unanswered.Add(1)
-	f.zoneMonitor.recordMiss(due.backend, due.sentAt, now)
-	state := f.backoffs[due.backend.Incarnation()]
+	f.zoneMonitor.recordMiss(pending.backend, pending.sentAt, now)
+	state := f.backoffs[pending.backend.Incarnation()]
 	if state == nil {
 		state = &backoff{}
-		f.backoffs[due.backend.Incarnation()] = state
+		f.backoffs[pending.backend.Incarnation()] = state
 	}
 	avoid := min(minAvoidTime<<state.misses, maxAvoidTime)
 	if avoid < maxAvoidTime {
@@ -253,7 +251,7 @@
 	state.avoidUntil = now.Add(avoid)
 }
 
-// rotate drops what is too old.
+// rotate drops state that is too old.
 func (f *Flows) rotate(now time.Time) {
 	if !f.flowCache.rotate(now) {
 		return
@@ -265,8 +263,8 @@
 			delete(f.backoffs, id)
 		}
 	}
-	for id, known := range f.loads {
-		if known.flows == 0 && len(known.responses) == 0 {
+	for id, load := range f.loads {
+		if load.flows == 0 && len(load.responses) == 0 {
 			delete(f.loads, id)
 		}
 	}
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -11,15 +11,14 @@
 const (
 	// summaryInterval is the time between two summaries.
 	summaryInterval = 250 * time.Millisecond
-	// comparisonInterval is the time between two comparisons of answers.
+	// comparisonInterval is the time between two comparisons of responses.
 	comparisonInterval = time.Second
-	// responseDecay is the part of what is known of answers that is kept from one
-	// comparison to the next: half of it lasts 6.6 seconds.
+	// responseDecay is the factor by which the counts of responses are multiplied at each
+	// comparison. Their half-life is 6.6 seconds.
 	responseDecay = 0.9
 )
 
-// Summarize returns what was observed since the last summary, or nil while
-// another one is not due.
+// Summarize returns what was observed since the last summary, or nil while the next one is not due.
 func (f *Flows) Summarize(now time.Time) *observe.Summary {
 	if now.Sub(f.summarizedAt) < summaryInterval {
 		return nil
@@ -30,7 +29,7 @@
 		f.comparedAt = now
 		f.compareResponses()
 	}
-	made := &observe.Summary{
+	summary := &observe.Summary{
 		At:       now,
 		InFlight: make(map[string]float64, len(f.pools)),
 		Loads:    f.summarizeDemand(elapsed, now),
@@ -39,63 +38,63 @@
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
 	for name, pool := range f.pools {
-		made.InFlight[name] = pool.use.Mean(now)
+		summary.InFlight[name] = pool.use.Mean(now)
 	}
-	for id, known := range f.loads {
-		if !known.finding.IsZero() {
-			made.Findings[id] = known.finding
+	for id, load := range f.loads {
+		if !load.finding.IsZero() {
+			summary.Findings[id] = load.finding
 		}
 	}
-	return made
+	return summary
 }
 
-// responseGroup is what back ends of a pool are asked alike: the address.
+// responseGroup identifies responses that can be compared: those of the back ends of one pool for
+// one address.
 type responseGroup struct {
 	pool    *poolUse
 	address flow.Address
 }
 
-// compareResponses compares the answers of the back ends of each pool to each
-// address.
+// compareResponses compares the responses of the back ends of each pool for each address.
 func (f *Flows) compareResponses() {
-	asked := make(map[responseGroup][]*backendLoad, len(f.pools))
-	for _, known := range f.loads {
-		known.finding = observe.Finding{}
-		for address, answers := range known.responses {
-			if answers.Empty() {
-				delete(known.responses, address)
+	groups := make(map[responseGroup][]*backendLoad, len(f.pools))
+	for _, load := range f.loads {
+		load.finding = observe.Finding{}
+		for address, history := range load.responses {
+			if history.Empty() {
+				delete(load.responses, address)
 				continue
 			}
-			question := responseGroup{pool: known.pool, address: address}
-			asked[question] = append(asked[question], known)
+			group := responseGroup{pool: load.pool, address: address}
+			groups[group] = append(groups[group], load)
 		}
 	}
-	for question, loads := range asked {
-		f.compareGroup(question, loads)
+	for group, loads := range groups {
+		f.compareGroup(group, loads)
 	}
 }
 
-// compareGroup compares the answers of the back ends of a pool to one address. While the pool is
-// saturated, only those count that had settled before.
-func (f *Flows) compareGroup(question responseGroup, loads []*backendLoad) {
-	saturated := f.isSaturated(question.pool.name)
-	tallies := make([]*observe.ResponseCounts, len(loads))
-	for place, known := range loads {
-		answers := known.responses[question.address]
+// compareGroup compares the responses of the back ends of a pool for one address. While the pool is
+// saturated, only responses from before the last comparison are used.
+func (f *Flows) compareGroup(group responseGroup, loads []*backendLoad) {
+	saturated := f.isSaturated(group.pool.name)
+	counts := make([]*observe.ResponseCounts, len(loads))
+	for i, load := range loads {
+		history := load.responses[group.address]
 		if saturated {
-			answers.DiscardRecent()
+			history.DiscardRecent()
 		}
-		tallies[place] = answers.Total()
-		answers.Advance(responseDecay)
+		counts[i] = history.Total()
+		history.Advance(responseDecay)
 	}
-	for place, finding := range observe.Compare(tallies) {
-		loads[place].finding = loads[place].finding.Plus(finding.AboveNoise())
+	for i, finding := range observe.Compare(counts) {
+		loads[i].finding = loads[i].finding.Plus(finding.AboveNoise())
 	}
 }
 
-// SetSaturatedPools takes the pools that have no free slot. Requests wait in queues there, the longer
-// the busier their back end is, and what is shed is answered at once: neither tells which back
-// end is unwell. It may be called by any goroutine.
+// SetSaturatedPools sets the pools that have no free slot. Requests to them wait in queues, the
+// longer the busier their back end is, and requests that are shed are answered at once. Neither
+// shows which back end is unhealthy. It may be called by any goroutine.
 func (f *Flows) SetSaturatedPools(pools map[string]bool) { f.saturated.Store(&pools) }
 
 func (f *Flows) isSaturated(pool string) bool {
