--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -127,7 +127,7 @@
 	traffic.sendEarly(table, now)
 	require.EqualValues(t, 2, traffic.counts[tokenroute.ReasonToken].Load())
 	hear := func(sentAt time.Time) []evidence.Statement {
-		traffic.flows.Hear(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
+		traffic.flows.Receive(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
 		return traffic.flows.TakeStatements()
 	}
 	require.Empty(t, hear(came.Add(100*time.Millisecond)))
@@ -187,7 +187,7 @@
 	known := directory.New(time.Minute)
 	known.Apply(earlyBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
-		Weigh: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
+		Weight: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
 // earlyBatch is a directory with one back end.
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -22,17 +22,17 @@
 	evacuated := c.evacuated()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.known, tokenroute.Options{
-		Weigh:      weights.of,
-		WeighPlace: weights.ofPlace,
-		Evacuated:  evacuated,
-		Warm:       c.newWarming(now).teller(),
-		Former:     c.formerPools(now),
-		ByZone:     weights.byZone,
-		AdmitAll:   now.Sub(c.firstAt) < c.flowLife(),
-		Lapse:      c.lapse(),
-		EmptyGrace: c.emptyGrace(),
-		Previous:   c.balancer.table.Load(),
-		Now:        now,
+		Weight:         weights.of,
+		PlaceWeight:    weights.ofPlace,
+		Evacuated:      evacuated,
+		Warmup:         c.newWarming(now).teller(),
+		FormerPools:    c.formerPools(now),
+		ZoneByWeight:   weights.byZone,
+		AdmitAllPools:  now.Sub(c.firstAt) < c.flowLife(),
+		StoreRecovery:  c.lapse(),
+		EmptyPoolGrace: c.emptyGrace(),
+		Previous:       c.balancer.table.Load(),
+		Now:            now,
 	})
 	if table == nil {
 		return
@@ -42,9 +42,9 @@
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
-			"revision", revision.Text(table.Revision), "routes", table.Routes())
+			"revision", revision.Text(table.Revision), "routes", table.RouteCount())
 	}
-	if c.balancer.traffic != nil && (previous == nil || table.Restarts() > 0) {
+	if c.balancer.traffic != nil && (previous == nil || table.RestartedBackends() > 0) {
 		c.balancer.traffic.newTable()
 	}
 	if previous == nil {
@@ -68,12 +68,12 @@
 // vanished were removed. After a gap shorter than a leaving back end has, entries may
 // have been removed while this balancer counted as in touch with the store, so that
 // they take no new flows beyond the time of a leaving back end.
-func (c *control) lapse() tokenroute.Lapse {
+func (c *control) lapse() tokenroute.StoreRecovery {
 	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
 	if gap.Length() < lapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.off.Has(mechanism.LapseGrace) {
-		return tokenroute.Lapse{}
+		return tokenroute.StoreRecovery{}
 	}
-	lapse := tokenroute.Lapse{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
+	lapse := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
 	drained := gap.From.Add(time.Duration(loaded.GetDrainMilliseconds() * float64(time.Millisecond)))
 	if drained.After(lapse.Since) && drained.Before(lapse.Until) {
 		lapse.Until = drained
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -114,12 +114,12 @@
 	table := t.balancer.table.Load()
 	if table != nil {
 		t.sendEarly(table, now)
-		t.flows.Renew(table, now)
+		t.flows.SetTable(table, now)
 	}
 	for _, statement := range t.heard.take() {
-		t.flows.Hear(statement, table, now)
+		t.flows.Receive(statement, table, now)
 	}
-	t.settleAt = t.flows.Settle(now)
+	t.settleAt = t.flows.EvaluatePending(now)
 	t.tellClients(table, now)
 }
 
@@ -128,7 +128,7 @@
 func (t *traffic) tellClients(table *tokenroute.Table, now time.Time) {
 	for _, verdict := range t.flows.TakeVerdicts() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
-			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Own, "unanswered_elsewhere", verdict.Told,
+			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Local, "unanswered_elsewhere", verdict.Remote,
 			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
 	}
 	for _, silent := range t.flows.TakeSilentZones() {
@@ -161,7 +161,7 @@
 	}
 	t.pass(packet, datagram, table, now)
 	t.tellClients(table, now)
-	if t.heard.filled.Load() || t.flows.Holds() && !now.Before(t.settleAt) {
+	if t.heard.filled.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
 		t.wake()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
--- a/internal/tokenroute/admission_test.go
+++ b/internal/tokenroute/admission_test.go
@@ -27,12 +27,12 @@
 func twoUrgencies() *Table {
 	urgent, other := route(1, share("lending", 1)), route(2, share("lending", 1))
 	urgent.Priority, other.Priority = 1, 2
-	return NewTable(known(&apiv1.DirectoryChange{Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{
-		Version: 1, Routes: []*apiv1.ServiceRoute{urgent, other}}}}, backend(2, 7, "lending"), backend(3, 9, "lending")), options())
+	return NewTable(newDirectory(&apiv1.DirectoryChange{Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{
+		Version: 1, Routes: []*apiv1.ServiceRoute{urgent, other}}}}, backend(2, 7, "lending"), backend(3, 9, "lending")), defaultOptions())
 }
 
 func firstTo(port int, address byte) Packet {
-	packet := first(port)
+	packet := firstPacket(port)
 	packet.Key.Destination[3] = address
 	return packet
 }
--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -27,7 +27,7 @@
 // What is asked counts for the zone of the clients, wherever it goes; what waits and is
 // answered for that of the back end.
 func TestAskedCountsByPlace(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("giza")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("giza")
 	summaryAt(flows, -1000)
 	summaryAt(flows, 0)
 	opened := flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(0)).Backend
@@ -36,7 +36,7 @@
 	for n := range uint32(3) {
 		flows.Decide(table, request(1, opened.Token, n+1), at(200+int(n)*100))
 	}
-	answered(flows, table, 2, 2, 400)
+	exchange(flows, table, 2, 2, 400)
 	flows.CountRefusal("lending")
 	places := summaryAt(flows, 1000)
 	all := demand.Load{}
@@ -55,8 +55,8 @@
 // Back ends that are full reset flows, which clients don't tell: in bursts, 1,483
 // requests seemed to wait for 40 slots, and 1,120 did four seconds after its end.
 func TestRequestsThatNobodyAnswersDontWaitForLong(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
-	answered(flows, table, 9, 2, 0)
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	exchange(flows, table, 9, 2, 0)
 	for client := range byte(8) {
 		flows.Decide(table, request(client, 2, 1), at(1000))
 	}
@@ -73,7 +73,7 @@
 
 // The time on the way is no work of a back end.
 func TestWayIsNoWork(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	summaryAt(flows, 0)
 	opened := flows.Decide(table, Packet{Key: clientKey(1), First: true}, at(0)).Backend
 	for now, n := 30, uint32(1); now < 1000; now, n = now+100, n+1 {
@@ -87,7 +87,7 @@
 // A zone of a small weight takes its part, which the least used among the back ends of
 // several zones would hardly ever leave it.
 func TestWeightsChooseTheZone(t *testing.T) {
-	known := zoned()
+	known := twoZoneDirectory()
 	weigh := func(zone string) uint32 {
 		if zone == "giza" {
 			return 200
@@ -95,9 +95,9 @@
 		return 1000
 	}
 	for _, byZone := range []bool{false, true} {
-		made := options()
-		made.ByZone = func(pool string) bool { return byZone && pool == "lending" }
-		made.Weigh = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
+		made := defaultOptions()
+		made.ZoneByWeight = func(pool string) bool { return byZone && pool == "lending" }
+		made.Weight = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
 		table, flows := NewTable(known, made), NewFlows(mechanism.Set{}).InZone("maadi")
 		there := 0
 		for port := range 2200 {
@@ -163,9 +163,9 @@
 func TestSlowAnswersCountWhileClientsWait(t *testing.T) {
 	for _, took := range []int{1300, 2500, 4000} {
 		for _, quickBefore := range []bool{false, true} {
-			table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+			table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 			if quickBefore {
-				answered(flows, table, 9, 2, -3000)
+				exchange(flows, table, 9, 2, -3000)
 			}
 			waiting, answers, idle := slowly(table, flows, took, 10, false)
 			t.Logf("took %d ms, quick before %v: waiting %.2f, answers %.0f, idle %d", took, quickBefore, waiting, answers, idle)
@@ -180,7 +180,7 @@
 // repeated, and it is a demand as long as it waits there.
 func TestAcknowledgedRequestsAreDemandWhileTheyWait(t *testing.T) {
 	for _, took := range []int{400, 1300, 2500} {
-		table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+		table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 		waiting, answers, _ := slowly(table, flows, took, 20, true)
 		require.Greater(t, waiting, 7.0, "took %d ms", took)
 		require.InDelta(t, 160, answers, 10)
@@ -190,7 +190,7 @@
 // A third of the back ends is dead: requests to them must not make the pool look short of
 // room that the others have.
 func TestRequestsToDeadBackendsAreNoDemand(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	for client := range byte(50) {
 		for _, since := range []int{0, 200, 600} {
 			flows.Decide(table, request(client, 2, 1), at(1000+since))
@@ -203,7 +203,7 @@
 
 // The answer to a request that was taken for lost tells how slow the back end is.
 func TestLateAnswersAreLearned(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	flows.Decide(table, request(1, 2, 1), at(0))
 	summaryAt(flows, 1500)
 	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].waiting)
@@ -216,14 +216,14 @@
 
 // What clients think before their first request is no way.
 func TestThinkingIsNoWay(t *testing.T) {
-	made := options()
-	made.Weigh = func(entry directory.BackendEntry) uint32 {
+	made := defaultOptions()
+	made.Weight = func(entry directory.BackendEntry) uint32 {
 		if entry.GetZone() == "maadi" {
 			return 1000
 		}
 		return 0
 	}
-	table, flows := NewTable(zoned(), made), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), made), NewFlows(mechanism.Set{}).InZone("maadi")
 	summaryAt(flows, 0)
 	thinks := []int{400, 20, 300, 400}
 	tokens := make([]Token, len(thinks))
@@ -256,14 +256,14 @@
 		}
 		changes = append(changes, inZone(backend(2, uint64(number), "lending"), zone))
 	}
-	return known(changes...)
+	return newDirectory(changes...)
 }
 
 // Four back ends of the chosen zone are compared, the first four in the flow's order, and
 // the least used of them is taken.
 func TestFourOfTheChosenZoneAreCompared(t *testing.T) {
-	made := options()
-	made.ByZone = func(string) bool { return true }
+	made := defaultOptions()
+	made.ZoneByWeight = func(string) bool { return true }
 	table := NewTable(manyZoned(8), made)
 	none := func(*Backend) Preference { return Preferred }
 	zones := make(map[string]int)
@@ -273,7 +273,7 @@
 		route := table.Route(key(port).Address())
 		first := route.poolFor(key(port).Hash())
 		var leader [1]rule.Leader
-		require.Equal(t, 1, first.leaders(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
+		require.Equal(t, 1, first.topCandidates(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
 		zone := first.backend(leader[0]).Zone
 		zones[zone]++
 		chosen := route.Choose(key(port).Hash(), none, func(backend *Backend) int {
@@ -282,9 +282,9 @@
 		})
 		require.Len(t, compared, 4)
 		ahead := 0
-		of := first.parts[leader[0].Rule]
+		of := first.zones[leader[0].Rule]
 		for _, score := range of.rule.Score(key(port).Hash()) {
-			backend := of.chosen[score.Backend-1]
+			backend := of.eligible[score.Backend-1]
 			if ahead < 4 {
 				require.Contains(t, compared, backend.Number, "the first in the flow's order")
 				ahead++
@@ -300,7 +300,7 @@
 
 // An upload whose packets come slowly over a narrow link waits for no slot until it is whole.
 func TestUploadsAreDemandOnceTheyAreWhole(t *testing.T) {
-	table, flows := NewTable(zoned(), options()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	for sequence := range 20 {
 		packet := request(1, 2, 1)
 		packet.Sequence += 1200 * uint32(sequence)
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -34,7 +34,7 @@
 		At:      now,
 		Waiting: make(map[string]float64, len(f.pools)),
 		Places:  f.summarizePlaces(elapsed, now),
-		Dead:    f.liveness.dead(now),
+		Dead:    f.liveness.failed(now),
 
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
