--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -32,94 +32,94 @@
 
 var emptyTable = &Table{tokens: &tokenIndex{}}
 
-func newBuilder(known *directory.Directory, options Options) *builder {
+func newBuilder(source *directory.Directory, options Options) *builder {
 	previous := options.Previous
 	if previous == nil {
 		previous = emptyTable
 	}
-	made := &builder{
+	b := &builder{
 		options:          options,
 		previous:         previous,
-		groups:           known.Groups(),
+		groups:           source.Groups(),
 		tokens:           newTokenIndexBuilder(previous.tokens),
 		poolZones:        make(map[directory.Place]*poolZone),
 		pools:            make(map[string]*pool),
 		sharedTokenPools: make(map[string]bool),
 	}
-	maps.Copy(made.sharedTokenPools, previous.sharedTokenPools)
-	backends := made.indexBackends()
-	for place, group := range made.groups {
-		made.addPoolZone(group, backends[place])
+	maps.Copy(b.sharedTokenPools, previous.sharedTokenPools)
+	backends := b.indexBackends()
+	for i, group := range b.groups {
+		b.addPoolZone(group, backends[i])
 	}
-	return made
+	return b
 }
 
 // indexBackends returns the back ends of each group, in the order of its entries, and brings
 // the tokens up to date.
 func (b *builder) indexBackends() [][]*Backend {
-	found := make([][]*Backend, len(b.groups))
+	backends := make([][]*Backend, len(b.groups))
 	listed := make(map[directory.Place]bool, len(b.groups))
-	for place, group := range b.groups {
+	for i, group := range b.groups {
 		listed[group.Place] = true
-		known := b.previous.poolZones[group.Place]
-		if known != nil && known.version == group.Version && b.options.Warmup == nil {
-			found[place] = known.backends
+		previous := b.previous.poolZones[group.Place]
+		if previous != nil && previous.version == group.Version && b.options.Warmup == nil {
+			backends[i] = previous.backends
 			continue
 		}
-		if known == nil {
-			known = &poolZone{}
+		if previous == nil {
+			previous = &poolZone{}
 		}
-		found[place] = b.backendsOf(group, known.backends)
+		backends[i] = b.backendsOf(group, previous.backends)
 	}
-	for place, known := range b.previous.poolZones {
+	for place, previous := range b.previous.poolZones {
 		if !listed[place] {
-			b.removeTokens(known.backends)
+			b.removeTokens(previous.backends)
 		}
 	}
-	return found
+	return backends
 }
 
 // backendsOf returns the back ends of a group: those of the previous table, by id, where
 // nothing of them has changed. Flows remember theirs for seconds, and would else keep a copy for
 // each table.
 func (b *builder) backendsOf(group *directory.Group, previous []*Backend) []*Backend {
-	made := make([]*Backend, len(group.Entries))
-	for place, entry := range group.Entries {
+	backends := make([]*Backend, len(group.Entries))
+	for i, entry := range group.Entries {
 		before := 0
 		for before < len(previous) && strings.Compare(previous[before].ID, entry.GetId()) < 0 {
 			before++
 		}
 		b.removeTokens(previous[:before])
 		previous = previous[before:]
-		var known *Backend
+		var match *Backend
 		if len(previous) > 0 && previous[0].ID == entry.GetId() {
-			known, previous = previous[0], previous[1:]
+			match, previous = previous[0], previous[1:]
 		}
-		made[place] = b.backend(entry, known)
+		backends[i] = b.backend(entry, match)
 	}
 	b.removeTokens(previous)
-	return made
+	return backends
 }
 
 // backend is the back end of an entry; known is that of the previous table, or nil.
-func (b *builder) backend(entry directory.BackendEntry, known *Backend) *Backend {
-	wanted := newBackend(entry)
+func (b *builder) backend(entry directory.BackendEntry, previous *Backend) *Backend {
+	updated := newBackend(entry)
 	if b.options.Warmup != nil {
-		wanted.Warmup = b.options.Warmup(entry)
+		updated.Warmup = b.options.Warmup(entry)
 	}
-	if known != nil && *known == wanted {
-		return known
+	if previous != nil && *previous == updated {
+		return previous
 	}
-	if known != nil {
-		b.tokens.remove(known)
+	if previous != nil {
+		b.tokens.remove(previous)
 	}
-	made := wanted.clone()
-	for _, each := range b.tokens.add(made) {
-		if each != made && each.Pool == made.Pool {
-			b.sharedTokenPools[made.Pool] = true
+	added := updated.clone()
+	for _, sharing := range b.tokens.add(added) {
+		if sharing != added && sharing.Pool == added.Pool {
+			b.sharedTokenPools[added.Pool] = true
 		}
 	}
-	return made
+	return added
 }
 
 // removeTokens takes the tokens of back ends that are not listed any more.
@@ -134,12 +134,12 @@
 func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
-	made := b.previous.poolZones[group.Place]
-	if made == nil || b.sharedTokenPools[group.Pool] || !made.reusable(group.Version, evacuated, weight, uniform) {
-		made = b.poolZone(group, backends)
+	zone := b.previous.poolZones[group.Place]
+	if zone == nil || b.sharedTokenPools[group.Pool] || !zone.reusable(group.Version, evacuated, weight, uniform) {
+		zone = b.poolZone(group, backends)
 	}
-	b.poolZones[group.Place] = made
-	b.restarted = append(b.restarted, made.restarted...)
+	b.poolZones[group.Place] = zone
+	b.restarted = append(b.restarted, zone.restarted...)
 }
 
 func newBackend(entry directory.BackendEntry) Backend {
@@ -178,21 +178,21 @@
 }
 
 func (b *builder) route(configured *apiv1.ServiceRoute, former map[string]bool) *Route {
-	made := &Route{Name: configured.GetName(), urgency: admission.Urgency(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
+	built := &Route{Name: configured.GetName(), urgency: admission.Urgency(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
 	for name := range former {
-		made.admittedPools[name] = true
+		built.admittedPools[name] = true
 	}
 	var candidates []rule.Candidate
 	for _, share := range configured.GetPools() {
-		made.admittedPools[share.GetPool()] = true
-		made.pools = append(made.pools, b.pool(share.GetPool()))
+		built.admittedPools[share.GetPool()] = true
+		built.pools = append(built.pools, b.pool(share.GetPool()))
 		candidates = append(candidates, rule.Candidate{
-			Backend: uint32(len(made.pools)),
+			Backend: uint32(len(built.pools)),
 			Weight:  share.GetWeight(),
 		})
 	}
-	made.poolRule = rule.New(made.Name, AddressOf(configured), salt(made.Name), candidates)
-	return made
+	built.poolRule = rule.New(built.Name, AddressOf(configured), salt(built.Name), candidates)
+	return built
 }
 
 // groupsOf are the groups of a pool.
@@ -210,21 +210,21 @@
 // pool joins the parts of a pool. Where none has a back end that may take new flows, those
 // that have just vanished do.
 func (b *builder) pool(name string) *pool {
-	if made := b.pools[name]; made != nil {
-		return made
+	if existing := b.pools[name]; existing != nil {
+		return existing
 	}
-	made := &pool{name: name, zoneByWeight: b.options.ZoneByWeight != nil && b.options.ZoneByWeight(name)}
-	b.pools[name] = made
+	built := &pool{name: name, zoneByWeight: b.options.ZoneByWeight != nil && b.options.ZoneByWeight(name)}
+	b.pools[name] = built
 	groups := b.groupsOf(name)
 	ready := slices.ContainsFunc(groups, func(each *directory.Group) bool { return len(b.poolZones[each.Place].eligible) > 0 })
 	for _, group := range groups {
-		joined := b.poolZones[group.Place]
+		zone := b.poolZones[group.Place]
 		if !ready {
-			joined = b.vanishedPoolZone(group, joined)
+			zone = b.vanishedPoolZone(group, zone)
 		}
-		made.withheldByEvacuation = made.withheldByEvacuation || joined.withheldByEvacuation
-		made.zones = append(made.zones, joined)
-		made.rules = append(made.rules, joined.rule)
+		built.withheldByEvacuation = built.withheldByEvacuation || zone.withheldByEvacuation
+		built.zones = append(built.zones, zone)
+		built.rules = append(built.rules, zone.rule)
 	}
-	return made
+	return built
 }
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -38,11 +38,11 @@
 	if backend == nil {
 		return
 	}
-	switch heard := statement.(type) {
+	switch received := statement.(type) {
 	case evidence.Witness:
-		f.liveness.receive(heard, backend, now)
+		f.liveness.receive(received, backend, now)
 	case evidence.SignOfLife:
-		f.liveness.recordAlive(backend, heard.At)
+		f.liveness.recordAlive(backend, received.At)
 	}
 }
 
@@ -65,78 +65,78 @@
 // the back end by the way that the other one does: from the same zone, or where the
 // other one stands in the zone of the back end. A zone that is cut off thus accuses
 // the others to itself only.
-func (l *FailureDetector) receive(heard evidence.Witness, backend *Backend, now time.Time) {
-	if heard.Zone != l.zone && heard.Zone != backend.Zone {
+func (d *FailureDetector) receive(request evidence.Witness, backend *Backend, now time.Time) {
+	if request.Zone != d.zone && request.Zone != backend.Zone {
 		return
 	}
-	judged := l.healthOf(backend)
-	if judged == nil || now.Sub(heard.SentAt) > remoteTTL {
+	health := d.healthOf(backend)
+	if health == nil || now.Sub(request.SentAt) > remoteTTL {
 		return
 	}
-	if !heard.SentAt.After(judged.aliveAt) {
-		l.reportAlive(backend, judged)
+	if !request.SentAt.After(health.aliveAt) {
+		d.reportAlive(backend, health)
 		return
 	}
-	client := clientAddressOf(heard.Client)
-	known, found := judged.unanswered[client]
-	if found && !known.remote() && known.othersAnswered {
+	client := clientAddressOf(request.Client)
+	existing, found := health.unanswered[client]
+	if found && !existing.remote() && existing.othersAnswered {
 		return
 	}
-	if !found || !known.remote() {
-		known.receivedAt = now
+	if !found || !existing.remote() {
+		existing.receivedAt = now
 	}
-	known.sentAt, known.othersAnswered = heard.SentAt, true
-	judged.unanswered[client] = known
-	l.evaluate(judged, backend, now)
+	existing.sentAt, existing.othersAnswered = request.SentAt, true
+	health.unanswered[client] = existing
+	d.evaluate(health, backend, now)
 }
 
 // evaluate judges by the witnesses of all balancers, once they have waited for an answer.
 // A verdict that stands is prolonged.
-func (l *FailureDetector) evaluate(judged *backendHealth, backend *Backend, now time.Time) {
-	count, firstHeard := judged.countUnanswered(now)
+func (d *FailureDetector) evaluate(health *backendHealth, backend *Backend, now time.Time) {
+	count, firstReceived := health.countUnanswered(now)
 	switch {
-	case l.disabled.Has(mechanism.JoinedEvidence) || firstHeard.IsZero() || count < clientsToFail:
-	case now.Before(judged.failedUntil) || now.Sub(firstHeard) >= pendingTime:
-		l.markFailed(judged, backend, now)
+	case d.disabled.Has(mechanism.JoinedEvidence) || firstReceived.IsZero() || count < clientsToFail:
+	case now.Before(health.failedUntil) || now.Sub(firstReceived) >= pendingTime:
+		d.markFailed(health, backend, now)
 	default:
-		l.deferEvaluation(backend, firstHeard.Add(pendingTime))
+		d.deferEvaluation(backend, firstReceived.Add(pendingTime))
 	}
 }
 
 // countUnanswered is how many witnesses count, and when another balancer first told of one; the
 // zero time is never.
-func (j *backendHealth) countUnanswered(now time.Time) (count int, firstHeard time.Time) {
-	for _, each := range j.unanswered {
+func (h *backendHealth) countUnanswered(now time.Time) (count int, firstReceived time.Time) {
+	for _, each := range h.unanswered {
 		if !each.othersAnswered || each.remote() && now.Sub(each.receivedAt) > remoteTTL {
 			continue
 		}
 		count++
-		if each.remote() && (firstHeard.IsZero() || each.receivedAt.Before(firstHeard)) {
-			firstHeard = each.receivedAt
+		if each.remote() && (firstReceived.IsZero() || each.receivedAt.Before(firstReceived)) {
+			firstReceived = each.receivedAt
 		}
 	}
-	return count, firstHeard
+	return count, firstReceived
 }
 
-func (l *FailureDetector) deferEvaluation(backend *Backend, until time.Time) {
-	waits := func(each pendingEvaluation) bool { return each.backend.Incarnation() == backend.Incarnation() }
-	if !slices.ContainsFunc(l.pending, waits) {
-		l.pending = append(l.pending, pendingEvaluation{backend: backend, until: until})
+func (d *FailureDetector) deferEvaluation(backend *Backend, until time.Time) {
+	isPending := func(each pendingEvaluation) bool { return each.backend.Incarnation() == backend.Incarnation() }
+	if !slices.ContainsFunc(d.pending, isPending) {
+		d.pending = append(d.pending, pendingEvaluation{backend: backend, until: until})
 	}
 }
 
-func (l *FailureDetector) evaluatePending(now time.Time) time.Time {
-	waiting := l.pending
-	l.pending = nil
+func (d *FailureDetector) evaluatePending(now time.Time) time.Time {
+	pending := d.pending
+	d.pending = nil
 	var next time.Time
-	for _, each := range waiting {
+	for _, each := range pending {
 		if !now.Before(each.until) {
-			if judged := l.health[each.backend.Incarnation()]; judged != nil {
-				l.evaluate(judged, each.backend, now)
+			if health := d.health[each.backend.Incarnation()]; health != nil {
+				d.evaluate(health, each.backend, now)
 			}
 			continue
 		}
-		l.pending = append(l.pending, each)
+		d.pending = append(d.pending, each)
 		if next.IsZero() || each.until.Before(next) {
 			next = each.until
 		}
@@ -145,34 +145,34 @@
 }
 
 // reportUnanswered lets the other balancers know of a client whose request stayed unanswered.
-func (l *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
-	l.queueStatement(evidence.Witness{
+func (d *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
+	d.queueStatement(evidence.Witness{
 		Backend: backend.Incarnation(),
 		Client:  evidence.Client(binary.BigEndian.Uint32(client[:])),
-		Zone:    l.zone,
+		Zone:    d.zone,
 		SentAt:  sentAt,
 	})
 }
 
 // reportAlive lets the other balancers know that a back end lived later than they think.
-func (l *FailureDetector) reportAlive(backend *Backend, judged *backendHealth) {
-	l.queueStatement(evidence.SignOfLife{Backend: backend.Incarnation(), At: judged.aliveAt})
+func (d *FailureDetector) reportAlive(backend *Backend, health *backendHealth) {
+	d.queueStatement(evidence.SignOfLife{Backend: backend.Incarnation(), At: health.aliveAt})
 }
 
 // queueStatement lets the other balancers know of a statement, as far as there is room.
-func (l *FailureDetector) queueStatement(statement evidence.Statement) {
-	if l.disabled.Has(mechanism.JoinedEvidence) {
+func (d *FailureDetector) queueStatement(statement evidence.Statement) {
+	if d.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	_, life := statement.(evidence.SignOfLife)
-	waiting := 0
-	for _, each := range l.statements {
-		if _, is := each.(evidence.SignOfLife); is == life {
-			waiting++
+	_, isSignOfLife := statement.(evidence.SignOfLife)
+	queued := 0
+	for _, each := range d.statements {
+		if _, ok := each.(evidence.SignOfLife); ok == isSignOfLife {
+			queued++
 		}
 	}
-	if waiting < maxStatements {
-		l.statements = append(l.statements, statement)
+	if queued < maxStatements {
+		d.statements = append(d.statements, statement)
 	}
 }
 
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -28,7 +28,7 @@
 	// lost counts the requests that went to dead back ends.
 	lost int
 	// extraDelay is how much longer messages of a balancer take; nil is no longer.
-	extraDelay func(place, now int) int
+	extraDelay func(index, now int) int
 	// idleFrom is the first back end whose flows ask once only; zero is none.
 	idleFrom int
 }
@@ -37,9 +37,9 @@
 	flows *Flows
 	board evidence.Board
 	// sentUpTo is the sequence up to which the neighbours were told.
-	sentUpTo    uint64
-	nextMessage int
-	inbox       []message
+	sentUpTo      uint64
+	nextMessageAt int
+	inbox         []message
 }
 
 // message are statements under way to a balancer.
@@ -54,7 +54,7 @@
 	key      flow.Key
 	balancer int
 	backend  int
-	n        uint32
+	requests uint32
 	sentAt   int
 	repeats  int
 	nextAt   int
@@ -72,8 +72,8 @@
 )
 
 func newSimulation(balancers, backends, dead int, off mechanism.Set) *simulation {
-	nowhere := func(int) string { return "" }
-	return newZonedSimulation(balancers, backends, dead, off, nowhere, nowhere)
+	noZone := func(int) string { return "" }
+	return newZonedSimulation(balancers, backends, dead, off, noZone, noZone)
 }
 
 // newZonedSimulation makes judges of several zones before back ends of several zones.
@@ -92,58 +92,58 @@
 	for number := range backends {
 		changes = append(changes, inZone(backend(2, uint64(number+1), "lending"), zone(number)))
 	}
-	made := &simulation{chance: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
+	built := &simulation{chance: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
-	for place := range balancers {
-		made.balancers = append(made.balancers, simulatedBalancer{flows: NewFlows(off).InZone(home(place))})
+	for index := range balancers {
+		built.balancers = append(built.balancers, simulatedBalancer{flows: NewFlows(off).InZone(home(index))})
 	}
 	for number := range backends * flows {
-		place := len(made.flows)
-		made.flows = append(made.flows, simulatedFlow{
-			key: flow.Key{Source: [4]byte{100, byte(place >> 16), byte(place >> 8), byte(place)}, SourcePort: 1,
+		index := len(built.flows)
+		built.flows = append(built.flows, simulatedFlow{
+			key: flow.Key{Source: [4]byte{100, byte(index >> 16), byte(index >> 8), byte(index)}, SourcePort: 1,
 				Destination: [4]byte{0, 0, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP},
-			balancer: made.chance.IntN(balancers), backend: number % backends, nextAt: made.chance.IntN(3000),
+			balancer: built.chance.IntN(balancers), backend: number % backends, nextAt: built.chance.IntN(3000),
 		})
 	}
-	return made
+	return built
 }
 
-func (j *simulation) run(until int) {
+func (s *simulation) run(until int) {
 	for now := 0; now < until; now += stepTime {
-		for index := range j.flows {
-			j.ask(&j.flows[index], now)
+		for index := range s.flows {
+			s.ask(&s.flows[index], now)
 		}
-		for place := range j.balancers {
-			j.applyResets(place, now)
-			j.exchange(place, now)
+		for index := range s.balancers {
+			s.applyResets(index, now)
+			s.exchange(index, now)
 		}
 	}
 }
 
 // ask moves a flow on.
-func (j *simulation) ask(f *simulatedFlow, now int) {
-	silent := f.backend < j.failed && now >= j.failedAt
+func (s *simulation) ask(f *simulatedFlow, now int) {
+	silent := f.backend < s.failed && now >= s.failedAt
 	switch {
-	case f.backend < 0 || now < f.nextAt || !f.waiting && f.n > 0 && j.idleFrom > 0 && f.backend >= j.idleFrom && f.backend < j.idleFrom+10:
+	case f.backend < 0 || now < f.nextAt || !f.waiting && f.requests > 0 && s.idleFrom > 0 && f.backend >= s.idleFrom && f.backend < s.idleFrom+10:
 		return
 	case !f.waiting:
-		f.n++
+		f.requests++
 		f.sentAt, f.repeats, f.waiting = now, 0, true
 		if silent {
-			j.lost++
+			s.lost++
 		}
 	case !silent && f.repeats == 0:
 		// The answer to the request has come: it is acknowledged.
-		j.balancers[f.balancer].flows.Decide(j.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n,
-			Acknowledged: 5000*f.n + 300}, at(now))
-		f.waiting, f.nextAt = false, now+1000+j.chance.IntN(4000)
+		s.balancers[f.balancer].flows.Decide(s.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
+			Acknowledged: 5000*f.requests + 300}, at(now))
+		f.waiting, f.nextAt = false, now+1000+s.chance.IntN(4000)
 		return
 	default:
 		f.repeats++
 	}
-	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n, Acknowledged: 5000 * f.n, Length: 500}
-	if j.balancers[f.balancer].flows.Decide(j.table, packet, at(now)).Verdict == Refuse {
-		j.reset(f)
+	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
+	if s.balancers[f.balancer].flows.Decide(s.table, packet, at(now)).Verdict == Refuse {
+		s.reset(f)
 		return
 	}
 	switch {
@@ -152,33 +152,33 @@
 	case f.repeats < len(retransmitTimes):
 		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
 	default:
-		j.reset(f)
+		s.reset(f)
 	}
 }
 
 // reset ends a flow; its client goes elsewhere.
-func (j *simulation) reset(f *simulatedFlow) { f.backend = -1 }
+func (s *simulation) reset(f *simulatedFlow) { f.backend = -1 }
 
 // applyResets carries out the verdicts of a balancer.
-func (j *simulation) applyResets(place, now int) {
-	node := &j.balancers[place]
+func (s *simulation) applyResets(index, now int) {
+	node := &s.balancers[index]
 	node.flows.EvaluatePending(at(now))
 	for _, abandoned := range node.flows.TakeAbandoned() {
 		number := int(abandoned.Backend.Number) - 1
-		if number >= j.failed {
+		if number >= s.failed {
 			panic(fmt.Sprintf("back end %d lives", number))
 		}
-		if _, found := j.detectedAfter[[2]int{place, number}]; !found {
-			j.detectedAfter[[2]int{place, number}] = now - j.failedAt
+		if _, found := s.detectedAfter[[2]int{index, number}]; !found {
+			s.detectedAfter[[2]int{index, number}] = now - s.failedAt
 		}
 		source := abandoned.Key.Source
-		j.reset(&j.flows[int(source[1])<<16|int(source[2])<<8|int(source[3])])
+		s.reset(&s.flows[int(source[1])<<16|int(source[2])<<8|int(source[3])])
 	}
 }
 
 // exchange takes what has arrived and passes on what is new, up and down.
-func (j *simulation) exchange(place, now int) {
-	node := &j.balancers[place]
+func (s *simulation) exchange(index, now int) {
+	node := &s.balancers[index]
 	kept := node.inbox[:0]
 	for _, each := range node.inbox {
 		if each.arrivesAt > now {
@@ -187,7 +187,7 @@
 		}
 		for _, statement := range each.statements {
 			if node.board.Add(statement, each.from, at(now)) {
-				node.flows.Receive(statement, j.table, at(now))
+				node.flows.Receive(statement, s.table, at(now))
 			}
 		}
 	}
@@ -195,34 +195,34 @@
 	for _, statement := range node.flows.TakeStatements() {
 		node.board.Add(statement, "", at(now))
 	}
-	if now < node.nextMessage || node.sentUpTo == node.board.Latest() {
+	if now < node.nextMessageAt || node.sentUpTo == node.board.Latest() {
 		return
 	}
-	node.nextMessage = now + batchTime
-	if place > 0 {
-		j.send(place, (place-1)/treeWidth, now)
+	node.nextMessageAt = now + batchTime
+	if index > 0 {
+		s.send(index, (index-1)/treeWidth, now)
 	}
-	for child := place*treeWidth + 1; child <= min(place*treeWidth+treeWidth, len(j.balancers)-1); child++ {
-		j.send(place, child, now)
+	for child := index*treeWidth + 1; child <= min(index*treeWidth+treeWidth, len(s.balancers)-1); child++ {
+		s.send(index, child, now)
 	}
 	node.sentUpTo = node.board.Latest()
 }
 
-func (j *simulation) send(from, to, now int) {
-	statements := j.balancers[from].board.Since(j.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
+func (s *simulation) send(from, to, now int) {
+	statements := s.balancers[from].board.Since(s.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
 	if len(statements) > 0 {
 		arrivesAt := now + messageTime
-		if j.extraDelay != nil {
-			arrivesAt += j.extraDelay(from, now) + j.extraDelay(to, now)
+		if s.extraDelay != nil {
+			arrivesAt += s.extraDelay(from, now) + s.extraDelay(to, now)
 		}
-		j.balancers[to].inbox = append(j.balancers[to].inbox, message{from: fmt.Sprint(from), statements: statements, arrivesAt: arrivesAt})
+		s.balancers[to].inbox = append(s.balancers[to].inbox, message{from: fmt.Sprint(from), statements: statements, arrivesAt: arrivesAt})
 	}
 }
 
 // detectionTimes are when the balancers that had flows of a dead back end knew, in order.
-func (j *simulation) detectionTimes() []int {
+func (s *simulation) detectionTimes() []int {
 	var found []int
-	for _, time := range j.detectedAfter {
+	for _, time := range s.detectedAfter {
 		found = append(found, time)
 	}
 	slices.Sort(found)
@@ -233,7 +233,7 @@
 // requests of its own, one back end after the other, half of them after 3 seconds;
 // joined, half know after some 1.0 second, of which 0.6 are two repetitions and 0.2 the
 // wait for an answer, and a third of the requests go to the dead.
-func TestADeathIsLearnedOnce(t *testing.T) {
+func TestSharedReportsShortenFailureDetection(t *testing.T) {
 	for _, balancers := range []int{88, 300} {
 		t.Run(fmt.Sprintf("%d balancers", balancers), func(t *testing.T) {
 			t.Parallel()
@@ -242,25 +242,25 @@
 			alone, joined := newSimulation(balancers, 150, 30, off), newSimulation(balancers, 150, 30, mechanism.Set{})
 			alone.run(9000)
 			joined.run(9000)
-			late, soon := alone.detectionTimes(), joined.detectionTimes()
-			require.Greater(t, late[len(late)/2], 2000, "each for itself")
-			require.LessOrEqual(t, soon[len(soon)/2], 1100)
-			require.LessOrEqual(t, soon[len(soon)-1], 1800)
+			aloneTimes, joinedTimes := alone.detectionTimes(), joined.detectionTimes()
+			require.Greater(t, aloneTimes[len(aloneTimes)/2], 2000, "each for itself")
+			require.LessOrEqual(t, joinedTimes[len(joinedTimes)/2], 1100)
+			require.LessOrEqual(t, joinedTimes[len(joinedTimes)-1], 1800)
 			require.Less(t, 2*joined.lost, alone.lost)
 			t.Logf("alone: half %d ms, last %d ms, %d requests; joined: half %d, last %d, %d requests",
-				late[len(late)/2], late[len(late)-1], alone.lost, soon[len(soon)/2], soon[len(soon)-1], joined.lost)
+				aloneTimes[len(aloneTimes)/2], aloneTimes[len(aloneTimes)-1], alone.lost, joinedTimes[len(joinedTimes)/2], joinedTimes[len(joinedTimes)-1], joined.lost)
 		})
 	}
 }
 
 // A third of all back ends falls silent at once: no balancer can tell its own link from
 // that, and what is passed on stays within its bound.
-func TestAThirdSilentAtOnceStaysBounded(t *testing.T) {
-	fleet := newSimulation(88, 150, 50, mechanism.Set{})
-	fleet.run(7000)
-	for place := range fleet.balancers {
-		require.Zero(t, fleet.balancers[place].board.Refused.Load())
-		require.Less(t, int(fleet.balancers[place].board.Latest()), 600)
+func TestStatementsStayBoundedWhenThirdOfBackendsFails(t *testing.T) {
+	sim := newSimulation(88, 150, 50, mechanism.Set{})
+	sim.run(7000)
+	for index := range sim.balancers {
+		require.Zero(t, sim.balancers[index].board.Refused.Load())
+		require.Less(t, int(sim.balancers[index].board.Latest()), 600)
 	}
-	require.NotEmpty(t, fleet.detectionTimes())
+	require.NotEmpty(t, sim.detectionTimes())
 }
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -42,7 +42,7 @@
 
 // A balancer that has seen no request fail resets its flows by what two others saw, once
 // nobody has answered; its client's next request opens a flow elsewhere.
-func TestWitnessesOfOthersTellADeadBackend(t *testing.T) {
+func TestRemoteReportsFailBackend(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	exchange(flows, table, 1, 2, 0)
 	exchange(flows, table, 2, 3, 0)
@@ -63,7 +63,7 @@
 	require.Zero(t, verdicts[0].Local)
 }
 
-func TestWhatABalancerSawCountsWithWhatItIsTold(t *testing.T) {
+func TestLocalAndRemoteReportsAreCombined(t *testing.T) {
 	table, flows := manyBackends(3), NewFlows(mechanism.Set{})
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(flows, table, 2, []byte{1}, 0, 600))
 	told := flows.TakeStatements()
@@ -74,7 +74,7 @@
 }
 
 // The same client through two balancers is one witness.
-func TestOneClientThroughTwoBalancersIsOneWitness(t *testing.T) {
+func TestClientReportedByTwoBalancersCountsOnce(t *testing.T) {
 	table, flows := manyBackends(3), NewFlows(mechanism.Set{})
 	sendUnanswered(flows, table, 2, []byte{1}, 0, 600)
 	heard := flows.TakeStatements()[0]
@@ -83,7 +83,7 @@
 	require.Zero(t, countResets(flows, 1300))
 }
 
-func TestNewerAnswersWin(t *testing.T) {
+func TestNewerAnswerOverridesReports(t *testing.T) {
 	table := NewTable(twoZoneDirectory(), defaultOptions())
 	before := NewFlows(mechanism.Set{}).InZone("maadi")
 	exchange(before, table, 1, 2, 200)
@@ -112,7 +112,7 @@
 
 // Witnesses leave no room where many back ends fall silent at once, which is just when a
 // sign of life for one that lives has to be told.
-func TestSignOfLifeFindsRoomAmongWitnesses(t *testing.T) {
+func TestSignOfLifeIsQueuedWhenReportsFillTheQueue(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	exchange(flows, table, 1, 2, 200)
 	for client := range evidence.Client(2 * maxStatements) {
@@ -125,7 +125,7 @@
 }
 
 // A sign of life ends a verdict too.
-func TestVerdictEndsWithASignOfLife(t *testing.T) {
+func TestSignOfLifeClearsFailure(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -137,7 +137,7 @@
 
 // A zone that is cut off finds all others silent. That counts for itself, not for those
 // who reach them by another way.
-func TestZoneThatIsCutOffAccusesOthersToItselfOnly(t *testing.T) {
+func TestReportsFromIsolatedZoneCountOnlyThere(t *testing.T) {
 	table := NewTable(twoZoneDirectory(), defaultOptions())
 	for zone, expected := range map[string]int{"giza": 1, "maadi": 0, "nasr": 0} {
 		flows := NewFlows(mechanism.Set{}).InZone(zone)
@@ -154,7 +154,7 @@
 }
 
 // A balancer whose own link loses its packets tells nobody that back ends are silent.
-func TestFullLinkIsNoWitness(t *testing.T) {
+func TestCongestedLinkSendsNoReports(t *testing.T) {
 	table, flows := manyBackends(12), NewFlows(mechanism.Set{})
 	for now := 0; now <= 1400; now += 100 {
 		for token := 1; token <= 12; token++ {
@@ -172,7 +172,7 @@
 
 // A back end that starts anew at an old address has a new number, and nothing speaks
 // against it.
-func TestNewNumberEndsAllEvidence(t *testing.T) {
+func TestNewBackendNumberIgnoresEarlierReports(t *testing.T) {
 	flows := NewFlows(mechanism.Set{})
 	before, after := manyBackends(3), NewTable(newDirectory(routes(1, route(1, share("lending", 1))), backend(3, 9, "lending")), defaultOptions())
 	flows.Receive(unanswered(2, 101, "", 100), before, at(700))
@@ -184,7 +184,7 @@
 
 // Flows that rest for as long as they may are reset with the others; those that are
 // closed or forgotten are not.
-func TestRestedFlowsAreReset(t *testing.T) {
+func TestIdleFlowsAreReset(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	for client := byte(1); client <= 4; client++ {
 		exchange(flows, table, client, 2, 0)
@@ -207,7 +207,7 @@
 	require.Zero(t, flows.memory.resting)
 }
 
-func TestRestedFlowsAreForgottenInTime(t *testing.T) {
+func TestIdleFlowsExpire(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{})
 	exchange(flows, table, 1, 2, 0)
 	for now := 0; now <= 19_000; now += 500 {
@@ -227,7 +227,7 @@
 // Whatever the clients do, however balancers stall and messages between them are late,
 // and with one copy or answer of each request lost, no balancer resets a flow of a
 // back end that answers within 140 ms.
-func TestLivingBackendsFlowsAreNeverResetByOthers(t *testing.T) {
+func TestRemoteReportsNeverResetFlowsOfLiveBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := manyBackends(3)
 		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -244,8 +244,8 @@
 					at.queue = append(at.queue, index)
 				}
 			}
-			for place := range group.members {
-				member := &group.members[place]
+			for position := range group.members {
+				member := &group.members[position]
 				if now < member.stalledUntil {
 					continue
 				}
@@ -260,11 +260,11 @@
 					client.answerAt = min(client.answerAt, now+chance.IntN(140))
 				}
 				member.queue = member.queue[:0]
-				exchange(member.flows, table, 200+byte(place), 3, now)
+				exchange(member.flows, table, 200+byte(position), 3, now)
 				group.deliver(member, table, now)
 				member.flows.EvaluatePending(at(now))
 				require.Empty(t, member.flows.TakeAbandoned(), "at %d ms", now)
-				group.send(place, now, latest)
+				group.send(position, now, latest)
 			}
 		}
 	})
@@ -290,26 +290,26 @@
 }
 
 func newBalancerGroup(size int, chance *rand.Rand) *balancerGroup {
-	made := &balancerGroup{chance: chance}
+	built := &balancerGroup{chance: chance}
 	for range size {
-		made.members = append(made.members, groupMember{flows: NewFlows(mechanism.Set{})})
+		built.members = append(built.members, groupMember{flows: NewFlows(mechanism.Set{})})
 	}
-	return made
+	return built
 }
 
 func (g *balancerGroup) stall(now, stalls int) {
-	for place := range g.members {
+	for position := range g.members {
 		if g.chance.IntN(100) < stalls {
-			g.members[place].stalledUntil = max(g.members[place].stalledUntil, now+g.chance.IntN(3000))
+			g.members[position].stalledUntil = max(g.members[position].stalledUntil, now+g.chance.IntN(3000))
 		}
 	}
 }
 
 func (g *balancerGroup) send(from, now, latest int) {
 	for _, statement := range g.members[from].flows.TakeStatements() {
-		for place := range g.members {
-			if place != from {
-				g.members[place].inbox = append(g.members[place].inbox, delayedStatement{statement, now + g.chance.IntN(latest)})
+		for position := range g.members {
+			if position != from {
+				g.members[position].inbox = append(g.members[position].inbox, delayedStatement{statement, now + g.chance.IntN(latest)})
 			}
 		}
 	}
--- a/internal/tokenroute/judgement.go
+++ b/internal/tokenroute/judgement.go
@@ -34,13 +34,13 @@
 	copies int
 }
 
-func (w unansweredRequest) remote() bool { return !w.receivedAt.IsZero() }
+func (r unansweredRequest) remote() bool { return !r.receivedAt.IsZero() }
 
 // failed are the back ends that are judged dead.
-func (l *FailureDetector) failed(now time.Time) []incarnation.ID {
+func (d *FailureDetector) failed(now time.Time) []incarnation.ID {
 	var found []incarnation.ID
-	for id, judged := range l.health {
-		if now.Before(judged.failedUntil) {
+	for id, health := range d.health {
+		if now.Before(health.failedUntil) {
 			found = append(found, id)
 		}
 	}
@@ -58,9 +58,9 @@
 }
 
 // localClients is how many clients speak against the back end whose requests passed here.
-func (j *backendHealth) localClients() int {
+func (h *backendHealth) localClients() int {
 	count := 0
-	for _, each := range j.unanswered {
+	for _, each := range h.unanswered {
 		if !each.remote() {
 			count++
 		}
@@ -69,34 +69,34 @@
 }
 
 // lostCopies is how many copies of requests that passed here stayed unanswered.
-func (j *backendHealth) lostCopies() int {
+func (h *backendHealth) lostCopies() int {
 	sum := 0
-	for _, each := range j.unanswered {
+	for _, each := range h.unanswered {
 		sum += each.copies
 	}
 	return sum
 }
 
 // failure tells what speaks against the back end.
-func (j *backendHealth) failure(backend *Backend) BackendFailure {
-	made := BackendFailure{Backend: backend}
-	for _, each := range j.unanswered {
+func (h *backendHealth) failure(backend *Backend) BackendFailure {
+	failure := BackendFailure{Backend: backend}
+	for _, each := range h.unanswered {
 		if each.remote() {
-			made.Remote++
+			failure.Remote++
 		} else {
-			made.Local++
+			failure.Local++
 		}
-		if made.SilentSince.IsZero() || each.sentAt.Before(made.SilentSince) {
-			made.SilentSince = each.sentAt
+		if failure.SilentSince.IsZero() || each.sentAt.Before(failure.SilentSince) {
+			failure.SilentSince = each.sentAt
 		}
 	}
-	return made
+	return failure
 }
 
 // lastEventAt is when anything was last learned of the back end.
-func (j *backendHealth) lastEventAt() time.Time {
-	latest := j.aliveAt
-	for _, at := range []time.Time{j.promptSentAt, j.retransmittedAt} {
+func (h *backendHealth) lastEventAt() time.Time {
+	latest := h.aliveAt
+	for _, at := range []time.Time{h.promptSentAt, h.retransmittedAt} {
 		if at.After(latest) {
 			latest = at
 		}
@@ -105,11 +105,11 @@
 }
 
 // expire drops the judgements that have nothing left to say.
-func (l *FailureDetector) expire(now time.Time) {
-	for id, judged := range l.health {
-		l.expireUnanswered(judged, now)
-		if len(judged.unanswered) == 0 && now.Sub(judged.lastEventAt()) > generationTime {
-			delete(l.health, id)
+func (d *FailureDetector) expire(now time.Time) {
+	for id, health := range d.health {
+		d.expireUnanswered(health, now)
+		if len(health.unanswered) == 0 && now.Sub(health.lastEventAt()) > generationTime {
+			delete(d.health, id)
 		}
 	}
 }
@@ -117,26 +117,26 @@
 // unansweredTTL is how long an unanswered request speaks against a back end.
 const unansweredTTL = time.Minute
 
-func (l *FailureDetector) expireUnanswered(judged *backendHealth, now time.Time) {
-	for client, each := range judged.unanswered {
+func (d *FailureDetector) expireUnanswered(health *backendHealth, now time.Time) {
+	for client, each := range health.unanswered {
 		if now.Sub(each.sentAt) > unansweredTTL || each.remote() && now.Sub(each.receivedAt) > remoteTTL {
-			delete(judged.unanswered, client)
+			delete(health.unanswered, client)
 		}
 	}
 }
 
 // othersResponsive tells whether the other back ends have answered since a time,
 // so that it is not this balancer whose packets get lost.
-func (l *FailureDetector) othersResponsive(accused *backendHealth, since time.Time) bool {
-	prompt, troubled := 0, 0
-	for _, judged := range l.health {
+func (d *FailureDetector) othersResponsive(suspect *backendHealth, since time.Time) bool {
+	prompt, retransmitted := 0, 0
+	for _, health := range d.health {
 		switch {
-		case judged == accused:
-		case judged.retransmittedAt.After(since):
-			troubled++
-		case judged.promptSentAt.After(since):
+		case health == suspect:
+		case health.retransmittedAt.After(since):
+			retransmitted++
+		case health.promptSentAt.After(since):
 			prompt++
 		}
 	}
-	return prompt > 0 && prompt >= minPromptRatio*troubled
+	return prompt > 0 && prompt >= minPromptRatio*retransmitted
 }
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -91,61 +91,61 @@
 // whether the back end counts as dead for it. Only packets with data are ever
 // answered with true: the others ask for nothing. The state of the flow may be
 // nil for packets without data.
-func (l *FailureDetector) Observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
+func (d *FailureDetector) Observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	if packet.Closing {
 		return false
 	}
 	if packet.Length == 0 {
-		l.observeAcknowledgement(packet, state, backend, now)
+		d.observeAcknowledgement(packet, state, backend, now)
 		return false
 	}
-	l.observeData(packet, state, backend, now)
-	return l.Failed(backend, now)
+	d.observeData(packet, state, backend, now)
+	return d.Failed(backend, now)
 }
 
 // observeAcknowledgement follows a packet without data: the client sends it at
 // once when it has received something.
-func (l *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	l.recordAlive(backend, now)
+func (d *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
+	d.recordAlive(backend, now)
 	if state == nil || state.track.backend == nil {
 		return
 	}
 	state.track.expected = packet.Acknowledged
 	if state.track.acknowledged != packet.Acknowledged {
-		l.recordAnswer(packet.Key, state, backend, now)
+		d.recordAnswer(packet.Key, state, backend, now)
 	}
 }
 
 // observeData follows the oldest unanswered packet of a flow. A packet that
 // acknowledges more than the one before proves that the back end lived when
 // that one passed, at least.
-func (l *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	known := &state.track
+func (d *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
+	tracked := &state.track
 	switch {
-	case known.backend == nil:
-		l.trackRequest(packet, state, backend, now)
-	case known.acknowledged != packet.Acknowledged:
-		l.recordAlive(backend, known.passedAt)
-		l.recordAnswer(packet.Key, state, backend, now)
+	case tracked.backend == nil:
+		d.trackRequest(packet, state, backend, now)
+	case tracked.acknowledged != packet.Acknowledged:
+		d.recordAlive(backend, tracked.passedAt)
+		d.recordAnswer(packet.Key, state, backend, now)
 		state.ended(packet.Key.Address(), packet.Acknowledged)
-		l.trackRequest(packet, state, backend, now)
-	case known.sequence == packet.Sequence && known.backend.Incarnation() != backend.Incarnation():
+		d.trackRequest(packet, state, backend, now)
+	case tracked.sequence == packet.Sequence && tracked.backend.Incarnation() != backend.Incarnation():
 		// What an earlier start left unanswered says nothing of this one.
-		l.trackRequest(packet, state, backend, now)
-	case known.sequence == packet.Sequence:
-		known.backend, known.passedAt = backend, now
+		d.trackRequest(packet, state, backend, now)
+	case tracked.sequence == packet.Sequence:
+		tracked.backend, tracked.passedAt = backend, now
 		state.waitsStill(now)
-		l.recordRetransmission(known, packet, now)
-		if known.repeats > 0 {
+		d.recordRetransmission(tracked, packet, now)
+		if tracked.repeats > 0 {
 			state.unreach(now)
 		}
 	default:
-		known.passedAt = now
+		tracked.passedAt = now
 		state.sendsOn(now)
 	}
 }
 
-func (l *FailureDetector) trackRequest(packet Packet, state *flowState, backend *Backend, now time.Time) {
+func (d *FailureDetector) trackRequest(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	state.setWaiting(true, now)
 	if state.seenAt.IsZero() {
 		state.seenAt = now
@@ -159,136 +159,136 @@
 
 // recordRetransmission counts a copy of an unanswered packet and lets its client speak
 // against the back end when there were enough.
-func (l *FailureDetector) recordRetransmission(known *track, packet Packet, now time.Time) {
-	if now.Sub(known.repeatedAt) < minRetransmitInterval {
+func (d *FailureDetector) recordRetransmission(tracked *track, packet Packet, now time.Time) {
+	if now.Sub(tracked.repeatedAt) < minRetransmitInterval {
 		return
 	}
-	known.repeats++
-	known.repeatedAt = now
-	l.zones.missed(known.backend, known.sentAt, now)
-	if judged := l.healthOf(known.backend); judged != nil {
-		judged.retransmittedAt = now
+	tracked.repeats++
+	tracked.repeatedAt = now
+	d.zones.missed(tracked.backend, tracked.sentAt, now)
+	if health := d.healthOf(tracked.backend); health != nil {
+		health.retransmittedAt = now
 	}
-	if known.repeats >= retransmitsToReport {
-		l.recordUnanswered(known, clientAddress(packet.Key.Source), now)
+	if tracked.repeats >= retransmitsToReport {
+		d.recordUnanswered(tracked, clientAddress(packet.Key.Source), now)
 	}
 }
 
 // recordAnswer takes that the oldest request of a flow was answered.
-func (l *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
+func (d *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
 	state.setWaiting(false, now)
-	known := &state.track
-	judged := l.healthOf(backend)
-	if state.load != nil && known.repeats == 0 && !known.timed {
-		known.timed = true
-		state.load.answersTo(key.Address()).Time(now.Sub(known.sentAt))
+	tracked := &state.track
+	health := d.healthOf(backend)
+	if state.load != nil && tracked.repeats == 0 && !tracked.timed {
+		tracked.timed = true
+		state.load.answersTo(key.Address()).Time(now.Sub(tracked.sentAt))
 	}
-	if !known.counted {
-		known.counted = true
-		l.link.answered(known.repeats > 0, now)
+	if !tracked.counted {
+		tracked.counted = true
+		d.link.answered(tracked.repeats > 0, now)
 	}
-	if known.repeats == 0 {
-		l.zones.answered(backend, known.sentAt)
+	if tracked.repeats == 0 {
+		d.zones.answered(backend, tracked.sentAt)
 	}
-	if judged != nil && known.repeats == 0 && known.sentAt.After(judged.promptSentAt) {
-		judged.promptSentAt = known.sentAt
+	if health != nil && tracked.repeats == 0 && tracked.sentAt.After(health.promptSentAt) {
+		health.promptSentAt = tracked.sentAt
 	}
 }
 
 // healthOf returns the judgement of a back end, or nil when there are too
 // many.
-func (l *FailureDetector) healthOf(backend *Backend) *backendHealth {
-	judged := l.health[backend.Incarnation()]
-	if judged == nil && len(l.health) < maxBackendHealth {
-		judged = &backendHealth{unanswered: make(map[clientAddress]unansweredRequest)}
-		l.health[backend.Incarnation()] = judged
+func (d *FailureDetector) healthOf(backend *Backend) *backendHealth {
+	health := d.health[backend.Incarnation()]
+	if health == nil && len(d.health) < maxBackendHealth {
+		health = &backendHealth{unanswered: make(map[clientAddress]unansweredRequest)}
+		d.health[backend.Incarnation()] = health
 	}
-	return judged
+	return health
 }
 
 // recordUnanswered lets a client speak against the back end of its flow.
-func (l *FailureDetector) recordUnanswered(known *track, client clientAddress, now time.Time) {
-	backend := known.backend
-	judged := l.healthOf(backend)
-	if judged == nil || !known.sentAt.After(judged.aliveAt) {
+func (d *FailureDetector) recordUnanswered(tracked *track, client clientAddress, now time.Time) {
+	backend := tracked.backend
+	health := d.healthOf(backend)
+	if health == nil || !tracked.sentAt.After(health.aliveAt) {
 		return
 	}
-	prompt := l.othersResponsive(judged, known.sentAt) && l.link.doubt(known.repeats, known.sentAt, now) <= doubtOfWitness
-	judged.unanswered[client] = unansweredRequest{sentAt: known.sentAt, othersAnswered: prompt, copies: known.repeats}
-	if !prompt || l.disabled.Has(mechanism.Verdicts) {
+	othersAnswered := d.othersResponsive(health, tracked.sentAt) && d.link.doubt(tracked.repeats, tracked.sentAt, now) <= doubtOfWitness
+	health.unanswered[client] = unansweredRequest{sentAt: tracked.sentAt, othersAnswered: othersAnswered, copies: tracked.repeats}
+	if !othersAnswered || d.disabled.Has(mechanism.Verdicts) {
 		return
 	}
-	l.reportUnanswered(backend, client, known.sentAt)
-	enough := known.repeats >= retransmitsToFail || judged.localClients() >= clientsToFail
-	if enough && l.link.doubt(judged.lostCopies(), known.sentAt, now) <= doubtOfVerdict {
-		l.markFailed(judged, backend, now)
+	d.reportUnanswered(backend, client, tracked.sentAt)
+	enough := tracked.repeats >= retransmitsToFail || health.localClients() >= clientsToFail
+	if enough && d.link.doubt(health.lostCopies(), tracked.sentAt, now) <= doubtOfVerdict {
+		d.markFailed(health, backend, now)
 		return
 	}
-	l.evaluate(judged, backend, now)
+	d.evaluate(health, backend, now)
 }
 
 // markFailed judges a back end dead for a while.
-func (l *FailureDetector) markFailed(judged *backendHealth, backend *Backend, now time.Time) {
-	if !now.Before(judged.failedUntil) {
-		l.FailureCount.Add(1)
-		l.failures = append(l.failures, judged.failure(backend))
-		if !l.disabled.Has(mechanism.IdleResets) {
-			l.abandonFlows(backend, now)
+func (d *FailureDetector) markFailed(health *backendHealth, backend *Backend, now time.Time) {
+	if !now.Before(health.failedUntil) {
+		d.FailureCount.Add(1)
+		d.failures = append(d.failures, health.failure(backend))
+		if !d.disabled.Has(mechanism.IdleResets) {
+			d.abandonFlows(backend, now)
 		}
 	}
-	judged.failedUntil = now.Add(failureTTL)
+	health.failedUntil = now.Add(failureTTL)
 }
 
 // abandonFlows puts the flows of a dead back end that are remembered on the list of
 // those to reset, and forgets them.
-func (l *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
-	for _, generation := range []map[flow.Key]*flowState{l.memory.current, l.memory.previous} {
+func (d *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
+	for _, generation := range []map[flow.Key]*flowState{d.memory.current, d.memory.previous} {
 		for key, state := range generation {
-			known := &state.track
-			if known.backend == nil || known.backend.Incarnation() != backend.Incarnation() {
+			tracked := &state.track
+			if tracked.backend == nil || tracked.backend.Incarnation() != backend.Incarnation() {
 				continue
 			}
-			l.abandoned = append(l.abandoned, Abandoned{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: known.expected})
-			l.memory.forget(key, state, now)
+			d.abandoned = append(d.abandoned, Abandoned{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: tracked.expected})
+			d.memory.forget(key, state, now)
 		}
 	}
-	for _, rested := range l.memory.takeRested(backend.Incarnation()) {
-		l.abandoned = append(l.abandoned, Abandoned{Key: rested.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: rested.expected})
+	for _, idle := range d.memory.takeRested(backend.Incarnation()) {
+		d.abandoned = append(d.abandoned, Abandoned{Key: idle.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: idle.expected})
 	}
 }
 
 // recordAlive takes that a back end lived at a time. Requests sent until then no
 // longer speak against it, and a verdict that rests on them ends.
-func (l *FailureDetector) recordAlive(backend *Backend, livedAt time.Time) {
-	judged := l.healthOf(backend)
-	if judged == nil {
+func (d *FailureDetector) recordAlive(backend *Backend, livedAt time.Time) {
+	health := d.healthOf(backend)
+	if health == nil {
 		return
 	}
-	if !livedAt.After(judged.aliveAt) {
+	if !livedAt.After(health.aliveAt) {
 		return
 	}
-	judged.aliveAt = livedAt
+	health.aliveAt = livedAt
 	answers := false
-	for client, each := range judged.unanswered {
+	for client, each := range health.unanswered {
 		if !each.sentAt.After(livedAt) {
 			answers = answers || each.remote()
-			delete(judged.unanswered, client)
+			delete(health.unanswered, client)
 		}
 	}
 	if answers {
-		l.reportAlive(backend, judged)
+		d.reportAlive(backend, health)
 	}
-	if len(judged.unanswered) == 0 {
-		judged.failedUntil = time.Time{}
+	if len(health.unanswered) == 0 {
+		health.failedUntil = time.Time{}
 	}
 }
 
 // Failed tells whether a back end counts as dead. The verdict on one whose entry
 // is gone stays until something proves the opposite.
-func (l *FailureDetector) Failed(backend *Backend, now time.Time) bool {
-	judged := l.health[backend.Incarnation()]
-	if judged == nil || judged.failedUntil.IsZero() {
+func (d *FailureDetector) Failed(backend *Backend, now time.Time) bool {
+	health := d.health[backend.Incarnation()]
+	if health == nil || health.failedUntil.IsZero() {
 		return false
 	}
-	return backend.Gone || now.Before(judged.failedUntil)
+	return backend.Gone || now.Before(health.failedUntil)
 }
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -37,8 +37,8 @@
 
 // accepts tells whether a back end takes new flows here.
 func (p *poolZone) accepts(backend *Backend) bool {
-	place, found := slices.BinarySearchFunc(p.eligible, backend.ID, func(each *Backend, id string) int { return strings.Compare(each.ID, id) })
-	return found && p.eligible[place].Number == backend.Number
+	i, found := slices.BinarySearchFunc(p.eligible, backend.ID, func(each *Backend, id string) int { return strings.Compare(each.ID, id) })
+	return found && p.eligible[i].Number == backend.Number
 }
 
 // poolZone makes the part of a group. Those that may take new flows have an entry, or one that
@@ -46,28 +46,28 @@
 func (b *builder) poolZone(group *directory.Group, backends []*Backend) *poolZone {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
-	made := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
+	built := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
 		timeIndependent: b.options.Warmup == nil, backends: backends}
-	for place := range group.Entries {
-		entry, backend := &group.Entries[place], backends[place]
+	for i := range group.Entries {
+		entry, backend := &group.Entries[i], backends[i]
 		if entry.Restarted {
-			made.restarted = append(made.restarted, backend)
+			built.restarted = append(built.restarted, backend)
 		}
 		if entry.Gone && !entry.VanishedAt.IsZero() {
-			made.timeIndependent = made.timeIndependent && !b.mayReturn(entry)
+			built.timeIndependent = built.timeIndependent && !b.mayReturn(entry)
 		}
 		if entry.GetDraining() || !b.ownsToken(backend) {
 			continue
 		}
 		switch ready := !entry.Gone || b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now); {
 		case evacuated:
-			made.withheldByEvacuation = made.withheldByEvacuation || !entry.Gone
+			built.withheldByEvacuation = built.withheldByEvacuation || !entry.Gone
 		case ready:
-			made.eligible = append(made.eligible, backend)
+			built.eligible = append(built.eligible, backend)
 		}
 	}
-	made.rule = b.rule(group, made.eligible, weight, uniform)
-	return made
+	built.rule = b.rule(group, built.eligible, weight, uniform)
+	return built
 }
 
 // mayReturn tells whether a back end that vanished may still take new flows for a time.
@@ -77,17 +77,17 @@
 
 // vanishedPoolZone is the part with those back ends that have just vanished. They take new flows
 // where their pool has no other.
-func (b *builder) vanishedPoolZone(group *directory.Group, of *poolZone) *poolZone {
-	made := &poolZone{backends: of.backends, withheldByEvacuation: of.withheldByEvacuation}
-	for place := range group.Entries {
-		entry := &group.Entries[place]
-		just := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
-		if just && !of.evacuated && !entry.GetDraining() && b.ownsToken(of.backends[place]) {
-			made.eligible = append(made.eligible, of.backends[place])
+func (b *builder) vanishedPoolZone(group *directory.Group, zone *poolZone) *poolZone {
+	built := &poolZone{backends: zone.backends, withheldByEvacuation: zone.withheldByEvacuation}
+	for i := range group.Entries {
+		entry := &group.Entries[i]
+		recent := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
+		if recent && !zone.evacuated && !entry.GetDraining() && b.ownsToken(zone.backends[i]) {
+			built.eligible = append(built.eligible, zone.backends[i])
 		}
 	}
-	made.rule = b.rule(group, made.eligible, of.weight, of.uniform)
-	return made
+	built.rule = b.rule(group, built.eligible, zone.weight, zone.uniform)
+	return built
 }
 
 // weight is the share of new flows that each back end of a place takes, where all take the
@@ -100,17 +100,17 @@
 }
 
 // rule orders flows over some back ends of a group.
-func (b *builder) rule(group *directory.Group, chosen []*Backend, weight uint32, uniform bool) *rule.Rule {
-	candidates := make([]rule.Candidate, len(chosen))
+func (b *builder) rule(group *directory.Group, eligible []*Backend, weight uint32, uniform bool) *rule.Rule {
+	candidates := make([]rule.Candidate, len(eligible))
 	next := 0
-	for place, backend := range chosen {
+	for i, backend := range eligible {
 		if !uniform {
 			for group.Entries[next].GetId() != backend.ID {
 				next++
 			}
 			weight = b.options.Weight(group.Entries[next])
 		}
-		candidates[place] = rule.Candidate{Backend: uint32(place + 1), Weight: weight, Identity: backend.Number}
+		candidates[i] = rule.Candidate{Backend: uint32(i + 1), Weight: weight, Identity: backend.Number}
 	}
 	return rule.New(group.Pool, flow.Address{}, salt(group.Pool), candidates)
 }
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -17,12 +17,12 @@
 		return
 	}
 	f.table = table
-	former := f.restarted
+	previous := f.restarted
 	f.restarted = make(map[incarnation.ID]bool, len(table.restarted))
 	for _, backend := range table.restarted {
 		id := backend.Incarnation()
 		f.restarted[id] = true
-		if !former[id] {
+		if !previous[id] {
 			f.abandonEarlierStarts(backend, now)
 		}
 	}
@@ -30,30 +30,30 @@
 
 // abandonEarlierStarts gives up the flows of earlier starts of a back end.
 func (f *Flows) abandonEarlierStarts(backend *Backend, now time.Time) {
-	former := func(id incarnation.ID) bool { return id.Number == backend.Number && id.Start != backend.Start }
-	outlived := func(seenAt time.Time) bool {
+	isEarlierStart := func(id incarnation.ID) bool { return id.Number == backend.Number && id.Start != backend.Start }
+	predatesStart := func(seenAt time.Time) bool {
 		return !seenAt.IsZero() && backend.Start.Outlived(now.Sub(seenAt), now)
 	}
-	giveUp := func(key flow.Key, acknowledged uint32) {
+	abandon := func(key flow.Key, acknowledged uint32) {
 		f.liveness.abandoned = append(f.liveness.abandoned,
 			Abandoned{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
 	}
 	for _, generation := range []map[flow.Key]*flowState{f.memory.current, f.memory.previous} {
 		for key, state := range generation {
-			known := &state.track
-			if known.backend != nil && former(known.backend.Incarnation()) && outlived(state.seenAt) {
-				giveUp(key, known.expected)
+			tracked := &state.track
+			if tracked.backend != nil && isEarlierStart(tracked.backend.Incarnation()) && predatesStart(state.seenAt) {
+				abandon(key, tracked.expected)
 				f.memory.forget(key, state, now)
 			}
 		}
 	}
 	for id, flows := range f.memory.rested {
-		if !former(id) {
+		if !isEarlierStart(id) {
 			continue
 		}
 		for key, each := range flows {
-			if outlived(each.seenAt) {
-				giveUp(key, each.expected)
+			if predatesStart(each.seenAt) {
+				abandon(key, each.expected)
 				f.memory.resting--
 				delete(flows, key)
 			}
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -19,32 +19,32 @@
 // restartingBackend is a directory of three back ends of which the second one starts again under
 // its number.
 type restartingBackend struct {
-	known    *directory.Directory
-	revision uint64
+	directory *directory.Directory
+	revision  uint64
 }
 
 func newRestartingBackend(startedAt int) *restartingBackend {
-	made := &restartingBackend{known: directory.New(time.Minute), revision: 100}
+	built := &restartingBackend{directory: directory.New(time.Minute), revision: 100}
 	first := backend(2, 2, "lending")
 	first.GetBackend().StartedMilliseconds = startOf(startedAt)
 	table := routes(1, route(1, share("lending", 1)))
 	table.GetRoutes().IdleMilliseconds = 15_000
 	changes := []*apiv1.DirectoryChange{table, backend(2, 1, "lending"), first, backend(2, 3, "lending")}
-	made.known.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: made.revision}, at(startedAt))
-	return made
+	built.directory.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: built.revision}, at(startedAt))
+	return built
 }
 
 // startOf is the start of a back end at a time, as its entry tells it.
 func startOf(milliseconds int) uint64 { return uint64(at(milliseconds).UnixMilli()) }
 
-func (r *restartingBackend) table() *Table { return NewTable(r.known, defaultOptions()) }
+func (r *restartingBackend) table() *Table { return NewTable(r.directory, defaultOptions()) }
 
 // restart lets the directory learn that the second back end has started again.
 func (r *restartingBackend) restart(startedAt, learnedAt int) *Table {
 	r.revision++
-	again := backend(r.revision, 2, "lending")
-	again.GetBackend().StartedMilliseconds = startOf(startedAt)
-	r.known.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{again}, Revision: r.revision}, at(learnedAt))
+	restarted := backend(r.revision, 2, "lending")
+	restarted.GetBackend().StartedMilliseconds = startOf(startedAt)
+	r.directory.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{restarted}, Revision: r.revision}, at(learnedAt))
 	return r.table()
 }
 
@@ -54,11 +54,11 @@
 
 // What speaks against a start of a back end says nothing of the next one, whose flows would
 // else be reset while it lives.
-func TestVerdictOnAnEarlierStartEndsWithIt(t *testing.T) {
-	back, flows := newRestartingBackend(-60_000), NewFlows(mechanism.Set{})
-	before := back.table()
+func TestFailureOfEarlierStartDoesNotAffectNext(t *testing.T) {
+	restarting, flows := newRestartingBackend(-60_000), NewFlows(mechanism.Set{})
+	before := restarting.table()
 	require.Equal(t, []Verdict{Forward, Refuse}, sendUnanswered(flows, before, 2, []byte{1, 2}, 0, 600))
-	after := back.restart(500, 700)
+	after := restarting.restart(500, 700)
 	require.Equal(t, Forward, flows.Decide(after, request(3, 2, 1), at(750)).Verdict, "a flow of the new start")
 	require.Equal(t, Forward, flows.Decide(after, request(1, 2, 1), at(1400)).Verdict, "a copy of what the earlier one left unanswered")
 	flows.TakeAbandoned()
@@ -78,9 +78,9 @@
 // A request that may not be repeated is lost when its flow's back end has started again
 // since and holds the flow no more. So flows of the earlier start are reset once the new one
 // is known, the idle ones too, each once; those that it may hold are not.
-func TestFlowsOfAnEarlierStartAreReset(t *testing.T) {
-	back, flows := newRestartingBackend(-60_000), NewFlows(mechanism.Set{})
-	table := back.table()
+func TestFlowsOfEarlierStartAreReset(t *testing.T) {
+	restarting, flows := newRestartingBackend(-60_000), NewFlows(mechanism.Set{})
+	table := restarting.table()
 	exchange := func(client byte, now int) {
 		flows.Decide(table, request(client, 2, uint32(now+1)), at(now))
 		done := acknowledgement(client, 2)
@@ -94,7 +94,7 @@
 	}
 	exchange(3, 11_000)
 	exchange(4, 12_300) // opened at the new start, before its entry was known
-	table = back.restart(12_100, 13_000)
+	table = restarting.restart(12_100, 13_000)
 	flows.SetTable(table, at(13_010))
 	reset := make(map[flow.Key]Reason)
 	for _, abandoned := range flows.TakeAbandoned() {
@@ -103,16 +103,16 @@
 	}
 	require.Equal(t, map[flow.Key]Reason{clientKey(1): ReasonRestarted, clientKey(2): ReasonRestarted}, reset)
 	require.Equal(t, "restarted_backend", ReasonRestarted.String())
-	flows.SetTable(back.table(), at(13_100))
+	flows.SetTable(restarting.table(), at(13_100))
 	require.Empty(t, flows.TakeAbandoned(), "each is told once")
 	exchange(4, 13_200)
 	require.Empty(t, flows.TakeAbandoned())
 }
 
 // The place of a back end in the order of a flow goes by its number, not by its start.
-func TestRestartMovesNoNewFlows(t *testing.T) {
-	back := newRestartingBackend(-60_000)
-	before, after := back.table(), back.restart(500, 700)
+func TestRestartKeepsBackendOrder(t *testing.T) {
+	restarting := newRestartingBackend(-60_000)
+	before, after := restarting.table(), restarting.restart(500, 700)
 	for port := range 300 {
 		one := NewFlows(mechanism.Set{}).Decide(before, firstPacket(port), at(0)).Backend
 		other := NewFlows(mechanism.Set{}).Decide(after, firstPacket(port), at(0)).Backend
@@ -123,12 +123,12 @@
 // A back end starts again and again under its number; its entries come up to 3 s late, clocks
 // differ by up to 2 s, and clients open flows, rest and ask. No flow of the living start is
 // ever reset.
-func TestFlowsOfTheLivingStartAreNeverReset(t *testing.T) {
+func TestFlowsOfCurrentStartAreNeverReset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		skew := rapid.IntRange(-2000, 2000).Draw(t, "clock differs by ms")
-		back, flows := newRestartingBackend(skew-1000), NewFlows(mechanism.Set{})
-		table, living, learnAt, startedAt := back.table(), 0, -1, 0
+		restarting, flows := newRestartingBackend(skew-1000), NewFlows(mechanism.Set{})
+		table, living, learnAt, startedAt := restarting.table(), 0, -1, 0
 		type client struct {
 			openedAt, nextAt int
 			n                uint32
@@ -140,12 +140,12 @@
 				living = now
 			}
 			if learnAt >= 0 && now >= learnAt {
-				table = back.restart(startedAt+skew, now)
+				table = restarting.restart(startedAt+skew, now)
 				learnAt = -1
 			}
 			flows.SetTable(table, at(now))
-			for place := range clients {
-				c := &clients[place]
+			for index := range clients {
+				c := &clients[index]
 				if c.openedAt < living || c.n == 0 {
 					// The back end resets what it does not hold, and the client opens another flow.
 					*c = client{openedAt: now, nextAt: now + chance.IntN(8000)}
@@ -154,7 +154,7 @@
 					continue
 				}
 				c.n++
-				packet := request(byte(place+1), 2, c.n)
+				packet := request(byte(index+1), 2, c.n)
 				packet.Key.SourcePort = uint16(c.openedAt/20 + 1000)
 				require.Equal(t, Forward, flows.Decide(table, packet, at(now)).Verdict)
 				packet.Length, packet.Acknowledged = 0, packet.Acknowledged+300
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -146,20 +146,20 @@
 }
 
 // covers tells whether an entry that vanished at a time may have lapsed only.
-func (l StoreRecovery) covers(vanishedAt, now time.Time) bool {
-	return now.Before(l.Until) && !vanishedAt.Before(l.Since)
+func (s StoreRecovery) covers(vanishedAt, now time.Time) bool {
+	return now.Before(s.Until) && !vanishedAt.Before(s.Since)
 }
 
 // NewTable indexes a directory. It returns nil while no routes are known.
-func NewTable(known *directory.Directory, options Options) *Table {
-	routes := known.Routes()
+func NewTable(source *directory.Directory, options Options) *Table {
+	routes := source.Routes()
 	if routes == nil {
 		return nil
 	}
-	builder := newBuilder(known, options)
+	builder := newBuilder(source, options)
 	table := &Table{
 		Version:          routes.GetVersion(),
-		Revision:         known.Revision(),
+		Revision:         source.Revision(),
 		Evacuated:        options.Evacuated,
 		IdleTimeout:      time.Duration(routes.GetIdleMilliseconds()) * time.Millisecond,
 		routes:           make(map[flow.Address]*Route, len(routes.GetRoutes())),
@@ -252,9 +252,9 @@
 	if chosen == nil {
 		return nil
 	}
-	for _, least := range []Preference{Preferred, Suspected, Avoided} {
+	for _, worst := range []Preference{Preferred, Suspected, Avoided} {
 		var leaders [maxCandidates]rule.Leader
-		count := chosen.topCandidates(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > least })
+		count := chosen.topCandidates(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > worst })
 		if count > 0 {
 			return chosen.leastLoaded(leaders[:count], inUse)
 		}
@@ -265,23 +265,23 @@
 // topCandidates puts the first back ends in a flow's order into found, as far as they are not left
 // out, and returns how many there are. Where the weights alone choose the zone, all are of
 // the zone of the first one.
-func (p *pool) topCandidates(hash uint64, found []rule.Leader, except func(*Backend) bool) int {
-	count := rule.Leaders(p.rules, hash, found, func(place int, candidate uint32) bool {
-		return except(p.zones[place].eligible[candidate-1])
+func (p *pool) topCandidates(hash uint64, leaders []rule.Leader, excluded func(*Backend) bool) int {
+	count := rule.Leaders(p.rules, hash, leaders, func(i int, candidate uint32) bool {
+		return excluded(p.zones[i].eligible[candidate-1])
 	})
 	if !p.zoneByWeight || count < 2 {
 		return count
 	}
-	zone := found[0].Rule
-	elsewhere := func(each rule.Leader) bool { return each.Rule != zone }
-	if !slices.ContainsFunc(found[:count], elsewhere) {
+	zone := leaders[0].Rule
+	inOtherZone := func(each rule.Leader) bool { return each.Rule != zone }
+	if !slices.ContainsFunc(leaders[:count], inOtherZone) {
 		return count
 	}
-	count = rule.Leaders(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
-		return except(p.zones[zone].eligible[candidate-1])
+	count = rule.Leaders(p.rules[zone:zone+1], hash, leaders, func(_ int, candidate uint32) bool {
+		return excluded(p.zones[zone].eligible[candidate-1])
 	})
-	for place := range found[:count] {
-		found[place].Rule = zone
+	for i := range leaders[:count] {
+		leaders[i].Rule = zone
 	}
 	return count
 }
--- a/internal/tokenroute/takeover_test.go
+++ b/internal/tokenroute/takeover_test.go
@@ -40,13 +40,13 @@
 
 // A table takes over from the one before what has not changed. Whatever changes, in entries,
 // weights, evacuations, time, outages of the store, it decides as one made anew.
-func TestTablesThatTakeOverDecideAsNewOnes(t *testing.T) {
+func TestIncrementalTableMatchesFullBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
 		now, revision := start, uint64(100)
 		var previous *Table
 		weights := make(map[directory.Place]uint32)
-		made := defaultOptions()
+		settings := defaultOptions()
 		for range rapid.IntRange(1, 25).Draw(t, "tables") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause ms")) * time.Millisecond)
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
@@ -66,51 +66,51 @@
 			all.Expire(now)
 			place := directory.Place{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
 			weights[place] = uint32(rapid.IntRange(0, 3).Draw(t, "weight")) * 1000
-			of := func(place directory.Place) uint32 {
+			weightOf := func(place directory.Place) uint32 {
 				if weight, found := weights[place]; found {
 					return weight
 				}
 				return rule.MaximumWeight
 			}
-			uneven := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			made.PlaceWeight = func(place directory.Place) (uint32, bool) { return of(place), !uneven }
-			made.Weight = func(entry directory.BackendEntry) uint32 {
-				if uneven && entry.GetNumber()%2 == 0 {
+			nonUniform := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
+			settings.PlaceWeight = func(place directory.Place) (uint32, bool) { return weightOf(place), !nonUniform }
+			settings.Weight = func(entry directory.BackendEntry) uint32 {
+				if nonUniform && entry.GetNumber()%2 == 0 {
 					return 500
 				}
-				return of(directory.Place{Pool: entry.GetPool(), Zone: entry.GetZone()})
+				return weightOf(directory.Place{Pool: entry.GetPool(), Zone: entry.GetZone()})
 			}
-			made.Evacuated = map[string]uint64{}
+			settings.Evacuated = map[string]uint64{}
 			if rapid.IntRange(0, 3).Draw(t, "evacuated") == 0 {
-				made.Evacuated["giza"] = 7
+				settings.Evacuated["giza"] = 7
 			}
 			if rapid.IntRange(0, 5).Draw(t, "outage ends") == 0 {
-				made.StoreRecovery = StoreRecovery{Since: now, Until: now.Add(2 * time.Second)}
+				settings.StoreRecovery = StoreRecovery{Since: now, Until: now.Add(2 * time.Second)}
 			}
-			made.Now = now
-			made.Previous = nil
-			anew := NewTable(all, made)
-			made.Previous = previous
-			previous = NewTable(all, made)
-			requireEquivalent(t, anew, previous)
+			settings.Now = now
+			settings.Previous = nil
+			rebuilt := NewTable(all, settings)
+			settings.Previous = previous
+			previous = NewTable(all, settings)
+			requireEquivalent(t, rebuilt, previous)
 		}
 	})
 }
 
 // A table after one change shares the parts of the places that have not changed.
-func TestPartsThatHaveNotChangedAreShared(t *testing.T) {
+func TestUnchangedPoolZonesAreShared(t *testing.T) {
 	var changes []*apiv1.DirectoryChange
 	for number := range uint64(60) {
 		changes = append(changes, inZone(backend(2, number+1, "lending"), fmt.Sprintf("zone-%d", number%3)))
 	}
 	all := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
-	made := defaultOptions()
-	made.PlaceWeight = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
-	before := NewTable(all, made)
+	settings := defaultOptions()
+	settings.PlaceWeight = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
+	before := NewTable(all, settings)
 	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
-	made.Previous = before
-	after := NewTable(all, made)
+	settings.Previous = before
+	after := NewTable(all, settings)
 	for zone, shared := range map[string]bool{"zone-0": false, "zone-1": true, "zone-2": true} {
 		place := directory.Place{Pool: "lending", Zone: zone}
 		require.Equal(t, shared, before.poolZones[place] == after.poolZones[place], zone)
--- a/internal/tokenroute/tokenindex.go
+++ b/internal/tokenroute/tokenindex.go
@@ -25,25 +25,25 @@
 }
 
 func newTokenIndexBuilder(previous *tokenIndex) *tokenIndexBuilder {
-	copied := *previous
-	return &tokenIndexBuilder{index: &copied}
+	index := *previous
+	return &tokenIndexBuilder{index: &index}
 }
 
-func (c *tokenIndexBuilder) shard(token Token) map[Token][]*Backend {
-	place := token % tokenShards
-	if !c.copied[place] {
-		c.copied[place] = true
-		c.index.shards[place] = maps.Clone(c.index.shards[place])
-		if c.index.shards[place] == nil {
-			c.index.shards[place] = make(map[Token][]*Backend)
+func (b *tokenIndexBuilder) shard(token Token) map[Token][]*Backend {
+	i := token % tokenShards
+	if !b.copied[i] {
+		b.copied[i] = true
+		b.index.shards[i] = maps.Clone(b.index.shards[i])
+		if b.index.shards[i] == nil {
+			b.index.shards[i] = make(map[Token][]*Backend)
 		}
 	}
-	return c.index.shards[place]
+	return b.index.shards[i]
 }
 
 // add adds a back end to those of its token, and returns those that have it now.
-func (c *tokenIndexBuilder) add(backend *Backend) []*Backend {
-	shard := c.shard(backend.Token)
+func (b *tokenIndexBuilder) add(backend *Backend) []*Backend {
+	shard := b.shard(backend.Token)
 	sharing := append(slices.Clone(shard[backend.Token]), backend)
 	if len(sharing) > 1 {
 		sortByID(sharing)
@@ -57,8 +57,8 @@
 }
 
 // remove takes a back end from those of its token.
-func (c *tokenIndexBuilder) remove(backend *Backend) {
-	shard := c.shard(backend.Token)
+func (b *tokenIndexBuilder) remove(backend *Backend) {
+	shard := b.shard(backend.Token)
 	sharing := slices.DeleteFunc(slices.Clone(shard[backend.Token]), func(each *Backend) bool { return each == backend })
 	if len(sharing) == 0 {
 		delete(shard, backend.Token)
--- a/internal/tokenroute/warming.go
+++ b/internal/tokenroute/warming.go
@@ -31,12 +31,12 @@
 
 // preference tells whether a back end may be sent a new flow as far as its warmth
 // goes.
-func (a *warmupLimiter) preference(backend *Backend, now time.Time) Preference {
+func (l *warmupLimiter) preference(backend *Backend, now time.Time) Preference {
 	warming := &backend.Warmup
 	if !now.Before(warming.Until) {
 		return Preferred
 	}
-	if a.recentCount(backend.Incarnation(), now) >= warming.FlowsPerSecond {
+	if l.recentCount(backend.Incarnation(), now) >= warming.FlowsPerSecond {
 		return Forbidden
 	}
 	if warming.LimitKnown {
@@ -46,33 +46,33 @@
 }
 
 // recentCount is how many new flows went to a back end within the last second.
-func (a *warmupLimiter) recentCount(backend incarnation.ID, now time.Time) int {
-	sent := a.sent[backend]
-	old := 0
-	for old < len(sent) && now.Sub(sent[old]) >= warmupWindow {
-		old++
+func (l *warmupLimiter) recentCount(backend incarnation.ID, now time.Time) int {
+	sent := l.sent[backend]
+	expired := 0
+	for expired < len(sent) && now.Sub(sent[expired]) >= warmupWindow {
+		expired++
 	}
-	return len(sent) - old
+	return len(sent) - expired
 }
 
 // record counts a new flow that goes to a back end.
-func (a *warmupLimiter) record(backend *Backend, now time.Time) {
+func (l *warmupLimiter) record(backend *Backend, now time.Time) {
 	if !now.Before(backend.Warmup.Until) {
 		return
 	}
-	if a.sent == nil {
-		a.sent = make(map[incarnation.ID][]time.Time)
+	if l.sent == nil {
+		l.sent = make(map[incarnation.ID][]time.Time)
 	}
-	sent := a.sent[backend.Incarnation()]
-	kept := sent[len(sent)-a.recentCount(backend.Incarnation(), now):]
-	a.sent[backend.Incarnation()] = append(kept, now)
+	sent := l.sent[backend.Incarnation()]
+	kept := sent[len(sent)-l.recentCount(backend.Incarnation(), now):]
+	l.sent[backend.Incarnation()] = append(kept, now)
 }
 
 // expire drops what is older than a second.
-func (a *warmupLimiter) expire(now time.Time) {
-	for backend := range a.sent {
-		if a.recentCount(backend, now) == 0 {
-			delete(a.sent, backend)
+func (l *warmupLimiter) expire(now time.Time) {
+	for backend := range l.sent {
+		if l.recentCount(backend, now) == 0 {
+			delete(l.sent, backend)
 		}
 	}
 }
--- a/internal/tokenroute/warming_test.go
+++ b/internal/tokenroute/warming_test.go
@@ -24,12 +24,12 @@
 }
 
 func evacuationOptions(zones ...string) Options {
-	made := defaultOptions()
-	made.Evacuated = make(map[string]uint64)
+	settings := defaultOptions()
+	settings.Evacuated = make(map[string]uint64)
 	for _, zone := range zones {
-		made.Evacuated[zone] = 100
+		settings.Evacuated[zone] = 100
 	}
-	return made
+	return settings
 }
 
 func TestEvacuatedZonesGetNoNewFlows(t *testing.T) {
@@ -47,7 +47,7 @@
 
 // A first packet that is repeated after the order goes elsewhere, however often it
 // was repeated before.
-func TestRepeatedFirstPacketsFollowAnEvacuation(t *testing.T) {
+func TestRetransmittedFirstPacketsFollowEvacuation(t *testing.T) {
 	before, after := NewTable(twoZones(), defaultOptions()), NewTable(twoZones(), evacuationOptions("maadi"))
 	for copies := 1; copies <= maximumTried; copies++ {
 		flows := NewFlows(mechanism.Set{})
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestNowhereToGoIsToldAtOnce(t *testing.T) {
+func TestNewFlowsAreRefusedWhenAllZonesAreEvacuated(t *testing.T) {
 	flows := NewFlows(mechanism.Set{})
 	table := NewTable(twoZones(), evacuationOptions("maadi", "giza"))
 	decision := flows.Decide(table, firstPacket(1), start)
@@ -76,17 +76,17 @@
 
 // coldZone takes the back ends of a zone for cold until a time.
 func coldZone(zone string, until time.Time, allowance int, rated bool) Options {
-	made := defaultOptions()
-	made.Warmup = func(backend directory.BackendEntry) Warmup {
+	settings := defaultOptions()
+	settings.Warmup = func(backend directory.BackendEntry) Warmup {
 		if backend.GetZone() != zone {
 			return Warmup{}
 		}
 		return Warmup{Until: until, FlowsPerSecond: allowance, LimitKnown: rated}
 	}
-	return made
+	return settings
 }
 
-func TestColdBackendsWaitWhileOthersAreWarm(t *testing.T) {
+func TestColdBackendsAreAvoidedWhileOthersAreWarm(t *testing.T) {
 	flows := NewFlows(mechanism.Set{})
 	table := NewTable(twoZones(), coldZone("maadi", at(2000), 5, false))
 	for port := range 100 {
@@ -102,7 +102,7 @@
 }
 
 // Where it is known what cold back ends bear, they take it, and nothing beyond.
-func TestColdBackendsTakeWhatTheyBear(t *testing.T) {
+func TestColdBackendsTakeUpToTheirLimit(t *testing.T) {
 	flows := NewFlows(mechanism.Set{})
 	table := NewTable(twoZones(), coldZone("maadi", at(60_000), 3, true))
 	sent := make(map[uint64][]int)
@@ -115,13 +115,13 @@
 	require.Len(t, sent, 2)
 	for _, times := range sent {
 		require.GreaterOrEqual(t, len(times), 6)
-		for place := 3; place < len(times); place++ {
-			require.GreaterOrEqual(t, times[place]-times[place-3], 1000)
+		for index := 3; index < len(times); index++ {
+			require.GreaterOrEqual(t, times[index]-times[index-3], 1000)
 		}
 	}
 }
 
-func TestOnlyColdBackendsLeft(t *testing.T) {
+func TestFlowsAreRefusedWhenOnlyColdBackendsAreAtTheirLimit(t *testing.T) {
 	for _, rated := range []bool{true, false} {
 		flows := NewFlows(mechanism.Set{})
 		changes := newDirectory(routes(1, route(1, share("lending", 1))), inZone(backend(2, 11, "lending"), "maadi"))
