--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -138,7 +138,7 @@
 	for _, abandoned := range t.flows.TakeAbandoned() {
 		t.reset(abandoned, table, now)
 	}
-	if statements := t.flows.TakeStatements(); len(statements) > 0 {
+	if statements := t.flows.TakeObservations(); len(statements) > 0 {
 		t.statements.put(statements)
 		t.balancer.control.nudge()
 	}
--- a/internal/tokenroute/fulllinks_test.go
+++ b/internal/tokenroute/fulllinks_test.go
@@ -62,7 +62,7 @@
 	case f.waiting && f.answeredAt > 0 && now >= f.answeredAt:
 		node.flows.Decide(l.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
 			Acknowledged: 5000*f.requests + 300}, at(now))
-		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000+l.chance.IntN(4000)
+		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000+l.random.IntN(4000)
 		return
 	case now < f.nextAt:
 		return
@@ -84,10 +84,10 @@
 	}
 	takes := 25
 	if l.isFull(f.balancer, now) {
-		if l.chance.Float64() < l.loss {
+		if l.random.Float64() < l.loss {
 			return
 		}
-		takes += l.chance.IntN(l.delay + 1)
+		takes += l.random.IntN(l.delay + 1)
 	}
 	if f.answeredAt == 0 || now+takes < f.answeredAt {
 		f.answeredAt = now + takes
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -16,10 +16,10 @@
 	pendingTime = 200 * time.Millisecond
 	// remoteTTL is how long a witness that another balancer told counts.
 	remoteTTL = 3 * time.Second
-	// maxStatements bounds the witnesses that wait to be told, and as many signs of
+	// maxObservations bounds the witnesses that wait to be told, and as many signs of
 	// life: where many back ends fall silent at once, witnesses would crowd out what
 	// speaks against them.
-	maxStatements = 256
+	maxObservations = 256
 )
 
 // pendingEvaluation is a back end whose joined witnesses wait for an answer.
@@ -30,27 +30,27 @@
 
 // Receive takes what another balancer saw. Statements on back ends that the table does
 // not have, or has another start of, are of no concern.
-func (f *Flows) Receive(statement evidence.Statement, table *Table, now time.Time) {
+func (f *Flows) Receive(observation evidence.Statement, table *Table, now time.Time) {
 	if table == nil || f.off.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	backend := table.Backend(statement.About())
+	backend := table.Backend(observation.About())
 	if backend == nil {
 		return
 	}
-	switch received := statement.(type) {
+	switch received := observation.(type) {
 	case evidence.Witness:
 		f.liveness.receive(received, backend, now)
 	case evidence.SignOfLife:
-		f.liveness.recordAlive(backend, received.At)
+		f.liveness.recordActivity(backend, received.At)
 	}
 }
 
-// TakeStatements returns what this balancer has seen since the last call and others
+// TakeObservations returns what this balancer has seen since the last call and others
 // should know.
-func (f *Flows) TakeStatements() []evidence.Statement {
-	taken := f.liveness.statements
-	f.liveness.statements = nil
+func (f *Flows) TakeObservations() []evidence.Statement {
+	taken := f.liveness.observations
+	f.liveness.observations = nil
 	return taken
 }
 
@@ -73,8 +73,8 @@
 	if health == nil || now.Sub(request.SentAt) > remoteTTL {
 		return
 	}
-	if !request.SentAt.After(health.aliveAt) {
-		d.reportAlive(backend, health)
+	if !request.SentAt.After(health.activeAt) {
+		d.reportActivity(backend, health)
 		return
 	}
 	client := clientAddressOf(request.Client)
@@ -146,7 +146,7 @@
 
 // reportUnanswered lets the other balancers know of a client whose request stayed unanswered.
 func (d *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
-	d.queueStatement(evidence.Witness{
+	d.queueObservation(evidence.Witness{
 		Backend: backend.Incarnation(),
 		Client:  evidence.Client(binary.BigEndian.Uint32(client[:])),
 		Zone:    d.zone,
@@ -154,25 +154,25 @@
 	})
 }
 
-// reportAlive lets the other balancers know that a back end lived later than they think.
-func (d *FailureDetector) reportAlive(backend *Backend, health *backendHealth) {
-	d.queueStatement(evidence.SignOfLife{Backend: backend.Incarnation(), At: health.aliveAt})
+// reportActivity lets the other balancers know that a back end lived later than they think.
+func (d *FailureDetector) reportActivity(backend *Backend, health *backendHealth) {
+	d.queueObservation(evidence.SignOfLife{Backend: backend.Incarnation(), At: health.activeAt})
 }
 
-// queueStatement lets the other balancers know of a statement, as far as there is room.
-func (d *FailureDetector) queueStatement(statement evidence.Statement) {
+// queueObservation lets the other balancers know of a statement, as far as there is room.
+func (d *FailureDetector) queueObservation(observation evidence.Statement) {
 	if d.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	_, isSignOfLife := statement.(evidence.SignOfLife)
+	_, isActivity := observation.(evidence.SignOfLife)
 	queued := 0
-	for _, each := range d.statements {
-		if _, ok := each.(evidence.SignOfLife); ok == isSignOfLife {
+	for _, each := range d.observations {
+		if _, ok := each.(evidence.SignOfLife); ok == isActivity {
 			queued++
 		}
 	}
-	if queued < maxStatements {
-		d.statements = append(d.statements, statement)
+	if queued < maxObservations {
+		d.observations = append(d.observations, observation)
 	}
 }
 
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -17,7 +17,7 @@
 // simulation are balancers of one zone in virtual time that follow each other in a tree
 // and pass on what they see, before back ends of which some fall silent at once.
 type simulation struct {
-	chance    *rand.Rand
+	random    *rand.Rand
 	table     *Table
 	balancers []simulatedBalancer
 	flows     []simulatedFlow
@@ -44,9 +44,9 @@
 
 // message are statements under way to a balancer.
 type message struct {
-	from       string
-	statements []evidence.Statement
-	arrivesAt  int
+	from         string
+	observations []evidence.Statement
+	arrivesAt    int
 }
 
 // simulatedFlow is a client's flow: it asks, repeats, and asks again after a pause.
@@ -92,7 +92,7 @@
 	for number := range backends {
 		changes = append(changes, inZone(backend(2, uint64(number+1), "lending"), zone(number)))
 	}
-	built := &simulation{chance: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
+	built := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for index := range balancers {
 		built.balancers = append(built.balancers, simulatedBalancer{flows: NewFlows(off).InZone(home(index))})
@@ -102,7 +102,7 @@
 		built.flows = append(built.flows, simulatedFlow{
 			key: flow.Key{Source: [4]byte{100, byte(index >> 16), byte(index >> 8), byte(index)}, SourcePort: 1,
 				Destination: [4]byte{0, 0, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP},
-			balancer: built.chance.IntN(balancers), backend: number % backends, nextAt: built.chance.IntN(3000),
+			balancer: built.random.IntN(balancers), backend: number % backends, nextAt: built.random.IntN(3000),
 		})
 	}
 	return built
@@ -136,7 +136,7 @@
 		// The answer to the request has come: it is acknowledged.
 		s.balancers[f.balancer].flows.Decide(s.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
 			Acknowledged: 5000*f.requests + 300}, at(now))
-		f.waiting, f.nextAt = false, now+1000+s.chance.IntN(4000)
+		f.waiting, f.nextAt = false, now+1000+s.random.IntN(4000)
 		return
 	default:
 		f.repeats++
@@ -185,15 +185,15 @@
 			kept = append(kept, each)
 			continue
 		}
-		for _, statement := range each.statements {
-			if node.board.Add(statement, each.from, at(now)) {
-				node.flows.Receive(statement, s.table, at(now))
+		for _, observation := range each.observations {
+			if node.board.Add(observation, each.from, at(now)) {
+				node.flows.Receive(observation, s.table, at(now))
 			}
 		}
 	}
 	node.inbox = kept
-	for _, statement := range node.flows.TakeStatements() {
-		node.board.Add(statement, "", at(now))
+	for _, observation := range node.flows.TakeObservations() {
+		node.board.Add(observation, "", at(now))
 	}
 	if now < node.nextMessageAt || node.sentUpTo == node.board.Latest() {
 		return
@@ -209,13 +209,13 @@
 }
 
 func (s *simulation) send(from, to, now int) {
-	statements := s.balancers[from].board.Since(s.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
-	if len(statements) > 0 {
+	observations := s.balancers[from].board.Since(s.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
+	if len(observations) > 0 {
 		arrivesAt := now + messageTime
 		if s.extraDelay != nil {
 			arrivesAt += s.extraDelay(from, now) + s.extraDelay(to, now)
 		}
-		s.balancers[to].inbox = append(s.balancers[to].inbox, message{from: fmt.Sprint(from), statements: statements, arrivesAt: arrivesAt})
+		s.balancers[to].inbox = append(s.balancers[to].inbox, message{from: fmt.Sprint(from), observations: observations, arrivesAt: arrivesAt})
 	}
 }
 
@@ -255,7 +255,7 @@
 
 // A third of all back ends falls silent at once: no balancer can tell its own link from
 // that, and what is passed on stays within its bound.
-func TestStatementsStayBoundedWhenThirdOfBackendsFails(t *testing.T) {
+func TestObservationsStayBoundedWhenThirdOfBackendsFails(t *testing.T) {
 	sim := newSimulation(88, 150, 50, mechanism.Set{})
 	sim.run(7000)
 	for index := range sim.balancers {
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -66,7 +66,7 @@
 func TestLocalAndRemoteReportsAreCombined(t *testing.T) {
 	table, flows := manyBackends(3), NewFlows(mechanism.Set{})
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(flows, table, 2, []byte{1}, 0, 600))
-	told := flows.TakeStatements()
+	told := flows.TakeObservations()
 	require.Len(t, told, 1)
 	require.Equal(t, at(0), told[0].When())
 	flows.Receive(unanswered(2, 102, "", 10), table, at(650))
@@ -77,7 +77,7 @@
 func TestClientReportedByTwoBalancersCountsOnce(t *testing.T) {
 	table, flows := manyBackends(3), NewFlows(mechanism.Set{})
 	sendUnanswered(flows, table, 2, []byte{1}, 0, 600)
-	heard := flows.TakeStatements()[0]
+	heard := flows.TakeObservations()[0]
 	flows.Receive(heard, table, at(650))
 	flows.Receive(heard, table, at(660))
 	require.Zero(t, countResets(flows, 1300))
@@ -91,14 +91,14 @@
 	before.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	require.Zero(t, countResets(before, 700+pendingMillis), "it answered since")
 	require.Equal(t, []evidence.Statement{evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}},
-		before.TakeStatements(), "and the others are told")
+		before.TakeObservations(), "and the others are told")
 
 	meanwhile := NewFlows(mechanism.Set{}).InZone("maadi")
 	meanwhile.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	meanwhile.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	exchange(meanwhile, table, 1, 2, 750)
 	require.Zero(t, countResets(meanwhile, 700+pendingMillis), "it answers while the witnesses wait")
-	require.Len(t, meanwhile.TakeStatements(), 1)
+	require.Len(t, meanwhile.TakeObservations(), 1)
 
 	told := NewFlows(mechanism.Set{}).InZone("maadi")
 	exchange(told, table, 1, 2, 0)
@@ -112,20 +112,20 @@
 
 // Witnesses leave no room where many back ends fall silent at once, which is just when a
 // sign of life for one that lives has to be told.
-func TestSignOfLifeIsQueuedWhenReportsFillTheQueue(t *testing.T) {
+func TestActivityIsQueuedWhenReportsFillTheQueue(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	exchange(flows, table, 1, 2, 200)
-	for client := range evidence.Client(2 * maxStatements) {
-		flows.liveness.queueStatement(unanswered(3, client, "maadi", 100))
+	for client := range evidence.Client(2 * maxObservations) {
+		flows.liveness.queueObservation(unanswered(3, client, "maadi", 100))
 	}
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
-	told := flows.TakeStatements()
-	require.Len(t, told, maxStatements+1)
-	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[maxStatements])
+	told := flows.TakeObservations()
+	require.Len(t, told, maxObservations+1)
+	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[maxObservations])
 }
 
 // A sign of life ends a verdict too.
-func TestSignOfLifeClearsFailure(t *testing.T) {
+func TestActivityClearsFailure(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	require.Empty(t, flows.TakeStatements(), "8 of 12 are silent")
+	require.Empty(t, flows.TakeObservations(), "8 of 12 are silent")
 }
 
 // A back end that starts anew at an old address has a new number, and nothing speaks
@@ -230,8 +230,8 @@
 func TestRemoteReportsNeverResetFlowsOfLiveBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := manyBackends(3)
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		group := newBalancerGroup(rapid.IntRange(2, 5).Draw(t, "balancers"), chance)
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+		group := newBalancerGroup(rapid.IntRange(2, 5).Draw(t, "balancers"), random)
 		clients := make([]modelClient, rapid.IntRange(1, 8).Draw(t, "clients"))
 		longestThink := rapid.IntRange(1, 3000).Draw(t, "longest pause")
 		stalls := rapid.IntRange(0, 3).Draw(t, "stalls a second")
@@ -239,7 +239,7 @@
 		for now := 0; now < 10_000; now += 10 {
 			group.stall(now, stalls)
 			for index := range clients {
-				if clients[index].send(now, chance.IntN(longestThink)) {
+				if clients[index].send(now, random.IntN(longestThink)) {
 					at := &group.members[index%len(group.members)]
 					at.queue = append(at.queue, index)
 				}
@@ -253,11 +253,11 @@
 					client := &clients[index]
 					packet := request(byte(index+1), 2, client.n)
 					require.Equal(t, Forward, member.flows.Decide(table, packet, at(now)).Verdict, "at %d ms", now)
-					if client.lossLeft && chance.IntN(10) == 0 {
+					if client.lossLeft && random.IntN(10) == 0 {
 						client.lossLeft = false
 						continue
 					}
-					client.answerAt = min(client.answerAt, now+chance.IntN(140))
+					client.answerAt = min(client.answerAt, now+random.IntN(140))
 				}
 				member.queue = member.queue[:0]
 				exchange(member.flows, table, 200+byte(position), 3, now)
@@ -272,7 +272,7 @@
 
 // balancerGroup is balancers that tell each other what they see, late.
 type balancerGroup struct {
-	chance  *rand.Rand
+	random  *rand.Rand
 	members []groupMember
 }
 
@@ -280,17 +280,17 @@
 	flows        *Flows
 	stalledUntil int
 	queue        []int
-	inbox        []delayedStatement
+	inbox        []delayedObservation
 }
 
-// delayedStatement is a statement under way.
-type delayedStatement struct {
-	statement evidence.Statement
-	arrivesAt int
+// delayedObservation is a statement under way.
+type delayedObservation struct {
+	observation evidence.Statement
+	arrivesAt   int
 }
 
-func newBalancerGroup(size int, chance *rand.Rand) *balancerGroup {
-	built := &balancerGroup{chance: chance}
+func newBalancerGroup(size int, random *rand.Rand) *balancerGroup {
+	built := &balancerGroup{random: random}
 	for range size {
 		built.members = append(built.members, groupMember{flows: NewFlows(mechanism.Set{})})
 	}
@@ -299,17 +299,17 @@
 
 func (g *balancerGroup) stall(now, stalls int) {
 	for position := range g.members {
-		if g.chance.IntN(100) < stalls {
-			g.members[position].stalledUntil = max(g.members[position].stalledUntil, now+g.chance.IntN(3000))
+		if g.random.IntN(100) < stalls {
+			g.members[position].stalledUntil = max(g.members[position].stalledUntil, now+g.random.IntN(3000))
 		}
 	}
 }
 
 func (g *balancerGroup) send(from, now, latest int) {
-	for _, statement := range g.members[from].flows.TakeStatements() {
+	for _, observation := range g.members[from].flows.TakeObservations() {
 		for position := range g.members {
 			if position != from {
-				g.members[position].inbox = append(g.members[position].inbox, delayedStatement{statement, now + g.chance.IntN(latest)})
+				g.members[position].inbox = append(g.members[position].inbox, delayedObservation{observation, now + g.random.IntN(latest)})
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 			kept = append(kept, each)
 			continue
 		}
-		m.flows.Receive(each.statement, table, at(now))
+		m.flows.Receive(each.observation, table, at(now))
 	}
 	m.inbox = kept
 }
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -73,8 +73,8 @@
 	link      link
 	abandoned []Abandoned
 	failures  []BackendFailure
-	// statements are what other balancers have yet to be told.
-	statements []evidence.Statement
+	// observations are what other balancers have yet to be told.
+	observations []evidence.Statement
 	// pending are the back ends whose joined witnesses wait for an answer.
 	pending []pendingEvaluation
 	// FailureCount counts the verdicts that back ends are dead.
@@ -106,7 +106,7 @@
 // observeAcknowledgement follows a packet without data: the client sends it at
 // once when it has received something.
 func (d *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	d.recordAlive(backend, now)
+	d.recordActivity(backend, now)
 	if state == nil || state.track.backend == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 	case tracked.backend == nil:
 		d.trackRequest(packet, state, backend, now)
 	case tracked.acknowledged != packet.Acknowledged:
-		d.recordAlive(backend, tracked.passedAt)
+		d.recordActivity(backend, tracked.passedAt)
 		d.recordAnswer(packet.Key, state, backend, now)
 		state.ended(packet.Key.Address(), packet.Acknowledged)
 		d.trackRequest(packet, state, backend, now)
@@ -210,7 +210,7 @@
 func (d *FailureDetector) recordUnanswered(tracked *track, client clientAddress, now time.Time) {
 	backend := tracked.backend
 	health := d.healthOf(backend)
-	if health == nil || !tracked.sentAt.After(health.aliveAt) {
+	if health == nil || !tracked.sentAt.After(health.activeAt) {
 		return
 	}
 	othersAnswered := d.othersResponsive(health, tracked.sentAt) && d.link.doubt(tracked.repeats, tracked.sentAt, now) <= doubtOfWitness
@@ -257,17 +257,17 @@
 	}
 }
 
-// recordAlive takes that a back end lived at a time. Requests sent until then no
+// recordActivity takes that a back end lived at a time. Requests sent until then no
 // longer speak against it, and a verdict that rests on them ends.
-func (d *FailureDetector) recordAlive(backend *Backend, livedAt time.Time) {
+func (d *FailureDetector) recordActivity(backend *Backend, livedAt time.Time) {
 	health := d.healthOf(backend)
 	if health == nil {
 		return
 	}
-	if !livedAt.After(health.aliveAt) {
+	if !livedAt.After(health.activeAt) {
 		return
 	}
-	health.aliveAt = livedAt
+	health.activeAt = livedAt
 	answers := false
 	for client, each := range health.unanswered {
 		if !each.sentAt.After(livedAt) {
@@ -276,7 +276,7 @@
 		}
 	}
 	if answers {
-		d.reportAlive(backend, health)
+		d.reportActivity(backend, health)
 	}
 	if len(health.unanswered) == 0 {
 		health.failedUntil = time.Time{}
--- a/internal/tokenroute/liveness_test.go
+++ b/internal/tokenroute/liveness_test.go
@@ -231,18 +231,18 @@
 func TestFlowsOfLiveBackendAreNeverReset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, flows := manyBackends(3), NewFlows(mechanism.Set{})
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		clients := make([]modelClient, rapid.IntRange(1, 8).Draw(t, "clients"))
 		longestThink := rapid.IntRange(1, 3000).Draw(t, "longest pause")
 		stalls := rapid.IntRange(0, 3).Draw(t, "stalls a second")
 		stalledUntil := 0
 		var held []int
 		for now := 0; now < 20_000; now += 10 {
-			if chance.IntN(100) < stalls {
-				stalledUntil = max(stalledUntil, now+chance.IntN(3000))
+			if random.IntN(100) < stalls {
+				stalledUntil = max(stalledUntil, now+random.IntN(3000))
 			}
 			for index := range clients {
-				if clients[index].send(now, chance.IntN(longestThink)) {
+				if clients[index].send(now, random.IntN(longestThink)) {
 					held = append(held, index)
 				}
 			}
@@ -253,11 +253,11 @@
 				client := &clients[index]
 				packet := request(byte(index+1), 2, client.n)
 				require.Equal(t, Forward, flows.Decide(table, packet, at(now)).Verdict, "at %d ms", now)
-				if client.lossLeft && chance.IntN(10) == 0 {
+				if client.lossLeft && random.IntN(10) == 0 {
 					client.lossLeft = false
 					continue
 				}
-				client.answerAt = min(client.answerAt, now+chance.IntN(140))
+				client.answerAt = min(client.answerAt, now+random.IntN(140))
 			}
 			held = held[:0]
 		}
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -125,7 +125,7 @@
 // ever reset.
 func TestFlowsOfCurrentStartAreNeverReset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		skew := rapid.IntRange(-2000, 2000).Draw(t, "clock differs by ms")
 		restarting, flows := newRestartingBackend(skew-1000), NewFlows(mechanism.Set{})
 		table, living, learnAt, startedAt := restarting.table(), 0, -1, 0
@@ -135,8 +135,8 @@
 		}
 		clients := make([]client, rapid.IntRange(1, 12).Draw(t, "clients"))
 		for now := 0; now < 60_000; now += 20 {
-			if learnAt < 0 && chance.IntN(400) == 0 {
-				startedAt, learnAt = now, now+chance.IntN(3000)
+			if learnAt < 0 && random.IntN(400) == 0 {
+				startedAt, learnAt = now, now+random.IntN(3000)
 				living = now
 			}
 			if learnAt >= 0 && now >= learnAt {
@@ -148,7 +148,7 @@
 				c := &clients[index]
 				if c.openedAt < living || c.n == 0 {
 					// The back end resets what it does not hold, and the client opens another flow.
-					*c = client{openedAt: now, nextAt: now + chance.IntN(8000)}
+					*c = client{openedAt: now, nextAt: now + random.IntN(8000)}
 				}
 				if now < c.nextAt {
 					continue
@@ -159,7 +159,7 @@
 				require.Equal(t, Forward, flows.Decide(table, packet, at(now)).Verdict)
 				packet.Length, packet.Acknowledged = 0, packet.Acknowledged+300
 				flows.Decide(table, packet, at(now+15))
-				c.nextAt = now + 100 + chance.IntN(6000)
+				c.nextAt = now + 100 + random.IntN(6000)
 			}
 			for _, abandoned := range flows.TakeAbandoned() {
 				opened := (int(abandoned.Key.SourcePort) - 1000) * 20
