--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -14,9 +14,10 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// builder makes a table from the previous one. What it costs is by the places whose entries
-// have changed, their tokens and the routes, and not by all back ends: 15 ms in place of 91
-// after one change at 10,000 was still by all.
+// builder builds a table from the previous one. Its cost is proportional to the pool zones whose
+// entries have changed, their tokens and the routes, not to all back ends: with 10,000 back ends, a
+// full build took 91 ms after one change, and an incremental one whose cost was still proportional
+// to all back ends took 15 ms.
 type builder struct {
 	options   Options
 	previous  *Table
@@ -24,9 +25,9 @@
 	tokens    *tokenIndexBuilder
 	poolZones map[directory.Place]*poolZone
 	pools     map[string]*pool
-	// sharedTokenPools are the pools of which two back ends share a token.
+	// sharedTokenPools is the set of pools in which two back ends share a token.
 	sharedTokenPools map[string]bool
-	// restarted are the back ends of which an earlier start was known.
+	// restarted lists the back ends of which an earlier start was known.
 	restarted []*Backend
 }
 
@@ -54,8 +55,8 @@
 	return b
 }
 
-// indexBackends returns the back ends of each group, in the order of its entries, and brings
-// the tokens up to date.
+// indexBackends returns the back ends of each group, in the order of its entries, and updates the
+// token index.
 func (b *builder) indexBackends() [][]*Backend {
 	backends := make([][]*Backend, len(b.groups))
 	listed := make(map[directory.Place]bool, len(b.groups))
@@ -79,9 +80,9 @@
 	return backends
 }
 
-// backendsOf returns the back ends of a group: those of the previous table, by id, where
-// nothing of them has changed. Flows remember theirs for seconds, and would else keep a copy for
-// each table.
+// backendsOf returns the back ends of a group, sorted by ID. Those that have not changed are reused
+// from the previous table: flows refer to their back ends for seconds and would otherwise keep one
+// copy per table alive.
 func (b *builder) backendsOf(group *directory.Group, previous []*Backend) []*Backend {
 	backends := make([]*Backend, len(group.Entries))
 	for i, entry := range group.Entries {
@@ -101,7 +102,8 @@
 	return backends
 }
 
-// backend is the back end of an entry; known is that of the previous table, or nil.
+// backend returns the back end of an entry. The previous table's back end, which may be nil, is
+// reused if it is unchanged.
 func (b *builder) backend(entry directory.BackendEntry, previous *Backend) *Backend {
 	updated := newBackend(entry)
 	if b.options.Warmup != nil {
@@ -122,15 +124,15 @@
 	return added
 }
 
-// removeTokens takes the tokens of back ends that are not listed any more.
+// removeTokens removes back ends that are no longer listed from the token index.
 func (b *builder) removeTokens(backends []*Backend) {
 	for _, each := range backends {
 		b.tokens.remove(each)
 	}
 }
 
-// addPoolZone adds the part of a group, the previous one where nothing that it depends on has
-// changed.
+// addPoolZone adds the back ends of a group. It reuses the previous pool zone if nothing that it
+// depends on has changed.
 func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
@@ -155,8 +157,7 @@
 	}
 }
 
-// ownsToken tells whether the back end is the first of its pool to have its
-// token.
+// ownsToken reports whether the back end is the first one of its pool with its token.
 func (b *builder) ownsToken(backend *Backend) bool {
 	if !b.sharedTokenPools[backend.Pool] {
 		return true
@@ -169,8 +170,8 @@
 	return false
 }
 
-// salt separates the orders of routes and pools, so that one flow hash does
-// not order them alike.
+// salt returns a salt for the rule of a route or pool, so that one flow hash does not rank the
+// candidates of all rules alike.
 func salt(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
@@ -195,7 +196,7 @@
 	return built
 }
 
-// groupsOf are the groups of a pool.
+// groupsOf returns the groups of a pool.
 func (b *builder) groupsOf(pool string) []*directory.Group {
 	first, _ := slices.BinarySearchFunc(b.groups, pool, func(each *directory.Group, pool string) int {
 		return strings.Compare(each.Pool, pool)
@@ -207,8 +208,8 @@
 	return b.groups[first:last]
 }
 
-// pool joins the parts of a pool. Where none has a back end that may take new flows, those
-// that have just vanished do.
+// pool returns a pool with the back ends of all its zones. If no zone has a back end that may take
+// new flows, those that disappeared recently may.
 func (b *builder) pool(name string) *pool {
 	if existing := b.pools[name]; existing != nil {
 		return existing
--- a/internal/tokenroute/doc.go
+++ b/internal/tokenroute/doc.go
@@ -1,29 +1,30 @@
-// Package tokenroute binds flows to back ends where both ends of a flow return
-// a token that the balancer wrote.
+// Package tokenroute binds flows to back ends by a token that both ends of a
+// flow return.
 //
 // The balancer writes the token of the chosen back end into every packet it
 // forwards. The back end copies it into its answers and the client into its
 // next packets, so every balancer can tell the back end of an open flow from
-// any one packet of it. Balancers therefore keep no agreement about flows: a
-// balancer that has just started forwards the flows of one that has just died.
+// any single packet of it. Balancers therefore need no agreement about flows: a
+// balancer that has just started forwards the flows of one that has just
+// failed.
 //
 // A Table is an immutable index over a directory: routes by address, back ends
-// by token. It answers two questions, Resolve for packets of open flows, alike on
-// all balancers with the same knowledge, and Choose for new flows, which also asks
-// how much of the back ends is in use.
+// by token. Resolve returns the back end for packets of open flows, and gives the
+// same result on all balancers with the same knowledge. Choose picks the back end
+// of a new flow, and also takes the load of the back ends into account.
 //
-// Tokens are shorter than the back ends' ids, so two back ends may share one.
-// A token is looked up among the pools that the packet's route allows; where
-// two back ends still share it, the one of the lower id holds it, and the other
-// one is not chosen for new flows while the holder is known. All balancers come
-// to the same holder, since they know the same ids.
+// Tokens are shorter than the numbers of back ends, so two back ends may share
+// one. A token is looked up among the pools that the packet's route admits. If two
+// back ends of a pool share it, it belongs to the one with the lower ID, and the
+// other one gets no new flows while the first one is known. All balancers agree on
+// the owner, since they know the same IDs.
 //
-// Flows is the short memory of one traffic goroutine, one state for each flow that
-// passed lately (memory.go): which back end a new flow's first packet was sent to,
-// so that a repeated first packet can go to another one when the first stays
-// silent, and so that a flow that two back ends have answered stays with the one
-// that opened it; whether a request waits for an answer; and how the answers of
-// each back end were (summary.go).
+// Flows is the short-lived flow cache of one traffic goroutine, with one state for
+// each recent flow (flowcache.go). The state holds the back end to which the first
+// packet of the flow was sent, so that a retransmitted first packet can go to
+// another one if the first does not answer, and so that a flow that two back ends
+// have answered stays with the one that opened it. It also holds whether a request
+// waits for an answer, and it measures the answers of each back end (summary.go).
 //
 // # Usage
 //
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// pendingTime is how long joined witnesses wait for an answer before they count: a
-	// balancer that knows the back end to live is told of the first witness and
-	// answers within that time, over three levels of balancers up and down.
+	// pendingTime is how long combined reports of unanswered requests wait for contradicting
+	// activity before they count. A balancer that knows the back end to be alive learns of the
+	// first report and replies within that time, over three levels of balancers up and down.
 	pendingTime = 200 * time.Millisecond
-	// remoteTTL is how long a witness that another balancer told counts.
+	// remoteTTL is how long an unanswered request reported by another balancer counts.
 	remoteTTL = 3 * time.Second
-	// maxObservations bounds the witnesses that wait to be told, and as many signs of
-	// life: where many back ends fall silent at once, witnesses would crowd out what
-	// speaks against them.
+	// maxObservations bounds the queued unanswered requests and, separately, the queued activity.
+	// When many back ends fall silent at once, reports of unanswered requests would otherwise crowd
+	// out the activity that contradicts them.
 	maxObservations = 256
 )
 
-// pendingEvaluation is a back end whose joined witnesses wait for an answer.
+// pendingEvaluation is a back end whose combined reports wait for contradicting activity.
 type pendingEvaluation struct {
 	backend *Backend
 	until   time.Time
 }
 
-// Receive takes what another balancer saw. Statements on back ends that the table does
-// not have, or has another start of, are of no concern.
+// Receive handles an observation of another balancer. It ignores observations of back ends that the
+// table doesn't have, or of which it has another start.
 func (f *Flows) Receive(observation evidence.Statement, table *Table, now time.Time) {
 	if table == nil || f.off.Has(mechanism.JoinedEvidence) {
 		return
@@ -46,25 +46,24 @@
 	}
 }
 
-// TakeObservations returns what this balancer has seen since the last call and others
-// should know.
+// TakeObservations returns and removes the observations to be sent to other balancers.
 func (f *Flows) TakeObservations() []evidence.Statement {
 	taken := f.liveness.observations
 	f.liveness.observations = nil
 	return taken
 }
 
-// EvaluatePending judges by the joined witnesses that nobody answered in time, and returns when
-// the next ones will have waited long enough; the zero time is never.
+// EvaluatePending evaluates the combined reports that nobody has contradicted in time. It returns
+// when the next ones will have waited long enough, or the zero time if none are waiting.
 func (f *Flows) EvaluatePending(now time.Time) time.Time { return f.liveness.evaluatePending(now) }
 
-// HasPending tells whether joined witnesses wait for an answer.
+// HasPending reports whether combined reports wait for contradicting activity.
 func (f *Flows) HasPending() bool { return len(f.liveness.pending) > 0 }
 
-// receive takes a witness that another balancer tells of. It counts for those that reach
-// the back end by the way that the other one does: from the same zone, or where the
-// other one stands in the zone of the back end. A zone that is cut off thus accuses
-// the others to itself only.
+// receive handles an unanswered request that another balancer reports. The report counts only if
+// this balancer reaches the back end over the same path as the other one: if both are in the same
+// zone, or if the other one is in the zone of the back end. Reports from an isolated zone about
+// back ends in other zones therefore count only in the isolated zone.
 func (d *FailureDetector) receive(request evidence.Witness, backend *Backend, now time.Time) {
 	if request.Zone != d.zone && request.Zone != backend.Zone {
 		return
@@ -90,8 +89,9 @@
 	d.evaluate(health, backend, now)
 }
 
-// evaluate judges by the witnesses of all balancers, once they have waited for an answer.
-// A verdict that stands is prolonged.
+// evaluate decides by the unanswered requests of all balancers whether a back end has failed, once
+// the reports have waited for contradicting activity. If the back end already counts as failed, its
+// failure is prolonged.
 func (d *FailureDetector) evaluate(health *backendHealth, backend *Backend, now time.Time) {
 	count, firstReceived := health.countUnanswered(now)
 	switch {
@@ -103,8 +103,8 @@
 	}
 }
 
-// countUnanswered is how many witnesses count, and when another balancer first told of one; the
-// zero time is never.
+// countUnanswered returns how many unanswered requests count, and when the first of those from
+// another balancer was received. That time is zero if all of them are local.
 func (h *backendHealth) countUnanswered(now time.Time) (count int, firstReceived time.Time) {
 	for _, each := range h.unanswered {
 		if !each.othersAnswered || each.remote() && now.Sub(each.receivedAt) > remoteTTL {
@@ -144,7 +144,7 @@
 	return next
 }
 
-// reportUnanswered lets the other balancers know of a client whose request stayed unanswered.
+// reportUnanswered queues an observation that a client's request was not answered.
 func (d *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
 	d.queueObservation(evidence.Witness{
 		Backend: backend.Incarnation(),
@@ -154,12 +154,14 @@
 	})
 }
 
-// reportActivity lets the other balancers know that a back end lived later than they think.
+// reportActivity queues an observation of when the back end was last known to be alive, for
+// balancers that have only older knowledge.
 func (d *FailureDetector) reportActivity(backend *Backend, health *backendHealth) {
 	d.queueObservation(evidence.SignOfLife{Backend: backend.Incarnation(), At: health.activeAt})
 }
 
-// queueObservation lets the other balancers know of a statement, as far as there is room.
+// queueObservation queues an observation for the other balancers, and drops it if the queue is
+// full.
 func (d *FailureDetector) queueObservation(observation evidence.Statement) {
 	if d.disabled.Has(mechanism.JoinedEvidence) {
 		return
--- a/internal/tokenroute/judgement.go
+++ b/internal/tokenroute/judgement.go
@@ -6,37 +6,36 @@
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 )
 
-// backendHealth is what speaks for and against a back end.
+// backendHealth holds the evidence for and against a back end being alive.
 type backendHealth struct {
-	// activeAt is the latest time at which the back end is known to have sent
-	// something.
+	// activeAt is the latest time at which the back end is known to have sent something.
 	activeAt time.Time
-	// promptSentAt is when the latest request was sent that was answered without a
-	// repetition, and retransmittedAt when a request was last repeated.
+	// promptSentAt is when the latest request that was answered without a retransmission was sent.
+	// retransmittedAt is when a request was last retransmitted.
 	promptSentAt, retransmittedAt time.Time
-	// unanswered are the clients whose requests stayed unanswered.
+	// unanswered holds the clients whose requests were not answered.
 	unanswered map[clientAddress]unansweredRequest
-	// failedUntil is when the verdict ends unless there is another witness.
+	// failedUntil is when the failure expires unless another unanswered request is recorded.
 	failedUntil time.Time
 }
 
-// unansweredRequest is a client whose request stayed unanswered.
+// unansweredRequest is a request of one client that was not answered.
 type unansweredRequest struct {
 	// sentAt is when the request was first sent.
 	sentAt time.Time
-	// othersAnswered is set when other back ends had answered meanwhile, so that it was not
-	// the balancer's own link. What another balancer tells is so.
+	// othersAnswered is set if other back ends answered in the meantime, so that the balancer's own
+	// link is not the cause. It is always set on requests that another balancer reports.
 	othersAnswered bool
-	// receivedAt is when another balancer first told of the witness; zero for those
-	// that passed here.
+	// receivedAt is when another balancer first reported the request. It is zero for requests that
+	// this balancer forwarded itself.
 	receivedAt time.Time
-	// copies are how many of the request were lost that passed here.
+	// copies is the number of retransmissions of the request that passed this balancer.
 	copies int
 }
 
 func (r unansweredRequest) remote() bool { return !r.receivedAt.IsZero() }
 
-// failed are the back ends that are judged dead.
+// failed returns the back ends that are currently detected as failed.
 func (d *FailureDetector) failed(now time.Time) []incarnation.ID {
 	var found []incarnation.ID
 	for id, health := range d.health {
@@ -47,17 +46,17 @@
 	return found
 }
 
-// BackendFailure says why it was judged dead, for the log.
+// BackendFailure describes for the log why a back end was detected as failed.
 type BackendFailure struct {
 	Backend *Backend
-	// Local and Told are how many clients' requests stayed unanswered here and at other
-	// balancers.
+	// Local and Remote are the numbers of clients with unanswered requests seen by this balancer
+	// and by other balancers.
 	Local, Remote int
 	// SilentSince is when the first of these requests was sent.
 	SilentSince time.Time
 }
 
-// localClients is how many clients speak against the back end whose requests passed here.
+// localClients returns the number of clients whose unanswered requests passed this balancer.
 func (h *backendHealth) localClients() int {
 	count := 0
 	for _, each := range h.unanswered {
@@ -68,7 +67,7 @@
 	return count
 }
 
-// lostCopies is how many copies of requests that passed here stayed unanswered.
+// lostCopies returns the total number of unanswered copies of requests that passed this balancer.
 func (h *backendHealth) lostCopies() int {
 	sum := 0
 	for _, each := range h.unanswered {
@@ -77,7 +76,7 @@
 	return sum
 }
 
-// failure tells what speaks against the back end.
+// failure summarizes the evidence against the back end.
 func (h *backendHealth) failure(backend *Backend) BackendFailure {
 	failure := BackendFailure{Backend: backend}
 	for _, each := range h.unanswered {
@@ -93,7 +92,7 @@
 	return failure
 }
 
-// lastEventAt is when anything was last learned of the back end.
+// lastEventAt returns when the back end's health last changed.
 func (h *backendHealth) lastEventAt() time.Time {
 	latest := h.activeAt
 	for _, at := range []time.Time{h.promptSentAt, h.retransmittedAt} {
@@ -104,7 +103,7 @@
 	return latest
 }
 
-// expire drops the judgements that have nothing left to say.
+// expire drops the health records that hold no more evidence.
 func (d *FailureDetector) expire(now time.Time) {
 	for id, health := range d.health {
 		d.expireUnanswered(health, now)
@@ -114,7 +113,7 @@
 	}
 }
 
-// unansweredTTL is how long an unanswered request speaks against a back end.
+// unansweredTTL is how long an unanswered request counts against a back end.
 const unansweredTTL = time.Minute
 
 func (d *FailureDetector) expireUnanswered(health *backendHealth, now time.Time) {
@@ -125,8 +124,8 @@
 	}
 }
 
-// othersResponsive tells whether the other back ends have answered since a time,
-// so that it is not this balancer whose packets get lost.
+// othersResponsive reports whether the other back ends have answered since the given time, which
+// rules out that this balancer loses the packets itself.
 func (d *FailureDetector) othersResponsive(suspect *backendHealth, since time.Time) bool {
 	prompt, retransmitted := 0, 0
 	for _, health := range d.health {
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -10,87 +10,85 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// The pace of the judgement on back ends.
+// Thresholds and times of failure detection.
 const (
-	// minRetransmitInterval is how far apart two copies of a packet must have been
-	// forwarded for the later one to count as a repetition. A stalled balancer
-	// that reads several copies at once thus counts one.
+	// minRetransmitInterval is the minimum time between two forwarded copies of a packet for the
+	// later one to count as a retransmission. A stalled balancer that reads several copies at once
+	// thus counts one.
 	minRetransmitInterval = 150 * time.Millisecond
-	// retransmitsToReport is how often a request must have been repeated for its
-	// flow to speak against the back end: clients repeat after 200 and 600 ms,
-	// and a back end that is well answers the first repetition at the latest.
+	// retransmitsToReport is how often a request must have been retransmitted before it counts as
+	// unanswered. Clients retransmit after 200 and 600 ms, and a healthy back end answers the first
+	// retransmission at the latest.
 	retransmitsToReport = 2
-	// retransmitsToFail is how often a request must have been repeated for its
-	// flow alone to prove that the back end is dead. Where many balancers share
-	// the flows of many back ends, each sees one or none of a back end's.
+	// retransmitsToFail is how often a request must have been retransmitted for a single client to
+	// prove that the back end has failed. Where many balancers share the flows of many back ends,
+	// each balancer sees at most one flow of a back end.
 	retransmitsToFail = 3
-	// clientsToFail is how many clients must speak against a back end. An entry that is
-	// gone is no further witness: back ends serve on without one.
+	// clientsToFail is how many clients must have unanswered requests before a back end is detected
+	// as failed. The removal of its directory entry doesn't count as one of them, since back ends
+	// keep serving without an entry.
 	clientsToFail = 2
-	// minPromptRatio is how many back ends must have answered promptly for each
-	// other one that did not, before a balancer trusts its own link.
+	// minPromptRatio is how many back ends must have answered promptly for each other one that did
+	// not, before a balancer trusts its own link.
 	minPromptRatio = 2
-	// failureTTL is how long a verdict lasts without a new witness. It stays
-	// well below the time for which a disruption excuses a reset.
+	// failureTTL is how long a failure lasts without another unanswered request. It is well below
+	// the time for which a disruption excuses a reset.
 	failureTTL = 2 * time.Second
-	// maxBackendHealth bounds the back ends judged at a time.
+	// maxBackendHealth bounds the number of back ends whose health is tracked at a time.
 	maxBackendHealth = 32768
 )
 
-// FailureDetector tells back ends that have fallen silent by the packets of their
-// clients. The balancer sees no answers, since back ends send them straight to
-// the clients; but a client repeats what was not acknowledged, and acknowledges
-// what it received. A request that was repeated twice, from two clients, or three
-// times from one, while no client acknowledged anything newer, means that the
-// back end is gone.
+// FailureDetector detects failed back ends passively, from the packets of their clients. The
+// balancer sees no answers, since back ends send them directly to the clients. But a client
+// retransmits what was not acknowledged, and acknowledges what it received. If a request was
+// retransmitted twice by two clients each, or three times by one, and no client acknowledged
+// anything newer, the back end has failed.
 //
-// A flow of such a back end can only wait for its client's deadline, so the
-// client is better told at once: with the verdict on the flows that passed here
-// lately, even those that wait for nothing yet, so that their next request opens
-// a flow to a living back end; later on the flows that ask.
+// A flow to a failed back end can only wait for its client's deadline, so resetting it at once is
+// better for the client. When the failure is detected, the flows that passed recently are reset,
+// including those with no request outstanding, so that the next request opens a flow to a live back
+// end. After that, flows are reset when they send a request.
 //
-// Since a reset that hits a living back end breaks a flow, every doubt counts for
-// the back end: any acknowledgement that is newer than the unanswered requests
-// drops them, copies that did not pass through this balancer do not count, and a
-// verdict ends by itself unless the directory too says that the back end is gone.
-// A balancer whose own link is full loses the requests to all its back ends; so
-// there is no verdict unless others answered promptly meanwhile, minPromptRatio
-// times as many as did not, and unless repetitions are so seldom what brings an answer
-// that a lost packet would be a poor explanation (link).
+// A reset that hits a live back end breaks a flow, so uncertain evidence counts in favor of the
+// back end: any acknowledgment newer than the unanswered requests discards them, copies that did
+// not pass this balancer are not counted, and a failure expires by itself unless the directory also
+// says that the back end is gone. A balancer whose own link is congested loses the requests to all
+// its back ends. So no failure is detected unless other back ends answered promptly in the
+// meantime, at least minPromptRatio times as many as did not, and unless answers after a
+// retransmission are so rare that packet loss on the link is an unlikely explanation (see link).
 //
-// Balancers join their witnesses (joined.go), so that each learns of a dead back end
-// before a request of its own is lost to it.
+// Balancers exchange unanswered requests (observations.go), so that each learns of a failed back
+// end before it loses a request of its own to it.
 //
-// It belongs to one traffic goroutine.
+// A FailureDetector is used by a single traffic goroutine.
 type FailureDetector struct {
 	disabled mechanism.Set
-	// zone is that of this balancer.
+	// zone is the zone of this balancer.
 	zone   string
 	memory *memory
 	zones  *zones
 	health map[incarnation.ID]*backendHealth
-	// link is what the answers tell of the balancer's own link.
+	// link estimates the packet loss on the balancer's own link from the answers.
 	link      link
 	abandoned []Abandoned
 	failures  []BackendFailure
-	// observations are what other balancers have yet to be told.
+	// observations holds what has yet to be sent to the other balancers.
 	observations []evidence.Statement
-	// pending are the back ends whose joined witnesses wait for an answer.
+	// pending lists the back ends whose combined reports wait for contradicting activity.
 	pending []pendingEvaluation
-	// FailureCount counts the verdicts that back ends are dead.
+	// FailureCount counts the detected failures of back ends.
 	FailureCount atomic.Uint64
 }
 
-// newFailureDetector makes a judge of the back ends of the flows in a memory, against
-// whom nothing speaks yet.
+// newFailureDetector returns a detector for the back ends of the flows in a flow cache, without any
+// evidence.
 func newFailureDetector(memory *memory, zones *zones, off mechanism.Set) *FailureDetector {
 	return &FailureDetector{disabled: off, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
-// Observe takes a later packet of a flow that goes to a back end, and tells
-// whether the back end counts as dead for it. Only packets with data are ever
-// answered with true: the others ask for nothing. The state of the flow may be
-// nil for packets without data.
+// Observe handles a packet of an open flow to a back end and reports whether the back end counts as
+// failed for it. It returns true only for packets with data, since the others ask for nothing. The
+// state of the flow may be nil for packets without data.
 func (d *FailureDetector) Observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	if packet.Closing {
 		return false
@@ -103,8 +101,8 @@
 	return d.Failed(backend, now)
 }
 
-// observeAcknowledgement follows a packet without data: the client sends it at
-// once when it has received something.
+// observeAcknowledgement handles a packet without data. The client sends such a packet as soon as
+// it has received something.
 func (d *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	d.recordActivity(backend, now)
 	if state == nil || state.track.backend == nil {
@@ -116,9 +114,8 @@
 	}
 }
 
-// observeData follows the oldest unanswered packet of a flow. A packet that
-// acknowledges more than the one before proves that the back end lived when
-// that one passed, at least.
+// observeData tracks the oldest unanswered packet of a flow. A packet that acknowledges more than
+// the one before it proves that the back end was alive at least when that earlier packet passed.
 func (d *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	tracked := &state.track
 	switch {
@@ -130,7 +127,7 @@
 		state.ended(packet.Key.Address(), packet.Acknowledged)
 		d.trackRequest(packet, state, backend, now)
 	case tracked.sequence == packet.Sequence && tracked.backend.Incarnation() != backend.Incarnation():
-		// What an earlier start left unanswered says nothing of this one.
+		// A request that an earlier start left unanswered is no evidence against this one.
 		d.trackRequest(packet, state, backend, now)
 	case tracked.sequence == packet.Sequence:
 		tracked.backend, tracked.passedAt = backend, now
@@ -157,8 +154,8 @@
 	}
 }
 
-// recordRetransmission counts a copy of an unanswered packet and lets its client speak
-// against the back end when there were enough.
+// recordRetransmission counts a copy of an unanswered packet. After enough copies, the request
+// counts as unanswered.
 func (d *FailureDetector) recordRetransmission(tracked *track, packet Packet, now time.Time) {
 	if now.Sub(tracked.repeatedAt) < minRetransmitInterval {
 		return
@@ -174,7 +171,7 @@
 	}
 }
 
-// recordAnswer takes that the oldest request of a flow was answered.
+// recordAnswer records that the oldest request of a flow was answered.
 func (d *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
 	state.setWaiting(false, now)
 	tracked := &state.track
@@ -195,8 +192,7 @@
 	}
 }
 
-// healthOf returns the judgement of a back end, or nil when there are too
-// many.
+// healthOf returns the health record of a back end, or nil if too many are tracked.
 func (d *FailureDetector) healthOf(backend *Backend) *backendHealth {
 	health := d.health[backend.Incarnation()]
 	if health == nil && len(d.health) < maxBackendHealth {
@@ -206,7 +202,8 @@
 	return health
 }
 
-// recordUnanswered lets a client speak against the back end of its flow.
+// recordUnanswered records an unanswered request of a client and marks the back end as failed if
+// there is enough evidence.
 func (d *FailureDetector) recordUnanswered(tracked *track, client clientAddress, now time.Time) {
 	backend := tracked.backend
 	health := d.healthOf(backend)
@@ -227,7 +224,7 @@
 	d.evaluate(health, backend, now)
 }
 
-// markFailed judges a back end dead for a while.
+// markFailed marks a back end as failed for failureTTL.
 func (d *FailureDetector) markFailed(health *backendHealth, backend *Backend, now time.Time) {
 	if !now.Before(health.failedUntil) {
 		d.FailureCount.Add(1)
@@ -239,8 +236,8 @@
 	health.failedUntil = now.Add(failureTTL)
 }
 
-// abandonFlows puts the flows of a dead back end that are remembered on the list of
-// those to reset, and forgets them.
+// abandonFlows adds the cached flows of a failed back end to the flows to be reset, and removes
+// them from the cache.
 func (d *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
 	for _, generation := range []map[flow.Key]*flowState{d.memory.current, d.memory.previous} {
 		for key, state := range generation {
@@ -257,8 +254,8 @@
 	}
 }
 
-// recordActivity takes that a back end lived at a time. Requests sent until then no
-// longer speak against it, and a verdict that rests on them ends.
+// recordActivity records that a back end was alive at the given time. Requests sent up to then no
+// longer count as unanswered, and a failure that is based on them alone ends.
 func (d *FailureDetector) recordActivity(backend *Backend, livedAt time.Time) {
 	health := d.healthOf(backend)
 	if health == nil {
@@ -283,8 +280,8 @@
 	}
 }
 
-// Failed tells whether a back end counts as dead. The verdict on one whose entry
-// is gone stays until something proves the opposite.
+// Failed reports whether a back end counts as failed. If its directory entry is gone, it counts as
+// failed until activity proves the opposite.
 func (d *FailureDetector) Failed(backend *Backend, now time.Time) bool {
 	health := d.health[backend.Incarnation()]
 	if health == nil || health.failedUntil.IsZero() {
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -9,40 +9,41 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// poolZone is the back ends of a pool in one zone. It is immutable, and tables share it as long
+// poolZone holds the back ends of a pool in one zone. It is immutable, and tables share it as long
 // as nothing that it depends on changes.
 type poolZone struct {
-	// version is that of the group of entries, and weight what each back end takes of new
-	// flows; uniform is set where all take the same.
+	// version is the version of the group of entries, and weight the weight of each back end for
+	// new flows. uniform is set if all back ends have the same weight.
 	version uint64
 	weight  uint32
 	uniform bool
-	// evacuated is set while the zone takes no new flows, and withheld when some back end
-	// takes none only because of that.
+	// evacuated is set while the zone takes no new flows, and withheldByEvacuation if at least one
+	// back end takes none only for that reason.
 	evacuated, withheldByEvacuation bool
-	// timeIndependent is set unless the part changes with time alone.
+	// timeIndependent is set unless the pool zone changes with time alone.
 	timeIndependent bool
-	// backends are all, and restarted those of which an earlier start was known, by id.
+	// backends lists all back ends by ID, and restarted those of which an earlier start was known.
 	backends, restarted []*Backend
-	// eligible are those that may take new flows, by id, and rule orders flows over them.
+	// eligible lists the back ends that may take new flows, by ID. rule ranks them for a flow.
 	eligible []*Backend
 	rule     *rule.Rule
 }
 
-// reusable tells whether a part may be taken over where its group, the state of its zone and its
-// weight are these.
+// reusable reports whether the pool zone is still valid for a group of the given version,
+// evacuation state and weight.
 func (p *poolZone) reusable(version uint64, evacuated bool, weight uint32, uniform bool) bool {
 	return p.timeIndependent && p.uniform && uniform && p.version == version && p.evacuated == evacuated && p.weight == weight
 }
 
-// accepts tells whether a back end takes new flows here.
+// accepts reports whether a back end of the pool zone takes new flows.
 func (p *poolZone) accepts(backend *Backend) bool {
 	i, found := slices.BinarySearchFunc(p.eligible, backend.ID, func(each *Backend, id string) int { return strings.Compare(each.ID, id) })
 	return found && p.eligible[i].Number == backend.Number
 }
 
-// poolZone makes the part of a group. Those that may take new flows have an entry, or one that
-// lapsed while the store was away and may come back. None of them is in an evacuated zone.
+// poolZone builds the pool zone of a group. A back end may take new flows if it has an entry, or
+// had one that expired during an outage of the store and may come back, unless its zone is
+// evacuated.
 func (b *builder) poolZone(group *directory.Group, backends []*Backend) *poolZone {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
@@ -70,13 +71,14 @@
 	return built
 }
 
-// mayReturn tells whether a back end that vanished may still take new flows for a time.
+// mayReturn reports whether a back end whose entry disappeared may still take new flows for some
+// time.
 func (b *builder) mayReturn(entry *directory.BackendEntry) bool {
 	return b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now) || b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
 }
 
-// vanishedPoolZone is the part with those back ends that have just vanished. They take new flows
-// where their pool has no other.
+// vanishedPoolZone returns the pool zone with the back ends whose entries disappeared recently as
+// the eligible ones. They take new flows if their pool has no other back end.
 func (b *builder) vanishedPoolZone(group *directory.Group, zone *poolZone) *poolZone {
 	built := &poolZone{backends: zone.backends, withheldByEvacuation: zone.withheldByEvacuation}
 	for i := range group.Entries {
@@ -90,8 +92,8 @@
 	return built
 }
 
-// weight is the share of new flows that each back end of a place takes, where all take the
-// same.
+// weight returns the weight for new flows of each back end of a pool in one zone if all of them
+// have the same, and reports whether they do.
 func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
 	if b.options.PlaceWeight == nil {
 		return 0, false
@@ -99,7 +101,7 @@
 	return b.options.PlaceWeight(place)
 }
 
-// rule orders flows over some back ends of a group.
+// rule returns the rule that ranks the given back ends of a group for a flow.
 func (b *builder) rule(group *directory.Group, eligible []*Backend, weight uint32, uniform bool) *rule.Rule {
 	candidates := make([]rule.Candidate, len(eligible))
 	next := 0
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -7,11 +7,11 @@
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 )
 
-// SetTable takes the table that packets are decided by from now on. Flows that were opened at
-// a start of a back end that has ended are given up, to be reset: the new start holds none
-// of them, and the next request, which may not be repeated, would be lost to find that out.
-// Of flows that may have been opened at the new start, before its entry was known here, none
-// is given up; the back end itself resets those that it does not hold.
+// SetTable sets the table that is used for packets from now on. Flows that were opened at a start
+// of a back end that has ended are abandoned, to be reset: the new start holds none of them, and
+// the next request of such a flow, which may not be repeatable, would be lost just to find that
+// out. Flows that may have been opened at the new start, before its entry was known here, are not
+// abandoned. The back end itself resets those that it doesn't hold.
 func (f *Flows) SetTable(table *Table, now time.Time) {
 	if table == nil || table == f.table {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// abandonEarlierStarts gives up the flows of earlier starts of a back end.
+// abandonEarlierStarts abandons the flows of earlier starts of a back end.
 func (f *Flows) abandonEarlierStarts(backend *Backend, now time.Time) {
 	isEarlierStart := func(id incarnation.ID) bool { return id.Number == backend.Number && id.Start != backend.Start }
 	predatesStart := func(seenAt time.Time) bool {
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -13,13 +13,13 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// Token names a back end in the packets of a flow; NoToken names none.
+// Token identifies a back end in the packets of a flow. NoToken identifies none.
 type Token uint32
 
-// NoToken is what the first packet of a flow carries.
+// NoToken is the token in the first packet of a flow.
 const NoToken Token = 0
 
-// TokenOf returns the token of a back end's number. It is never NoToken.
+// TokenOf returns the token of the back end with the given number. It is never NoToken.
 func TokenOf(number uint64) Token {
 	if token := Token(number); token != NoToken {
 		return token
@@ -27,130 +27,131 @@
 	return ^NoToken
 }
 
-// Backend is a back end as packets are forwarded to it. It is immutable.
+// Backend describes a back end as a forwarding target. It is immutable.
 type Backend struct {
 	ID     string
 	Number uint64
-	// Start tells its starts under one number apart.
+	// Start distinguishes successive starts of a back end under the same number.
 	Start  incarnation.Start
 	Token  Token
 	Pool   string
 	Zone   string
 	Target netip.AddrPort
-	// Gone is set when the directory's entry of the back end was removed.
+	// Gone is set if the back end's entry was removed from the directory.
 	Gone bool
-	// Warmup tells until when the back end is cold, and what it may get.
+	// Warmup says until when the back end is cold and how many new flows it may get until then.
 	Warmup Warmup
 }
 
-// Incarnation is the start of the back end that this one is.
+// Incarnation returns the number and the start that identify this instance of the back end.
 func (b *Backend) Incarnation() incarnation.ID {
 	return incarnation.ID{Number: b.Number, Start: b.Start}
 }
 
-// clone is a copy that lasts.
+// clone returns a heap-allocated copy.
 func (b Backend) clone() *Backend { return &b }
 
-// WeightFunc gives the relative share of new flows that a back end of a pool
-// takes, from 0 to rule.MaximumWeight.
+// WeightFunc returns the relative share of new flows that a back end takes within its pool, from 0
+// to rule.MaximumWeight.
 type WeightFunc func(backend directory.BackendEntry) uint32
 
-// Table is an index over a directory at one revision. It is immutable.
+// Table indexes a directory at one revision. It is immutable.
 type Table struct {
 	Version  uint64
 	Revision uint64
-	// Evacuated are the zones whose back ends get no new flows, with the revision
-	// of the operator's order.
+	// Evacuated maps each zone whose back ends get no new flows to the revision of the operator's
+	// evacuation order.
 	Evacuated map[string]uint64
-	// IdleTimeout is how long a flow may rest before it is forgotten; 0 is unknown.
+	// IdleTimeout is how long a flow may be idle before it is forgotten. It is 0 if unknown.
 	IdleTimeout time.Duration
 	routes      map[flow.Address]*Route
 	tokens      *tokenIndex
-	// poolZones are the back ends of each pool in each zone, from which the next table takes
-	// over what has not changed.
+	// poolZones holds the back ends of each pool in each zone. The next table reuses those that
+	// have not changed.
 	poolZones map[directory.Place]*poolZone
-	// sharedTokenPools are the pools of which two back ends share a token, or did in an earlier table.
+	// sharedTokenPools is the set of pools in which two back ends share a token, or did in an
+	// earlier table.
 	sharedTokenPools map[string]bool
-	// restarted are the back ends of which an earlier start was known.
+	// restarted lists the back ends of which an earlier start was known.
 	restarted []*Backend
 }
 
-// Route is the way of one address.
+// Route describes how the flows to one address are routed.
 type Route struct {
 	Name string
-	// poolRule chooses the pool of a new flow; its candidates are indexes into
-	// pools plus one.
+	// poolRule chooses the pool of a new flow. Its candidates are indexes into pools plus one.
 	poolRule *rule.Rule
 	pools    []*pool
-	// admittedPools are the pools whose open flows the route carries; admitAllPools takes
-	// those of any pool.
+	// admittedPools is the set of pools whose open flows the route carries. If admitAllPools is
+	// set, it carries the open flows of any pool.
 	admittedPools map[string]bool
 	admitAllPools bool
-	// urgency is that of the route's requests.
+	// urgency is the priority of the route's requests.
 	urgency admission.Urgency
 }
 
-// pool is the back ends of one pool that may take new flows.
+// pool holds the back ends of one pool that may take new flows.
 type pool struct {
 	name string
-	// zones are those of its zones, and rules theirs, in the same order.
+	// zones holds the back ends by zone, and rules the rule of each zone in the same order.
 	zones []*poolZone
 	rules []*rule.Rule
-	// withheldByEvacuation is set when some back end takes no new flows only because its zone
+	// withheldByEvacuation is set if at least one back end takes no new flows only because its zone
 	// is evacuated.
 	withheldByEvacuation bool
-	// zoneByWeight is set when the weights alone choose the zone.
+	// zoneByWeight is set if the zone of a new flow is chosen by weight alone.
 	zoneByWeight bool
 }
 
-// Options are what a table depends on besides the directory.
+// Options holds what a table depends on besides the directory.
 type Options struct {
 	Weight WeightFunc
-	// PlaceWeight gives the share that each back end of a place takes, where all take the
-	// same, and tells whether they do. Nil asks Weigh for each.
+	// PlaceWeight returns the weight of each back end of a pool in one zone if they all have the
+	// same, and reports whether they do. If it is nil, Weight is called for each back end.
 	PlaceWeight func(place directory.Place) (weight uint32, uniform bool)
-	// FormerPools are the pools that a route had before, by the route's address;
-	// their open flows stay where they are.
+	// FormerPools maps a route's address to the pools that the route had before. The open flows of
+	// these pools stay where they are.
 	FormerPools map[flow.Address]map[string]bool
-	// AdmitAllPools admits the open flows of any pool on any route. A balancer does
-	// so while it is younger than a flow may be, since it can't know what
-	// routes had before it started.
+	// AdmitAllPools admits the open flows of any pool on any route. A balancer sets it until it has
+	// run for longer than a flow may last, since it can't know which pools the routes had before it
+	// started.
 	AdmitAllPools bool
-	// Evacuated are the zones whose back ends get no new flows, with the revision
-	// of the operator's order.
+	// Evacuated maps each zone whose back ends get no new flows to the revision of the operator's
+	// evacuation order.
 	Evacuated map[string]uint64
-	// Warmup tells how cold a back end is; nil takes all for warm.
+	// Warmup returns how cold a back end is. If it is nil, all back ends are warm.
 	Warmup func(backend directory.BackendEntry) Warmup
-	// StoreRecovery is the time after an outage of the store in which entries that lapsed
-	// meanwhile may come back.
+	// StoreRecovery is the period after an outage of the store in which entries that expired during
+	// the outage may come back.
 	StoreRecovery StoreRecovery
-	// EmptyPoolGrace is for how long back ends whose entries vanished without a
-	// notice may take new flows when their pool has no other.
+	// EmptyPoolGrace is how long back ends whose entries disappeared without being marked as
+	// draining may take new flows when their pool has no other back end.
 	EmptyPoolGrace time.Duration
-	// ZoneByWeight names the pools where the weights alone choose the zone of a new flow, and only
-	// then the back end that is least in use. The least used among those of several zones
-	// would be taken from zones of small weights hardly ever, and their part would not be
-	// what was planned. Nil is no pool.
+	// ZoneByWeight reports whether the zone of a new flow to the pool is chosen by weight alone,
+	// and only then the least loaded back end within that zone. Picking the least loaded back end
+	// across several zones would hardly ever pick one in a zone of small weights, so the zone would
+	// not get its planned share of new flows. If it is nil, this applies to no pool.
 	ZoneByWeight func(pool string) bool
-	// Previous is the table before, from the same directory, of which is taken over what has
-	// not changed; nil is none.
+	// Previous is the preceding table of the same directory, from which unchanged parts are reused.
+	// It may be nil.
 	Previous *Table
 	Now      time.Time
 }
 
-// StoreRecovery is a time in which the store has answered again after an outage, but
-// not every back end has had time to write its entry anew. The zero value is
-// no such time.
+// StoreRecovery is the period in which the store is available again after an outage, but not every
+// back end has had time to rewrite its entry. The zero value is an empty period.
 type StoreRecovery struct {
 	Since, Until time.Time
 }
 
-// covers tells whether an entry that vanished at a time may have lapsed only.
+// covers reports whether an entry that disappeared at vanishedAt may merely have expired during the
+// outage.
 func (s StoreRecovery) covers(vanishedAt, now time.Time) bool {
 	return now.Before(s.Until) && !vanishedAt.Before(s.Since)
 }
 
-// NewTable indexes a directory. It returns nil while no routes are known.
+// NewTable builds a table from a directory. It returns nil as long as the directory has no route
+// table.
 func NewTable(source *directory.Directory, options Options) *Table {
 	routes := source.Routes()
 	if routes == nil {
@@ -188,16 +189,16 @@
 	return [4]byte{byte(address >> 24), byte(address >> 16), byte(address >> 8), byte(address)}
 }
 
-// Route returns the route of an address, or nil.
+// Route returns the route of an address, or nil if there is none.
 func (t *Table) Route(address flow.Address) *Route { return t.routes[address] }
 
-// RestartedBackends is the number of back ends of which an earlier start was known.
+// RestartedBackends returns the number of back ends of which an earlier start was known.
 func (t *Table) RestartedBackends() int { return len(t.restarted) }
 
-// RouteCount is the number of routes.
+// RouteCount returns the number of routes.
 func (t *Table) RouteCount() int { return len(t.routes) }
 
-// Resolve returns the back end that a token names on a route, or nil.
+// Resolve returns the back end that a token identifies on a route, or nil if there is none.
 func (t *Table) Resolve(route *Route, token Token) *Backend {
 	sharing := t.tokens.backends(token)
 	for _, backend := range sharing {
@@ -211,8 +212,8 @@
 	return nil
 }
 
-// Backend returns the back end of an incarnation, or nil where the table has another
-// start of it or none.
+// Backend returns the back end with the given incarnation. It returns nil if the table has no such
+// back end or another start of it.
 func (t *Table) Backend(id incarnation.ID) *Backend {
 	for _, backend := range t.tokens.backends(TokenOf(id.Number)) {
 		if backend.Incarnation() == id {
@@ -222,31 +223,30 @@
 	return nil
 }
 
-// KnowsToken tells whether a token names a back end of any pool.
+// KnowsToken reports whether a token identifies a back end of any pool.
 func (t *Table) KnowsToken(token Token) bool { return len(t.tokens.backends(token)) > 0 }
 
-// maxCandidates is how many back ends are compared by their load for a new flow.
+// maxCandidates is the number of back ends whose loads are compared for a new flow.
 const maxCandidates = 4
 
-// Preference is how willingly a back end is taken for a new flow.
+// Preference ranks a back end as the target of a new flow.
 type Preference uint8
 
-// The preferences.
+// Preferences, from best to worst.
 const (
-	// Preferred back ends are taken as long as there are any.
+	// Preferred back ends are used as long as there are any.
 	Preferred Preference = iota
-	// Suspected ones are taken when no preferred one is left: nothing speaks against
-	// them but their silent zone.
+	// Suspected back ends are used if no preferred one is left. The only evidence against them is
+	// that their zone does not answer.
 	Suspected
-	// Avoided ones are taken only when no other is left.
+	// Avoided back ends are used only if no other is left.
 	Avoided
-	// Forbidden ones are never taken.
+	// Forbidden back ends are never used.
 	Forbidden
 )
 
-// Choose returns the back end for a new flow, or nil when the route has none.
-// Of the first back ends in the flow's order it takes the one that is least in
-// use for its weight.
+// Choose returns the back end for a new flow, or nil if the route has none. Of the highest-ranked
+// back ends for the flow's hash, it chooses the one with the lowest load relative to its weight.
 func (r *Route) Choose(hash uint64, prefer func(*Backend) Preference, inUse func(*Backend) int) *Backend {
 	chosen := r.poolFor(hash)
 	if chosen == nil {
@@ -262,9 +262,9 @@
 	return nil
 }
 
-// topCandidates puts the first back ends in a flow's order into found, as far as they are not left
-// out, and returns how many there are. Where the weights alone choose the zone, all are of
-// the zone of the first one.
+// topCandidates fills leaders with the highest-ranked back ends for a hash that are not excluded,
+// and returns their number. If the zone is chosen by weight alone, all of them are in the zone of
+// the first one.
 func (p *pool) topCandidates(hash uint64, leaders []rule.Leader, excluded func(*Backend) bool) int {
 	count := rule.Leaders(p.rules, hash, leaders, func(i int, candidate uint32) bool {
 		return excluded(p.zones[i].eligible[candidate-1])
@@ -286,12 +286,12 @@
 	return count
 }
 
-// backend is the back end of a leader.
+// backend returns the back end that a leader refers to.
 func (p *pool) backend(leader rule.Leader) *Backend {
 	return p.zones[leader.Rule].eligible[leader.Backend-1]
 }
 
-// poolFor returns the pool of a new flow, or nil.
+// poolFor returns the pool of a new flow, or nil if there is none.
 func (r *Route) poolFor(hash uint64) *pool {
 	index := r.poolRule.Pick(hash)
 	if index == rule.NoBackend {
@@ -300,7 +300,7 @@
 	return r.pools[index-1]
 }
 
-// Accepts tells whether a back end still takes new flows of the route.
+// Accepts reports whether a back end still takes new flows of the route.
 func (r *Route) Accepts(backend *Backend) bool {
 	for _, each := range r.pools {
 		for _, part := range each.zones {
@@ -312,7 +312,7 @@
 	return false
 }
 
-// refusalReason is why a new flow finds no back end.
+// refusalReason returns why no back end was found for a new flow.
 func (r *Route) refusalReason(hash uint64) Reason {
 	chosen := r.poolFor(hash)
 	switch {
@@ -326,12 +326,12 @@
 	return ReasonNoBackend
 }
 
-// acceptsAny tells whether some back end may take a new flow, but for its warmth.
+// acceptsAny reports whether some back end could take a new flow if warmup limits are ignored.
 func (p *pool) acceptsAny(hash uint64) bool {
 	return slices.ContainsFunc(p.rules, func(each *rule.Rule) bool { return each.Pick(hash) != rule.NoBackend })
 }
 
-// leastLoaded returns the back end that is least in use for its weight.
+// leastLoaded returns the back end with the lowest load relative to its weight.
 func (p *pool) leastLoaded(leaders []rule.Leader, inUse func(*Backend) int) *Backend {
 	var best *Backend
 	bestUse, bestWeight := 0, 1
--- a/internal/tokenroute/tokenindex.go
+++ b/internal/tokenroute/tokenindex.go
@@ -6,19 +6,18 @@
 	"slices"
 )
 
-// tokenShards is into how many shards an index is divided. A change copies one of them, some
-// 40 tokens of 10,000.
+// tokenShards is the number of shards of an index. A change copies one shard, which holds about 40
+// of 10,000 tokens.
 const tokenShards = 256
 
-// tokenIndex finds the back ends of a token, by id. It is immutable.
+// tokenIndex maps each token to the back ends that share it, sorted by ID. It is immutable.
 type tokenIndex struct {
 	shards [tokenShards]map[Token][]*Backend
 }
 
 func (x *tokenIndex) backends(token Token) []*Backend { return x.shards[token%tokenShards][token] }
 
-// tokenIndexBuilder makes an index from another one, of which it takes over the shards that do
-// not change.
+// tokenIndexBuilder builds an index from another one and shares the unchanged shards with it.
 type tokenIndexBuilder struct {
 	index  *tokenIndex
 	copied [tokenShards]bool
@@ -41,7 +40,7 @@
 	return b.index.shards[i]
 }
 
-// add adds a back end to those of its token, and returns those that have it now.
+// add adds a back end under its token and returns all back ends that now share the token.
 func (b *tokenIndexBuilder) add(backend *Backend) []*Backend {
 	shard := b.shard(backend.Token)
 	sharing := append(slices.Clone(shard[backend.Token]), backend)
@@ -56,7 +55,7 @@
 	slices.SortStableFunc(sharing, func(one, other *Backend) int { return cmp.Compare(one.ID, other.ID) })
 }
 
-// remove takes a back end from those of its token.
+// remove removes a back end from those that share its token.
 func (b *tokenIndexBuilder) remove(backend *Backend) {
 	shard := b.shard(backend.Token)
 	sharing := slices.DeleteFunc(slices.Clone(shard[backend.Token]), func(each *Backend) bool { return each == backend })
--- a/internal/tokenroute/warming.go
+++ b/internal/tokenroute/warming.go
@@ -6,31 +6,30 @@
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 )
 
-// Warmup is how cold a back end is. The zero value is warm.
+// Warmup describes how cold a back end is. The zero value is a warm back end.
 type Warmup struct {
-	// Until is when the back end is warm. It is cold before.
+	// Until is when the back end becomes warm. It is cold before.
 	Until time.Time
-	// FlowsPerSecond is how many new flows this balancer may send to the cold back
-	// end within any second; all balancers together stay within what it bears.
+	// FlowsPerSecond is how many new flows this balancer may send to the cold back end within any
+	// second. All balancers together stay within what the back end can handle.
 	FlowsPerSecond int
-	// LimitKnown is set when it is known what a cold back end bears. It then takes its
-	// part; else it takes new flows only where no warm one is left.
+	// LimitKnown is set if it is known how many new flows a cold back end can handle. The back end
+	// then takes its normal share of new flows up to that limit. Otherwise it takes new flows only
+	// if no warm back end is left.
 	LimitKnown bool
 }
 
-// warmupWindow is the second within which a cold back end's new flows are counted,
-// with what their packets may take more or less on their ways.
+// warmupWindow is the window in which the new flows of a cold back end are counted: one second plus
+// the variation in the transit time of their packets.
 const warmupWindow = 1200 * time.Millisecond
 
-// warmupLimiter counts the new flows that went to cold back ends lately.
-// Where a whole zone comes back cold and empty, its balancers would
-// otherwise prefer it and send it all that it can't bear yet.
+// warmupLimiter counts the recent new flows to cold back ends. When a whole zone comes back cold
+// and without load, its balancers would otherwise prefer it and send it more than it can handle.
 type warmupLimiter struct {
 	sent map[incarnation.ID][]time.Time
 }
 
-// preference tells whether a back end may be sent a new flow as far as its warmth
-// goes.
+// preference returns the preference of a back end for a new flow as far as its warmup is concerned.
 func (l *warmupLimiter) preference(backend *Backend, now time.Time) Preference {
 	warming := &backend.Warmup
 	if !now.Before(warming.Until) {
@@ -45,7 +44,7 @@
 	return Avoided
 }
 
-// recentCount is how many new flows went to a back end within the last second.
+// recentCount returns how many new flows went to a back end within the last warmupWindow.
 func (l *warmupLimiter) recentCount(backend incarnation.ID, now time.Time) int {
 	sent := l.sent[backend]
 	expired := 0
@@ -55,7 +54,7 @@
 	return len(sent) - expired
 }
 
-// record counts a new flow that goes to a back end.
+// record counts a new flow to a back end that is still cold.
 func (l *warmupLimiter) record(backend *Backend, now time.Time) {
 	if !now.Before(backend.Warmup.Until) {
 		return
@@ -68,7 +67,7 @@
 	l.sent[backend.Incarnation()] = append(kept, now)
 }
 
-// expire drops what is older than a second.
+// expire drops the back ends that got no new flow within the last warmupWindow.
 func (l *warmupLimiter) expire(now time.Time) {
 	for backend := range l.sent {
 		if l.recentCount(backend, now) == 0 {
