--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -18,7 +18,7 @@
 func slowOnes(count int) map[incarnation.ID]observe.Finding {
 	found := make(map[incarnation.ID]observe.Finding)
 	for number := range count {
-		found[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Part: 0.9, Evidence: 1000}}
+		found[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Fraction: 0.9, Evidence: 1000}}
 	}
 	return found
 }
@@ -61,7 +61,7 @@
 			}
 			even := busiest(t, control)
 			require.True(t, control.observed.judge(slowOnes(each.unwell), 1))
-			control.renewTable(now)
+			control.rebuildTable(now)
 			require.LessOrEqual(t, busiest(t, control), 2*even+0.02, "twice what it has while all are well")
 			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the room is still room")
 		})
@@ -73,17 +73,17 @@
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 10})
 	require.True(t, control.observed.judge(slowOnes(5), 1))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
-	control.demand.tree.See(demand.Picture{At: now, Balancers: 1, Zones: map[demand.Zone]int{"maadi": 1},
-		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
-	picture := control.demand.tree.Picture(now)
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	control.demand.tree.SetOwn(demand.Aggregate{OldestAt: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {InFlight: 40, Offered: 100}}}, demand.Position{})
+	picture := control.demand.tree.Aggregate(now)
+	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
 	control.findings.own = slowOnes(5)
 	require.True(t, control.judgeHealth(now), "another table")
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
 }
 
--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -14,14 +14,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingIn(zone string) demand.Place {
-	return demand.Place{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingIn(zone string) demand.ZonePool {
+	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
 // summaryAt lets a summary be made at a time, one second after the last.
-func summaryAt(flows *Flows, now int) map[demand.Place]demand.Load {
+func summaryAt(flows *Flows, now int) map[demand.ZonePool]demand.Load {
 	flows.summarizedAt = at(now - 1000)
-	return flows.Summarize(at(now)).Places
+	return flows.Summarize(at(now)).Loads
 }
 
 // What is asked counts for the zone of the clients, wherever it goes; what waits and is
@@ -43,13 +43,13 @@
 	for _, load := range places {
 		all = all.Plus(load)
 	}
-	require.Equal(t, 1.0, all.Openings, "a copy opens nothing")
-	require.Equal(t, 3.0, all.Answers, "the third request still waits")
+	require.Equal(t, 1.0, all.NewFlows, "a copy opens nothing")
+	require.Equal(t, 3.0, all.Responses, "the third request still waits")
 	require.Equal(t, 1.0, places[lendingIn("giza")].Refusals)
-	require.Equal(t, 5.0, places[lendingIn("giza")].Asks, "three of one flow, one of another, and the refused one")
-	require.Zero(t, places[lendingIn("maadi")].Asks, "no client of that zone asks here")
-	require.Positive(t, places[lendingIn("maadi")].Answers)
-	require.Zero(t, summaryAt(flows, 2000)[lendingIn("giza")].Asks, "each counts once")
+	require.Equal(t, 5.0, places[lendingIn("giza")].Offered, "three of one flow, one of another, and the refused one")
+	require.Zero(t, places[lendingIn("maadi")].Offered, "no client of that zone asks here")
+	require.Positive(t, places[lendingIn("maadi")].Responses)
+	require.Zero(t, summaryAt(flows, 2000)[lendingIn("giza")].Offered, "each counts once")
 }
 
 // Back ends that are full reset flows, which clients don't tell: in bursts, 1,483
@@ -81,7 +81,7 @@
 		flows.Decide(table, Packet{Key: clientKey(1), Token: opened.Token, Acknowledged: 5000*n + 1}, at(now+60))
 	}
 	place := summaryAt(flows, 1030)[lendingIn(opened.Zone)]
-	require.InDelta(t, 0.6*0.5, place.Waiting, 0.03, "60 ms in 100, half of them on the way")
+	require.InDelta(t, 0.6*0.5, place.InFlight, 0.03, "60 ms in 100, half of them on the way")
 }
 
 // A zone of a small weight takes its part, which the least used among the back ends of
@@ -145,9 +145,9 @@
 			continue
 		}
 		summaries++
-		for _, load := range summary.Places {
-			waiting += load.Waiting
-			answers += load.Answers * summaryPause.Seconds()
+		for _, load := range summary.Loads {
+			waiting += load.InFlight
+			answers += load.Responses * summaryPause.Seconds()
 		}
 		if flows.loads[incarnation.ID{Number: 2}].waiting == 0 {
 			idle++
@@ -198,7 +198,7 @@
 	}
 	flows.Summarize(at(1650))
 	load := summaryAt(flows, 2000)[lendingIn("maadi")]
-	require.Zero(t, load.Waiting)
+	require.Zero(t, load.InFlight)
 }
 
 // The answer to a request that was taken for lost tells how slow the back end is.
@@ -209,7 +209,7 @@
 	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].waiting)
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 5001}, at(2000))
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 6001}, at(2010))
-	require.Equal(t, 1.0, summaryAt(flows, 2500)[lendingIn("maadi")].Answers)
+	require.Equal(t, 1.0, summaryAt(flows, 2500)[lendingIn("maadi")].Responses)
 	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].place.took, 1e-9)
 	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].waiting)
 }
@@ -272,7 +272,7 @@
 		compared := make(map[uint64]*Backend)
 		route := table.Route(key(port).Address())
 		first := route.poolFor(key(port).Hash())
-		var leader [1]rule.Leader
+		var leader [1]rule.RankedCandidate
 		require.Equal(t, 1, first.topCandidates(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
 		zone := first.backend(leader[0]).Zone
 		zones[zone]++
@@ -282,7 +282,7 @@
 		})
 		require.Len(t, compared, 4)
 		ahead := 0
-		of := first.zones[leader[0].Rule]
+		of := first.zones[leader[0].RuleIndex]
 		for _, score := range of.rule.Score(key(port).Hash()) {
 			backend := of.eligible[score.Backend-1]
 			if ahead < 4 {
@@ -307,8 +307,8 @@
 		flows.Decide(table, packet, at(1000+40*sequence))
 	}
 	load := summaryAt(flows, 1780)[lendingIn("maadi")]
-	require.Less(t, load.Waiting, 0.1)
+	require.Less(t, load.InFlight, 0.1)
 	flows.Summarize(at(2040))
 	load = summaryAt(flows, 2300)[lendingIn("maadi")]
-	require.InDelta(t, 1, load.Waiting, 0.05, "whole, and not answered")
+	require.InDelta(t, 1, load.InFlight, 0.05, "whole, and not answered")
 }
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -79,7 +79,7 @@
 	Reason  Reason
 	Backend *Backend
 	// Level is that by which the flow was refused for want of room.
-	Level *admission.Level
+	Level *admission.Refusal
 }
 
 // Decide decides one packet by a table, which may be nil while nothing is
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -19,7 +19,7 @@
 	memory *memory
 	queue  []waiting
 	// places are what is asked of each pool in each zone.
-	places map[demand.Place]*placeAsked
+	places map[demand.ZonePool]*placeAsked
 	silent map[incarnation.ID]*silence
 	zones  *zones
 	loads  map[incarnation.ID]*load
@@ -30,7 +30,7 @@
 	// cold counts what goes to cold back ends.
 	cold warmupLimiter
 	// levels say which new flows are refused for want of room.
-	levels atomic.Pointer[admission.Levels]
+	levels atomic.Pointer[admission.Refusals]
 	// saturated are the pools whose answers tell of their queues.
 	saturated atomic.Pointer[map[string]bool]
 	// table is the latest one, and restarted are the starts whose earlier flows were given
@@ -158,7 +158,7 @@
 	known := f.loads[backend.Incarnation()]
 	if known == nil {
 		known = &load{pool: f.poolUse(backend.Pool), place: f.placeAsked(backend.Pool, backend.Zone),
-			answers: make(map[flow.Address]*observe.Answers)}
+			answers: make(map[flow.Address]*observe.ResponseHistory)}
 		f.loads[backend.Incarnation()] = known
 	}
 	return known
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -30,24 +30,24 @@
 
 // Receive handles an observation of another balancer. It ignores observations of back ends that the
 // table doesn't have, or of which it has another start.
-func (f *Flows) Receive(observation evidence.Statement, table *Table, now time.Time) {
+func (f *Flows) Receive(observation evidence.Observation, table *Table, now time.Time) {
 	if table == nil || f.off.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	backend := table.Backend(observation.About())
+	backend := table.Backend(observation.BackendID())
 	if backend == nil {
 		return
 	}
 	switch received := observation.(type) {
-	case evidence.Witness:
+	case evidence.UnansweredRequest:
 		f.liveness.receive(received, backend, now)
-	case evidence.SignOfLife:
+	case evidence.Activity:
 		f.liveness.recordActivity(backend, received.At)
 	}
 }
 
 // TakeObservations returns and removes the observations to be sent to other balancers.
-func (f *Flows) TakeObservations() []evidence.Statement {
+func (f *Flows) TakeObservations() []evidence.Observation {
 	taken := f.liveness.observations
 	f.liveness.observations = nil
 	return taken
@@ -64,7 +64,7 @@
 // this balancer reaches the back end over the same path as the other one: if both are in the same
 // zone, or if the other one is in the zone of the back end. Reports from an isolated zone about
 // back ends in other zones therefore count only in the isolated zone.
-func (d *FailureDetector) receive(request evidence.Witness, backend *Backend, now time.Time) {
+func (d *FailureDetector) receive(request evidence.UnansweredRequest, backend *Backend, now time.Time) {
 	if request.Zone != d.zone && request.Zone != backend.Zone {
 		return
 	}
@@ -146,7 +146,7 @@
 
 // reportUnanswered queues an observation that a client's request was not answered.
 func (d *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
-	d.queueObservation(evidence.Witness{
+	d.queueObservation(evidence.UnansweredRequest{
 		Backend: backend.Incarnation(),
 		Client:  evidence.Client(binary.BigEndian.Uint32(client[:])),
 		Zone:    d.zone,
@@ -157,19 +157,19 @@
 // reportActivity queues an observation of when the back end was last known to be alive, for
 // balancers that have only older knowledge.
 func (d *FailureDetector) reportActivity(backend *Backend, health *backendHealth) {
-	d.queueObservation(evidence.SignOfLife{Backend: backend.Incarnation(), At: health.activeAt})
+	d.queueObservation(evidence.Activity{Backend: backend.Incarnation(), At: health.activeAt})
 }
 
 // queueObservation queues an observation for the other balancers, and drops it if the queue is
 // full.
-func (d *FailureDetector) queueObservation(observation evidence.Statement) {
+func (d *FailureDetector) queueObservation(observation evidence.Observation) {
 	if d.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
-	_, isActivity := observation.(evidence.SignOfLife)
+	_, isActivity := observation.(evidence.Activity)
 	queued := 0
 	for _, each := range d.observations {
-		if _, ok := each.(evidence.SignOfLife); ok == isActivity {
+		if _, ok := each.(evidence.Activity); ok == isActivity {
 			queued++
 		}
 	}
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -35,7 +35,7 @@
 
 type simulatedBalancer struct {
 	flows *Flows
-	board evidence.Board
+	board evidence.Buffer
 	// sentUpTo is the sequence up to which the neighbours were told.
 	sentUpTo      uint64
 	nextMessageAt int
@@ -45,7 +45,7 @@
 // message are statements under way to a balancer.
 type message struct {
 	from         string
-	observations []evidence.Statement
+	observations []evidence.Observation
 	arrivesAt    int
 }
 
@@ -195,7 +195,7 @@
 	for _, observation := range node.flows.TakeObservations() {
 		node.board.Add(observation, "", at(now))
 	}
-	if now < node.nextMessageAt || node.sentUpTo == node.board.Latest() {
+	if now < node.nextMessageAt || node.sentUpTo == node.board.LastSequence() {
 		return
 	}
 	node.nextMessageAt = now + batchTime
@@ -205,7 +205,7 @@
 	for child := index*treeWidth + 1; child <= min(index*treeWidth+treeWidth, len(s.balancers)-1); child++ {
 		s.send(index, child, now)
 	}
-	node.sentUpTo = node.board.Latest()
+	node.sentUpTo = node.board.LastSequence()
 }
 
 func (s *simulation) send(from, to, now int) {
@@ -259,8 +259,8 @@
 	sim := newSimulation(88, 150, 50, mechanism.Set{})
 	sim.run(7000)
 	for index := range sim.balancers {
-		require.Zero(t, sim.balancers[index].board.Refused.Load())
-		require.Less(t, int(sim.balancers[index].board.Latest()), 600)
+		require.Zero(t, sim.balancers[index].board.Dropped.Load())
+		require.Less(t, int(sim.balancers[index].board.LastSequence()), 600)
 	}
 	require.NotEmpty(t, sim.detectionTimes())
 }
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -22,8 +22,8 @@
 		inZone(backend(2, 4, "lending"), "giza"))
 }
 
-func unanswered(number uint64, client evidence.Client, zone string, sentAt int) evidence.Witness {
-	return evidence.Witness{Backend: evidence.Backend{Number: number}, Client: client, Zone: zone, SentAt: at(sentAt)}
+func unanswered(number uint64, client evidence.Client, zone string, sentAt int) evidence.UnansweredRequest {
+	return evidence.UnansweredRequest{Backend: evidence.Backend{Number: number}, Client: client, Zone: zone, SentAt: at(sentAt)}
 }
 
 // countResets settles and returns how many flows are reset.
@@ -68,7 +68,7 @@
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(flows, table, 2, []byte{1}, 0, 600))
 	told := flows.TakeObservations()
 	require.Len(t, told, 1)
-	require.Equal(t, at(0), told[0].When())
+	require.Equal(t, at(0), told[0].Time())
 	flows.Receive(unanswered(2, 102, "", 10), table, at(650))
 	require.Equal(t, 1, countResets(flows, 650+pendingMillis))
 }
@@ -90,7 +90,7 @@
 	before.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	before.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	require.Zero(t, countResets(before, 700+pendingMillis), "it answered since")
-	require.Equal(t, []evidence.Statement{evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}},
+	require.Equal(t, []evidence.Observation{evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}},
 		before.TakeObservations(), "and the others are told")
 
 	meanwhile := NewFlows(mechanism.Set{}).InZone("maadi")
@@ -104,7 +104,7 @@
 	exchange(told, table, 1, 2, 0)
 	told.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	told.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
-	told.Receive(evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(160)}, table, at(800))
+	told.Receive(evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(160)}, table, at(800))
 	require.Zero(t, countResets(told, 700+pendingMillis), "another balancer saw an answer")
 	told.Receive(unanswered(2, 103, "maadi", 155), table, at(900))
 	require.Zero(t, countResets(told, 1500), "older than that answer")
@@ -121,7 +121,7 @@
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	told := flows.TakeObservations()
 	require.Len(t, told, maxObservations+1)
-	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[maxObservations])
+	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[maxObservations])
 }
 
 // A sign of life ends a verdict too.
@@ -131,7 +131,7 @@
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	countResets(flows, 700+pendingMillis)
 	require.Equal(t, Refuse, flows.Decide(table, request(4, 2, 1), at(1000)).Verdict)
-	flows.Receive(evidence.SignOfLife{Backend: evidence.Backend{Number: 2}, At: at(1000)}, table, at(1050))
+	flows.Receive(evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(1000)}, table, at(1050))
 	require.Equal(t, Forward, flows.Decide(table, request(4, 2, 1), at(1060)).Verdict)
 }
 
@@ -285,7 +285,7 @@
 
 // delayedObservation is a statement under way.
 type delayedObservation struct {
-	observation evidence.Statement
+	observation evidence.Observation
 	arrivesAt   int
 }
 
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -73,7 +73,7 @@
 	abandoned []Abandoned
 	failures  []BackendFailure
 	// observations holds what has yet to be sent to the other balancers.
-	observations []evidence.Statement
+	observations []evidence.Observation
 	// pending lists the back ends whose combined reports wait for contradicting activity.
 	pending []pendingEvaluation
 	// FailureCount counts the detected failures of back ends.
@@ -178,7 +178,7 @@
 	health := d.healthOf(backend)
 	if state.load != nil && tracked.repeats == 0 && !tracked.timed {
 		tracked.timed = true
-		state.load.answersTo(key.Address()).Time(now.Sub(tracked.sentAt))
+		state.load.answersTo(key.Address()).AddTime(now.Sub(tracked.sentAt))
 	}
 	if !tracked.counted {
 		tracked.counted = true
--- a/internal/tokenroute/living_test.go
+++ b/internal/tokenroute/living_test.go
@@ -92,7 +92,7 @@
 			if seenHere {
 				z.flows.Decide(z.table, acknowledgement(client, Token(client)), at(1910))
 			} else {
-				z.flows.Receive(evidence.SignOfLife{Backend: evidence.Backend{Number: uint64(client)}, At: at(1910)}, z.table, at(1910+pendingMillis-20))
+				z.flows.Receive(evidence.Activity{Backend: evidence.Backend{Number: uint64(client)}, At: at(1910)}, z.table, at(1910+pendingMillis-20))
 			}
 		}
 		require.Empty(t, z.reset(2100))
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -63,13 +63,13 @@
 	require.Equal(t, Forward, flows.Decide(after, request(1, 2, 1), at(1400)).Verdict, "a copy of what the earlier one left unanswered")
 	flows.TakeAbandoned()
 	for client := range evidence.Client(3) {
-		flows.Receive(evidence.Witness{Backend: id(2, -60_000), Client: client + 50, SentAt: at(900)}, after, at(1600))
+		flows.Receive(evidence.UnansweredRequest{Backend: id(2, -60_000), Client: client + 50, SentAt: at(900)}, after, at(1600))
 	}
 	flows.EvaluatePending(at(2000))
 	require.Equal(t, Forward, flows.Decide(after, request(4, 2, 1), at(2001)).Verdict, "witnesses of the earlier start")
 	require.Empty(t, flows.TakeAbandoned())
 	for client := range evidence.Client(2) {
-		flows.Receive(evidence.Witness{Backend: id(2, 500), Client: client + 50, SentAt: at(1500)}, after, at(2100))
+		flows.Receive(evidence.UnansweredRequest{Backend: id(2, 500), Client: client + 50, SentAt: at(1500)}, after, at(2100))
 	}
 	flows.EvaluatePending(at(2400))
 	require.Equal(t, Refuse, flows.Decide(after, request(5, 2, 1), at(2401)).Verdict, "witnesses of this one")
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -87,7 +87,7 @@
 	admittedPools map[string]bool
 	admitAllPools bool
 	// urgency is the priority of the route's requests.
-	urgency admission.Urgency
+	urgency admission.Priority
 }
 
 // pool holds the back ends of one pool that may take new flows.
@@ -253,7 +253,7 @@
 		return nil
 	}
 	for _, worst := range []Preference{Preferred, Suspected, Avoided} {
-		var leaders [maxCandidates]rule.Leader
+		var leaders [maxCandidates]rule.RankedCandidate
 		count := chosen.topCandidates(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > worst })
 		if count > 0 {
 			return chosen.leastLoaded(leaders[:count], inUse)
@@ -265,30 +265,30 @@
 // topCandidates fills leaders with the highest-ranked back ends for a hash that are not excluded,
 // and returns their number. If the zone is chosen by weight alone, all of them are in the zone of
 // the first one.
-func (p *pool) topCandidates(hash uint64, leaders []rule.Leader, excluded func(*Backend) bool) int {
-	count := rule.Leaders(p.rules, hash, leaders, func(i int, candidate uint32) bool {
+func (p *pool) topCandidates(hash uint64, leaders []rule.RankedCandidate, excluded func(*Backend) bool) int {
+	count := rule.TopCandidates(p.rules, hash, leaders, func(i int, candidate uint32) bool {
 		return excluded(p.zones[i].eligible[candidate-1])
 	})
 	if !p.zoneByWeight || count < 2 {
 		return count
 	}
-	zone := leaders[0].Rule
-	inOtherZone := func(each rule.Leader) bool { return each.Rule != zone }
+	zone := leaders[0].RuleIndex
+	inOtherZone := func(each rule.RankedCandidate) bool { return each.RuleIndex != zone }
 	if !slices.ContainsFunc(leaders[:count], inOtherZone) {
 		return count
 	}
-	count = rule.Leaders(p.rules[zone:zone+1], hash, leaders, func(_ int, candidate uint32) bool {
+	count = rule.TopCandidates(p.rules[zone:zone+1], hash, leaders, func(_ int, candidate uint32) bool {
 		return excluded(p.zones[zone].eligible[candidate-1])
 	})
 	for i := range leaders[:count] {
-		leaders[i].Rule = zone
+		leaders[i].RuleIndex = zone
 	}
 	return count
 }
 
 // backend returns the back end that a leader refers to.
-func (p *pool) backend(leader rule.Leader) *Backend {
-	return p.zones[leader.Rule].eligible[leader.Backend-1]
+func (p *pool) backend(leader rule.RankedCandidate) *Backend {
+	return p.zones[leader.RuleIndex].eligible[leader.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil if there is none.
@@ -332,7 +332,7 @@
 }
 
 // leastLoaded returns the back end with the lowest load relative to its weight.
-func (p *pool) leastLoaded(leaders []rule.Leader, inUse func(*Backend) int) *Backend {
+func (p *pool) leastLoaded(leaders []rule.RankedCandidate, inUse func(*Backend) int) *Backend {
 	var best *Backend
 	bestUse, bestWeight := 0, 1
 	for _, leader := range leaders {
