--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -121,7 +121,7 @@
 // renew makes a table by the findings of now.
 func (b *burstFleet) renew() {
 	b.table = tokenroute.NewTable(b.known, tokenroute.Options{Now: b.now, Previous: b.table,
-		Weight: func(entry directory.BackendEntry) uint32 {
+		WeightOf: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.share[entry.GetNumber()-1] * shares.HealthWeight(b.unwell[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -22,17 +22,17 @@
 	evacuated := c.evacuated()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.directory, tokenroute.Options{
-		Weight:         weights.of,
-		PlaceWeight:    weights.ofPlace,
-		Evacuated:      evacuated,
-		Warmup:         c.newWarming(now).teller(),
-		FormerPools:    c.formerPools(now),
-		ZoneByWeight:   weights.byZone,
-		AdmitAllPools:  now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		StoreRecovery:  c.lapse(),
-		EmptyPoolGrace: c.emptyPoolGrace(),
-		Previous:       c.balancer.table.Load(),
-		Now:            now,
+		WeightOf:         weights.of,
+		WeightOfPoolZone: weights.ofPlace,
+		Evacuated:        evacuated,
+		WarmupOf:         c.newWarming(now).teller(),
+		FormerPools:      c.formerPools(now),
+		ZoneByWeight:     weights.byZone,
+		AdmitAllPools:    now.Sub(c.firstRoutesAt) < c.flowRetention(),
+		StoreRecovery:    c.lapse(),
+		EmptyPoolGrace:   c.emptyPoolGrace(),
+		Previous:         c.balancer.table.Load(),
+		Now:              now,
 	})
 	if table == nil {
 		return
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -89,8 +89,8 @@
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for place, c := range f.controls {
 		evacuated := c.evacuated()
-		tables[place] = tokenroute.NewTable(c.directory, tokenroute.Options{Weight: c.weigher(evacuated, f.now),
-			Evacuated: evacuated, Warmup: c.newWarming(f.now).of, Now: f.now})
+		tables[place] = tokenroute.NewTable(c.directory, tokenroute.Options{WeightOf: c.weigher(evacuated, f.now),
+			Evacuated: evacuated, WarmupOf: c.newWarming(f.now).of, Now: f.now})
 	}
 	total := perSecond * int(coldLength/time.Second)
 	for number := range total {
--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -97,7 +97,7 @@
 	for _, byZone := range []bool{false, true} {
 		made := defaultOptions()
 		made.ZoneByWeight = func(pool string) bool { return byZone && pool == "lending" }
-		made.Weight = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
+		made.WeightOf = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
 		table, flows := NewTable(known, made), NewFlows(mechanism.Set{}).InZone("maadi")
 		there := 0
 		for port := range 2200 {
@@ -217,7 +217,7 @@
 // What clients think before their first request is no way.
 func TestThinkingIsNoWay(t *testing.T) {
 	made := defaultOptions()
-	made.Weight = func(entry directory.BackendEntry) uint32 {
+	made.WeightOf = func(entry directory.BackendEntry) uint32 {
 		if entry.GetZone() == "maadi" {
 			return 1000
 		}
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -63,7 +63,7 @@
 	for i, group := range b.groups {
 		listed[group.Place] = true
 		previous := b.previous.poolZones[group.Place]
-		if previous != nil && previous.version == group.Version && b.options.Warmup == nil {
+		if previous != nil && previous.version == group.Version && b.options.WarmupOf == nil {
 			backends[i] = previous.backends
 			continue
 		}
@@ -106,8 +106,8 @@
 // reused if it is unchanged.
 func (b *builder) backend(entry directory.BackendEntry, previous *Backend) *Backend {
 	updated := newBackend(entry)
-	if b.options.Warmup != nil {
-		updated.Warmup = b.options.Warmup(entry)
+	if b.options.WarmupOf != nil {
+		updated.Warmup = b.options.WarmupOf(entry)
 	}
 	if previous != nil && *previous == updated {
 		return previous
@@ -223,7 +223,7 @@
 		if !ready {
 			zone = b.vanishedPoolZone(group, zone)
 		}
-		built.withheldByEvacuation = built.withheldByEvacuation || zone.withheldByEvacuation
+		built.withheld = built.withheld || zone.withheldByEvacuation
 		built.zones = append(built.zones, zone)
 		built.rules = append(built.rules, zone.rule)
 	}
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -17,10 +17,10 @@
 // simulation runs balancers of one zone in virtual time. They form a tree along which they exchange
 // observations, and forward requests to back ends, some of which fall silent at the same time.
 type simulation struct {
-	random    *rand.Rand
-	table     *Table
-	balancers []simulatedBalancer
-	flows     []simulatedFlow
+	random *rand.Rand
+	table  *Table
+	nodes  []simulatedBalancer
+	flows  []simulatedFlow
 	// failedAt is when the first failed back ends fall silent.
 	failed, failedAt int
 	// detectedAfter maps a balancer and a failed back end to the time from the failure until the
@@ -100,7 +100,7 @@
 	built := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for index := range balancers {
-		built.balancers = append(built.balancers, simulatedBalancer{flows: NewFlows(off).InZone(home(index))})
+		built.nodes = append(built.nodes, simulatedBalancer{flows: NewFlows(off).InZone(home(index))})
 	}
 	for number := range backends * flows {
 		index := len(built.flows)
@@ -118,7 +118,7 @@
 		for index := range s.flows {
 			s.ask(&s.flows[index], now)
 		}
-		for index := range s.balancers {
+		for index := range s.nodes {
 			s.applyResets(index, now)
 			s.exchange(index, now)
 		}
@@ -139,7 +139,7 @@
 		}
 	case !silent && f.repeats == 0:
 		// The answer to the request has arrived, and the client acknowledges it.
-		s.balancers[f.balancer].flows.Decide(s.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
+		s.nodes[f.balancer].flows.Decide(s.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
 			Acknowledged: 5000*f.requests + 300}, at(now))
 		f.waiting, f.nextAt = false, now+1000+s.random.IntN(4000)
 		return
@@ -147,7 +147,7 @@
 		f.repeats++
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
-	if s.balancers[f.balancer].flows.Decide(s.table, packet, at(now)).Verdict == Refuse {
+	if s.nodes[f.balancer].flows.Decide(s.table, packet, at(now)).Verdict == Refuse {
 		s.reset(f)
 		return
 	}
@@ -166,7 +166,7 @@
 
 // applyResets resets the flows that a balancer abandons.
 func (s *simulation) applyResets(index, now int) {
-	node := &s.balancers[index]
+	node := &s.nodes[index]
 	node.flows.EvaluatePending(at(now))
 	for _, abandoned := range node.flows.TakeAbandoned() {
 		number := int(abandoned.Backend.Number) - 1
@@ -183,7 +183,7 @@
 
 // exchange handles the messages that have arrived and sends new observations up and down the tree.
 func (s *simulation) exchange(index, now int) {
-	node := &s.balancers[index]
+	node := &s.nodes[index]
 	kept := node.inbox[:0]
 	for _, each := range node.inbox {
 		if each.arrivesAt > now {
@@ -207,20 +207,20 @@
 	if index > 0 {
 		s.send(index, (index-1)/treeWidth, now)
 	}
-	for child := index*treeWidth + 1; child <= min(index*treeWidth+treeWidth, len(s.balancers)-1); child++ {
+	for child := index*treeWidth + 1; child <= min(index*treeWidth+treeWidth, len(s.nodes)-1); child++ {
 		s.send(index, child, now)
 	}
 	node.sentUpTo = node.board.LastSequence()
 }
 
 func (s *simulation) send(from, to, now int) {
-	observations := s.balancers[from].board.Since(s.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
+	observations := s.nodes[from].board.Since(s.nodes[from].sentUpTo, fmt.Sprint(to), at(now))
 	if len(observations) > 0 {
 		arrivesAt := now + messageTime
 		if s.extraDelay != nil {
 			arrivesAt += s.extraDelay(from, now) + s.extraDelay(to, now)
 		}
-		s.balancers[to].inbox = append(s.balancers[to].inbox, message{from: fmt.Sprint(from), observations: observations, arrivesAt: arrivesAt})
+		s.nodes[to].inbox = append(s.nodes[to].inbox, message{from: fmt.Sprint(from), observations: observations, arrivesAt: arrivesAt})
 	}
 }
 
@@ -265,9 +265,9 @@
 func TestObservationsStayBoundedWhenThirdOfBackendsFails(t *testing.T) {
 	sim := newSimulation(88, 150, 50, mechanism.Set{})
 	sim.run(7000)
-	for index := range sim.balancers {
-		require.Zero(t, sim.balancers[index].board.Dropped.Load())
-		require.Less(t, int(sim.balancers[index].board.LastSequence()), 600)
+	for index := range sim.nodes {
+		require.Zero(t, sim.nodes[index].board.Dropped.Load())
+		require.Less(t, int(sim.nodes[index].board.LastSequence()), 600)
 	}
 	require.NotEmpty(t, sim.detectionTimes())
 }
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -266,7 +266,7 @@
 				group.deliver(member, table, now)
 				member.flows.EvaluatePending(at(now))
 				require.Empty(t, member.flows.TakeAbandoned(), "at %d ms", now)
-				group.send(position, now, latest)
+				group.broadcast(position, now, latest)
 			}
 		}
 	})
@@ -307,7 +307,7 @@
 	}
 }
 
-func (g *balancerGroup) send(from, now, latest int) {
+func (g *balancerGroup) broadcast(from, now, latest int) {
 	for _, observation := range g.members[from].flows.TakeObservations() {
 		for position := range g.members {
 			if position != from {
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -17,7 +17,7 @@
 	version uint64
 	weight  uint32
 	uniform bool
-	// evacuated is set while the zone takes no new flows, and withheldByEvacuation if at least one
+	// evacuated is set while the zone takes no new flows, and withheld if at least one
 	// back end takes none only for that reason.
 	evacuated, withheldByEvacuation bool
 	// timeIndependent is set unless the pool zone changes with time alone.
@@ -48,7 +48,7 @@
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
 	built := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
-		timeIndependent: b.options.Warmup == nil, backends: backends}
+		timeIndependent: b.options.WarmupOf == nil, backends: backends}
 	for i := range group.Entries {
 		entry, backend := &group.Entries[i], backends[i]
 		if entry.Restarted {
@@ -95,10 +95,10 @@
 // weight returns the weight for new flows of each back end of a pool in one zone if all of them
 // have the same, and reports whether they do.
 func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
-	if b.options.PlaceWeight == nil {
+	if b.options.WeightOfPoolZone == nil {
 		return 0, false
 	}
-	return b.options.PlaceWeight(place)
+	return b.options.WeightOfPoolZone(place)
 }
 
 // rule returns the rule that ranks the given back ends of a group for a flow.
@@ -110,7 +110,7 @@
 			for group.Entries[next].GetId() != backend.ID {
 				next++
 			}
-			weight = b.options.Weight(group.Entries[next])
+			weight = b.options.WeightOf(group.Entries[next])
 		}
 		candidates[i] = rule.Candidate{Backend: uint32(i + 1), Weight: weight, Identity: backend.Number}
 	}
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -19,32 +19,32 @@
 // restartingBackend is a directory of three back ends, the second of which restarts under the same
 // number.
 type restartingBackend struct {
-	directory *directory.Directory
-	revision  uint64
+	entries  *directory.Directory
+	revision uint64
 }
 
 func newRestartingBackend(startedAt int) *restartingBackend {
-	built := &restartingBackend{directory: directory.New(time.Minute), revision: 100}
+	built := &restartingBackend{entries: directory.New(time.Minute), revision: 100}
 	first := backend(2, 2, "lending")
 	first.GetBackend().StartedMilliseconds = startOf(startedAt)
 	table := routes(1, route(1, share("lending", 1)))
 	table.GetRoutes().IdleMilliseconds = 15_000
 	changes := []*apiv1.DirectoryChange{table, backend(2, 1, "lending"), first, backend(2, 3, "lending")}
-	built.directory.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: built.revision}, at(startedAt))
+	built.entries.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: built.revision}, at(startedAt))
 	return built
 }
 
 // startOf returns the start in the directory entry of a back end that started at the given time.
 func startOf(milliseconds int) uint64 { return uint64(at(milliseconds).UnixMilli()) }
 
-func (r *restartingBackend) table() *Table { return NewTable(r.directory, defaultOptions()) }
+func (r *restartingBackend) table() *Table { return NewTable(r.entries, defaultOptions()) }
 
 // restart applies a restart of the second back end to the directory and returns the new table.
 func (r *restartingBackend) restart(startedAt, learnedAt int) *Table {
 	r.revision++
 	restarted := backend(r.revision, 2, "lending")
 	restarted.GetBackend().StartedMilliseconds = startOf(startedAt)
-	r.directory.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{restarted}, Revision: r.revision}, at(learnedAt))
+	r.entries.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{restarted}, Revision: r.revision}, at(learnedAt))
 	return r.table()
 }
 
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -96,19 +96,19 @@
 	// zones holds the back ends by zone, and rules the rule of each zone in the same order.
 	zones []*poolZone
 	rules []*rule.Rule
-	// withheldByEvacuation is set if at least one back end takes no new flows only because its zone
+	// withheld is set if at least one back end takes no new flows only because its zone
 	// is evacuated.
-	withheldByEvacuation bool
+	withheld bool
 	// zoneByWeight is set if the zone of a new flow is chosen by weight alone.
 	zoneByWeight bool
 }
 
 // Options holds what a table depends on besides the directory.
 type Options struct {
-	Weight WeightFunc
-	// PlaceWeight returns the weight of each back end of a pool in one zone if they all have the
-	// same, and reports whether they do. If it is nil, Weight is called for each back end.
-	PlaceWeight func(place directory.Place) (weight uint32, uniform bool)
+	WeightOf WeightFunc
+	// WeightOfPoolZone returns the weight of each back end of a pool in one zone if they all have the
+	// same, and reports whether they do. If it is nil, WeightOf is called for each back end.
+	WeightOfPoolZone func(place directory.Place) (weight uint32, uniform bool)
 	// FormerPools maps a route's address to the pools that the route had before. The open flows of
 	// these pools stay where they are.
 	FormerPools map[flow.Address]map[string]bool
@@ -119,8 +119,8 @@
 	// Evacuated maps each zone whose back ends get no new flows to the revision of the operator's
 	// evacuation order.
 	Evacuated map[string]uint64
-	// Warmup returns how cold a back end is. If it is nil, all back ends are warm.
-	Warmup func(backend directory.BackendEntry) Warmup
+	// WarmupOf returns how cold a back end is. If it is nil, all back ends are warm.
+	WarmupOf func(backend directory.BackendEntry) Warmup
 	// StoreRecovery is the period after an outage of the store in which entries that expired during
 	// the outage may come back.
 	StoreRecovery StoreRecovery
@@ -320,7 +320,7 @@
 		return ReasonNoBackend
 	case chosen.acceptsAny(hash):
 		return ReasonCold
-	case chosen.withheldByEvacuation:
+	case chosen.withheld:
 		return ReasonEvacuated
 	}
 	return ReasonNoBackend
--- a/internal/tokenroute/takeover_test.go
+++ b/internal/tokenroute/takeover_test.go
@@ -74,8 +74,8 @@
 				return rule.MaximumWeight
 			}
 			nonUniform := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			settings.PlaceWeight = func(place directory.Place) (uint32, bool) { return weightOf(place), !nonUniform }
-			settings.Weight = func(entry directory.BackendEntry) uint32 {
+			settings.WeightOfPoolZone = func(place directory.Place) (uint32, bool) { return weightOf(place), !nonUniform }
+			settings.WeightOf = func(entry directory.BackendEntry) uint32 {
 				if nonUniform && entry.GetNumber()%2 == 0 {
 					return 500
 				}
@@ -106,7 +106,7 @@
 	}
 	all := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
 	settings := defaultOptions()
-	settings.PlaceWeight = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
+	settings.WeightOfPoolZone = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
 	before := NewTable(all, settings)
 	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
--- a/internal/tokenroute/warming_test.go
+++ b/internal/tokenroute/warming_test.go
@@ -77,7 +77,7 @@
 // coldZone returns options under which the back ends of a zone are cold until the given time.
 func coldZone(zone string, until time.Time, allowance int, rated bool) Options {
 	settings := defaultOptions()
-	settings.Warmup = func(backend directory.BackendEntry) Warmup {
+	settings.WarmupOf = func(backend directory.BackendEntry) Warmup {
 		if backend.GetZone() != zone {
 			return Warmup{}
 		}
