--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -20,7 +20,7 @@
 // to all back ends took 15 ms.
 type builder struct {
 	options   Options
-	previous  *Table
+	prior     *Table
 	groups    []*directory.Group
 	tokens    *tokenIndexBuilder
 	poolZones map[directory.Place]*poolZone
@@ -40,7 +40,7 @@
 	}
 	b := &builder{
 		options:          options,
-		previous:         previous,
+		prior:            previous,
 		groups:           source.Groups(),
 		tokens:           newTokenIndexBuilder(previous.tokens),
 		poolZones:        make(map[directory.Place]*poolZone),
@@ -58,26 +58,26 @@
 // indexBackends returns the back ends of each group, in the order of its entries, and updates the
 // token index.
 func (b *builder) indexBackends() [][]*Backend {
-	backends := make([][]*Backend, len(b.groups))
+	byGroup := make([][]*Backend, len(b.groups))
 	listed := make(map[directory.Place]bool, len(b.groups))
 	for i, group := range b.groups {
 		listed[group.Place] = true
-		previous := b.previous.poolZones[group.Place]
-		if previous != nil && previous.version == group.Version && b.options.WarmupOf == nil {
-			backends[i] = previous.backends
+		prior := b.prior.poolZones[group.Place]
+		if prior != nil && prior.version == group.Version && b.options.WarmupOf == nil {
+			byGroup[i] = prior.backends
 			continue
 		}
-		if previous == nil {
-			previous = &poolZone{}
+		if prior == nil {
+			prior = &poolZone{}
 		}
-		backends[i] = b.backendsOf(group, previous.backends)
+		byGroup[i] = b.backendsOf(group, prior.backends)
 	}
-	for place, previous := range b.previous.poolZones {
+	for place, prior := range b.prior.poolZones {
 		if !listed[place] {
-			b.removeTokens(previous.backends)
+			b.removeTokens(prior.backends)
 		}
 	}
-	return backends
+	return byGroup
 }
 
 // backendsOf returns the back ends of a group, sorted by ID. Those that have not changed are reused
@@ -136,7 +136,7 @@
 func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
-	zone := b.previous.poolZones[group.Place]
+	zone := b.prior.poolZones[group.Place]
 	if zone == nil || b.sharedTokenPools[group.Pool] || !zone.reusable(group.Version, evacuated, weight, uniform) {
 		zone = b.poolZone(group, backends)
 	}
@@ -211,8 +211,8 @@
 // pool returns a pool with the back ends of all its zones. If no zone has a back end that may take
 // new flows, those that disappeared recently may.
 func (b *builder) pool(name string) *pool {
-	if existing := b.pools[name]; existing != nil {
-		return existing
+	if built := b.pools[name]; built != nil {
+		return built
 	}
 	built := &pool{name: name, zoneByWeight: b.options.ZoneByWeight != nil && b.options.ZoneByWeight(name)}
 	b.pools[name] = built
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -37,8 +37,8 @@
 }
 
 type simulatedBalancer struct {
-	flows *Flows
-	board evidence.Buffer
+	flows  *Flows
+	buffer evidence.Buffer
 	// sentUpTo is the sequence number up to which observations were sent to the neighbors.
 	sentUpTo      uint64
 	nextMessageAt int
@@ -76,14 +76,14 @@
 	batchTime   = 25
 )
 
-func newSimulation(balancers, backends, dead int, off mechanism.Set) *simulation {
+func newSimulation(balancers, backends, failed int, disabled mechanism.Set) *simulation {
 	noZone := func(int) string { return "" }
-	return newZonedSimulation(balancers, backends, dead, off, noZone, noZone)
+	return newZonedSimulation(balancers, backends, failed, disabled, noZone, noZone)
 }
 
 // newZonedSimulation returns a simulation with balancers and back ends in several zones.
-func newZonedSimulation(balancers, backends, dead int, off mechanism.Set, home, zone func(number int) string) *simulation {
-	return newSimulationWithFlows(balancers, backends, dead, busyFlows, off, home, zone)
+func newZonedSimulation(balancers, backends, failed int, disabled mechanism.Set, home, zone func(number int) string) *simulation {
+	return newSimulationWithFlows(balancers, backends, failed, busyFlows, disabled, home, zone)
 }
 
 // busyFlows is the number of flows of a back end that gets about 9 requests a second, as on a busy
@@ -91,16 +91,16 @@
 const busyFlows = 27
 
 // newSimulationWithFlows returns a simulation with the given number of flows per back end.
-func newSimulationWithFlows(balancers, backends, dead, flows int, off mechanism.Set, home, zone func(number int) string) *simulation {
+func newSimulationWithFlows(balancers, backends, failed, flows int, disabled mechanism.Set, home, zone func(number int) string) *simulation {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	changes[0].GetRoutes().IdleMilliseconds = 15_000
 	for number := range backends {
 		changes = append(changes, inZone(backend(2, uint64(number+1), "lending"), zone(number)))
 	}
-	built := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
+	built := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: failed, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for index := range balancers {
-		built.nodes = append(built.nodes, simulatedBalancer{flows: NewFlows(off).InZone(home(index))})
+		built.nodes = append(built.nodes, simulatedBalancer{flows: NewFlows(disabled).InZone(home(index))})
 	}
 	for number := range backends * flows {
 		index := len(built.flows)
@@ -118,9 +118,9 @@
 		for index := range s.flows {
 			s.ask(&s.flows[index], now)
 		}
-		for index := range s.nodes {
-			s.applyResets(index, now)
-			s.exchange(index, now)
+		for node := range s.nodes {
+			s.applyResets(node, now)
+			s.exchange(node, now)
 		}
 	}
 }
@@ -191,16 +191,16 @@
 			continue
 		}
 		for _, observation := range each.observations {
-			if node.board.Add(observation, each.from, at(now)) {
+			if node.buffer.Add(observation, each.from, at(now)) {
 				node.flows.Receive(observation, s.table, at(now))
 			}
 		}
 	}
 	node.inbox = kept
 	for _, observation := range node.flows.TakeObservations() {
-		node.board.Add(observation, "", at(now))
+		node.buffer.Add(observation, "", at(now))
 	}
-	if now < node.nextMessageAt || node.sentUpTo == node.board.LastSequence() {
+	if now < node.nextMessageAt || node.sentUpTo == node.buffer.LastSequence() {
 		return
 	}
 	node.nextMessageAt = now + batchTime
@@ -210,11 +210,11 @@
 	for child := index*treeWidth + 1; child <= min(index*treeWidth+treeWidth, len(s.nodes)-1); child++ {
 		s.send(index, child, now)
 	}
-	node.sentUpTo = node.board.LastSequence()
+	node.sentUpTo = node.buffer.LastSequence()
 }
 
 func (s *simulation) send(from, to, now int) {
-	observations := s.nodes[from].board.Since(s.nodes[from].sentUpTo, fmt.Sprint(to), at(now))
+	observations := s.nodes[from].buffer.Since(s.nodes[from].sentUpTo, fmt.Sprint(to), at(now))
 	if len(observations) > 0 {
 		arrivesAt := now + messageTime
 		if s.extraDelay != nil {
@@ -244,9 +244,9 @@
 	for _, balancers := range []int{88, 300} {
 		t.Run(fmt.Sprintf("%d balancers", balancers), func(t *testing.T) {
 			t.Parallel()
-			off, err := mechanism.Parse([]string{string(mechanism.JoinedEvidence), string(mechanism.RestedFlows)})
+			disabled, err := mechanism.Parse([]string{string(mechanism.JoinedEvidence), string(mechanism.RestedFlows)})
 			require.NoError(t, err)
-			alone, joined := newSimulation(balancers, 150, 30, off), newSimulation(balancers, 150, 30, mechanism.Set{})
+			alone, joined := newSimulation(balancers, 150, 30, disabled), newSimulation(balancers, 150, 30, mechanism.Set{})
 			alone.run(9000)
 			joined.run(9000)
 			aloneTimes, joinedTimes := alone.detectionTimes(), joined.detectionTimes()
@@ -266,8 +266,8 @@
 	sim := newSimulation(88, 150, 50, mechanism.Set{})
 	sim.run(7000)
 	for index := range sim.nodes {
-		require.Zero(t, sim.nodes[index].board.Dropped.Load())
-		require.Less(t, int(sim.nodes[index].board.LastSequence()), 600)
+		require.Zero(t, sim.nodes[index].buffer.Dropped.Load())
+		require.Less(t, int(sim.nodes[index].buffer.LastSequence()), 600)
 	}
 	require.NotEmpty(t, sim.detectionTimes())
 }
--- a/internal/tokenroute/judgement.go
+++ b/internal/tokenroute/judgement.go
@@ -78,29 +78,29 @@
 
 // failure summarizes the evidence against the back end.
 func (h *backendHealth) failure(backend *Backend) BackendFailure {
-	failure := BackendFailure{Backend: backend}
+	summary := BackendFailure{Backend: backend}
 	for _, each := range h.unanswered {
 		if each.remote() {
-			failure.Remote++
+			summary.Remote++
 		} else {
-			failure.Local++
+			summary.Local++
 		}
-		if failure.SilentSince.IsZero() || each.sentAt.Before(failure.SilentSince) {
-			failure.SilentSince = each.sentAt
+		if summary.SilentSince.IsZero() || each.sentAt.Before(summary.SilentSince) {
+			summary.SilentSince = each.sentAt
 		}
 	}
-	return failure
+	return summary
 }
 
 // lastEventAt returns when the back end's health last changed.
 func (h *backendHealth) lastEventAt() time.Time {
-	latest := h.activeAt
+	lastEventAt := h.activeAt
 	for _, at := range []time.Time{h.promptSentAt, h.retransmittedAt} {
-		if at.After(latest) {
-			latest = at
+		if at.After(lastEventAt) {
+			lastEventAt = at
 		}
 	}
-	return latest
+	return lastEventAt
 }
 
 // expire drops the health records that hold no more evidence.
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -82,8 +82,8 @@
 
 // newFailureDetector returns a detector for the back ends of the flows in a flow cache, without any
 // evidence.
-func newFailureDetector(memory *memory, zones *zones, off mechanism.Set) *FailureDetector {
-	return &FailureDetector{disabled: off, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
+func newFailureDetector(memory *memory, zones *zones, disabled mechanism.Set) *FailureDetector {
+	return &FailureDetector{disabled: disabled, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
 // Observe handles a packet of an open flow to a back end and reports whether the back end counts as
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -253,42 +253,42 @@
 		return nil
 	}
 	for _, worst := range []Preference{Preferred, Suspected, Avoided} {
-		var leaders [maxCandidates]rule.RankedCandidate
-		count := chosen.topCandidates(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > worst })
+		var topCandidates [maxCandidates]rule.RankedCandidate
+		count := chosen.topCandidates(hash, topCandidates[:], func(backend *Backend) bool { return prefer(backend) > worst })
 		if count > 0 {
-			return chosen.leastLoaded(leaders[:count], inUse)
+			return chosen.leastLoaded(topCandidates[:count], inUse)
 		}
 	}
 	return nil
 }
 
-// topCandidates fills leaders with the highest-ranked back ends for a hash that are not excluded,
+// topCandidates fills ranked with the highest-ranked back ends for a hash that are not excluded,
 // and returns their number. If the zone is chosen by weight alone, all of them are in the zone of
 // the first one.
-func (p *pool) topCandidates(hash uint64, leaders []rule.RankedCandidate, excluded func(*Backend) bool) int {
-	count := rule.TopCandidates(p.rules, hash, leaders, func(i int, candidate uint32) bool {
+func (p *pool) topCandidates(hash uint64, ranked []rule.RankedCandidate, excluded func(*Backend) bool) int {
+	count := rule.TopCandidates(p.rules, hash, ranked, func(i int, candidate uint32) bool {
 		return excluded(p.zones[i].eligible[candidate-1])
 	})
 	if !p.zoneByWeight || count < 2 {
 		return count
 	}
-	zone := leaders[0].RuleIndex
+	zone := ranked[0].RuleIndex
 	inOtherZone := func(each rule.RankedCandidate) bool { return each.RuleIndex != zone }
-	if !slices.ContainsFunc(leaders[:count], inOtherZone) {
+	if !slices.ContainsFunc(ranked[:count], inOtherZone) {
 		return count
 	}
-	count = rule.TopCandidates(p.rules[zone:zone+1], hash, leaders, func(_ int, candidate uint32) bool {
+	count = rule.TopCandidates(p.rules[zone:zone+1], hash, ranked, func(_ int, candidate uint32) bool {
 		return excluded(p.zones[zone].eligible[candidate-1])
 	})
-	for i := range leaders[:count] {
-		leaders[i].RuleIndex = zone
+	for i := range ranked[:count] {
+		ranked[i].RuleIndex = zone
 	}
 	return count
 }
 
-// backend returns the back end that a leader refers to.
-func (p *pool) backend(leader rule.RankedCandidate) *Backend {
-	return p.zones[leader.RuleIndex].eligible[leader.Backend-1]
+// backend returns the back end that a candidate refers to.
+func (p *pool) backend(candidate rule.RankedCandidate) *Backend {
+	return p.zones[candidate.RuleIndex].eligible[candidate.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil if there is none.
@@ -332,12 +332,12 @@
 }
 
 // leastLoaded returns the back end with the lowest load relative to its weight.
-func (p *pool) leastLoaded(leaders []rule.RankedCandidate, inUse func(*Backend) int) *Backend {
+func (p *pool) leastLoaded(candidates []rule.RankedCandidate, inUse func(*Backend) int) *Backend {
 	var best *Backend
 	bestUse, bestWeight := 0, 1
-	for _, leader := range leaders {
-		backend := p.backend(leader)
-		use, weight := inUse(backend)+1, int(leader.Weight)
+	for _, candidate := range candidates {
+		backend := p.backend(candidate)
+		use, weight := inUse(backend)+1, int(candidate.Weight)
 		if best == nil || use*bestWeight < bestUse*weight {
 			best, bestUse, bestWeight = backend, use, weight
 		}
--- a/internal/tokenroute/tokenindex.go
+++ b/internal/tokenroute/tokenindex.go
@@ -24,8 +24,8 @@
 }
 
 func newTokenIndexBuilder(previous *tokenIndex) *tokenIndexBuilder {
-	index := *previous
-	return &tokenIndexBuilder{index: &index}
+	shared := *previous
+	return &tokenIndexBuilder{index: &shared}
 }
 
 func (b *tokenIndexBuilder) shard(token Token) map[Token][]*Backend {
--- a/internal/tokenroute/warming_test.go
+++ b/internal/tokenroute/warming_test.go
@@ -75,13 +75,13 @@
 }
 
 // coldZone returns options under which the back ends of a zone are cold until the given time.
-func coldZone(zone string, until time.Time, allowance int, rated bool) Options {
+func coldZone(zone string, until time.Time, flowsPerSecond int, limitKnown bool) Options {
 	settings := defaultOptions()
 	settings.WarmupOf = func(backend directory.BackendEntry) Warmup {
 		if backend.GetZone() != zone {
 			return Warmup{}
 		}
-		return Warmup{Until: until, FlowsPerSecond: allowance, LimitKnown: rated}
+		return Warmup{Until: until, FlowsPerSecond: flowsPerSecond, LimitKnown: limitKnown}
 	}
 	return settings
 }
@@ -122,10 +122,10 @@
 }
 
 func TestFlowsAreRefusedWhenOnlyColdBackendsAreAtTheirLimit(t *testing.T) {
-	for _, rated := range []bool{true, false} {
+	for _, limitKnown := range []bool{true, false} {
 		flows := NewFlows(mechanism.Set{})
 		changes := newDirectory(routes(1, route(1, share("lending", 1))), inZone(backend(2, 11, "lending"), "maadi"))
-		table := NewTable(changes, coldZone("maadi", at(5000), 1, rated))
+		table := NewTable(changes, coldZone("maadi", at(5000), 1, limitKnown))
 		require.Equal(t, Forward, flows.Decide(table, firstPacket(1), start).Verdict)
 		decision := flows.Decide(table, firstPacket(2), at(10))
 		require.Equal(t, Refuse, decision.Verdict, "at its limit; the client is refused at once")
