--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -282,7 +282,7 @@
 		})
 		require.Len(t, compared, 4)
 		ahead := 0
-		of := first.zones[leader[0].RuleIndex]
+		of := first.poolZones[leader[0].RuleIndex]
 		for _, score := range of.rule.Score(key(port).Hash()) {
 			backend := of.eligible[score.Backend-1]
 			if ahead < 4 {
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -20,7 +20,7 @@
 // to all back ends took 15 ms.
 type builder struct {
 	options   Options
-	prior     *Table
+	previous  *Table
 	groups    []*directory.Group
 	tokens    *tokenIndexBuilder
 	poolZones map[directory.Place]*poolZone
@@ -40,7 +40,7 @@
 	}
 	b := &builder{
 		options:          options,
-		prior:            previous,
+		previous:         previous,
 		groups:           source.Groups(),
 		tokens:           newTokenIndexBuilder(previous.tokens),
 		poolZones:        make(map[directory.Place]*poolZone),
@@ -62,7 +62,7 @@
 	listed := make(map[directory.Place]bool, len(b.groups))
 	for i, group := range b.groups {
 		listed[group.Place] = true
-		prior := b.prior.poolZones[group.Place]
+		prior := b.previous.poolZones[group.Place]
 		if prior != nil && prior.version == group.Version && b.options.WarmupOf == nil {
 			byGroup[i] = prior.backends
 			continue
@@ -72,7 +72,7 @@
 		}
 		byGroup[i] = b.backendsOf(group, prior.backends)
 	}
-	for place, prior := range b.prior.poolZones {
+	for place, prior := range b.previous.poolZones {
 		if !listed[place] {
 			b.removeTokens(prior.backends)
 		}
@@ -136,7 +136,7 @@
 func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
-	zone := b.prior.poolZones[group.Place]
+	zone := b.previous.poolZones[group.Place]
 	if zone == nil || b.sharedTokenPools[group.Pool] || !zone.reusable(group.Version, evacuated, weight, uniform) {
 		zone = b.poolZone(group, backends)
 	}
@@ -224,7 +224,7 @@
 			zone = b.vanishedPoolZone(group, zone)
 		}
 		built.withheld = built.withheld || zone.withheldByEvacuation
-		built.zones = append(built.zones, zone)
+		built.poolZones = append(built.poolZones, zone)
 		built.rules = append(built.rules, zone.rule)
 	}
 	return built
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -93,9 +93,9 @@
 // pool holds the back ends of one pool that may take new flows.
 type pool struct {
 	name string
-	// zones holds the back ends by zone, and rules the rule of each zone in the same order.
-	zones []*poolZone
-	rules []*rule.Rule
+	// poolZones holds the back ends by zone, and rules the rule of each zone in the same order.
+	poolZones []*poolZone
+	rules     []*rule.Rule
 	// withheld is set if at least one back end takes no new flows only because its zone
 	// is evacuated.
 	withheld bool
@@ -267,7 +267,7 @@
 // the first one.
 func (p *pool) topCandidates(hash uint64, ranked []rule.RankedCandidate, excluded func(*Backend) bool) int {
 	count := rule.TopCandidates(p.rules, hash, ranked, func(i int, candidate uint32) bool {
-		return excluded(p.zones[i].eligible[candidate-1])
+		return excluded(p.poolZones[i].eligible[candidate-1])
 	})
 	if !p.zoneByWeight || count < 2 {
 		return count
@@ -278,7 +278,7 @@
 		return count
 	}
 	count = rule.TopCandidates(p.rules[zone:zone+1], hash, ranked, func(_ int, candidate uint32) bool {
-		return excluded(p.zones[zone].eligible[candidate-1])
+		return excluded(p.poolZones[zone].eligible[candidate-1])
 	})
 	for i := range ranked[:count] {
 		ranked[i].RuleIndex = zone
@@ -288,7 +288,7 @@
 
 // backend returns the back end that a candidate refers to.
 func (p *pool) backend(candidate rule.RankedCandidate) *Backend {
-	return p.zones[candidate.RuleIndex].eligible[candidate.Backend-1]
+	return p.poolZones[candidate.RuleIndex].eligible[candidate.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil if there is none.
@@ -303,7 +303,7 @@
 // Accepts reports whether a back end still takes new flows of the route.
 func (r *Route) Accepts(backend *Backend) bool {
 	for _, each := range r.pools {
-		for _, part := range each.zones {
+		for _, part := range each.poolZones {
 			if part.accepts(backend) {
 				return true
 			}
