--- a/internal/tokenroute/failuredetector_test.go
+++ b/internal/tokenroute/failuredetector_test.go
@@ -61,9 +61,9 @@
 	require.Equal(t, []Verdict{Forward, Forward}, sendUnanswered(NewFlows(mechanism.Set{}), table, 2, []byte{1, 2}, 0, 200), "one retransmission is not enough")
 	require.Equal(t, []Verdict{Forward, Refuse}, sendUnanswered(flows, table, 2, []byte{1, 2}, 0, 600), "the second client suffices")
 	require.Equal(t, Refuse, flows.Decide(table, request(1, 2, 1), at(620)).Verdict)
-	told := flows.Decide(table, request(3, 2, 1), at(700))
-	require.Equal(t, Refuse, told.Verdict, "a request of another flow is refused at once")
-	require.Equal(t, ReasonDeadBackend, told.Reason)
+	refused := flows.Decide(table, request(3, 2, 1), at(700))
+	require.Equal(t, Refuse, refused.Verdict, "a request of another flow is refused at once")
+	require.Equal(t, ReasonDeadBackend, refused.Reason)
 	require.Equal(t, Forward, flows.Decide(table, request(4, 3, 1), at(700)).Verdict, "other back ends are not affected")
 	require.Equal(t, Forward, flows.Decide(table, acknowledgement(5, 2), at(700)).Verdict, "a packet without data is forwarded")
 }
@@ -103,9 +103,9 @@
 	table := manyBackends(3)
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(NewFlows(mechanism.Set{}), table, 2, []byte{1}, 0, 600))
 	require.Equal(t, []Verdict{Refuse}, sendUnanswered(NewFlows(mechanism.Set{}), table, 2, []byte{1}, 0, 1400))
-	all := newDirectory(routes(1, route(1, share("lending", 1))), gone(backend(2, 2, "lending")), backend(3, 3, "lending"))
-	require.Equal(t, []Verdict{Forward}, sendUnanswered(NewFlows(mechanism.Set{}), NewTable(all, defaultOptions()), 2, []byte{1}, 0, 600))
-	require.Equal(t, []Verdict{Refuse}, sendUnanswered(NewFlows(mechanism.Set{}), NewTable(all, defaultOptions()), 2, []byte{1}, 0, 1400))
+	entries := newDirectory(routes(1, route(1, share("lending", 1))), gone(backend(2, 2, "lending")), backend(3, 3, "lending"))
+	require.Equal(t, []Verdict{Forward}, sendUnanswered(NewFlows(mechanism.Set{}), NewTable(entries, defaultOptions()), 2, []byte{1}, 0, 600))
+	require.Equal(t, []Verdict{Refuse}, sendUnanswered(NewFlows(mechanism.Set{}), NewTable(entries, defaultOptions()), 2, []byte{1}, 0, 1400))
 }
 
 // The directory may learn between two copies that the entry is gone. Earlier unanswered copies
@@ -173,9 +173,9 @@
 	require.Equal(t, []incarnation.ID{{Number: 2}}, flows.Summarize(at(2500)).Dead)
 	require.Empty(t, flows.Summarize(at(4800)).Dead)
 	require.Equal(t, Forward, flows.Decide(table, request(3, 2, 1), at(2700)).Verdict)
-	all := newDirectory(routes(1, route(1, share("lending", 1))), gone(backend(2, 2, "lending")), backend(3, 3, "lending"))
-	require.Equal(t, Refuse, flows.Decide(NewTable(all, defaultOptions()), request(4, 2, 1), at(2700)).Verdict)
-	require.Equal(t, Refuse, flows.Decide(NewTable(all, defaultOptions()), request(4, 2, 1), at(30_000)).Verdict)
+	entries := newDirectory(routes(1, route(1, share("lending", 1))), gone(backend(2, 2, "lending")), backend(3, 3, "lending"))
+	require.Equal(t, Refuse, flows.Decide(NewTable(entries, defaultOptions()), request(4, 2, 1), at(2700)).Verdict)
+	require.Equal(t, Refuse, flows.Decide(NewTable(entries, defaultOptions()), request(4, 2, 1), at(30_000)).Verdict)
 }
 
 // modelClient is a client of a live back end. It retransmits a request until the answer arrives,
@@ -209,7 +209,7 @@
 	const backends = 12
 	for lost := 1; lost <= backends; lost++ {
 		table, flows := manyBackends(backends), NewFlows(mechanism.Set{})
-		condemned := false
+		failed := false
 		for now := 0; now <= 3000; now += 100 {
 			for token := 1; token <= backends; token++ {
 				packet := request(byte(token), Token(token), uint32(now+1))
@@ -219,10 +219,10 @@
 					}
 					packet = request(byte(token), Token(token), 1)
 				}
-				condemned = condemned || flows.Decide(table, packet, at(now)).Verdict == Refuse
+				failed = failed || flows.Decide(table, packet, at(now)).Verdict == Refuse
 			}
 		}
-		require.Equal(t, lost <= 4, condemned, "%d of %d back ends silent", lost, backends)
+		require.Equal(t, lost <= 4, failed, "%d of %d back ends silent", lost, backends)
 	}
 }
 
@@ -236,20 +236,20 @@
 		longestThink := rapid.IntRange(1, 3000).Draw(t, "longest pause")
 		stalls := rapid.IntRange(0, 3).Draw(t, "stalls a second")
 		stalledUntil := 0
-		var held []int
+		var waiting []int
 		for now := 0; now < 20_000; now += 10 {
 			if random.IntN(100) < stalls {
 				stalledUntil = max(stalledUntil, now+random.IntN(3000))
 			}
 			for index := range clients {
 				if clients[index].send(now, random.IntN(longestThink)) {
-					held = append(held, index)
+					waiting = append(waiting, index)
 				}
 			}
 			if now < stalledUntil {
 				continue
 			}
-			for _, index := range held {
+			for _, index := range waiting {
 				client := &clients[index]
 				packet := request(byte(index+1), 2, client.n)
 				require.Equal(t, Forward, flows.Decide(table, packet, at(now)).Verdict, "at %d ms", now)
@@ -259,7 +259,7 @@
 				}
 				client.answerAt = min(client.answerAt, now+random.IntN(140))
 			}
-			held = held[:0]
+			waiting = waiting[:0]
 		}
 	})
 }
--- a/internal/tokenroute/incremental_test.go
+++ b/internal/tokenroute/incremental_test.go
@@ -43,7 +43,7 @@
 // scratch.
 func TestIncrementalTableMatchesFullBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
+		entries := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
 		now, revision := start, uint64(100)
 		var previous *Table
 		weights := make(map[directory.Place]uint32)
@@ -62,9 +62,9 @@
 				change.GetBackend().Draining = rapid.IntRange(0, 4).Draw(t, "draining") == 0
 				change.GetBackend().StartedMilliseconds = uint64(rapid.IntRange(1, 2).Draw(t, "start"))
 				change.Gone = rapid.IntRange(0, 2).Draw(t, "gone") == 0
-				all.Apply(&apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{change}}, now)
+				entries.Apply(&apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{change}}, now)
 			}
-			all.Expire(now)
+			entries.Expire(now)
 			place := directory.Place{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
 			weights[place] = uint32(rapid.IntRange(0, 3).Draw(t, "weight")) * 1000
 			weightOf := func(place directory.Place) uint32 {
@@ -90,9 +90,9 @@
 			}
 			settings.Now = now
 			settings.Previous = nil
-			rebuilt := NewTable(all, settings)
+			rebuilt := NewTable(entries, settings)
 			settings.Previous = previous
-			previous = NewTable(all, settings)
+			previous = NewTable(entries, settings)
 			requireEquivalent(t, rebuilt, previous)
 		}
 	})
@@ -104,14 +104,14 @@
 	for number := range uint64(60) {
 		changes = append(changes, inZone(backend(2, number+1, "lending"), fmt.Sprintf("zone-%d", number%3)))
 	}
-	all := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
+	entries := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
 	settings := defaultOptions()
 	settings.WeightOfPoolZone = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
-	before := NewTable(all, settings)
-	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
+	before := NewTable(entries, settings)
+	entries.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
 	settings.Previous = before
-	after := NewTable(all, settings)
+	after := NewTable(entries, settings)
 	for zone, shared := range map[string]bool{"zone-0": false, "zone-1": true, "zone-2": true} {
 		place := directory.Place{Pool: "lending", Zone: zone}
 		require.Equal(t, shared, before.poolZones[place] == after.poolZones[place], zone)
--- a/internal/tokenroute/observations_test.go
+++ b/internal/tokenroute/observations_test.go
@@ -68,9 +68,9 @@
 func TestLocalAndRemoteReportsAreCombined(t *testing.T) {
 	table, flows := manyBackends(3), NewFlows(mechanism.Set{})
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(flows, table, 2, []byte{1}, 0, 600))
-	told := flows.TakeObservations()
-	require.Len(t, told, 1)
-	require.Equal(t, at(0), told[0].Time())
+	reports := flows.TakeObservations()
+	require.Len(t, reports, 1)
+	require.Equal(t, at(0), reports[0].Time())
 	flows.Receive(unanswered(2, 102, "", 10), table, at(650))
 	require.Equal(t, 1, countResets(flows, 650+pendingMillis))
 }
@@ -79,9 +79,9 @@
 func TestClientReportedByTwoBalancersCountsOnce(t *testing.T) {
 	table, flows := manyBackends(3), NewFlows(mechanism.Set{})
 	sendUnanswered(flows, table, 2, []byte{1}, 0, 600)
-	heard := flows.TakeObservations()[0]
-	flows.Receive(heard, table, at(650))
-	flows.Receive(heard, table, at(660))
+	report := flows.TakeObservations()[0]
+	flows.Receive(report, table, at(650))
+	flows.Receive(report, table, at(660))
 	require.Zero(t, countResets(flows, 1300))
 }
 
@@ -95,21 +95,21 @@
 	require.Equal(t, []evidence.Observation{evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}},
 		before.TakeObservations(), "the activity is reported to the others")
 
-	meanwhile := NewFlows(mechanism.Set{}).InZone("maadi")
-	meanwhile.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
-	meanwhile.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
-	exchange(meanwhile, table, 1, 2, 750)
-	require.Zero(t, countResets(meanwhile, 700+pendingMillis), "the back end answers while the reports are pending")
-	require.Len(t, meanwhile.TakeObservations(), 1)
+	during := NewFlows(mechanism.Set{}).InZone("maadi")
+	during.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
+	during.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
+	exchange(during, table, 1, 2, 750)
+	require.Zero(t, countResets(during, 700+pendingMillis), "the back end answers while the reports are pending")
+	require.Len(t, during.TakeObservations(), 1)
 
-	told := NewFlows(mechanism.Set{}).InZone("maadi")
-	exchange(told, table, 1, 2, 0)
-	told.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
-	told.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
-	told.Receive(evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(160)}, table, at(800))
-	require.Zero(t, countResets(told, 700+pendingMillis), "another balancer saw an answer")
-	told.Receive(unanswered(2, 103, "maadi", 155), table, at(900))
-	require.Zero(t, countResets(told, 1500), "the report is older than that answer")
+	corrected := NewFlows(mechanism.Set{}).InZone("maadi")
+	exchange(corrected, table, 1, 2, 0)
+	corrected.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
+	corrected.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
+	corrected.Receive(evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(160)}, table, at(800))
+	require.Zero(t, countResets(corrected, 700+pendingMillis), "another balancer saw an answer")
+	corrected.Receive(unanswered(2, 103, "maadi", 155), table, at(900))
+	require.Zero(t, countResets(corrected, 1500), "the report is older than that answer")
 }
 
 // When many back ends fall silent at the same time, unanswered requests fill the queue. That is
@@ -121,9 +121,9 @@
 		flows.liveness.queueObservation(unanswered(3, client, "maadi", 100))
 	}
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
-	told := flows.TakeObservations()
-	require.Len(t, told, maxObservations+1)
-	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, told[maxObservations])
+	queued := flows.TakeObservations()
+	require.Len(t, queued, maxObservations+1)
+	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, queued[maxObservations])
 }
 
 // Activity that another balancer reports ends a failure too.
--- a/internal/tokenroute/restart_test.go
+++ b/internal/tokenroute/restart_test.go
@@ -83,9 +83,9 @@
 	table := restarting.table()
 	exchange := func(client byte, now int) {
 		flows.Decide(table, request(client, 2, uint32(now+1)), at(now))
-		done := acknowledgement(client, 2)
-		done.Acknowledged = 5000*uint32(now+1) + 300
-		flows.Decide(table, done, at(now+20))
+		acknowledged := acknowledgement(client, 2)
+		acknowledged.Acknowledged = 5000*uint32(now+1) + 300
+		flows.Decide(table, acknowledged, at(now+20))
 	}
 	exchange(1, 0) // idle when the new start becomes known
 	for now := 0; now < 12_000; now += 2000 {
@@ -128,7 +128,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		skew := rapid.IntRange(-2000, 2000).Draw(t, "clock differs by ms")
 		restarting, flows := newRestartingBackend(skew-1000), NewFlows(mechanism.Set{})
-		table, living, learnAt, startedAt := restarting.table(), 0, -1, 0
+		table, currentStart, learnAt, startedAt := restarting.table(), 0, -1, 0
 		type client struct {
 			openedAt, nextAt int
 			n                uint32
@@ -137,7 +137,7 @@
 		for now := 0; now < 60_000; now += 20 {
 			if learnAt < 0 && random.IntN(400) == 0 {
 				startedAt, learnAt = now, now+random.IntN(3000)
-				living = now
+				currentStart = now
 			}
 			if learnAt >= 0 && now >= learnAt {
 				table = restarting.restart(startedAt+skew, now)
@@ -146,7 +146,7 @@
 			flows.SetTable(table, at(now))
 			for index := range clients {
 				c := &clients[index]
-				if c.openedAt < living || c.n == 0 {
+				if c.openedAt < currentStart || c.n == 0 {
 					// The back end resets flows that it doesn't hold, and the client opens another
 					// one.
 					*c = client{openedAt: now, nextAt: now + random.IntN(8000)}
@@ -164,7 +164,7 @@
 			}
 			for _, abandoned := range flows.TakeAbandoned() {
 				opened := (int(abandoned.Key.SourcePort) - 1000) * 20
-				require.Less(t, opened, living, "a flow of the current start was reset at %d ms", now)
+				require.Less(t, opened, currentStart, "a flow of the current start was reset at %d ms", now)
 			}
 		}
 	})
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -303,8 +303,8 @@
 // Accepts reports whether a back end still takes new flows of the route.
 func (r *Route) Accepts(backend *Backend) bool {
 	for _, each := range r.pools {
-		for _, part := range each.poolZones {
-			if part.accepts(backend) {
+		for _, zone := range each.poolZones {
+			if zone.accepts(backend) {
 				return true
 			}
 		}
--- a/internal/tokenroute/tokenroute_test.go
+++ b/internal/tokenroute/tokenroute_test.go
@@ -117,26 +117,26 @@
 // start, one of them marked as draining before. With it, tests check that back ends whose entries
 // the store drops are still used for the grace period, and no longer.
 func vanishingPool() *directory.Directory {
-	all := newDirectory(routes(1, route(1, share("lending", 1))), backend(2, 7, "lending"), backend(3, 8, "lending"),
+	entries := newDirectory(routes(1, route(1, share("lending", 1))), backend(2, 7, "lending"), backend(3, 8, "lending"),
 		backend(4, 9, "lending"), draining(backend(5, 10, "lending")))
-	all.Apply(&apiv1.DirectoryBatch{Revision: 110, Changes: []*apiv1.DirectoryChange{
+	entries.Apply(&apiv1.DirectoryBatch{Revision: 110, Changes: []*apiv1.DirectoryChange{
 		gone(backend(108, 7, "lending")), gone(backend(110, 10, "lending"))}}, start)
-	return all
+	return entries
 }
 
 // After an outage of the store, entries that expired have two seconds to come back, however large
 // their share of the pool. That doesn't apply to back ends that were draining, nor to one that had
 // disappeared before the outage.
 func TestExpiredBackendsTakeFlowsDuringStoreRecovery(t *testing.T) {
-	all := vanishingPool()
+	entries := vanishingPool()
 	after := defaultOptions()
 	after.StoreRecovery = StoreRecovery{Since: start, Until: at(2000)}
-	require.Equal(t, map[uint64]bool{7: true, 8: true, 9: true}, chosenBackends(NewTable(all, after)))
+	require.Equal(t, map[uint64]bool{7: true, 8: true, 9: true}, chosenBackends(NewTable(entries, after)))
 	after.Now = at(2000)
-	require.Equal(t, map[uint64]bool{8: true, 9: true}, chosenBackends(NewTable(all, after)))
+	require.Equal(t, map[uint64]bool{8: true, 9: true}, chosenBackends(NewTable(entries, after)))
 	before := defaultOptions()
 	before.StoreRecovery = StoreRecovery{Since: at(1), Until: at(2000)}
-	require.Equal(t, map[uint64]bool{8: true, 9: true}, chosenBackends(NewTable(all, before)))
+	require.Equal(t, map[uint64]bool{8: true, 9: true}, chosenBackends(NewTable(entries, before)))
 }
 
 // Without an outage, a back end whose entry disappeared has ended.
@@ -146,22 +146,22 @@
 
 // A pool that has disappeared as a whole is used for a short time rather than refusing every flow.
 func TestVanishedPoolIsUsedDuringGracePeriod(t *testing.T) {
-	all := vanishingPool()
-	all.Apply(&apiv1.DirectoryBatch{Revision: 112, Changes: []*apiv1.DirectoryChange{
+	entries := vanishingPool()
+	entries.Apply(&apiv1.DirectoryBatch{Revision: 112, Changes: []*apiv1.DirectoryChange{
 		gone(backend(111, 8, "lending")), gone(backend(112, 9, "lending"))}}, start)
-	require.Equal(t, map[uint64]bool{7: true, 8: true, 9: true}, chosenBackends(NewTable(all, defaultOptions())))
+	require.Equal(t, map[uint64]bool{7: true, 8: true, 9: true}, chosenBackends(NewTable(entries, defaultOptions())))
 	late := defaultOptions()
 	late.Now = at(1500)
 	flows := NewFlows(mechanism.Set{})
-	require.Equal(t, ReasonNoBackend, flows.Decide(NewTable(all, late), firstPacket(1), start).Reason)
+	require.Equal(t, ReasonNoBackend, flows.Decide(NewTable(entries, late), firstPacket(1), start).Reason)
 }
 
 // A tombstone that was received as such may be of any age, so there is no grace period (soak seeds
 // 22 and 23).
 func TestReceivedTombstonesHaveNoGracePeriod(t *testing.T) {
-	all := newDirectory(routes(1, route(1, share("lending", 1))), gone(backend(2, 7, "lending")), gone(backend(3, 8, "lending")),
+	entries := newDirectory(routes(1, route(1, share("lending", 1))), gone(backend(2, 7, "lending")), gone(backend(3, 8, "lending")),
 		backend(4, 9, "lending"))
-	require.Equal(t, map[uint64]bool{9: true}, chosenBackends(NewTable(all, defaultOptions())))
+	require.Equal(t, map[uint64]bool{9: true}, chosenBackends(NewTable(entries, defaultOptions())))
 }
 
 func chosenBackends(table *Table) map[uint64]bool {
@@ -188,9 +188,9 @@
 
 func TestSharedTokens(t *testing.T) {
 	const high = uint64(1) << 32
-	all := newDirectory(routes(1, route(1, share("lending", 1)), route(2, share("covers", 1))),
+	entries := newDirectory(routes(1, route(1, share("lending", 1)), route(2, share("covers", 1))),
 		backend(2, 7, "lending"), backend(3, high+7, "lending"), backend(4, 2*high+7, "covers"))
-	table := NewTable(all, defaultOptions())
+	table := NewTable(entries, defaultOptions())
 	require.Equal(t, map[uint64]bool{7: true}, chosenBackends(table), "only the owner of the token takes new flows")
 	other := laterPacket(1, 7)
 	other.Key.Destination[3] = 2
@@ -200,15 +200,15 @@
 
 // Open flows stay in a pool that their route no longer names.
 func TestFormerPools(t *testing.T) {
-	all := newDirectory(routes(1, route(1, share("covers", 1))), backend(2, 7, "lending"), backend(3, 8, "covers"))
-	strict := NewTable(all, defaultOptions())
+	entries := newDirectory(routes(1, route(1, share("covers", 1))), backend(2, 7, "lending"), backend(3, 8, "covers"))
+	strict := NewTable(entries, defaultOptions())
 	require.Equal(t, ReasonForeignToken, NewFlows(mechanism.Set{}).Decide(strict, laterPacket(1, 7), start).Reason)
-	former := defaultOptions()
-	former.FormerPools = map[flow.Address]map[string]bool{key(1).Address(): {"lending": true}}
-	require.Equal(t, uint64(7), NewFlows(mechanism.Set{}).Decide(NewTable(all, former), laterPacket(1, 7), start).Backend.Number)
-	young := defaultOptions()
-	young.AdmitAllPools = true
-	require.Equal(t, uint64(7), NewFlows(mechanism.Set{}).Decide(NewTable(all, young), laterPacket(1, 7), start).Backend.Number)
+	withFormerPools := defaultOptions()
+	withFormerPools.FormerPools = map[flow.Address]map[string]bool{key(1).Address(): {"lending": true}}
+	require.Equal(t, uint64(7), NewFlows(mechanism.Set{}).Decide(NewTable(entries, withFormerPools), laterPacket(1, 7), start).Backend.Number)
+	admittingAll := defaultOptions()
+	admittingAll.AdmitAllPools = true
+	require.Equal(t, uint64(7), NewFlows(mechanism.Set{}).Decide(NewTable(entries, admittingAll), laterPacket(1, 7), start).Backend.Number)
 }
 
 func manyBackends(count int) *Table {
@@ -261,15 +261,15 @@
 		require.NotEqual(t, silent, chosen)
 		flows.Decide(table, laterPacket(port, chosen.Token), at(201))
 	}
-	again := 0
+	retries := 0
 	for port := 1000; port < 1300; port++ {
 		chosen := flows.Decide(table, firstPacket(port), at(1400)).Backend
 		if chosen == silent {
-			again++
+			retries++
 		}
 		flows.Decide(table, laterPacket(port, chosen.Token), at(1401))
 	}
-	require.Positive(t, again)
+	require.Positive(t, retries)
 }
 
 func TestBackendIsChosenWhenAllAreSilent(t *testing.T) {
@@ -328,9 +328,9 @@
 				}
 				changes = append(changes, backend(uint64(number+2), uint64(number+1), pool))
 			}
-			all := newDirectory(append(changes, routes(1, table...))...)
+			entries := newDirectory(append(changes, routes(1, table...))...)
 			for b.Loop() {
-				NewTable(all, defaultOptions())
+				NewTable(entries, defaultOptions())
 			}
 		})
 	}
@@ -399,17 +399,17 @@
 // Flows refer to their back ends for seconds. If each of a series of tables held its own ten
 // thousand back ends, many copies would stay in memory.
 func TestUnchangedBackendsAreReused(t *testing.T) {
-	all := newDirectory(routes(1, route(1, share("lending", 1))), backend(2, 2, "lending"), backend(3, 3, "lending"))
-	before := NewTable(all, defaultOptions())
-	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
+	entries := newDirectory(routes(1, route(1, share("lending", 1))), backend(2, 2, "lending"), backend(3, 3, "lending"))
+	before := NewTable(entries, defaultOptions())
+	entries.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(backend(101, 3, "lending")), backend(101, 4, "lending")}}, start)
 	following := defaultOptions()
 	following.Previous = before
-	after := NewTable(all, following)
+	after := NewTable(entries, following)
 	require.Same(t, before.tokens.backends(2)[0], after.tokens.backends(2)[0])
-	all.Apply(&apiv1.DirectoryBatch{Revision: 102, Changes: []*apiv1.DirectoryChange{gone(backend(102, 2, "lending"))}}, start)
+	entries.Apply(&apiv1.DirectoryBatch{Revision: 102, Changes: []*apiv1.DirectoryChange{gone(backend(102, 2, "lending"))}}, start)
 	following.Previous = after
-	last := NewTable(all, following)
+	last := NewTable(entries, following)
 	require.True(t, last.tokens.backends(2)[0].Gone)
 	require.False(t, after.tokens.backends(2)[0].Gone, "a table never changes")
 	require.Same(t, after.tokens.backends(4)[0], last.tokens.backends(4)[0])
