--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -179,7 +179,7 @@
 }
 
 func (b *builder) route(configured *apiv1.ServiceRoute, former map[string]bool) *Route {
-	built := &Route{Name: configured.GetName(), urgency: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
+	built := &Route{Name: configured.GetName(), priority: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
 	for name := range former {
 		built.admittedPools[name] = true
 	}
--- a/internal/tokenroute/failuredetector_test.go
+++ b/internal/tokenroute/failuredetector_test.go
@@ -181,7 +181,7 @@
 // modelClient is a client of a live back end. It retransmits a request until the answer arrives,
 // and sends the next one some time later.
 type modelClient struct {
-	n, repeats       uint32
+	n, retransmits   uint32
 	sentAt, answerAt int
 	lossLeft         bool
 }
@@ -195,8 +195,8 @@
 	case c.n == 0 || now >= c.answerAt+think:
 		*c = modelClient{n: c.n + 1, sentAt: now, answerAt: never, lossLeft: true}
 		return true
-	case now < c.answerAt && int(c.repeats) < len(retransmitTimes) && now-c.sentAt >= retransmitTimes[c.repeats]:
-		c.repeats++
+	case now < c.answerAt && int(c.retransmits) < len(retransmitTimes) && now-c.sentAt >= retransmitTimes[c.retransmits]:
+		c.retransmits++
 		return true
 	}
 	return false
--- a/internal/tokenroute/fulllinks_test.go
+++ b/internal/tokenroute/fulllinks_test.go
@@ -68,13 +68,13 @@
 		return
 	case !f.waiting:
 		f.requests++
-		f.sentAt, f.repeats, f.waiting = now, 0, true
+		f.sentAt, f.retransmits, f.waiting = now, 0, true
 	default:
-		f.repeats++
+		f.retransmits++
 	}
 	f.nextAt = never
-	if f.repeats < len(retransmitTimes) {
-		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
+	if f.retransmits < len(retransmitTimes) {
+		f.nextAt = f.sentAt + retransmitTimes[f.retransmits]
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
 	if node.flows.Decide(l.table, packet, at(now)).Verdict == Refuse {
--- a/internal/tokenroute/simulation_test.go
+++ b/internal/tokenroute/simulation_test.go
@@ -55,14 +55,14 @@
 // simulatedFlow is a client's flow. It sends a request, retransmits it, and sends the next one
 // after a pause.
 type simulatedFlow struct {
-	key      flow.Key
-	balancer int
-	backend  int
-	requests uint32
-	sentAt   int
-	repeats  int
-	nextAt   int
-	waiting  bool
+	key         flow.Key
+	balancer    int
+	backend     int
+	requests    uint32
+	sentAt      int
+	retransmits int
+	nextAt      int
+	waiting     bool
 	// answeredAt is when the answer arrives, if that is known in advance, and 0 otherwise.
 	answeredAt int
 }
@@ -133,18 +133,18 @@
 		return
 	case !f.waiting:
 		f.requests++
-		f.sentAt, f.repeats, f.waiting = now, 0, true
+		f.sentAt, f.retransmits, f.waiting = now, 0, true
 		if silent {
 			s.lost++
 		}
-	case !silent && f.repeats == 0:
+	case !silent && f.retransmits == 0:
 		// The answer to the request has arrived, and the client acknowledges it.
 		s.nodes[f.balancer].flows.Decide(s.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
 			Acknowledged: 5000*f.requests + 300}, at(now))
 		f.waiting, f.nextAt = false, now+1000+s.random.IntN(4000)
 		return
 	default:
-		f.repeats++
+		f.retransmits++
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
 	if s.nodes[f.balancer].flows.Decide(s.table, packet, at(now)).Verdict == Refuse {
@@ -154,8 +154,8 @@
 	switch {
 	case !silent:
 		f.nextAt = now + 25
-	case f.repeats < len(retransmitTimes):
-		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
+	case f.retransmits < len(retransmitTimes):
+		f.nextAt = f.sentAt + retransmitTimes[f.retransmits]
 	default:
 		s.reset(f)
 	}
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -86,8 +86,8 @@
 	// set, it carries the open flows of any pool.
 	admittedPools map[string]bool
 	admitAllPools bool
-	// urgency is the priority of the route's requests.
-	urgency admission.Priority
+	// priority is the priority of the route's requests.
+	priority admission.Priority
 }
 
 // pool holds the back ends of one pool that may take new flows.
