--- a/internal/tokenroute/failuredetector.go
+++ b/internal/tokenroute/failuredetector.go
@@ -55,7 +55,7 @@
 // says that the back end is gone. A balancer whose own link is congested loses the requests to all
 // its back ends. So no failure is detected unless other back ends answered promptly in the
 // meantime, at least minPromptRatio times as many as did not, and unless answers after a
-// retransmission are so rare that packet loss on the link is an unlikely explanation (see link).
+// retransmission are so rare that packet loss on the link is an unlikely explanation (see linkMonitor).
 //
 // Balancers exchange unanswered requests (observations.go), so that each learns of a failed back
 // end before it loses a request of its own to it.
