--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -38,8 +38,8 @@
 	buildPauseDivisor = 4
 	// slowBuildThreshold is from which time on a build is told in the log.
 	slowBuildThreshold = 200 * time.Millisecond
-	// observationInterval is the time between two looks at what was observed.
-	observationInterval = 250 * time.Millisecond
+	// shareUpdateInterval is the time between two looks at what was observed.
+	shareUpdateInterval = 250 * time.Millisecond
 	// maxWaitingFollowers bounds the followers' calls that wait at once.
 	maxWaitingFollowers = 256
 )
@@ -47,28 +47,28 @@
 // control is the state of the control goroutine.
 type control struct {
 	balancer   *Balancer
-	directory  *directory.Directory
+	replica    *directory.Directory
 	core       *replication.Core
 	client     *replication.Client
 	packer     replication.Packer
-	programs   programs
-	observed   observed
+	programs   policyCache
+	observed   weightInputs
 	findings   findings
 	demand     demandState
-	withdrawal stepAside
+	withdrawal withdrawalState
 	// balancersByZone are the balancers of each zone, this one included.
 	balancersByZone zoneCounts
-	gate            gate
+	gate            admissionState
 	followCalls     chan *followCall
 	// testifyRequests are calls of followers that tell what they saw of back ends, and
 	// nudged wakes this goroutine to pass on what the traffic goroutine saw.
 	testifyRequests chan *apiv1.TestifyRequest
 	wakeRequested   chan struct{}
-	testimony       testimony
+	testimony       observationExchange
 	waitingCalls    []*followCall
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
-	polling         bool
+	pollInFlight    bool
 	// pendingWrite is what is being written to the store about balancers, and pendingWriteEra the store's
 	// era, as far as was known, when that began.
 	pendingWrite    replication.Write
@@ -79,21 +79,21 @@
 	// poolLastUse are the pools that addresses had, and when they last had them.
 	poolLastUse     map[flow.Address]map[string]time.Time
 	firstRoutesAt   time.Time
-	rebuild         bool
+	rebuildNeeded   bool
 	nextTableChange time.Time
 	// nextBuild spaces the building of tables by what the last one took.
 	nextBuild         time.Time
 	nextOperatorCheck time.Time
-	// nextObservation is when what was observed is looked at again.
-	nextObservation time.Time
+	// nextShareUpdate is when what was observed is looked at again.
+	nextShareUpdate time.Time
 }
 
 func newControl(balancer *Balancer, chance *rand.Rand) *control {
 	settings := balancer.settings.Load()
 	retention := seconds(settings.GetFlowSeconds())
 	made := &control{
-		balancer:  balancer,
-		directory: directory.New(retention),
+		balancer: balancer,
+		replica:  directory.New(retention),
 		core: replication.NewCore(replication.Config{
 			Self:      balancer.ownEntry(),
 			Pace:      paceOf(settings),
@@ -108,15 +108,15 @@
 			AuditInterval: auditInterval,
 		}, chance, balancer.started),
 		client:      replication.NewClient(balancer.logger),
-		programs:    programs{compiled: make(map[string]*compiledPolicy)},
-		observed:    newObserved(),
-		withdrawal:  stepAside{core: aside.New()},
-		gate:        newGate(),
+		programs:    policyCache{compiled: make(map[string]*compiledPolicy)},
+		observed:    newWeightInputs(),
+		withdrawal:  withdrawalState{core: aside.New()},
+		gate:        newAdmissionState(),
 		followCalls: make(chan *followCall, maxWaitingFollowers),
 
 		testifyRequests: make(chan *apiv1.TestifyRequest, maxWaitingFollowers),
 		wakeRequested:   make(chan struct{}, 1),
-		testimony:       testimony{clock: chance.Uint64() | 1, client: replication.NewClient(balancer.logger)},
+		testimony:       observationExchange{clock: chance.Uint64() | 1, client: replication.NewClient(balancer.logger)},
 
 		demand: demandState{tree: demand.NewTree(balancer.started)},
 
@@ -148,7 +148,7 @@
 		case asking := <-c.followCalls:
 			c.enqueueFollow(asking)
 		case told := <-c.testifyRequests:
-			c.takeTestimony(told, time.Now())
+			c.handleTestifyRequest(told, time.Now())
 		case <-c.wakeRequested:
 		case <-ticker.C:
 		}
@@ -176,15 +176,15 @@
 	c.startPoll(ctx, now)
 	c.startWrite(ctx, now)
 	c.startPeerCalls(ctx, now)
-	c.takeStatements(now)
-	c.startTestify(ctx, now)
-	c.startReport(ctx, now)
+	c.collectObservations(now)
+	c.sendObservations(ctx, now)
+	c.sendDemandReport(ctx, now)
 	c.answerWaiting(now)
-	c.lookAside(now)
-	if c.directory.Expire(now) || c.applyObservations(now) {
-		c.rebuild = true
+	c.updateWithdrawal(now)
+	if c.replica.Expire(now) || c.updateShares(now) {
+		c.rebuildNeeded = true
 	}
-	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
+	due := c.rebuildNeeded || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
 	if !due || now.Before(c.nextBuild) {
 		return
 	}
@@ -202,43 +202,43 @@
 	return min(buildPauseFactor*took, pace.Poll/buildPauseDivisor)
 }
 
-// applyObservations takes what the traffic goroutine and other balancers have
+// updateShares takes what the traffic goroutine and other balancers have
 // observed. It tells whether shares of new flows change by it.
-func (c *control) applyObservations(now time.Time) bool {
-	if c.balancer.traffic == nil || now.Before(c.nextObservation) {
+func (c *control) updateShares(now time.Time) bool {
+	if c.balancer.traffic == nil || now.Before(c.nextShareUpdate) {
 		return false
 	}
-	c.nextObservation = now.Add(observationInterval)
-	c.takeDemand(now)
+	c.nextShareUpdate = now.Add(shareUpdateInterval)
+	c.updateDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
-	changed := c.observed.take(summary, now)
-	c.admit(summary, now)
+	changed := c.observed.update(summary, now)
+	c.updateAdmission(summary, now)
 	c.findings.own = nil
-	if summary != nil && now.Sub(summary.At) <= observedFor {
+	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
 		c.findings.own = summary.Findings
 	}
-	changed = c.judgeHealth(now) || changed
-	changed = c.divide(now) || changed
+	changed = c.updateHealth(now) || changed
+	changed = c.planZoneShares(now) || changed
 	if changed {
-		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unwell), "demand", c.observed.describe(),
-			"parts", c.observed.planned)
+		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unhealthy), "demand", c.observed.inFlightByPool(),
+			"parts", c.observed.plannedShares)
 	}
 	return changed
 }
 
 func (c *control) startPoll(ctx context.Context, now time.Time) {
-	if c.polling {
+	if c.pollInFlight {
 		return
 	}
 	kind := c.core.NextPoll(now)
 	if kind == replication.PollNone {
 		return
 	}
-	c.polling = true
+	c.pollInFlight = true
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
-	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.directory.Revision(), now)
+	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
 		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).Poll)
 		go c.checkOperatorEntries(ctx)
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -28,13 +28,13 @@
 	lineSampled
 	// linePassing: any other request that passes.
 	linePassing
-	// lineNoRoom: a flow was refused for want of room. In a burst there are many.
-	lineNoRoom
+	// lineNoCapacity: a flow was refused for want of room. In a burst there are many.
+	lineNoCapacity
 	lineKindCount
 )
 
 // lineLimits are the lines a second of each kind.
-var lineLimits = [lineKindCount]int{lineFailure: 60, lineOpening: 50, lineSampled: 30, linePassing: 40, lineNoRoom: 20}
+var lineLimits = [lineKindCount]int{lineFailure: 60, lineOpening: 50, lineSampled: 30, linePassing: 40, lineNoCapacity: 20}
 
 // sampleDivisor is that one request in so many is of the sample.
 const sampleDivisor = 16
@@ -74,13 +74,13 @@
 	if decision.Reason == tokenroute.ReasonEvacuated {
 		attributes = append(attributes, slog.Any("evacuated", table.Evacuated))
 	}
-	if refused := decision.Level; refused != nil {
+	if refused := decision.Refusal; refused != nil {
 		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Priority)),
 			slog.Float64("refused_part", rounded(refused.Fraction)), slog.Float64("pressure", rounded(refused.Pressure.RequestsPerSlot)),
 			slog.Duration("pressure_age", refused.Pressure.Age(now).Round(time.Millisecond)))
 	}
 	level := slog.LevelInfo
-	if kind == lineFailure || kind == lineNoRoom {
+	if kind == lineFailure || kind == lineNoCapacity {
 		level = slog.LevelWarn
 	}
 	d.logger.LogAttrs(context.Background(), level, message, attributes...)
@@ -91,13 +91,13 @@
 
 func describe(packet tokenroute.Packet, request []byte, decision tokenroute.Decision) (message string, kind lineKind) {
 	switch {
-	case decision.Reason == tokenroute.ReasonNoRoom:
-		return "Traffic: flow refused.", lineNoRoom
+	case decision.Reason == tokenroute.ReasonNoCapacity:
+		return "Traffic: flow refused.", lineNoCapacity
 	case decision.Verdict == tokenroute.Refuse:
 		return "Traffic: flow refused.", lineFailure
 	case decision.Verdict == tokenroute.Drop:
 		return "Traffic: packet dropped.", lineFailure
-	case decision.Reason == tokenroute.ReasonKept:
+	case decision.Reason == tokenroute.ReasonOpenedElsewhere:
 		return "Traffic: flow kept with its opener.", lineFailure
 	case packet.First:
 		return "Traffic: flow sent to a back end.", lineOpening
@@ -141,5 +141,5 @@
 	}
 	d.logger.Warn("Traffic: lines left out.", "failures", d.omitted[lineFailure], "openings", d.omitted[lineOpening],
 		"sampled", d.omitted[lineSampled], "passing", d.omitted[linePassing],
-		"no_room", d.omitted[lineNoRoom])
+		"no_room", d.omitted[lineNoCapacity])
 }
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -12,35 +12,35 @@
 	pressureDescription = prometheus.NewDesc("indigobarrow_balancer_demand_pressure",
 		"Requests at the back ends of a pool in a zone for each slot that takes new flows; from 1 on they queue.",
 		[]string{"pool", "zone"}, nil)
-	asksDescription = prometheus.NewDesc("indigobarrow_balancer_demand_asks_per_second",
+	requestRateDescription = prometheus.NewDesc("indigobarrow_balancer_demand_asks_per_second",
 		"New flows and later requests that the clients of a zone ask of a pool.", []string{"pool", "zone"}, nil)
-	roomDescription = prometheus.NewDesc("indigobarrow_balancer_demand_room_slots",
+	capacityDescription = prometheus.NewDesc("indigobarrow_balancer_demand_room_slots",
 		"Slots of a pool in a zone that take new flows.", []string{"pool", "zone"}, nil)
-	pictureAgeDescription = prometheus.NewDesc("indigobarrow_balancer_demand_age_seconds",
+	aggregateAgeDescription = prometheus.NewDesc("indigobarrow_balancer_demand_age_seconds",
 		"Age of the oldest part of the picture of demand.", nil, nil)
-	pictureBalancersDescription = prometheus.NewDesc("indigobarrow_balancer_demand_balancers",
+	aggregateBalancersDescription = prometheus.NewDesc("indigobarrow_balancer_demand_balancers",
 		"Balancers that the picture of demand counts, by zone.", []string{"zone"}, nil)
 )
 
 // collectDemand gives the picture of demand and room.
 func collectDemand(picture *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
-	if picture == nil || picture.OldestAt.IsZero() {
+	if picture == nil || picture.At.IsZero() {
 		return
 	}
-	gauge(pictureAgeDescription, picture.Age(time.Now()).Seconds())
+	gauge(aggregateAgeDescription, picture.Age(time.Now()).Seconds())
 	for zone, count := range picture.ZoneBalancers {
-		gauge(pictureBalancersDescription, float64(count), string(zone))
+		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	tell := func(place demand.ZonePool) {
-		gauge(roomDescription, picture.Slots[place], string(place.Pool), string(place.Zone))
+	tell := func(place demand.PoolZone) {
+		gauge(capacityDescription, picture.Capacity[place], string(place.Pool), string(place.Zone))
 		gauge(pressureDescription, picture.Pressure(place), string(place.Pool), string(place.Zone))
 	}
-	for place := range picture.Slots {
+	for place := range picture.Capacity {
 		tell(place)
 	}
 	for place, load := range picture.Loads {
-		gauge(asksDescription, load.Offered, string(place.Pool), string(place.Zone))
-		if _, found := picture.Slots[place]; !found {
+		gauge(requestRateDescription, load.RequestRate, string(place.Pool), string(place.Zone))
+		if _, found := picture.Capacity[place]; !found {
 			tell(place)
 		}
 	}
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -16,7 +16,7 @@
 	caller        replication.Caller
 	afterRevision uint64
 	receivedAt    time.Time
-	// confirmedAt is when the follower's own knowledge was confirmed.
+	// minAggregatePressure is when the follower's own knowledge was confirmed.
 	confirmedAt time.Time
 	deadline    time.Time
 	findings    []*apiv1.BackendFinding
@@ -139,16 +139,16 @@
 
 // enqueueFollow lets a follower wait, or answers it at once when there is no room.
 func (c *control) enqueueFollow(asking *followCall) {
-	c.core.Called(asking.caller, c.directory.Revision(), asking.receivedAt)
+	c.core.Called(asking.caller, c.replica.Revision(), asking.receivedAt)
 	c.core.TakeShown(asking.shownBalancers, asking.receivedAt)
 	c.core.TakeSilent(asking.silentBalancers, asking.receivedAt)
 	if asking.wantsFindings {
-		c.hearStruggling(asking.struggling, asking.reportsStruggling, asking.receivedAt)
+		c.handleStrugglingReports(asking.struggling, asking.reportsStruggling, asking.receivedAt)
 	}
 	if asking.isFollow() {
-		c.findings.takeFollower(asking.caller.Address, asking.findings, asking.receivedAt)
+		c.findings.updateFollower(asking.caller.Address, asking.findings, asking.receivedAt)
 	}
-	c.takeReport(asking.caller.Address, asking.demand, asking.receivedAt)
+	c.handleDemandReport(asking.caller.Address, asking.demand, asking.receivedAt)
 	if len(c.waitingCalls) >= maxWaitingFollowers {
 		asking.deadline = asking.receivedAt
 	}
@@ -178,8 +178,8 @@
 		return false
 	}
 	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
-	statements := c.newsOfBackends(asking, now)
-	if asking.afterRevision >= c.directory.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
+	statements := c.pendingObservations(asking, now)
+	if asking.afterRevision >= c.replica.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
 		return false
 	}
 	if known && asking.wantsFullReply() && !c.fullReplies.allow(now) {
@@ -198,11 +198,11 @@
 	}
 	if asking.wantsFindings {
 		reply.Findings = found()
-		reply.Struggling, reply.TellsStruggling = c.tellStruggling(now), true
+		reply.Struggling, reply.TellsStruggling = c.strugglingReports(now), true
 	}
 	if asking.wantsTestimony {
-		c.addTestimony(reply, statements, now)
-		reply.Demand = c.wholeFor(asking.caller.Address, now)
+		c.addObservations(reply, statements, now)
+		reply.Demand = c.totalDemandFor(asking.caller.Address, now)
 	}
 	if !known {
 		reply.AgeMilliseconds = uint32(unknownAge.Milliseconds())
@@ -215,7 +215,7 @@
 // pagedReply returns the pages of all that is known for a follower that needs all of it, or
 // nil where one answer is enough.
 func (c *control) pagedReply(asking *followCall, known bool, now time.Time) *replication.Pages {
-	if !known || asking.revisionOnly || !asking.acceptsPages || !c.directory.NeedsAll(asking.afterRevision, asking.withTombstones) {
+	if !known || asking.revisionOnly || !asking.acceptsPages || !c.replica.NeedsSnapshot(asking.afterRevision, asking.withTombstones) {
 		return nil
 	}
 	return c.pagesFor(asking.afterRevision, now)
@@ -227,9 +227,9 @@
 		// Without a revision, the batch claims and confirms nothing.
 		return &apiv1.DirectoryBatch{}
 	}
-	batch := c.directory.Since(asking.afterRevision)
+	batch := c.replica.Since(asking.afterRevision)
 	if asking.withTombstones {
-		batch = c.directory.Everything(asking.afterRevision)
+		batch = c.replica.SinceWithTombstones(asking.afterRevision)
 	}
 	if !asking.acceptsPacked {
 		return batch
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -21,9 +21,9 @@
 type builder struct {
 	options   Options
 	previous  *Table
-	groups    []*directory.Group
+	groups    []*directory.BackendGroup
 	tokens    *tokenIndexBuilder
-	poolZones map[directory.Place]*poolZone
+	poolZones map[directory.PoolZone]*poolZone
 	pools     map[string]*pool
 	// sharedTokenPools is the set of pools in which two back ends share a token.
 	sharedTokenPools map[string]bool
@@ -41,9 +41,9 @@
 	b := &builder{
 		options:          options,
 		previous:         previous,
-		groups:           source.Groups(),
+		groups:           source.BackendGroups(),
 		tokens:           newTokenIndexBuilder(previous.tokens),
-		poolZones:        make(map[directory.Place]*poolZone),
+		poolZones:        make(map[directory.PoolZone]*poolZone),
 		pools:            make(map[string]*pool),
 		sharedTokenPools: make(map[string]bool),
 	}
@@ -59,10 +59,10 @@
 // token index.
 func (b *builder) indexBackends() [][]*Backend {
 	byGroup := make([][]*Backend, len(b.groups))
-	listed := make(map[directory.Place]bool, len(b.groups))
+	listed := make(map[directory.PoolZone]bool, len(b.groups))
 	for i, group := range b.groups {
-		listed[group.Place] = true
-		prior := b.previous.poolZones[group.Place]
+		listed[group.PoolZone] = true
+		prior := b.previous.poolZones[group.PoolZone]
 		if prior != nil && prior.version == group.Version && b.options.WarmupOf == nil {
 			byGroup[i] = prior.backends
 			continue
@@ -83,7 +83,7 @@
 // backendsOf returns the back ends of a group, sorted by ID. Those that have not changed are reused
 // from the previous table: flows refer to their back ends for seconds and would otherwise keep one
 // copy per table alive.
-func (b *builder) backendsOf(group *directory.Group, previous []*Backend) []*Backend {
+func (b *builder) backendsOf(group *directory.BackendGroup, previous []*Backend) []*Backend {
 	backends := make([]*Backend, len(group.Entries))
 	for i, entry := range group.Entries {
 		before := 0
@@ -133,14 +133,14 @@
 
 // addPoolZone adds the back ends of a group. It reuses the previous pool zone if nothing that it
 // depends on has changed.
-func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
+func (b *builder) addPoolZone(group *directory.BackendGroup, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
-	weight, uniform := b.weight(group.Place)
-	zone := b.previous.poolZones[group.Place]
+	weight, uniform := b.weight(group.PoolZone)
+	zone := b.previous.poolZones[group.PoolZone]
 	if zone == nil || b.sharedTokenPools[group.Pool] || !zone.reusable(group.Version, evacuated, weight, uniform) {
 		zone = b.poolZone(group, backends)
 	}
-	b.poolZones[group.Place] = zone
+	b.poolZones[group.PoolZone] = zone
 	b.restarted = append(b.restarted, zone.restarted...)
 }
 
@@ -197,8 +197,8 @@
 }
 
 // groupsOf returns the groups of a pool.
-func (b *builder) groupsOf(pool string) []*directory.Group {
-	first, _ := slices.BinarySearchFunc(b.groups, pool, func(each *directory.Group, pool string) int {
+func (b *builder) groupsOf(pool string) []*directory.BackendGroup {
+	first, _ := slices.BinarySearchFunc(b.groups, pool, func(each *directory.BackendGroup, pool string) int {
 		return strings.Compare(each.Pool, pool)
 	})
 	last := first
@@ -217,9 +217,9 @@
 	built := &pool{name: name, zoneByWeight: b.options.ZoneByWeight != nil && b.options.ZoneByWeight(name)}
 	b.pools[name] = built
 	groups := b.groupsOf(name)
-	ready := slices.ContainsFunc(groups, func(each *directory.Group) bool { return len(b.poolZones[each.Place].eligible) > 0 })
+	ready := slices.ContainsFunc(groups, func(each *directory.BackendGroup) bool { return len(b.poolZones[each.PoolZone].eligible) > 0 })
 	for _, group := range groups {
-		zone := b.poolZones[group.Place]
+		zone := b.poolZones[group.PoolZone]
 		if !ready {
 			zone = b.vanishedPoolZone(group, zone)
 		}
--- a/internal/tokenroute/failuredetector.go
+++ b/internal/tokenroute/failuredetector.go
@@ -65,12 +65,12 @@
 	disabled mechanism.Set
 	// zone is the zone of this balancer.
 	zone   string
-	memory *memory
-	zones  *zones
+	memory *flowCache
+	zones  *zoneMonitor
 	health map[incarnation.ID]*backendHealth
 	// link estimates the packet loss on the balancer's own link from the answers.
-	link      link
-	abandoned []Abandoned
+	link      linkMonitor
+	abandoned []AbandonedFlow
 	failures  []BackendFailure
 	// observations holds what has yet to be sent to the other balancers.
 	observations []evidence.Observation
@@ -82,7 +82,7 @@
 
 // newFailureDetector returns a detector for the back ends of the flows in a flow cache, without any
 // evidence.
-func newFailureDetector(memory *memory, zones *zones, disabled mechanism.Set) *FailureDetector {
+func newFailureDetector(memory *flowCache, zones *zoneMonitor, disabled mechanism.Set) *FailureDetector {
 	return &FailureDetector{disabled: disabled, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
@@ -105,11 +105,11 @@
 // it has received something.
 func (d *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	d.recordActivity(backend, now)
-	if state == nil || state.track.backend == nil {
+	if state == nil || state.tracker.backend == nil {
 		return
 	}
-	state.track.expected = packet.Acknowledged
-	if state.track.acknowledged != packet.Acknowledged {
+	state.tracker.lastAck = packet.Acknowledged
+	if state.tracker.acknowledged != packet.Acknowledged {
 		d.recordAnswer(packet.Key, state, backend, now)
 	}
 }
@@ -117,77 +117,77 @@
 // observeData tracks the oldest unanswered packet of a flow. A packet that acknowledges more than
 // the one before it proves that the back end was alive at least when that earlier packet passed.
 func (d *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	tracked := &state.track
+	tracked := &state.tracker
 	switch {
 	case tracked.backend == nil:
 		d.trackRequest(packet, state, backend, now)
 	case tracked.acknowledged != packet.Acknowledged:
 		d.recordActivity(backend, tracked.passedAt)
 		d.recordAnswer(packet.Key, state, backend, now)
-		state.ended(packet.Key.Address(), packet.Acknowledged)
+		state.countResponseLength(packet.Key.Address(), packet.Acknowledged)
 		d.trackRequest(packet, state, backend, now)
 	case tracked.sequence == packet.Sequence && tracked.backend.Incarnation() != backend.Incarnation():
 		// A request that an earlier start left unanswered is no evidence against this one.
 		d.trackRequest(packet, state, backend, now)
 	case tracked.sequence == packet.Sequence:
 		tracked.backend, tracked.passedAt = backend, now
-		state.waitsStill(now)
+		state.resumeRequest(now)
 		d.recordRetransmission(tracked, packet, now)
-		if tracked.repeats > 0 {
-			state.unreach(now)
+		if tracked.retransmissions > 0 {
+			state.markUndelivered(now)
 		}
 	default:
 		tracked.passedAt = now
-		state.sendsOn(now)
+		state.markSending(now)
 	}
 }
 
 func (d *FailureDetector) trackRequest(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	state.setWaiting(true, now)
-	if state.seenAt.IsZero() {
-		state.seenAt = now
+	state.setInFlight(true, now)
+	if state.firstRequestAt.IsZero() {
+		state.firstRequestAt = now
 	}
-	state.track = track{
+	state.tracker = requestTracker{
 		backend:  backend,
-		sequence: packet.Sequence, acknowledged: packet.Acknowledged, expected: packet.Acknowledged,
-		passedAt: now, sentAt: now, repeatedAt: now,
+		sequence: packet.Sequence, acknowledged: packet.Acknowledged, lastAck: packet.Acknowledged,
+		passedAt: now, sentAt: now, retransmittedAt: now,
 	}
 }
 
 // recordRetransmission counts a copy of an unanswered packet. After enough copies, the request
 // counts as unanswered.
-func (d *FailureDetector) recordRetransmission(tracked *track, packet Packet, now time.Time) {
-	if now.Sub(tracked.repeatedAt) < minRetransmitInterval {
+func (d *FailureDetector) recordRetransmission(tracked *requestTracker, packet Packet, now time.Time) {
+	if now.Sub(tracked.retransmittedAt) < minRetransmitInterval {
 		return
 	}
-	tracked.repeats++
-	tracked.repeatedAt = now
-	d.zones.missed(tracked.backend, tracked.sentAt, now)
+	tracked.retransmissions++
+	tracked.retransmittedAt = now
+	d.zones.recordMiss(tracked.backend, tracked.sentAt, now)
 	if health := d.healthOf(tracked.backend); health != nil {
 		health.retransmittedAt = now
 	}
-	if tracked.repeats >= retransmitsToReport {
+	if tracked.retransmissions >= retransmitsToReport {
 		d.recordUnanswered(tracked, clientAddress(packet.Key.Source), now)
 	}
 }
 
 // recordAnswer records that the oldest request of a flow was answered.
 func (d *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
-	state.setWaiting(false, now)
-	tracked := &state.track
+	state.setInFlight(false, now)
+	tracked := &state.tracker
 	health := d.healthOf(backend)
-	if state.load != nil && tracked.repeats == 0 && !tracked.timed {
-		tracked.timed = true
-		state.load.answersTo(key.Address()).AddTime(now.Sub(tracked.sentAt))
+	if state.load != nil && tracked.retransmissions == 0 && !tracked.ackCounted {
+		tracked.ackCounted = true
+		state.load.responseCounts(key.Address()).AddTime(now.Sub(tracked.sentAt))
 	}
-	if !tracked.counted {
-		tracked.counted = true
-		d.link.answered(tracked.repeats > 0, now)
+	if !tracked.responseCounted {
+		tracked.responseCounted = true
+		d.link.countResponse(tracked.retransmissions > 0, now)
 	}
-	if tracked.repeats == 0 {
-		d.zones.answered(backend, tracked.sentAt)
+	if tracked.retransmissions == 0 {
+		d.zones.recordResponse(backend, tracked.sentAt)
 	}
-	if health != nil && tracked.repeats == 0 && tracked.sentAt.After(health.promptSentAt) {
+	if health != nil && tracked.retransmissions == 0 && tracked.sentAt.After(health.promptSentAt) {
 		health.promptSentAt = tracked.sentAt
 	}
 }
@@ -204,20 +204,20 @@
 
 // recordUnanswered records an unanswered request of a client and marks the back end as failed if
 // there is enough evidence.
-func (d *FailureDetector) recordUnanswered(tracked *track, client clientAddress, now time.Time) {
+func (d *FailureDetector) recordUnanswered(tracked *requestTracker, client clientAddress, now time.Time) {
 	backend := tracked.backend
 	health := d.healthOf(backend)
 	if health == nil || !tracked.sentAt.After(health.activeAt) {
 		return
 	}
-	othersAnswered := d.othersResponsive(health, tracked.sentAt) && d.link.doubt(tracked.repeats, tracked.sentAt, now) <= doubtOfWitness
-	health.unanswered[client] = unansweredRequest{sentAt: tracked.sentAt, othersAnswered: othersAnswered, copies: tracked.repeats}
+	othersAnswered := d.othersResponsive(health, tracked.sentAt) && d.link.expectedLinkLoss(tracked.retransmissions, tracked.sentAt, now) <= maxLinkLossForReport
+	health.unanswered[client] = unansweredRequest{sentAt: tracked.sentAt, othersAnswered: othersAnswered, copies: tracked.retransmissions}
 	if !othersAnswered || d.disabled.Has(mechanism.Verdicts) {
 		return
 	}
 	d.reportUnanswered(backend, client, tracked.sentAt)
-	enough := tracked.repeats >= retransmitsToFail || health.localClients() >= clientsToFail
-	if enough && d.link.doubt(health.lostCopies(), tracked.sentAt, now) <= doubtOfVerdict {
+	enough := tracked.retransmissions >= retransmitsToFail || health.localClients() >= clientsToFail
+	if enough && d.link.expectedLinkLoss(health.lostCopies(), tracked.sentAt, now) <= maxLinkLossForFailure {
 		d.markFailed(health, backend, now)
 		return
 	}
@@ -241,16 +241,16 @@
 func (d *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
 	for _, generation := range []map[flow.Key]*flowState{d.memory.current, d.memory.previous} {
 		for key, state := range generation {
-			tracked := &state.track
+			tracked := &state.tracker
 			if tracked.backend == nil || tracked.backend.Incarnation() != backend.Incarnation() {
 				continue
 			}
-			d.abandoned = append(d.abandoned, Abandoned{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: tracked.expected})
+			d.abandoned = append(d.abandoned, AbandonedFlow{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: tracked.lastAck})
 			d.memory.forget(key, state, now)
 		}
 	}
-	for _, idle := range d.memory.takeRested(backend.Incarnation()) {
-		d.abandoned = append(d.abandoned, Abandoned{Key: idle.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: idle.expected})
+	for _, idle := range d.memory.takeIdle(backend.Incarnation()) {
+		d.abandoned = append(d.abandoned, AbandonedFlow{Key: idle.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: idle.lastAck})
 	}
 }
 
--- a/internal/tokenroute/incremental_test.go
+++ b/internal/tokenroute/incremental_test.go
@@ -46,7 +46,7 @@
 		entries := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
 		now, revision := start, uint64(100)
 		var previous *Table
-		weights := make(map[directory.Place]uint32)
+		weights := make(map[directory.PoolZone]uint32)
 		settings := defaultOptions()
 		for range rapid.IntRange(1, 25).Draw(t, "tables") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause ms")) * time.Millisecond)
@@ -65,21 +65,21 @@
 				entries.Apply(&apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{change}}, now)
 			}
 			entries.Expire(now)
-			place := directory.Place{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
+			place := directory.PoolZone{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
 			weights[place] = uint32(rapid.IntRange(0, 3).Draw(t, "weight")) * 1000
-			weightOf := func(place directory.Place) uint32 {
+			weightOf := func(place directory.PoolZone) uint32 {
 				if weight, found := weights[place]; found {
 					return weight
 				}
 				return rule.MaximumWeight
 			}
 			nonUniform := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			settings.WeightOfPoolZone = func(place directory.Place) (uint32, bool) { return weightOf(place), !nonUniform }
+			settings.WeightOfPoolZone = func(place directory.PoolZone) (uint32, bool) { return weightOf(place), !nonUniform }
 			settings.WeightOf = func(entry directory.BackendEntry) uint32 {
 				if nonUniform && entry.GetNumber()%2 == 0 {
 					return 500
 				}
-				return weightOf(directory.Place{Pool: entry.GetPool(), Zone: entry.GetZone()})
+				return weightOf(directory.PoolZone{Pool: entry.GetPool(), Zone: entry.GetZone()})
 			}
 			settings.Evacuated = map[string]uint64{}
 			if rapid.IntRange(0, 3).Draw(t, "evacuated") == 0 {
@@ -106,16 +106,16 @@
 	}
 	entries := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
 	settings := defaultOptions()
-	settings.WeightOfPoolZone = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
+	settings.WeightOfPoolZone = func(directory.PoolZone) (uint32, bool) { return rule.MaximumWeight, true }
 	before := NewTable(entries, settings)
 	entries.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
 	settings.Previous = before
 	after := NewTable(entries, settings)
 	for zone, shared := range map[string]bool{"zone-0": false, "zone-1": true, "zone-2": true} {
-		place := directory.Place{Pool: "lending", Zone: zone}
+		place := directory.PoolZone{Pool: "lending", Zone: zone}
 		require.Equal(t, shared, before.poolZones[place] == after.poolZones[place], zone)
 	}
-	require.Len(t, after.poolZones[directory.Place{Pool: "lending", Zone: "zone-0"}].eligible, 19)
-	require.Len(t, before.poolZones[directory.Place{Pool: "lending", Zone: "zone-0"}].eligible, 20)
+	require.Len(t, after.poolZones[directory.PoolZone{Pool: "lending", Zone: "zone-0"}].eligible, 19)
+	require.Len(t, before.poolZones[directory.PoolZone{Pool: "lending", Zone: "zone-0"}].eligible, 20)
 }
--- a/internal/tokenroute/observations.go
+++ b/internal/tokenroute/observations.go
@@ -31,7 +31,7 @@
 // Receive handles an observation of another balancer. It ignores observations of back ends that the
 // table doesn't have, or of which it has another start.
 func (f *Flows) Receive(observation evidence.Observation, table *Table, now time.Time) {
-	if table == nil || f.off.Has(mechanism.JoinedEvidence) {
+	if table == nil || f.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
 	backend := table.Backend(observation.BackendID())
@@ -40,25 +40,27 @@
 	}
 	switch received := observation.(type) {
 	case evidence.UnansweredRequest:
-		f.liveness.receive(received, backend, now)
+		f.failureDetector.receive(received, backend, now)
 	case evidence.Activity:
-		f.liveness.recordActivity(backend, received.At)
+		f.failureDetector.recordActivity(backend, received.At)
 	}
 }
 
 // TakeObservations returns and removes the observations to be sent to other balancers.
 func (f *Flows) TakeObservations() []evidence.Observation {
-	taken := f.liveness.observations
-	f.liveness.observations = nil
+	taken := f.failureDetector.observations
+	f.failureDetector.observations = nil
 	return taken
 }
 
 // EvaluatePending evaluates the combined reports that nobody has contradicted in time. It returns
 // when the next ones will have waited long enough, or the zero time if none are waiting.
-func (f *Flows) EvaluatePending(now time.Time) time.Time { return f.liveness.evaluatePending(now) }
+func (f *Flows) EvaluatePending(now time.Time) time.Time {
+	return f.failureDetector.evaluatePending(now)
+}
 
 // HasPending reports whether combined reports wait for contradicting activity.
-func (f *Flows) HasPending() bool { return len(f.liveness.pending) > 0 }
+func (f *Flows) HasPending() bool { return len(f.failureDetector.pending) > 0 }
 
 // receive handles an unanswered request that another balancer reports. The report counts only if
 // this balancer reaches the back end over the same path as the other one: if both are in the same
--- a/internal/tokenroute/observations_test.go
+++ b/internal/tokenroute/observations_test.go
@@ -30,7 +30,7 @@
 // countResets evaluates the pending reports and returns how many flows are reset.
 func countResets(flows *Flows, now int) int {
 	flows.EvaluatePending(at(now))
-	return len(flows.TakeAbandoned())
+	return len(flows.TakeAbandonedFlows())
 }
 
 // exchange forwards a request of a client's flow and the acknowledgment of its answer.
@@ -45,20 +45,20 @@
 // once nobody has contradicted them. The next request of its client opens a flow to another back
 // end.
 func TestRemoteReportsFailBackend(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 1, 2, 0)
 	exchange(flows, table, 2, 3, 0)
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	require.False(t, flows.HasPending())
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(750))
 	require.Equal(t, at(700+pendingMillis), flows.EvaluatePending(at(751)))
-	require.Empty(t, flows.TakeAbandoned(), "the reports may still be contradicted")
+	require.Empty(t, flows.TakeAbandonedFlows(), "the reports may still be contradicted")
 	require.Equal(t, Forward, flows.Decide(table, request(3, 2, 1), at(752)).Verdict)
 	require.Equal(t, 2, countResets(flows, 700+pendingMillis), "clients 1 and 3")
 	require.Equal(t, Refuse, flows.Decide(table, request(4, 2, 1), at(1000)).Verdict)
 	require.Equal(t, Forward, flows.Decide(table, request(2, 3, 1), at(1000)).Verdict)
-	require.Equal(t, uint64(1), flows.Verdicts())
-	verdicts := flows.TakeVerdicts()
+	require.Equal(t, uint64(1), flows.BackendFailures())
+	verdicts := flows.TakeBackendFailures()
 	require.Len(t, verdicts, 1)
 	require.Equal(t, at(100), verdicts[0].SilentSince)
 	require.Equal(t, 2, verdicts[0].Remote)
@@ -70,7 +70,7 @@
 	require.Equal(t, []Verdict{Forward}, sendUnanswered(flows, table, 2, []byte{1}, 0, 600))
 	reports := flows.TakeObservations()
 	require.Len(t, reports, 1)
-	require.Equal(t, at(0), reports[0].Time())
+	require.Equal(t, at(0), reports[0].When())
 	flows.Receive(unanswered(2, 102, "", 10), table, at(650))
 	require.Equal(t, 1, countResets(flows, 650+pendingMillis))
 }
@@ -87,7 +87,7 @@
 
 func TestNewerAnswerOverridesReports(t *testing.T) {
 	table := NewTable(twoZoneDirectory(), defaultOptions())
-	before := NewFlows(mechanism.Set{}).InZone("maadi")
+	before := NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(before, table, 1, 2, 200)
 	before.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	before.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -95,14 +95,14 @@
 	require.Equal(t, []evidence.Observation{evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}},
 		before.TakeObservations(), "the activity is reported to the others")
 
-	during := NewFlows(mechanism.Set{}).InZone("maadi")
+	during := NewFlows(mechanism.Set{}).WithZone("maadi")
 	during.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	during.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	exchange(during, table, 1, 2, 750)
 	require.Zero(t, countResets(during, 700+pendingMillis), "the back end answers while the reports are pending")
 	require.Len(t, during.TakeObservations(), 1)
 
-	corrected := NewFlows(mechanism.Set{}).InZone("maadi")
+	corrected := NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(corrected, table, 1, 2, 0)
 	corrected.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	corrected.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -115,10 +115,10 @@
 // When many back ends fall silent at the same time, unanswered requests fill the queue. That is
 // just when the activity of a live back end has to be reported.
 func TestActivityIsQueuedWhenReportsFillTheQueue(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 1, 2, 200)
 	for client := range evidence.Client(2 * maxObservations) {
-		flows.liveness.queueObservation(unanswered(3, client, "maadi", 100))
+		flows.failureDetector.queueObservation(unanswered(3, client, "maadi", 100))
 	}
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	queued := flows.TakeObservations()
@@ -128,7 +128,7 @@
 
 // Activity that another balancer reports ends a failure too.
 func TestActivityClearsFailure(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	countResets(flows, 700+pendingMillis)
@@ -142,13 +142,13 @@
 func TestReportsFromIsolatedZoneCountOnlyThere(t *testing.T) {
 	table := NewTable(twoZoneDirectory(), defaultOptions())
 	for zone, expected := range map[string]int{"giza": 1, "maadi": 0, "nasr": 0} {
-		flows := NewFlows(mechanism.Set{}).InZone(zone)
+		flows := NewFlows(mechanism.Set{}).WithZone(zone)
 		exchange(flows, table, 1, 2, 0)
 		flows.Receive(unanswered(2, 101, "giza", 100), table, at(700))
 		flows.Receive(unanswered(2, 102, "giza", 150), table, at(700))
 		require.Equal(t, expected, countResets(flows, 700+pendingMillis), zone)
 	}
-	flows := NewFlows(mechanism.Set{}).InZone("nasr")
+	flows := NewFlows(mechanism.Set{}).WithZone("nasr")
 	exchange(flows, table, 1, 2, 0)
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -187,7 +187,7 @@
 // Flows that have been idle for less than the idle timeout are reset with the others. Flows that
 // are closed or have expired are not.
 func TestIdleFlowsAreReset(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for client := byte(1); client <= 4; client++ {
 		exchange(flows, table, client, 2, 0)
 	}
@@ -202,11 +202,11 @@
 	flows.Receive(unanswered(2, 102, "maadi", 12_100), table, at(12_700))
 	flows.EvaluatePending(at(12_700 + pendingMillis))
 	found := make(map[byte]uint32)
-	for _, abandoned := range flows.TakeAbandoned() {
+	for _, abandoned := range flows.TakeAbandonedFlows() {
 		found[abandoned.Key.Source[3]] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[byte]uint32{1: 9, 3: 9, 4: 9}, found)
-	require.Zero(t, flows.memory.resting)
+	require.Zero(t, flows.flowCache.idleCount)
 }
 
 func TestIdleFlowsExpire(t *testing.T) {
@@ -215,15 +215,15 @@
 	for now := 0; now <= 19_000; now += 500 {
 		exchange(flows, table, 50, 3, now)
 	}
-	require.Zero(t, flows.memory.resting)
-	require.Empty(t, flows.memory.rested)
+	require.Zero(t, flows.flowCache.idleCount)
+	require.Empty(t, flows.flowCache.idle)
 	for port := range 200_000 {
 		packet := request(1, 2, 1)
 		packet.Key = key(port)
 		packet.Key.Source[1] = byte(port >> 16)
 		flows.Decide(table, packet, at(20_000+port/20))
 	}
-	require.LessOrEqual(t, flows.memory.resting, restedLimit)
+	require.LessOrEqual(t, flows.flowCache.idleCount, maxIdleFlows)
 }
 
 // No balancer resets a flow of a back end that answers within 140 ms, whatever the clients do,
@@ -265,7 +265,7 @@
 				exchange(member.flows, table, 200+byte(position), 3, now)
 				group.deliver(member, table, now)
 				member.flows.EvaluatePending(at(now))
-				require.Empty(t, member.flows.TakeAbandoned(), "at %d ms", now)
+				require.Empty(t, member.flows.TakeAbandonedFlows(), "at %d ms", now)
 				group.broadcast(position, now, latest)
 			}
 		}
--- a/internal/tokenroute/poolzone.go
+++ b/internal/tokenroute/poolzone.go
@@ -44,9 +44,9 @@
 // poolZone builds the pool zone of a group. A back end may take new flows if it has an entry, or
 // had one that expired during an outage of the store and may come back, unless its zone is
 // evacuated.
-func (b *builder) poolZone(group *directory.Group, backends []*Backend) *poolZone {
+func (b *builder) poolZone(group *directory.BackendGroup, backends []*Backend) *poolZone {
 	_, evacuated := b.options.Evacuated[group.Zone]
-	weight, uniform := b.weight(group.Place)
+	weight, uniform := b.weight(group.PoolZone)
 	built := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
 		timeIndependent: b.options.WarmupOf == nil, backends: backends}
 	for i := range group.Entries {
@@ -54,13 +54,13 @@
 		if entry.Restarted {
 			built.restarted = append(built.restarted, backend)
 		}
-		if entry.Gone && !entry.VanishedAt.IsZero() {
+		if entry.Gone && !entry.RemovalSeenAt.IsZero() {
 			built.timeIndependent = built.timeIndependent && !b.mayReturn(entry)
 		}
 		if entry.GetDraining() || !b.ownsToken(backend) {
 			continue
 		}
-		switch ready := !entry.Gone || b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now); {
+		switch ready := !entry.Gone || b.options.StoreRecovery.covers(entry.RemovalSeenAt, b.options.Now); {
 		case evacuated:
 			built.withheldByEvacuation = built.withheldByEvacuation || !entry.Gone
 		case ready:
@@ -74,16 +74,16 @@
 // mayReturn reports whether a back end whose entry disappeared may still take new flows for some
 // time.
 func (b *builder) mayReturn(entry *directory.BackendEntry) bool {
-	return b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now) || b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
+	return b.options.StoreRecovery.covers(entry.RemovalSeenAt, b.options.Now) || b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyPoolGrace
 }
 
 // vanishedPoolZone returns the pool zone with the back ends whose entries disappeared recently as
 // the eligible ones. They take new flows if their pool has no other back end.
-func (b *builder) vanishedPoolZone(group *directory.Group, zone *poolZone) *poolZone {
+func (b *builder) vanishedPoolZone(group *directory.BackendGroup, zone *poolZone) *poolZone {
 	built := &poolZone{backends: zone.backends, withheldByEvacuation: zone.withheldByEvacuation}
 	for i := range group.Entries {
 		entry := &group.Entries[i]
-		recent := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
+		recent := entry.Gone && b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyPoolGrace
 		if recent && !zone.evacuated && !entry.GetDraining() && b.ownsToken(zone.backends[i]) {
 			built.eligible = append(built.eligible, zone.backends[i])
 		}
@@ -94,7 +94,7 @@
 
 // weight returns the weight for new flows of each back end of a pool in one zone if all of them
 // have the same, and reports whether they do.
-func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
+func (b *builder) weight(place directory.PoolZone) (weight uint32, uniform bool) {
 	if b.options.WeightOfPoolZone == nil {
 		return 0, false
 	}
@@ -102,7 +102,7 @@
 }
 
 // rule returns the rule that ranks the given back ends of a group for a flow.
-func (b *builder) rule(group *directory.Group, eligible []*Backend, weight uint32, uniform bool) *rule.Rule {
+func (b *builder) rule(group *directory.BackendGroup, eligible []*Backend, weight uint32, uniform bool) *rule.Rule {
 	candidates := make([]rule.Candidate, len(eligible))
 	next := 0
 	for i, backend := range eligible {
--- a/internal/tokenroute/restart.go
+++ b/internal/tokenroute/restart.go
@@ -35,26 +35,26 @@
 		return !seenAt.IsZero() && backend.Start.Outlived(now.Sub(seenAt), now)
 	}
 	abandon := func(key flow.Key, acknowledged uint32) {
-		f.liveness.abandoned = append(f.liveness.abandoned,
-			Abandoned{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
+		f.failureDetector.abandoned = append(f.failureDetector.abandoned,
+			AbandonedFlow{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
 	}
-	for _, generation := range []map[flow.Key]*flowState{f.memory.current, f.memory.previous} {
+	for _, generation := range []map[flow.Key]*flowState{f.flowCache.current, f.flowCache.previous} {
 		for key, state := range generation {
-			tracked := &state.track
-			if tracked.backend != nil && isEarlierStart(tracked.backend.Incarnation()) && predatesStart(state.seenAt) {
-				abandon(key, tracked.expected)
-				f.memory.forget(key, state, now)
+			tracked := &state.tracker
+			if tracked.backend != nil && isEarlierStart(tracked.backend.Incarnation()) && predatesStart(state.firstRequestAt) {
+				abandon(key, tracked.lastAck)
+				f.flowCache.forget(key, state, now)
 			}
 		}
 	}
-	for id, flows := range f.memory.rested {
+	for id, flows := range f.flowCache.idle {
 		if !isEarlierStart(id) {
 			continue
 		}
 		for key, each := range flows {
-			if predatesStart(each.seenAt) {
-				abandon(key, each.expected)
-				f.memory.resting--
+			if predatesStart(each.firstRequestAt) {
+				abandon(key, each.lastAck)
+				f.flowCache.idleCount--
 				delete(flows, key)
 			}
 		}
--- a/internal/tokenroute/simulation_test.go
+++ b/internal/tokenroute/simulation_test.go
@@ -63,7 +63,7 @@
 	retransmits int
 	nextAt      int
 	waiting     bool
-	// answeredAt is when the answer arrives, if that is known in advance, and 0 otherwise.
+	// respondedAt is when the answer arrives, if that is known in advance, and 0 otherwise.
 	answeredAt int
 }
 
@@ -100,7 +100,7 @@
 	built := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: failed, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for index := range balancers {
-		built.nodes = append(built.nodes, simulatedBalancer{flows: NewFlows(disabled).InZone(home(index))})
+		built.nodes = append(built.nodes, simulatedBalancer{flows: NewFlows(disabled).WithZone(home(index))})
 	}
 	for number := range backends * flows {
 		index := len(built.flows)
@@ -168,7 +168,7 @@
 func (s *simulation) applyResets(index, now int) {
 	node := &s.nodes[index]
 	node.flows.EvaluatePending(at(now))
-	for _, abandoned := range node.flows.TakeAbandoned() {
+	for _, abandoned := range node.flows.TakeAbandonedFlows() {
 		number := int(abandoned.Backend.Number) - 1
 		if number >= s.failed {
 			panic(fmt.Sprintf("a flow of back end %d, which is alive, was reset", number))
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -68,7 +68,7 @@
 	tokens      *tokenIndex
 	// poolZones holds the back ends of each pool in each zone. The next table reuses those that
 	// have not changed.
-	poolZones map[directory.Place]*poolZone
+	poolZones map[directory.PoolZone]*poolZone
 	// sharedTokenPools is the set of pools in which two back ends share a token, or did in an
 	// earlier table.
 	sharedTokenPools map[string]bool
@@ -108,7 +108,7 @@
 	WeightOf WeightFunc
 	// WeightOfPoolZone returns the weight of each back end of a pool in one zone if they all have the
 	// same, and reports whether they do. If it is nil, WeightOf is called for each back end.
-	WeightOfPoolZone func(place directory.Place) (weight uint32, uniform bool)
+	WeightOfPoolZone func(place directory.PoolZone) (weight uint32, uniform bool)
 	// FormerPools maps a route's address to the pools that the route had before. The open flows of
 	// these pools stay where they are.
 	FormerPools map[flow.Address]map[string]bool
