--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -26,7 +26,7 @@
 }
 
 func newGate() gate {
-	return gate{core: admission.NewGate(), pressures: pressures{followed: newFollowed()}, saturatedUntil: make(map[string]time.Time)}
+	return gate{core: admission.NewGate(), pressures: pressures{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // takeRoutes takes the routes that are in force.
@@ -70,13 +70,13 @@
 	picture := c.demand.picture.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	c.balancer.traffic.flows.Saturate(c.gate.saturated(zone, picture, now))
-	if c.balancer.off.Has(mechanism.Admission) {
+	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
 	}
 	var demands []admission.Demand
 	for pool := range picture.Pools() {
 		if urgencies := c.gate.urgencies[string(pool)]; len(urgencies) > 0 {
-			pressure := c.gate.pressures.on(pool, zone, picture, c.listed)
+			pressure := c.gate.pressures.on(pool, zone, picture, c.balancersByZone)
 			demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: urgencies, Pressure: pressure})
 		}
 	}
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -30,7 +30,7 @@
 // back by it. Routers ask for readiness twice a second and turn away after two
 // refusals; open flows then pass other balancers, which resolve their tokens as well.
 func (c *control) lookAside(now time.Time) {
-	if c.balancer.traffic == nil || c.balancer.off.Has(mechanism.StepAside) {
+	if c.balancer.traffic == nil || c.balancer.disabled.Has(mechanism.StepAside) {
 		return
 	}
 	flows := c.balancer.traffic.flows
@@ -38,16 +38,16 @@
 	for step := range flows.Opened {
 		counts.Opened[step] = flows.Opened[step].Load()
 	}
-	core := c.aside.core
+	core := c.withdrawal.core
 	if !core.Look(counts, c.asideZone(now), now) {
 		return
 	}
-	c.balancer.aside.Store(core.Aside())
+	c.balancer.withdrawn.Store(core.Aside())
 	if !core.Aside() {
 		c.balancer.logger.Info("Control: back from aside.")
 		return
 	}
-	c.balancer.asides.Add(1)
+	c.balancer.withdrawals.Add(1)
 	seen := core.Seen()
 	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.Stay(),
 		"opened_promptly", seen.Prompt, "slowly", seen.Slow, "not_in_time", seen.Missed)
@@ -56,14 +56,14 @@
 // asideZone is what is known of this zone by now.
 func (c *control) asideZone(now time.Time) aside.Zone {
 	name := c.balancer.settings.Load().GetName()
-	place, listed := c.aside.places[name]
+	place, listed := c.withdrawal.places[name]
 	if !listed {
 		return aside.Zone{} // the others don't count on it
 	}
-	heard := now.Sub(c.aside.heardAt) < pictureAge && c.aside.picture.Whole()
-	zone := aside.Zone{Place: place, Size: len(c.aside.places), Heard: heard}
-	for _, statement := range c.aside.picture.Now(now) {
-		if other, here := c.aside.places[statement.Name]; here && statement.Name != name {
+	heard := now.Sub(c.withdrawal.heardAt) < pictureAge && c.withdrawal.picture.Whole()
+	zone := aside.Zone{Place: place, Size: len(c.withdrawal.places), Heard: heard}
+	for _, statement := range c.withdrawal.picture.Now(now) {
+		if other, here := c.withdrawal.places[statement.Name]; here && statement.Name != name {
 			zone.Others = append(zone.Others, aside.Other{Place: other, Away: statement.Away})
 		}
 	}
@@ -74,13 +74,13 @@
 // among them.
 func (c *control) tellStruggling(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
-	if c.aside.core.Struggles() {
-		c.aside.picture.Take(aside.Statement{Name: name, Away: c.aside.core.Aside(), At: now})
+	if c.withdrawal.core.Struggles() {
+		c.withdrawal.picture.Take(aside.Statement{Name: name, Away: c.withdrawal.core.Aside(), At: now})
 	} else {
-		c.aside.picture.Drop(name)
+		c.withdrawal.picture.Drop(name)
 	}
 	var told []*apiv1.Struggling
-	for _, statement := range c.aside.picture.Now(now) {
+	for _, statement := range c.withdrawal.picture.Now(now) {
 		told = append(told, &apiv1.Struggling{Name: statement.Name, Away: statement.Away,
 			Milliseconds: uint32(now.Sub(statement.At).Milliseconds())})
 	}
@@ -94,12 +94,12 @@
 	if !tells {
 		return
 	}
-	c.aside.heardAt = now
+	c.withdrawal.heardAt = now
 	for _, each := range told {
 		if each.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.aside.picture.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
+		c.withdrawal.picture.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
 			At: now.Add(-time.Duration(each.GetMilliseconds()) * time.Millisecond)})
 	}
 }
@@ -117,9 +117,9 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(asideRank(a), asideRank(b)), cmp.Compare(a, b))
 	})
-	c.aside.places = make(map[string]int, len(names))
+	c.withdrawal.places = make(map[string]int, len(names))
 	for place, name := range names {
-		c.aside.places[name] = place
+		c.withdrawal.places[name] = place
 	}
 }
 
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -42,7 +42,7 @@
 // takeDemand takes what the traffic goroutine has observed and makes a new picture.
 func (c *control) takeDemand(now time.Time) {
 	d := &c.demand
-	if summary := c.balancer.traffic.observed.Load(); summary != nil {
+	if summary := c.balancer.traffic.latestSummary.Load(); summary != nil {
 		d.own.Take(summary.Places, summary.At)
 		d.room.takeDead(summary, c.balancer.table.Load(), now)
 	}
@@ -60,7 +60,7 @@
 
 // tellWhetherWhole logs when the demand of all becomes known, or is known no longer.
 func (c *control) tellWhetherWhole(picture demand.Picture, now time.Time) {
-	listed := c.listed.all()
+	listed := c.balancersByZone.total()
 	if listed == 0 {
 		return
 	}
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -35,7 +35,7 @@
 	leads, follows = newTestControl(), newTestControl()
 	leads.balancer.started = now.Add(-3 * time.Minute)
 	first := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
-	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.entry(), first}, now)
+	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.ownEntry(), first}, now)
 	require.True(t, follows.core.Leads("10.0.0.2:1"))
 	follows.testimony.parent = "10.0.0.2:1"
 	follows.testimony.theirs = evidence.NewClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
@@ -58,17 +58,17 @@
 		require.NotNil(t, request.GetDemand())
 		require.Nil(t, follows.requestTo(replication.Peer{Address: "10.0.0.3:1", Purpose: replication.PurposeFollow}, 0, now).GetDemand(),
 			"another one is told nothing while the first may count it")
-		asking := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
+		asking := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
 			leads.takeTestimony(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
 		} else {
 			asking.demand = request.GetDemand()
 		}
-		leads.take(asking)
+		leads.enqueueFollow(asking)
 		leads.answerWaiting(now)
 		reply := <-asking.reply
-		follows.takeWhole(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.nanoseconds(now)}, now)
+		follows.takeWhole(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.sinceStart(now)}, now)
 		all := follows.demand.tree.Picture(now)
 		require.Equal(t, 2, all.Balancers)
 		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.Zones)
@@ -157,9 +157,9 @@
 	tell := func(waiting float64) (told int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
 			leads.demand.tree.See(asksOf("maadi", 10, waiting, now), demand.Levels{})
-			asking := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
+			asking := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
-			leads.take(asking)
+			leads.enqueueFollow(asking)
 			leads.answerWaiting(now)
 			if (<-asking.reply).GetDemand() != nil {
 				told++
@@ -174,10 +174,10 @@
 	one, other := asked("10.0.0.8:1"), asked("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, asked("10.0.0.9:1"))
-	now = now.Add(lookPause + time.Millisecond)
+	now = now.Add(observationInterval + time.Millisecond)
 	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
 	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
-	now = now.Add(soonPause - lookPause)
+	now = now.Add(soonPause - observationInterval)
 	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
 	for range 3 {
 		now = now.Add(toldFor)
@@ -212,7 +212,7 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.addBackends("lending", "fayum", 4, now)
-	control.listed = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
+	control.balancersByZone = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureRoom(nil, now)
 	picture := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
 		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Asks: maadi, Waiting: waiting}, lendingIn("giza"): {Asks: giza},
@@ -247,7 +247,7 @@
 	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(weights["giza"]), 2)
 	require.False(t, control.divide(now), "the table was made with it")
 	require.True(t, control.newWeights(nil, now).byZone("lending"))
-	control.balancer.off, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
+	control.balancer.disabled, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
 	require.True(t, control.divide(now))
 	require.Equal(t, control.weights(now)["giza"], control.weights(now)["fayum"], "without it all others are alike")
 }
--- a/internal/balancer/divide.go
+++ b/internal/balancer/divide.go
@@ -17,14 +17,14 @@
 // whether the table should be made anew.
 func (c *control) divide(now time.Time) bool {
 	picture := c.demand.picture.Load()
-	off := c.balancer.off
+	off := c.balancer.disabled
 	if !c.steady(picture, now) || off.Has(mechanism.DemandShares) || off.Has(mechanism.ZoneSharing) {
 		return c.observed.plan(nil)
 	}
 	own := demand.Zone(c.balancer.settings.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
 	for pool := range picture.Pools() {
-		if parts := shares.Among(shares.Zones(picture, pool, own, c.listed), own); parts != nil {
+		if parts := shares.Among(shares.Zones(picture, pool, own, c.balancersByZone), own); parts != nil {
 			planned[pool] = parts
 		}
 	}
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -32,9 +32,9 @@
 					Address: uint32(number), Port: 80, Capacity: 2}}})
 		}
 	}
-	control.learn(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: control.nanoseconds(now)}, now)
-	control.firstAt = now.Add(-time.Hour)
-	control.renewTable(now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.firstRoutesAt = now.Add(-time.Hour)
+	control.rebuildTable(now)
 	return control
 }
 
@@ -52,16 +52,16 @@
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.plan(now))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
-	for _, each := range control.known.Backends() {
+	for _, each := range control.directory.Backends() {
 		gone.Changes = append(gone.Changes, &apiv1.DirectoryChange{Revision: 6, Gone: true,
 			Entry: &apiv1.DirectoryChange_Backend{Backend: each.PoolBackend}})
 	}
 	now = now.Add(100 * time.Millisecond)
-	control.learn(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.nanoseconds(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.NotNil(t, control.observed.planned)
-	require.NotPanics(t, func() { control.renewTable(now) })
+	require.NotPanics(t, func() { control.rebuildTable(now) })
 }
 
 // keptAtHome is the part of new flows that stays in the zone while its back ends are in use
@@ -93,34 +93,34 @@
 	now := time.Now()
 	planned := served(now, map[string]int{"maadi": 4, "giza": 4})
 	planned.plan(now)
-	planned.renewTable(now)
+	planned.rebuildTable(now)
 	require.Greater(t, keptAtHome(t, planned), 0.9)
 
 	t.Run("few in the zone", func(t *testing.T) {
 		few := served(now, map[string]int{"maadi": localEnough - 1, "giza": 6})
 		few.plan(now)
 		require.NotNil(t, few.observed.planned)
-		few.renewTable(now)
+		few.rebuildTable(now)
 		require.Zero(t, keptAtHome(t, few))
 	})
 	t.Run("policy of its own", func(t *testing.T) {
 		own := served(now, map[string]int{"maadi": 4, "giza": 4})
-		own.known.Apply(policyBatch(6, "lending", "1.0"), now)
+		own.directory.Apply(policyBatch(6, "lending", "1.0"), now)
 		own.plan(now)
-		own.renewTable(now)
+		own.rebuildTable(now)
 		require.Less(t, keptAtHome(t, own), 0.1)
 	})
 	t.Run("spread after a start", func(t *testing.T) {
 		young := served(now, map[string]int{"maadi": 4, "giza": 4})
-		young.firstAt = now
+		young.firstRoutesAt = now
 		young.plan(now)
-		young.renewTable(now)
+		young.rebuildTable(now)
 		require.Less(t, keptAtHome(t, young), 0.1)
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
 		other := served(now, map[string]int{"maadi": 4, "giza": 4})
 		other.observed.planned = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
-		other.renewTable(now)
+		other.rebuildTable(now)
 		require.Zero(t, keptAtHome(t, other)-keptAtHome(t, served(now, map[string]int{"maadi": 4, "giza": 4})))
 	})
 }
@@ -160,10 +160,10 @@
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.plan(now))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.False(t, control.observeWaiting("lending", 12, now))
 	control.observed.planned = nil
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without a plan they do")
 }
 
@@ -173,7 +173,7 @@
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.plan(now))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	tables := 0
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
@@ -185,7 +185,7 @@
 		control.demand.picture.Store(&picture)
 		if control.divide(now) {
 			tables++
-			control.renewTable(now)
+			control.rebuildTable(now)
 		}
 	}
 	require.Equal(t, 1, tables, "none but as it lapses")
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -71,7 +71,7 @@
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
-	control.known.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
+	control.directory.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
 	require.True(t, control.observed.judge(failing(16), 1))
 	require.Equal(t, uint32(rule.MaximumWeight/4), control.weigher(nil, now)(entry))
 	require.False(t, control.observed.judge(failing(16), 1), "the table was made with it")
@@ -82,15 +82,15 @@
 	control := newTestControl()
 	now := time.Now()
 	caller := replication.Caller{Address: "10.0.0.2:8166"}
-	follow := &follower{caller: caller, findings: encodeFindings(failing(9)), takenAt: now, until: now.Add(time.Second),
+	follow := &followCall{caller: caller, findings: encodeFindings(failing(9)), receivedAt: now, deadline: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
-	control.take(follow)
-	control.take(&follower{caller: caller, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)})
-	control.take(&follower{caller: caller, takenAt: now, until: now.Add(time.Second), withoutChanges: true,
+	control.enqueueFollow(follow)
+	control.enqueueFollow(&followCall{caller: caller, receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)})
+	control.enqueueFollow(&followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), revisionOnly: true,
 		reply: make(chan *apiv1.FollowReply, 1)})
 	require.InDelta(t, 9, control.findings.all(now)[seven].Failing.Evidence, 1e-6)
-	well := &follower{caller: caller, takenAt: now, until: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
-	control.take(well)
+	well := &followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
+	control.enqueueFollow(well)
 	require.Empty(t, control.findings.all(now), "a follower that finds nothing any more says so")
 }
 
@@ -115,8 +115,8 @@
 	require.False(t, follow("10.0.0.2:1").GetTakesFindings())
 	require.Empty(t, follow("10.0.0.2:1").GetFindings())
 	for _, takes := range []bool{true, false} {
-		asking := &follower{takesFindings: takes, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)}
-		control.take(asking)
+		asking := &followCall{wantsFindings: takes, receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)}
+		control.enqueueFollow(asking)
 		control.answerWaiting(now)
 		require.Equal(t, takes, len((<-asking.reply).GetFindings()) > 0)
 	}
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -61,7 +61,7 @@
 			}
 			even := busiest(t, control)
 			require.True(t, control.observed.judge(slowOnes(each.unwell), 1))
-			control.renewTable(now)
+			control.rebuildTable(now)
 			require.LessOrEqual(t, busiest(t, control), 2*even+0.02, "twice what it has while all are well")
 			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the room is still room")
 		})
@@ -73,7 +73,7 @@
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 10})
 	require.True(t, control.observed.judge(slowOnes(5), 1))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
@@ -83,7 +83,7 @@
 	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
 	control.findings.own = slowOnes(5)
 	require.True(t, control.judgeHealth(now), "another table")
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
 }
 
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -88,18 +88,18 @@
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, labels...)
 	}
 	for reason := range tokenroute.ReasonCount {
-		counter(packetsDescription, traffic.counts[reason].Load(), tokenroute.Reason(reason).String())
+		counter(packetsDescription, traffic.decisionCounts[reason].Load(), tokenroute.Reason(reason).String())
 	}
 	counter(faultyDescription, traffic.malformed.Load(), "malformed")
-	counter(faultyDescription, traffic.failed.Load(), "not_sent")
-	counter(unreadableDescription, balancer.unreadable.Load())
+	counter(faultyDescription, traffic.sendErrors.Load(), "not_sent")
+	counter(unreadableDescription, balancer.unreadableEntries.Load())
 	counter(flowsDescription, traffic.flows.Retried.Load(), "retried")
 	counter(flowsDescription, traffic.flows.Missed.Load(), "not_answered")
 	counter(flowsDescription, traffic.flows.Verdicts(), "backend_dead")
 	counter(flowsDescription, traffic.flows.Silenced(), "zone_silent")
 	counter(earlyDescription, traffic.early.sent.Load(), "sent")
 	counter(earlyDescription, traffic.early.lost.Load(), "lost")
-	counter(statementsDescription, traffic.heard.lost.Load()+traffic.statements.lost.Load(), "mailbox")
+	counter(statementsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
 	counter(statementsDescription, balancer.control.testimony.board.Refused.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
@@ -112,7 +112,7 @@
 	counter(callsDescription, failed, "store", "failed")
 	counter(callsDescription, balancer.peerCalls.answered.Load(), "peer", "answered")
 	counter(callsDescription, balancer.peerCalls.failed.Load(), "peer", "failed")
-	counter(asideDescription, balancer.asides.Load())
+	counter(asideDescription, balancer.withdrawals.Load())
 	counter(silentDescription, balancer.control.client.GivenUp.Load()+balancer.control.testimony.client.GivenUp.Load())
 	if confirmed := balancer.confirmedAt.Load(); confirmed > 0 {
 		gauge(eraDescription, float64(balancer.era.Load()))
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -28,7 +28,7 @@
 // zone's clients wait at a time. Routers spread a zone's packets evenly over its
 // balancers, so each sees one part in as many.
 type observed struct {
-	followed
+	smoothedWaiting
 	// zones and remote are what the table in force was made with, by pool: the
 	// back ends, and the share of new flows that goes to other zones.
 	zones  map[string]*poolZones
@@ -50,7 +50,7 @@
 }
 
 func newObserved() observed {
-	return observed{followed: newFollowed(), remote: make(map[string]float64),
+	return observed{smoothedWaiting: newSmoothedWaiting(), remote: make(map[string]float64),
 		healthWeights: make(map[incarnation.ID]float64), balancers: 1}
 }
 
@@ -78,7 +78,7 @@
 		clear(o.waiting)
 		return false
 	}
-	if !o.followed.take(summary, demandTime) {
+	if !o.smoothedWaiting.update(summary, demandTime) {
 		return false
 	}
 	changed := false
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -33,13 +33,13 @@
 // The part changes at once where another balancer of the zone stops: what is asked here grows
 // then, by the part that mostGrown allows.
 type pressures struct {
-	followed
+	smoothedWaiting
 	asks asks
 }
 
 // follow follows the requests that wait here, and what is asked.
 func (p *pressures) follow(summary *observe.Summary) {
-	p.take(summary, pressureTime)
+	p.update(summary, pressureTime)
 	p.asks.follow(summary)
 }
 
@@ -48,8 +48,8 @@
 // clients ask. It is unknown while the picture is one of less than half of the balancers
 // listed, or while nothing was seen here: those left out may be short of room, or not. It is
 // none while the picture shows room.
-func (p *pressures) on(pool demand.Pool, own demand.Zone, picture *demand.Picture, listed listing) admission.Pressure {
-	if picture == nil || 2*picture.Balancers < listed.all() {
+func (p *pressures) on(pool demand.Pool, own demand.Zone, picture *demand.Picture, listed zoneCounts) admission.Pressure {
+	if picture == nil || 2*picture.Balancers < listed.total() {
 		return admission.Pressure{}
 	}
 	waiting, room := picture.Whole(pool)
@@ -58,8 +58,8 @@
 		return admission.Pressure{}
 	}
 	seenAt := picture.At
-	if p.seenAt.Before(seenAt) {
-		seenAt = p.seenAt
+	if p.lastSummaryAt.Before(seenAt) {
+		seenAt = p.lastSummaryAt
 	}
 	if waiting < confirmedAt*room {
 		return admission.Pressure{SeenAt: seenAt}
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -32,7 +32,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%10), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.known.Apply(batch, now)
+	control.directory.Apply(batch, now)
 	return control
 }
 
@@ -73,13 +73,13 @@
 		for place, number := range dead {
 			ids[place].Number = number
 		}
-		control.balancer.traffic.observed.Store(&observe.Summary{At: now, Dead: ids})
+		control.balancer.traffic.latestSummary.Store(&observe.Summary{At: now, Dead: ids})
 		control.takeDemand(now)
 		return control.balancer.Picture().Room[lendingIn("giza")]
 	}
 	require.Equal(t, 8.0, judged())
 	require.Equal(t, 4.0, judged(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.Equal(t, 4.0, judged(), "verdicts end before entries do")
 	now = now.Add(deadFor)
 	require.Equal(t, 8.0, judged())
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -48,7 +48,7 @@
 	if c.balancer.traffic == nil {
 		return
 	}
-	for _, statement := range c.balancer.traffic.statements.take() {
+	for _, statement := range c.balancer.traffic.outbox.take() {
 		c.testimony.board.Add(statement, "", now)
 	}
 }
@@ -62,7 +62,7 @@
 		}
 	}
 	if len(news) > 0 && c.balancer.traffic != nil {
-		c.balancer.traffic.tell(news)
+		c.balancer.traffic.deliver(news)
 	}
 }
 
@@ -127,7 +127,7 @@
 // Testify implements replication.Handler. It runs in the goroutine of the call.
 func (c *control) Testify(ctx context.Context, request *apiv1.TestifyRequest) (*apiv1.TestifyReply, error) {
 	select {
-	case c.testimonies <- request:
+	case c.testifyRequests <- request:
 		return &apiv1.TestifyReply{}, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -155,8 +155,8 @@
 
 // newsOfBackends returns the statements that a follower was not told yet, once its call
 // has waited for some to gather.
-func (c *control) newsOfBackends(asking *follower, now time.Time) []evidence.Statement {
-	if !asking.takesTestimony || now.Sub(asking.takenAt) < gatherTime {
+func (c *control) newsOfBackends(asking *followCall, now time.Time) []evidence.Statement {
+	if !asking.wantsTestimony || now.Sub(asking.receivedAt) < gatherTime {
 		return nil
 	}
 	after := asking.testimonyAfter
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -29,9 +29,9 @@
 		defer close(done)
 		for ctx.Err() == nil {
 			select {
-			case asking := <-c.followers:
-				c.take(asking)
-			case told := <-c.testimonies:
+			case asking := <-c.followCalls:
+				c.enqueueFollow(asking)
+			case told := <-c.testifyRequests:
 				c.takeTestimony(told, time.Now())
 			case <-time.After(time.Millisecond):
 			}
@@ -49,7 +49,7 @@
 func knowing(t *testing.T) *control {
 	c := newTestControl()
 	now := time.Now()
-	c.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.nanoseconds(now)}, now)
+	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
 	t.Cleanup(c.testimony.client.Close)
 	return c
 }
@@ -60,7 +60,7 @@
 	messages, err := c.balancer.bus.Subscribe(ctx)
 	require.NoError(t, err)
 	peer := replication.Peer{Address: address, Purpose: replication.PurposeFollow}
-	go c.call(ctx, c.client, peer, c.requestTo(peer, 0, time.Now()))
+	go c.callPeer(ctx, c.client, peer, c.requestTo(peer, 0, time.Now()))
 	c.handle(<-messages)
 }
 
@@ -131,7 +131,7 @@
 	box.put(make([]evidence.Statement, 3))
 	require.Equal(t, uint64(2), box.lost.Load())
 	require.Len(t, box.take(), mailboxLimit)
-	require.False(t, box.filled.Load())
+	require.False(t, box.nonEmpty.Load())
 	require.Empty(t, box.take())
 }
 
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -37,7 +37,7 @@
 func (c *control) newWarming(now time.Time) *warming {
 	settings := c.balancer.settings.Load()
 	made := &warming{
-		known:     c.known,
+		known:     c.directory,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -46,10 +46,10 @@
 		takenBack: make(map[string]time.Time),
 		now:       now,
 	}
-	for _, pool := range c.known.Routes().GetWarmups() {
+	for _, pool := range c.directory.Routes().GetWarmups() {
 		made.pools[pool.GetPool()] = pool
 	}
-	for _, order := range c.known.Evacuations() {
+	for _, order := range c.directory.Evacuations() {
 		if !order.Holds() {
 			made.takenBack[order.Zone] = order.GoneAt
 		}
@@ -166,7 +166,7 @@
 // the order.
 func (c *control) evacuated() map[string]uint64 {
 	zones := make(map[string]uint64)
-	for _, order := range c.known.Evacuations() {
+	for _, order := range c.directory.Evacuations() {
 		if order.Holds() {
 			zones[order.Zone] = order.Revision
 		}
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -50,12 +50,12 @@
 // newWeights collects what the weights of a table depend on.
 func (c *control) newWeights(evacuated map[string]uint64, now time.Time) *weights {
 	zone := c.balancer.settings.Load().GetZone()
-	off := c.balancer.off
+	off := c.balancer.disabled
 	made := &weights{
 		control:  c,
 		zone:     zone,
 		programs: make(map[string]*policy.Program),
-		spread:   now.Sub(c.firstAt) < spreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
+		spread:   now.Sub(c.firstRoutesAt) < spreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
 	}
 	c.measureRoom(evacuated, now)
 	made.zones = c.demand.room.zones
@@ -81,7 +81,7 @@
 		}
 	}
 	weight := w.placeWeight(directory.Place{Pool: backend.GetPool(), Zone: backend.GetZone()})
-	if !c.balancer.off.Has(mechanism.Health) {
+	if !c.balancer.disabled.Has(mechanism.Health) {
 		weight *= c.observed.healthWeight(backend.Incarnation())
 	}
 	return uint32(math.Ceil(weight * rule.MaximumWeight))
@@ -122,7 +122,7 @@
 func (w *weights) program(pool string) *policy.Program {
 	program, known := w.programs[pool]
 	if !known {
-		program = w.control.programs.find(w.control.known, pool)
+		program = w.control.programs.find(w.control.directory, pool)
 		w.programs[pool] = program
 	}
 	return program
@@ -161,7 +161,7 @@
 		return 1
 	}
 	remote := c.observed.remote[name]
-	if c.balancer.off.Has(mechanism.ZoneSharing) {
+	if c.balancer.disabled.Has(mechanism.ZoneSharing) {
 		remote = shares.Remote(0, pool.localSlots, pool.remoteSlots)
 	}
 	weight := shares.RemoteWeight(remote, pool.localBackends, pool.remoteBackends)
