--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -26,67 +26,67 @@
 type Codec interface {
 	MaximumSize() int
 	Decode(datagram []byte) (tokenroute.Packet, error)
-	// Forward appends the datagram that takes a packet to a back end.
+	// Forward appends to output the datagram that carries a packet to a back end.
 	Forward(output, datagram []byte, backend *tokenroute.Backend) []byte
-	// Refuse appends the packet that refuses a new flow.
+	// Refuse appends to output the packet that refuses a new flow.
 	Refuse(output []byte, packet tokenroute.Packet) []byte
-	// ClientAddress is where packets for the sender of a packet go.
+	// ClientAddress returns the address to which packets for the sender of a packet go.
 	ClientAddress(packet tokenroute.Packet) netip.AddrPort
-	// RequestID returns the id of the request that a packet starts, a part of
-	// the datagram, or nil.
+	// RequestID returns the ID of the request that a packet starts, as a slice of the
+	// datagram, or nil.
 	RequestID(datagram []byte) []byte
 }
 
-// Store is the store that holds what operators and back ends have written.
+// Store reads and writes the key-value store that holds the entries of operators, back
+// ends and balancers.
 type Store interface {
-	// Snapshot reads entries, at most the given number of pages. The batch is
-	// complete when that was all.
+	// Snapshot reads entries, at most the given number of pages. The batch is marked
+	// complete when those pages were all.
 	Snapshot(ctx context.Context, pageLimit int) (*apiv1.DirectoryBatch, error)
-	// StaleSnapshot reads all entries as they were some seconds ago, which costs
-	// the store less. It confirms nothing.
+	// StaleSnapshot reads all entries as they were some seconds ago, which costs the store
+	// less. It does not confirm that the entries are current.
 	StaleSnapshot(ctx context.Context) (*apiv1.DirectoryBatch, error)
-	// Changes waits for the changes after a revision. It returns
-	// ErrHistoryLost when the store no longer has them.
+	// Changes waits for the changes after a revision. It returns ErrHistoryLost when the
+	// store no longer has them.
 	Changes(ctx context.Context, after uint64, wait time.Duration) (*apiv1.DirectoryBatch, error)
-	// OperatorEntries reads what operators have written alone: the table of routes and the
-	// evacuations. The batch claims no revision but that of the orders.
+	// OperatorEntries reads only what operators have written: the route table and the
+	// evacuation orders. The batch carries no revision but that of the orders.
 	OperatorEntries(ctx context.Context) (*apiv1.DirectoryBatch, error)
-	// Members reads the entries of a zone's balancers alone, as they were some
-	// seconds ago, the first ones only where they are many; the batch claims no
-	// revision.
+	// Members reads only the entries of a zone's balancers, as they were some seconds ago,
+	// and only the first ones where there are many. The batch carries no revision.
 	Members(ctx context.Context, zone string) (*apiv1.DirectoryBatch, error)
-	// WriteBalancers writes the entries of balancers, all or none of them, at
-	// most replication.WriteLimit.
+	// WriteBalancers writes the entries of balancers, all or none of them, at most
+	// replication.WriteLimit at a time.
 	WriteBalancers(ctx context.Context, entries []*apiv1.Balancer) error
-	// WriteLeads writes the lists of the first balancers of zones, all or none of
-	// them.
+	// WriteLeads writes the lists of the first balancers of zones, all or none of them.
 	WriteLeads(ctx context.Context, lists []*apiv1.ZoneLeads) error
-	// RestorePolicy writes a policy that the store has lost, or removes it, if nobody has
-	// written it since.
+	// RestorePolicy writes a policy that the store has lost, or removes it, unless
+	// somebody has written it since.
 	RestorePolicy(ctx context.Context, lost directory.LostPolicy) error
 	// RemoveBalancers removes entries of balancers, all or none of them, at most
-	// replication.RemoveLimit. It fails when one of them was written since.
+	// replication.RemoveLimit at a time. It fails when one of them has been written since.
 	RemoveBalancers(ctx context.Context, entries []BalancerRevision) error
 }
 
-// BalancerRevision is a balancer's entry and the store's revision of it.
+// BalancerRevision holds a balancer's entry and the store's revision of it.
 type BalancerRevision struct {
 	Balancer *apiv1.Balancer
 	Revision uint64
 }
 
-// ErrHistoryLost is what Store.Changes returns when the store has forgotten the
-// changes that were asked for.
+// ErrHistoryLost is returned by Store.Changes when the store no longer has the requested
+// changes.
 var ErrHistoryLost = errors.New("the store no longer has these changes")
 
-// Dependencies is what a balancer needs of the world that it runs in.
+// Dependencies holds the platform-specific parts that a balancer needs.
 type Dependencies struct {
 	Codec Codec
 	Store Store
-	// NewReadinessHandler makes the handler that tells routers whether to send packets.
+	// NewReadinessHandler returns the handler that tells routers whether to send packets.
 	NewReadinessHandler func(ready func() bool) http.Handler
-	// PeerListenAddress is the IP:port to listen at for other balancers if that is not the
-	// peer address itself, as where addresses are translated; empty if it is.
+	// PeerListenAddress is the IP:port on which to listen for other balancers if it
+	// differs from the peer address, for example behind address translation. It is empty
+	// if the two are the same.
 	PeerListenAddress string
 }
 
@@ -95,22 +95,23 @@
 	settings     atomic.Pointer[apiv1.BalancerSettings]
 	dependencies Dependencies
 	logger       *slog.Logger
-	// disabled are the mechanisms that are switched off.
+	// disabled holds the mechanisms that are switched off.
 	disabled mechanism.Set
 	started  time.Time
 	bus      *events.Bus
 	table    atomic.Pointer[tokenroute.Table]
 	stopping atomic.Bool
-	// withdrawn is set while this balancer can't carry its share, and asides counts how
-	// often that began.
+	// withdrawn is set while this balancer reports not ready because it cannot carry its
+	// share, and withdrawals counts how often that state began.
 	withdrawn   atomic.Bool
 	withdrawals atomic.Uint64
-	// confirmedAt is when the store confirmed what is known, in nanoseconds
-	// since the start; 0 is never.
+	// confirmedAt is when the store last confirmed the directory, in nanoseconds since
+	// started; 0 means never.
 	confirmedAt atomic.Int64
-	// era is how often the store came back from a copy, as far as is known.
+	// era counts how often the store was restored from a backup, as far as this balancer
+	// knows.
 	era atomic.Uint64
-	// unreadableEntries counts the entries of the store that could not be read.
+	// unreadableEntries counts the entries of the store that could not be decoded.
 	unreadableEntries atomic.Uint64
 	storeCalls        storeCalls
 	peerCalls         callCounts
@@ -120,7 +121,7 @@
 	readinessListener net.Listener
 }
 
-// New opens the sockets of a balancer.
+// New returns a balancer whose sockets are open. Run starts it.
 func New(settings *apiv1.BalancerSettings, outside Dependencies, logger *slog.Logger) (*Balancer, error) {
 	off, err := mechanism.Parse(settings.GetWithout())
 	if err != nil {
@@ -160,12 +161,12 @@
 	return errors.Wrapf(err, "readiness: listen on %s", b.settings.Load().GetReadinessAddress())
 }
 
-// Ready tells whether the balancer takes new flows.
+// Ready reports whether the balancer accepts new flows.
 func (b *Balancer) Ready() bool {
 	return b.table.Load() != nil && !b.stopping.Load() && !b.withdrawn.Load()
 }
 
-// Run serves until the context ends.
+// Run serves until ctx is done.
 func (b *Balancer) Run(ctx context.Context) error {
 	settings := b.settings.Load()
 	b.logger.Info("Started.", "zone", settings.GetZone(), "data", settings.GetDataAddress(),
@@ -181,17 +182,17 @@
 }
 
 const (
-	// headerTimeout is how long a question to the readiness or metrics server may
-	// take to arrive, and writeTimeout how long its answer to leave.
+	// headerTimeout bounds the arrival of a request to the readiness or metrics server,
+	// and writeTimeout the sending of its response.
 	headerTimeout = 5 * time.Second
 	writeTimeout  = 10 * time.Second
-	// idleTimeout is for how long the connection of one that asks may rest. Routers
-	// ask each half second and collectors of metrics each minute at most; one that
-	// has gone silent must not stay for good.
+	// idleTimeout bounds how long a connection to the readiness or metrics server may be
+	// idle. Routers ask every half second and metrics collectors at least once a minute; a
+	// connection whose client has gone silent must not stay open forever.
 	idleTimeout = 90 * time.Second
 )
 
-// newServer makes a server whose connections are given up when they fall silent.
+// newServer returns a server that closes connections that fall silent.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout}
 }
@@ -210,16 +211,15 @@
 }
 
 const (
-	// stopQuietPeriod is how long no packet must have come before a planned stop
-	// ends.
+	// stopQuietPeriod is how long no packet must have arrived before a planned stop ends.
 	stopQuietPeriod = 600 * time.Millisecond
-	// stopWaitShare is the part of the time for a stop after which it ends in any
-	// case; what remains is for the end itself.
+	// stopWaitShare is the part of the time allowed for a stop after which the wait ends
+	// in any case. The rest is for the shutdown itself.
 	stopWaitShare = 0.4
 )
 
-// Stop tells the routers to send elsewhere and returns when they do, or when
-// the limit of the settings has passed. Packets are forwarded meanwhile.
+// Stop tells the routers to send packets elsewhere and returns when they do, or when the
+// time limit of the settings has passed. Packets are still forwarded meanwhile.
 func (b *Balancer) Stop(ctx context.Context) {
 	b.logger.Info("Stopping as planned.")
 	b.stopping.Store(true)
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store. A slow store answers within
-	// half of it.
+	// storeTimeout bounds a call to the store. A slow store answers within half of it.
 	storeTimeout = time.Second
 	// snapshotTimeout bounds the reading of all pages of a large store.
 	snapshotTimeout = 10 * time.Second
 )
 
-// poll reads the store once.
+// poll reads the store once and publishes the result.
 func (c *control) poll(ctx context.Context, kind replication.Poll, purpose storePurpose, after uint64, now time.Time) {
 	batch, err := c.read(ctx, kind, after)
 	c.balancer.storeCalls[purpose].count(err)
@@ -64,8 +63,9 @@
 	return store.Snapshot(ctx, 1)
 }
 
-// checkOperatorEntries reads alone what operators have written. A large store is followed by
-// its changes, and those that must not be missed are checked besides.
+// checkOperatorEntries reads only what operators have written. A large store is followed
+// by its changes; operators' entries must not be missed, so they are also checked
+// directly.
 func (c *control) checkOperatorEntries(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 	}
 }
 
-// requestTo is the request of a call: it shows what is known here.
+// requestTo returns the request for a call to a peer. It states what this balancer knows.
 func (c *control) requestTo(peer replication.Peer, age time.Duration, now time.Time) *apiv1.FollowRequest {
 	settings := c.balancer.settings.Load()
 	request := &apiv1.FollowRequest{
@@ -111,8 +111,8 @@
 		request.TakesTestimony = true
 		request.Demand = c.reportTo(peer.Address, false, now)
 		if c.core.SharesOrder(peer.Address) {
-			// Who is of another zone has hardly seen the same back ends, but counts
-			// as one more that might by chance.
+			// A balancer of another zone has hardly sent to the same back ends, but would
+			// count as one more observer that may find something by chance.
 			request.Findings = encodeFindings(c.findings.here(now))
 			request.TakesFindings = true
 			request.Struggling, request.TellsStruggling = c.tellStruggling(now), true
@@ -123,9 +123,9 @@
 	return request
 }
 
-// callPeer asks a peer for news once. What the peer knew was confirmed no later than
-// its age before the answer left, and the answer left no earlier than the call
-// did plus the time that it waited there.
+// callPeer asks a peer for news once. What the peer knows was confirmed no later than its
+// reported age before the answer left, and the answer left no earlier than the request was
+// sent plus the time that the request waited there.
 func (c *control) callPeer(ctx context.Context, client *replication.Client, peer replication.Peer, request *apiv1.FollowRequest) {
 	if client != c.client {
 		defer client.Close()
@@ -156,8 +156,8 @@
 	}, err)
 }
 
-// clientFor returns the client for a call. The connection to the balancer that is
-// followed is kept; calls for other purposes seldom meet the same balancer twice.
+// clientFor returns the client for a call. The connection to the balancer that this one
+// follows is kept; calls for other purposes rarely go to the same balancer twice.
 func (c *control) clientFor(peer replication.Peer) *replication.Client {
 	if peer.Purpose == replication.PurposeFollow {
 		return c.client
@@ -173,9 +173,9 @@
 	}
 	err := c.balancer.bus.Publish(events.Event{Kind: events.KindNews, Body: news})
 	if err != nil && ctx.Err() == nil {
-		c.balancer.logger.Error("Control: event lost.", "error", err)
+		c.balancer.logger.Error("Control: event could not be published.", "error", err)
 	}
 }
 
-// unknownAge is the age of knowledge that nobody confirmed.
+// unknownAge is the age reported for knowledge that was never confirmed.
 const unknownAge = 1000 * time.Hour
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// tickInterval is how often timers of the control state are looked at.
+	// tickInterval is how often the control goroutine checks its timers.
 	tickInterval = 50 * time.Millisecond
-	// emptyPoolGraceDivisor is the part of the time for a leaving back end to be in force
-	// for which back ends that vanished without a notice may still take new
-	// flows when their pool has no other. With the age that knowledge may have,
-	// it stays within that time.
+	// emptyPoolGraceDivisor divides the time within which a leaving back end must stop
+	// taking new flows. The quotient is how long back ends that vanished without notice
+	// may still take new flows when their pool has no other. Together with the age that
+	// the directory may have, it stays within that time.
 	emptyPoolGraceDivisor = 3
-	// peerRetryDelay is for how long a peer that failed is passed over.
+	// peerRetryDelay is how long a peer that failed is skipped.
 	peerRetryDelay = 2 * time.Second
-	// maxStoreBackoff is the longest pause between calls to a store that
-	// fails.
+	// maxStoreBackoff is the longest pause between calls to a failing store.
 	maxStoreBackoff = time.Second
-	// startupStoreDelay is how long a start leaves a large store to others.
+	// startupStoreDelay is how long a starting balancer leaves a large store to the other
+	// balancers.
 	startupStoreDelay = 500 * time.Millisecond
-	// auditInterval is how often a large store is read whole.
+	// auditInterval is how often a large store is read completely.
 	auditInterval = 60 * time.Second
-	// buildPauseFactor bounds the building of tables to one part in so many of the
-	// time, as long as the pause is no longer than one part in buildPauseDivisor of the
-	// pace of reading. A machine with a small share of a core may stand still while
-	// it builds, and must not wait ten times as long for that.
+	// buildPauseFactor makes the pause after a table build this many times as long as the
+	// build, which bounds building to a small share of the time. The pause is at most the
+	// poll interval divided by buildPauseDivisor: a machine with a small share of a core
+	// may stall during a build and must not then wait ten times as long as the stall.
 	buildPauseFactor  = 10
 	buildPauseDivisor = 4
-	// slowBuildThreshold is from which time on a build is told in the log.
+	// slowBuildThreshold is the duration from which a table build is logged.
 	slowBuildThreshold = 200 * time.Millisecond
-	// observationInterval is the time between two looks at what was observed.
+	// observationInterval is the time between two evaluations of the traffic observations.
 	observationInterval = 250 * time.Millisecond
-	// maxWaitingFollowers bounds the followers' calls that wait at once.
+	// maxWaitingFollowers bounds the calls of followers that wait at the same time.
 	maxWaitingFollowers = 256
 )
 
@@ -56,12 +56,13 @@
 	findings   findings
 	demand     demandState
 	withdrawal stepAside
-	// balancersByZone are the balancers of each zone, this one included.
+	// balancersByZone counts the balancers of each zone, this one included.
 	balancersByZone zoneCounts
 	gate            gate
 	followCalls     chan *followCall
-	// testifyRequests are calls of followers that tell what they saw of back ends, and
-	// nudged wakes this goroutine to pass on what the traffic goroutine saw.
+	// testifyRequests carries the calls in which followers report what they saw of back
+	// ends, and wakeRequested wakes this goroutine to pass on what the traffic goroutine
+	// saw.
 	testifyRequests chan *apiv1.TestifyRequest
 	wakeRequested   chan struct{}
 	testimony       testimony
@@ -69,22 +70,24 @@
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
 	polling         bool
-	// pendingWrite is what is being written to the store about balancers, and pendingWriteEra the store's
-	// era, as far as was known, when that began.
+	// pendingWrite is the write to the store about balancers that is under way, and
+	// pendingWriteEra the store's era, as far as it was known, when that write began.
 	pendingWrite    replication.Write
 	pendingWriteEra uint64
-	// balancerChangesSeen is the directory's count of changes when the balancers were
-	// last taken.
+	// balancerChangesSeen is the directory's count of balancer changes when the balancers
+	// were last taken over from it.
 	balancerChangesSeen uint64
-	// poolLastUse are the pools that addresses had, and when they last had them.
+	// poolLastUse holds, for each address, the pools that its route has named and when it
+	// last named each.
 	poolLastUse     map[flow.Address]map[string]time.Time
 	firstRoutesAt   time.Time
 	rebuild         bool
 	nextTableChange time.Time
-	// nextBuild spaces the building of tables by what the last one took.
+	// nextBuild is the earliest time of the next table build, which depends on how long
+	// the last one took.
 	nextBuild         time.Time
 	nextOperatorCheck time.Time
-	// nextObservation is when what was observed is looked at again.
+	// nextObservation is when the traffic observations are evaluated again.
 	nextObservation time.Time
 }
 
@@ -156,7 +159,8 @@
 	}
 }
 
-// wake wakes the control goroutine, from any goroutine, without waiting for it.
+// wake wakes the control goroutine without waiting for it. It may be called from any
+// goroutine.
 func (c *control) wake() {
 	select {
 	case c.wakeRequested <- struct{}{}:
@@ -164,14 +168,14 @@
 	}
 }
 
-// paceOf is the pace that the settings give.
+// paceOf returns the replication pace that the settings give.
 func paceOf(settings *apiv1.BalancerSettings) replication.Pace {
 	poll := time.Duration(settings.GetPollMilliseconds()) * time.Millisecond
 	stale := time.Duration(settings.GetStaleMilliseconds()) * time.Millisecond
 	return replication.NewPace(poll, stale)
 }
 
-// tick starts the calls that are due, answers followers and renews the table.
+// tick starts the calls that are due, answers followers and rebuilds the table.
 func (c *control) tick(ctx context.Context, now time.Time) {
 	c.startPoll(ctx, now)
 	c.startWrite(ctx, now)
@@ -192,18 +196,18 @@
 	c.rebuildTable(now)
 	took := time.Since(began)
 	if took >= slowBuildThreshold {
-		c.balancer.logger.Info("Control: a table took long.", "took", took.Round(time.Millisecond))
+		c.balancer.logger.Info("Control: table build was slow.", "took", took.Round(time.Millisecond))
 	}
 	c.nextBuild = now.Add(buildPause(took, paceOf(c.balancer.settings.Load())))
 }
 
-// buildPause is the pause after a table that took so long to build.
+// buildPause returns the pause after a table build of the given duration.
 func buildPause(took time.Duration, pace replication.Pace) time.Duration {
 	return min(buildPauseFactor*took, pace.Poll/buildPauseDivisor)
 }
 
-// applyObservations takes what the traffic goroutine and other balancers have
-// observed. It tells whether shares of new flows change by it.
+// applyObservations applies what the traffic goroutine and other balancers have observed.
+// It reports whether shares of new flows change as a result.
 func (c *control) applyObservations(now time.Time) bool {
 	if c.balancer.traffic == nil || now.Before(c.nextObservation) {
 		return false
@@ -236,7 +240,7 @@
 	}
 	c.polling = true
 	c.core.PollStarted(kind, now)
-	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.Reader())
+	c.balancer.logger.Debug("Control: reading the store.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
 	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.directory.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
--- a/internal/balancer/learn.go
+++ b/internal/balancer/news.go
@@ -17,7 +17,7 @@
 func (c *control) handle(carried *message.Message) {
 	event, err := events.Decode(carried)
 	if err != nil {
-		c.balancer.logger.Error("Control: event not understood.", "error", err)
+		c.balancer.logger.Error("Control: event could not be decoded.", "error", err)
 		return
 	}
 	if news, isNews := event.Body.(*apiv1.DirectoryNews); isNews {
@@ -25,7 +25,7 @@
 	}
 }
 
-// handleNews takes the answer of the store or of a peer.
+// handleNews applies the answer of the store or of a peer.
 func (c *control) handleNews(news *apiv1.DirectoryNews, now time.Time) {
 	asOf := c.balancer.started.Add(time.Duration(news.GetAsOfNanoseconds()))
 	switch {
@@ -59,16 +59,18 @@
 	}
 }
 
-// isOlder tells whether all that holds is older than what was read. What a balancer reads at its
-// start may be some seconds old, and if the store came back from a copy meanwhile, it is of what
-// the store has lost.
+// isOlder reports whether batch is a complete read of the store with an earlier revision
+// than known. A starting balancer may have read data that is some seconds old; if the
+// store was restored from a backup meanwhile, that data contains writes that the store has
+// lost.
 func isOlder(batch *apiv1.DirectoryBatch, known *directory.Directory) bool {
 	return batch.GetComplete() && batch.GetRevision() < known.Revision()
 }
 
-// confirms tells whether news say what holds in the store now. A batch without a revision is a
-// part of what it holds, or comes from a peer that knows nothing itself; an old copy says what
-// held, and so does what comes from an era that the store has left.
+// confirms reports whether news states what the store holds now. A batch without a
+// revision is only a part of the store's content, or comes from a peer that knows nothing
+// itself. A stale snapshot states what the store held earlier, and so does a batch from an
+// era that the store has left.
 func (c *control) confirms(news *apiv1.DirectoryNews) bool {
 	told := news.GetBatch().GetRevision()
 	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollOld {
@@ -77,7 +79,8 @@
 	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.directory.Revision())
 }
 
-// apply takes entries, and that the store came back from a copy if they show that.
+// apply applies entries to the directory, and handles a restore of the store from a backup
+// if their revision shows one.
 func (c *control) apply(batch *apiv1.DirectoryBatch, now time.Time) {
 	before := c.directory.Revision()
 	if c.directory.Apply(batch, now) {
@@ -95,10 +98,10 @@
 		"known_to", revision.Text(before), "held", c.directory.Held())
 }
 
-// countUnreadable counts the entries of the store that could not be read.
+// countUnreadable counts the entries of the store that could not be decoded.
 func (c *control) countUnreadable(news *apiv1.DirectoryNews) {
 	if news.GetPeer() != "" {
-		return // who read the store has counted them
+		return // counted by the balancer that read the store
 	}
 	for _, change := range news.GetBatch().GetChanges() {
 		if change.GetUnreadable() {
@@ -107,7 +110,7 @@
 	}
 }
 
-// updateBalancers takes the balancers that the directory lists, if they have changed.
+// updateBalancers passes on the balancers that the directory lists, if they have changed.
 func (c *control) updateBalancers(now time.Time) {
 	if c.directory.BalancerChanges() == c.balancerChangesSeen {
 		return
@@ -120,10 +123,10 @@
 	c.takePlaces(balancers)
 }
 
-// zoneCounts is how many balancers the directory lists in each zone.
+// zoneCounts holds the number of balancers that the directory lists in each zone.
 type zoneCounts map[demand.Zone]int
 
-// total is how many there are in all zones.
+// total returns the number of balancers in all zones.
 func (l zoneCounts) total() int {
 	sum := 0
 	for _, count := range l {
@@ -158,13 +161,13 @@
 	}
 }
 
-// operatorCheckEnded takes a read of what operators have written. The table of routes in it
-// may be taken as it is; other orders than are known mean that a change was missed,
-// and the store is read whole.
+// operatorCheckEnded handles the result of a read of the operators' entries. The route
+// table in it can be applied directly. Orders that differ from the known ones mean that a
+// change was missed, so the whole store is read.
 func (c *control) operatorCheckEnded(news *apiv1.DirectoryNews, now time.Time) {
 	batch := news.GetBatch()
 	if c.directory.Contradicts(batch) {
-		c.balancer.logger.Info("Control: orders have changed unseen, the store is read whole.",
+		c.balancer.logger.Info("Control: operator orders differ from the directory, reading the whole store.",
 			"revision", revision.Text(batch.GetOrdersRevision()))
 		c.core.HistoryLost(now)
 	}
