--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -38,7 +38,8 @@
 	buildPauseDivisor = 4
 	// slowBuildThreshold is the duration from which a table build is logged.
 	slowBuildThreshold = 200 * time.Millisecond
-	// observationInterval is the time between two evaluations of the traffic observations.
+	// observationInterval is the time between two updates of the shares of new flows from
+	// the traffic observations.
 	observationInterval = 250 * time.Millisecond
 	// maxWaitingFollowers bounds the calls of followers that wait at the same time.
 	maxWaitingFollowers = 256
@@ -87,7 +88,8 @@
 	// the last one took.
 	nextBuild         time.Time
 	nextOperatorCheck time.Time
-	// nextObservation is when the traffic observations are evaluated again.
+	// nextObservation is when the shares of new flows are updated again from the traffic
+	// observations.
 	nextObservation time.Time
 }
 
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -11,37 +11,38 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// lineKind is what a line tells of. Each kind has lines a second of its own, so
-// that passing requests, which are most, never push out the line that explains a
-// failure.
+// lineKind is the kind of event that a log line describes. Each kind has its own limit of
+// lines per second, so that passing requests, which are the most frequent, never displace
+// a line that explains a failure.
 type lineKind uint8
 
 const (
-	// lineNone: the decision has no line.
+	// lineNone: the decision is not logged.
 	lineNone lineKind = iota
-	// lineFailure: a packet was refused, dropped, or kept with its opener.
+	// lineFailure: a packet was refused or dropped, or its flow was kept on the back end
+	// that opened it.
 	lineFailure
-	// lineOpening: the first packet of a flow, or a repetition of it.
+	// lineOpening: the first packet of a flow, or a retransmission of it.
 	lineOpening
-	// lineSampled: a request of the sample, which is the same on every balancer, so
-	// that the story of such a request is whole.
+	// lineSampled: a request in the sample. The sample is the same on every balancer, so
+	// that the log has the complete path of such a request.
 	lineSampled
 	// linePassing: any other request that passes.
 	linePassing
-	// lineNoRoom: a flow was refused for want of room. In a burst there are many.
+	// lineNoRoom: a flow was refused for lack of capacity. There are many in a burst.
 	lineNoRoom
 	lineKindCount
 )
 
-// lineLimits are the lines a second of each kind.
+// lineLimits holds the maximum number of lines per second of each kind.
 var lineLimits = [lineKindCount]int{lineFailure: 60, lineOpening: 50, lineSampled: 30, linePassing: 40, lineNoRoom: 20}
 
-// sampleDivisor is that one request in so many is of the sample.
+// sampleDivisor is the sampling ratio: one request in this many is in the sample.
 const sampleDivisor = 16
 
-// decisionLog writes one line for each decision that touches a request: a flow
-// that opens, a request that passes, a packet that goes nowhere. It belongs to
-// the traffic goroutine.
+// decisionLog writes one line for each decision that affects a request: a flow that opens,
+// a request that passes, a packet that is not forwarded. It belongs to the traffic
+// goroutine.
 type decisionLog struct {
 	logger  *slog.Logger
 	second  int64
@@ -49,7 +50,7 @@
 	omitted [lineKindCount]int
 }
 
-// record writes the line of a decision, if it has one and there is room for it.
+// record writes the line of a decision, if the decision is logged and the limit allows it.
 func (d *decisionLog) record(packet tokenroute.Packet, request []byte, decision tokenroute.Decision, table *tokenroute.Table, now time.Time) {
 	message, kind := describe(packet, request, decision)
 	if !d.allow(kind, now) {
@@ -86,7 +87,7 @@
 	d.logger.LogAttrs(context.Background(), level, message, attributes...)
 }
 
-// rounded is a figure as lines show it.
+// rounded rounds a number to two decimals for log lines.
 func rounded(figure float64) float64 { return math.Round(figure*100) / 100 }
 
 func describe(packet tokenroute.Packet, request []byte, decision tokenroute.Decision) (message string, kind lineKind) {
@@ -98,7 +99,7 @@
 	case decision.Verdict == tokenroute.Drop:
 		return "Traffic: packet dropped.", lineFailure
 	case decision.Reason == tokenroute.ReasonKept:
-		return "Traffic: flow kept with its opener.", lineFailure
+		return "Traffic: flow kept on the back end that opened it.", lineFailure
 	case packet.First:
 		return "Traffic: flow sent to a back end.", lineOpening
 	case request != nil && sampled(request):
@@ -109,15 +110,15 @@
 	return "", lineNone
 }
 
-// sampled tells whether a request is of the sample, by its id.
+// sampled reports whether a request is in the sample, by its ID.
 func sampled(request []byte) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write(request)
 	return hash.Sum32()%sampleDivisor == 0
 }
 
-// allow tells whether this second has a line of the kind left. What was left out
-// is told by kind once the second is over.
+// allow reports whether another line of the kind may be written in this second. The
+// numbers of omitted lines are logged by kind when the second is over.
 func (d *decisionLog) allow(kind lineKind, now time.Time) bool {
 	if kind == lineNone {
 		return false
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -22,7 +22,7 @@
 		"Balancers that the picture of demand counts, by zone.", []string{"zone"}, nil)
 )
 
-// collectDemand gives the picture of demand and room.
+// collectDemand reports the current view of demand and free capacity.
 func collectDemand(picture *demand.Picture, gauge func(*prometheus.Desc, float64, ...string)) {
 	if picture == nil || picture.At.IsZero() {
 		return
--- a/internal/balancer/early.go
+++ b/internal/balancer/early.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// maxEarlyAge is how long a packet of an open flow is kept that came before the first
-	// table. Clients repeat a request after 200, 600 and 1400 ms: whoever sent it
-	// earlier has sent a copy since, or will soon.
+	// maxEarlyAge is how long a packet of an open flow that arrived before the first table
+	// is kept. Clients retransmit a request after 200, 600 and 1400 ms: a client whose
+	// packet is older has already sent a retransmission, or will soon.
 	maxEarlyAge = 400 * time.Millisecond
-	// maxEarlyOpenerAge is the same for a packet that opens a flow. Its copy after 200 ms
-	// may have opened the flow by another balancer, and a back end would take this one
-	// for one more flow.
+	// maxEarlyOpenerAge is the same limit for a packet that opens a flow. Its
+	// retransmission after 200 ms may have opened the flow through another balancer, and a
+	// back end would count this one as another flow.
 	maxEarlyOpenerAge = 200 * time.Millisecond
-	// maxEarlyPackets bounds the packets kept, with their data 300 KB. The busiest of 35
-	// balancers got 60 within 400 ms after all had lost power.
+	// maxEarlyPackets bounds the number of packets kept, which take 300 KB with their
+	// data. The busiest of 35 balancers received 60 within 400 ms after all of them had
+	// lost power.
 	maxEarlyPackets = 256
 )
 
-// earlyBuffer keeps the packets that come before the first table: after a loss of power
-// routers send to balancers that know nothing yet, and the client of a packet that is
-// dropped repeats it up to 1.6 s later. Its zero value is empty. It belongs to the
-// traffic goroutine.
+// earlyBuffer keeps the packets that arrive before the first table. After a power loss
+// routers send to balancers that have no table yet, and the client of a dropped packet
+// retransmits it up to 1.6 s later. The zero value is empty. It belongs to the traffic
+// goroutine.
 type earlyBuffer struct {
 	packets []earlyPacket
-	// sent counts the packets that were decided by the first table, and lost those that
-	// were too old by then or for which there was no room.
+	// sent counts the packets that were routed by the first table, and lost those that
+	// were too old by then or did not fit.
 	sent, lost atomic.Uint64
 }
 
@@ -40,7 +41,7 @@
 	receivedAt time.Time
 }
 
-// add takes a copy of a packet, in the place of an earlier copy by its sender.
+// add stores a copy of a packet, replacing an earlier transmission of the same packet.
 func (e *earlyBuffer) add(packet tokenroute.Packet, datagram []byte, now time.Time) {
 	e.expire(now)
 	for place := range e.packets {
@@ -50,22 +51,23 @@
 		}
 	}
 	if len(e.packets) >= maxEarlyPackets {
-		// The client of the oldest repeats it first.
+		// The client of the oldest packet is the first to retransmit.
 		e.packets = slices.Delete(e.packets, 0, 1)
 		e.lost.Add(1)
 	}
 	e.packets = append(e.packets, earlyPacket{packet: packet, datagram: append([]byte(nil), datagram...), receivedAt: now})
 }
 
-// sameAs tells whether a packet is a copy of the one kept.
+// sameAs reports whether a packet is a retransmission of the stored one.
 func (e earlyPacket) sameAs(packet tokenroute.Packet) bool {
 	known := e.packet
 	return known.Key == packet.Key && known.First == packet.First && known.Sequence == packet.Sequence &&
 		known.Length == packet.Length && known.Closing == packet.Closing
 }
 
-// take returns what is kept, the oldest first, and keeps nothing. Acknowledgements
-// come before the others: they are decided as of when they came.
+// take empties the buffer and returns its packets, oldest first, except that
+// acknowledgements come before the others: they are evaluated as of the time when they
+// arrived.
 func (e *earlyBuffer) take(now time.Time) []earlyPacket {
 	e.expire(now)
 	taken := e.packets
@@ -82,13 +84,13 @@
 	return 1
 }
 
-// acknowledges tells whether the packet only says that its client has received
-// something.
+// acknowledges reports whether the packet does nothing but confirm that its client has
+// received data.
 func (e earlyPacket) acknowledges() bool {
 	return !e.packet.First && !e.packet.Closing && e.packet.Length == 0
 }
 
-// pending tells whether anything is kept.
+// pending reports whether any packet is stored.
 func (e *earlyBuffer) pending() bool { return len(e.packets) > 0 }
 
 func (e *earlyBuffer) expire(now time.Time) {
@@ -97,7 +99,7 @@
 	e.lost.Add(uint64(before - len(e.packets)))
 }
 
-// maxAge is how long the packet may wait.
+// maxAge returns how long the packet may wait.
 func (e earlyPacket) maxAge() time.Duration {
 	if e.packet.First {
 		return maxEarlyOpenerAge
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -16,27 +16,29 @@
 	caller        replication.Caller
 	afterRevision uint64
 	receivedAt    time.Time
-	// confirmedAt is when the follower's own knowledge was confirmed.
+	// confirmedAt is when the follower's own knowledge was last confirmed.
 	confirmedAt time.Time
 	deadline    time.Time
 	findings    []*apiv1.BackendFinding
 	demand      *apiv1.DemandReport
 	struggling  []*apiv1.Struggling
-	// reportsStruggling is set when it would tell who struggles.
+	// reportsStruggling is set when the follower is able to report which balancers are
+	// struggling.
 	reportsStruggling bool
-	// shownBalancers and silent are what it passes on about balancers.
+	// shownBalancers and silentBalancers are what the follower passes on about balancers.
 	shownBalancers  []*apiv1.Balancer
 	silentBalancers []string
-	// withTombstones is set when it asks for tombstones too, and revisionOnly when
-	// for the revision only.
+	// withTombstones is set when the follower asks for tombstones too, and revisionOnly
+	// when it asks for nothing but the revision.
 	withTombstones, revisionOnly bool
-	// acceptsPacked tells whether the follower understands packed tables, and
-	// wantsFindings whether it wants the findings of all.
+	// acceptsPacked is set when the follower understands packed route tables, and
+	// wantsFindings when it asks for the findings of all balancers.
 	acceptsPacked, wantsFindings bool
-	// acceptsPages tells whether it understands answers in pages.
+	// acceptsPages is set when the follower understands answers in pages.
 	acceptsPages bool
-	// wantsTestimony tells whether it wants what is seen of back ends that may be
-	// dead; testimonyAfter is up to where it was told by the clock testimonyClock.
+	// wantsTestimony is set when the follower asks for observations of back ends that may
+	// be dead. testimonyAfter is the sequence number up to which it has already received
+	// them, as counted by the process whose clock has the ID testimonyClock.
 	wantsTestimony                 bool
 	testimonyAfter, testimonyClock uint64
 	reply                          chan *apiv1.FollowReply
@@ -44,30 +46,31 @@
 	done <-chan struct{}
 }
 
-// isFollow tells whether the call is that of a balancer that follows this one, and
-// not one to tell, to ask or to fetch, which brings no findings.
+// isFollow reports whether the call comes from a balancer that follows this one. Calls
+// that only report, ask or fetch bring no findings.
 func (f *followCall) isFollow() bool {
 	return len(f.findings) > 0 || f.deadline.After(f.receivedAt) && !f.revisionOnly
 }
 
-// wantsFullReply tells whether the answer holds all that is known here.
+// wantsFullReply reports whether the answer holds everything that is known here.
 func (f *followCall) wantsFullReply() bool { return f.afterRevision == 0 && !f.revisionOnly }
 
-// fullReplyLimiter bounds the answers that hold all that is known. At a start of
-// everything many ask at once for what may be hundreds of kilobytes.
+// fullReplyLimiter limits the rate of answers that hold everything that is known. When the
+// whole fleet starts, many balancers ask at once for what may be hundreds of kilobytes
+// each.
 type fullReplyLimiter struct {
 	windowStart time.Time
 	sent        int
 }
 
 const (
-	// fullReplyLimit is how many go out within fullReplyWindow: as many as follow a
-	// strong balancer.
+	// fullReplyLimit is how many such answers may be sent within fullReplyWindow. It is
+	// the number of balancers that follow a powerful one.
 	fullReplyLimit  = 2 * replication.DefaultTreeWidth
 	fullReplyWindow = 200 * time.Millisecond
 )
 
-// allow tells whether one more may go out now.
+// allow reports whether one more answer may be sent now.
 func (a *fullReplyLimiter) allow(now time.Time) bool {
 	if now.Sub(a.windowStart) >= fullReplyWindow {
 		a.windowStart, a.sent = now, 0
@@ -76,7 +79,7 @@
 	return a.sent <= fullReplyLimit
 }
 
-// disconnected tells whether nobody waits for the answer any more.
+// disconnected reports whether the caller no longer waits for the answer.
 func (f *followCall) disconnected() bool {
 	select {
 	case <-f.done:
@@ -86,7 +89,8 @@
 	}
 }
 
-// errTooManyFollowers is what a balancer with too many followers answers.
+// errTooManyFollowers is returned to a caller when too many balancers already follow this
+// one.
 var errTooManyFollowers = errors.New("too many balancers follow this one; ask another")
 
 // Follow implements replication.Handler. It runs in the goroutine of the call.
@@ -137,7 +141,8 @@
 	}
 }
 
-// enqueueFollow lets a follower wait, or answers it at once when there is no room.
+// enqueueFollow lets a follower wait for news, or lets it be answered at once when too
+// many are waiting.
 func (c *control) enqueueFollow(asking *followCall) {
 	c.core.Called(asking.caller, c.directory.Revision(), asking.receivedAt)
 	c.core.TakeShown(asking.shownBalancers, asking.receivedAt)
@@ -155,8 +160,8 @@
 	c.waitingCalls = append(c.waitingCalls, asking)
 }
 
-// answerWaiting answers the followers for whom there is news: entries, or a
-// younger confirmation than when they asked.
+// answerWaiting answers the followers for which there is news: entries, or a confirmation
+// more recent than the one that they had when they asked.
 func (c *control) answerWaiting(now time.Time) {
 	found := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.findings.all(now)) })
 	kept := c.waitingCalls[:0]
@@ -171,7 +176,7 @@
 	c.waitingCalls = kept
 }
 
-// answer answers a follower if there is news for it, and tells whether it did.
+// answer answers a follower if there is news for it, and reports whether it did.
 func (c *control) answer(asking *followCall, now time.Time, found func() []*apiv1.BackendFinding) bool {
 	age, known := c.core.Age(now)
 	if !known && now.Before(asking.deadline) {
@@ -183,7 +188,7 @@
 		return false
 	}
 	if known && asking.wantsFullReply() && !c.fullReplies.allow(now) {
-		return false // its turn comes, or its caller gives up
+		return false // it is answered in a later window, or its caller gives up
 	}
 	reply := &apiv1.FollowReply{
 		AgeMilliseconds:    uint32(age.Milliseconds()) + 1,
@@ -212,8 +217,8 @@
 	return true
 }
 
-// pagedReply returns the pages of all that is known for a follower that needs all of it, or
-// nil where one answer is enough.
+// pagedReply returns the pages of everything that is known for a follower that needs all
+// of it, or nil where a single answer is enough.
 func (c *control) pagedReply(asking *followCall, known bool, now time.Time) *replication.Pages {
 	if !known || asking.revisionOnly || !asking.acceptsPages || !c.directory.NeedsAll(asking.afterRevision, asking.withTombstones) {
 		return nil
@@ -221,10 +226,10 @@
 	return c.pagesFor(asking.afterRevision, now)
 }
 
-// batchFor returns what is new to a follower, in the form that it takes.
+// batchFor returns what is new to a follower, in an encoding that it accepts.
 func (c *control) batchFor(asking *followCall, known bool) *apiv1.DirectoryBatch {
 	if asking.revisionOnly || !known {
-		// Without a revision, the batch claims and confirms nothing.
+		// Without a revision, the batch states and confirms nothing.
 		return &apiv1.DirectoryBatch{}
 	}
 	batch := c.directory.Since(asking.afterRevision)
@@ -236,7 +241,7 @@
 	}
 	packed, err := c.packer.Pack(batch)
 	if err != nil {
-		c.balancer.logger.Error("Control: routes could not be packed.", "error", err)
+		c.balancer.logger.Error("Control: route table could not be packed.", "error", err)
 		return batch
 	}
 	return packed
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -7,21 +7,21 @@
 	"github.com/indigobarrow/indigobarrow/internal/evidence"
 )
 
-// mailboxLimit bounds the statements that wait for the other goroutine.
+// mailboxLimit bounds the observations that wait for the receiving goroutine.
 const mailboxLimit = 1024
 
-// mailbox carries statements between the control and the traffic goroutine, neither of
+// mailbox passes observations between the control and the traffic goroutine, neither of
 // which waits for the other. Its zero value is empty.
 type mailbox struct {
-	// nonEmpty saves the traffic goroutine the lock at each packet.
+	// nonEmpty spares the traffic goroutine from taking the lock for each packet.
 	nonEmpty   atomic.Bool
 	mutex      sync.Mutex
 	statements []evidence.Statement
-	// lost counts the statements for which there was no room.
+	// lost counts the observations that did not fit.
 	lost atomic.Uint64
 }
 
-// put adds statements as far as there is room.
+// put adds as many of the observations as fit.
 func (m *mailbox) put(statements []evidence.Statement) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -31,7 +31,7 @@
 	m.nonEmpty.Store(len(m.statements) > 0)
 }
 
-// take empties the mailbox.
+// take empties the mailbox and returns what it held.
 func (m *mailbox) take() []evidence.Statement {
 	if !m.nonEmpty.Load() {
 		return nil
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -9,7 +9,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// startWrite writes what is due about balancers to the store.
+// startWrite starts the write to the store about balancers that is due, if any.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
 	c.core.SetLost(c.directory.LostPolicies())
 	write, found := c.core.NextWrite(now)
@@ -45,8 +45,8 @@
 	c.publish(ctx, &apiv1.DirectoryNews{Write: true}, err)
 }
 
-// revisionsOf are the entries of balancers as the directory has them. One that it
-// no longer has needs no removal.
+// revisionsOf returns the named balancers' entries with their revisions in the directory.
+// An entry that the directory no longer holds needs no removal and is left out.
 func (c *control) revisionsOf(names []string) []BalancerRevision {
 	entries := make(map[string]*apiv1.Balancer)
 	for _, b := range c.directory.Balancers() {
@@ -62,15 +62,16 @@
 	return found
 }
 
-// writeEnded takes the end of a write. One that was under way when the store came back from a
-// copy may be lost, and counts as failed: it is made again if it is still due.
+// writeEnded handles the end of a write. A write that was under way when the store was
+// restored from a backup may be lost, so it counts as failed and is repeated if it is
+// still due.
 func (c *control) writeEnded(failure string, now time.Time) {
 	failed := failure != "" || c.pendingWriteEra != c.balancer.era.Load()
 	c.core.WriteEnded(c.pendingWrite, failed, now)
 	c.pendingWrite = replication.Write{}
 }
 
-// ownEntry is how this balancer shows itself to the others.
+// ownEntry returns this balancer's entry as other balancers see it.
 func (b *Balancer) ownEntry() *apiv1.Balancer {
 	settings := b.settings.Load()
 	return &apiv1.Balancer{
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -29,7 +29,7 @@
 	c.answered.Add(1)
 }
 
-// collector reads the balancer's counters when the metrics are asked for.
+// collector reads the balancer's counters when metrics are collected.
 type collector struct {
 	balancer *Balancer
 }
@@ -73,8 +73,8 @@
 		"1 while the balancer takes new flows.", nil, nil)
 )
 
-// Describe implements prometheus.Collector. It announces nothing, since what
-// is collected depends on the state of the balancer.
+// Describe implements prometheus.Collector. It sends no descriptions, because the set of
+// metrics depends on the state of the balancer.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -145,7 +145,7 @@
 
 func urgencyLabel(urgency admission.Urgency) string { return strconv.FormatUint(uint64(urgency), 10) }
 
-// serveMetrics serves the metrics if the settings give them an address.
+// serveMetrics serves the metrics if the settings give an address for them.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
 	address := b.settings.Load().GetMetricsAddress()
 	if address == "" {
--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -10,19 +10,19 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// pagingThreshold is from how many changes on a complete answer is told in pages.
+// pagingThreshold is the number of changes from which a complete answer is sent in pages.
 const pagingThreshold = 512
 
-// pageCache are what followers fetch page by page: made by the control goroutine, and read by
-// the goroutines of the followers' calls, so that a start of many does not go through the
-// control goroutine page by page.
+// pageCache holds the pages that followers fetch one by one. The control goroutine builds
+// them and the goroutines of the followers' calls read them, so that the page requests of
+// many starting balancers do not all pass through the control goroutine.
 type pageCache struct {
 	entries atomic.Pointer[[]*replication.Pages]
 }
 
-// errPageExpired is what a follower is answered that asks for a page too late. It asks for
-// everything again.
-var errPageExpired = errors.New("the page is kept no more; ask for everything")
+// errPageExpired is returned to a follower that asks for a page too late. The follower
+// then asks for everything again.
+var errPageExpired = errors.New("the page has expired; ask for everything again")
 
 // serve answers a follower that asks for one page.
 func (p *pageCache) serve(request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// reusable returns the pages that a further follower may be given who needs what is known up
-// to a revision, or nil.
+// reusable returns cached pages that fit another follower that needs at least the state of
+// the given revision, or nil.
 func (p *pageCache) reusable(revision uint64, now time.Time) *replication.Pages {
 	all := p.load()
 	if len(all) == 0 {
@@ -55,7 +55,7 @@
 	return latest
 }
 
-// add keeps pages, and drops those that are old.
+// add stores pages and drops those that are too old.
 func (p *pageCache) add(made *replication.Pages, now time.Time) {
 	var kept []*replication.Pages
 	for _, each := range p.load() {
@@ -67,8 +67,8 @@
 	p.entries.Store(&kept)
 }
 
-// pagesFor returns all that is known as pages, for one who knows everything up to a revision,
-// or nil where it is not too much for one answer.
+// pagesFor returns everything that is known as pages, for a caller that knows everything
+// up to a revision, or nil where it fits in one answer.
 func (c *control) pagesFor(after uint64, now time.Time) *replication.Pages {
 	if known := c.pageCache.reusable(min(after, c.directory.Revision()), now); known != nil {
 		return known
@@ -80,7 +80,7 @@
 	age, _ := c.core.Age(now)
 	made, err := replication.NewPages(batch, now.Add(-age), now)
 	if err != nil {
-		c.balancer.logger.Error("Control: pages could not be made, all is told at once.", "error", err)
+		c.balancer.logger.Error("Control: pages could not be built, sending one answer.", "error", err)
 		return nil
 	}
 	c.pageCache.add(made, now)
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -12,28 +12,28 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// settingsPollInterval is how often the settings file is looked at. It may change
-// without a signal.
+// settingsPollInterval is how often the settings file is checked for changes. It may
+// change without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// Reloader takes changed settings while the balancer runs: all of a file's
-// changes, or none of them.
+// Reloader applies changed settings while the balancer runs: either all of a file's
+// changes or none of them.
 type Reloader struct {
-	// Path is the settings file; empty when there is none.
+	// Path is the settings file; it is empty when there is none.
 	Path string
-	// Load reads and checks the file.
+	// Load reads and validates the file.
 	Load func() (*apiv1.BalancerSettings, error)
-	// Level is the level of the log, which a change may set.
+	// Level is the log level, which a change may set.
 	Level *slog.LevelVar
-	// Signals tells that the file has changed.
+	// Signals receives a value when the file has changed.
 	Signals <-chan os.Signal
 }
 
-// reloadable are the settings that a running balancer takes; the others need a
+// reloadable holds the settings that can change while the balancer runs; the others need a
 // restart.
 var reloadable = map[protoreflect.Name]bool{"log_level": true, "seeds": true}
 
-// Reload watches the settings file until the context ends.
+// Reload watches the settings file until ctx is done.
 func (b *Balancer) Reload(ctx context.Context, reloader Reloader) error {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -61,8 +61,8 @@
 	return information.ModTime()
 }
 
-// reload reads the file once. A faulty file, or one that changes what only a
-// restart can, leaves everything as it is.
+// reload reads the file once. An invalid file, or one that changes a setting that needs a
+// restart, leaves everything as it is.
 func (b *Balancer) reload(reloader Reloader) {
 	loaded, err := reloader.Load()
 	if err != nil {
@@ -84,7 +84,8 @@
 	b.logger.Info("Settings: in force.")
 }
 
-// needsRestart names a changed field that only a restart can change, or none.
+// needsRestart returns the name of a changed field that needs a restart, or the empty
+// name.
 func needsRestart(current, loaded *apiv1.BalancerSettings) protoreflect.Name {
 	before, after := current.ProtoReflect(), loaded.ProtoReflect()
 	fields := before.Descriptor().Fields()
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -10,12 +10,13 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// rebuildTable builds the table that packets are decided by.
+// rebuildTable builds the table by which packets are routed.
 func (c *control) rebuildTable(now time.Time) {
 	c.rebuild = false
 	c.nextTableChange = time.Time{}
 	if _, knows := c.core.Age(now); !knows {
-		// A part of the store, or an old copy, is no ground to refuse flows on.
+		// Neither a part of the store nor a stale snapshot is sufficient reason to refuse
+		// flows.
 		return
 	}
 	c.recordPools(now)
@@ -58,16 +59,17 @@
 	return time.Duration(drain/emptyPoolGraceDivisor) * time.Millisecond
 }
 
-// minLapseHeartbeats is the least number of heartbeats after which the entry of a back
-// end that can't reach the store lapses: three without a write, the last of which may
-// have come one heartbeat before the gap.
+// minLapseHeartbeats is the smallest number of heartbeats after which the entry of a back
+// end that cannot reach the store expires: an entry expires after three heartbeats without
+// a write, and the last write may have come one heartbeat before the gap began.
 const minLapseHeartbeats = 2
 
-// lapse is the time in which entries that lapsed in the last gap in what the store
-// confirmed may come back. In a gap shorter than entries take to lapse, those that
-// vanished were removed. After a gap shorter than a leaving back end has, entries may
-// have been removed while this balancer counted as in touch with the store, so that
-// they take no new flows beyond the time of a leaving back end.
+// lapse returns the period in which entries that expired during the last gap in the
+// store's confirmations may come back. If the gap was shorter than the time entries take
+// to expire, entries that vanished were removed on purpose, and the period is empty. If
+// the gap was shorter than the time allowed for a leaving back end, entries may have been
+// removed while this balancer still counted as in touch with the store, so the period ends
+// with that time and they take no new flows beyond it.
 func (c *control) lapse() tokenroute.Lapse {
 	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
 	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
@@ -87,13 +89,14 @@
 	return seconds(c.balancer.settings.Load().GetFlowSeconds())
 }
 
-// seconds turns a number of seconds into a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(number float64) time.Duration {
 	return time.Duration(number * float64(time.Second))
 }
 
-// scheduleTableChange sets when the table changes without news: new flows return to
-// their zone, lapsed entries have had their time, or a vanished pool has.
+// scheduleTableChange sets when the table changes next without news: when new flows return
+// to their zone, when the time for expired entries to come back is over, or when the grace
+// period of a vanished pool is over.
 func (c *control) scheduleTableChange(now time.Time) {
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
@@ -105,7 +108,8 @@
 	}
 }
 
-// scheduleVanished sets when back ends of a group that vanished have had their time.
+// scheduleVanished schedules a table change for the end of the grace period of each
+// vanished back end of a group.
 func (c *control) scheduleVanished(group *directory.Group, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone {
@@ -114,15 +118,15 @@
 	}
 }
 
-// changeTableAt brings the next turn forward to a time that is still to come.
+// changeTableAt moves the next table change forward to a time that is still in the future.
 func (c *control) changeTableAt(at, now time.Time) {
 	if now.Before(at) && (c.nextTableChange.IsZero() || at.Before(c.nextTableChange)) {
 		c.nextTableChange = at
 	}
 }
 
-// recordPools notes the pools of each address, whose open flows stay on them
-// when a later configuration names others.
+// recordPools records the pools of each address. Open flows stay on these pools when a
+// later configuration names others.
 func (c *control) recordPools(now time.Time) {
 	if c.directory.Routes() != nil && c.firstRoutesAt.IsZero() {
 		c.firstRoutesAt = now
--- a/internal/balancer/smoothing.go
+++ b/internal/balancer/smoothing.go
@@ -7,7 +7,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// smoothedWaiting is how many requests wait here for each pool, smoothed.
+// smoothedWaiting holds the exponentially smoothed number of requests that wait at this
+// balancer, by pool.
 type smoothedWaiting struct {
 	waiting       map[string]float64
 	lastSummaryAt time.Time
@@ -15,8 +16,9 @@
 
 func newSmoothedWaiting() smoothedWaiting { return smoothedWaiting{waiting: make(map[string]float64)} }
 
-// update follows a summary, two thirds of the way in the given time, and tells whether it was
-// a new one.
+// update moves the averages toward those of a summary, about two thirds of the way (1-1/e)
+// when the time constant within has passed since the last summary. It reports whether the
+// summary was a new one.
 func (f *smoothedWaiting) update(summary *observe.Summary, within time.Duration) bool {
 	if summary == nil || !summary.At.After(f.lastSummaryAt) {
 		return false
--- a/internal/balancer/storecalls.go
+++ b/internal/balancer/storecalls.go
@@ -7,19 +7,20 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// storePurpose is why the store is called.
+// storePurpose is the reason for a call to the store.
 type storePurpose uint8
 
-// The purposes. All calls are priced by the platform, and their sum over a large
-// fleet is what it pays most for.
+// The platform charges for each call to the store, and over a large fleet these calls are
+// the largest part of its cost.
 const (
-	// storeStart: a balancer that knows nothing reads what it needs to begin.
+	// storeStart: a starting balancer reads what it needs to begin.
 	storeStart storePurpose = iota
-	// storeFollow: the reader reads the store for all.
+	// storeFollow: the reader reads the store on behalf of all balancers.
 	storeFollow
-	// storeAudit: the reader checks what following may have missed.
+	// storeAudit: the reader checks for changes that following may have missed.
 	storeAudit
-	// storeStandIn: another balancer reads, since the reader's news stays away.
+	// storeStandIn: another balancer reads the store because news from the reader has
+	// stopped.
 	storeStandIn
 	// storeMembers: entries of balancers are written.
 	storeMembers
@@ -28,13 +29,14 @@
 
 var storePurposeNames = [storePurposeCount]string{"start", "follow", "audit", "stand_in", "members"}
 
-// String returns the purpose as metrics and logs name it.
+// String returns the purpose as it appears in metrics and logs.
 func (p storePurpose) String() string { return storePurposeNames[p] }
 
 // storeCalls counts the calls to the store by purpose.
 type storeCalls [storePurposeCount]callCounts
 
-// purposeOf is why the store is read. The reader is the one that should read it.
+// purposeOf returns the purpose of a read of the store. The reader is the balancer that is
+// assigned to read it.
 func purposeOf(poll replication.Poll, knows, reader bool) storePurpose {
 	switch {
 	case !knows:
@@ -47,11 +49,11 @@
 	return storeFollow
 }
 
-// callsLogInterval is how often the calls to the store are told in the log.
+// callsLogInterval is how often the numbers of calls to the store are logged.
 const callsLogInterval = time.Minute
 
-// logStoreCalls tells in the log how often this balancer has called the store and
-// why, each minute and at the end.
+// logStoreCalls logs how often this balancer has called the store and why, every minute
+// and at the end.
 func (b *Balancer) logStoreCalls(ctx context.Context) error {
 	ticker := time.NewTicker(callsLogInterval)
 	defer ticker.Stop()
@@ -66,7 +68,7 @@
 	}
 }
 
-// logCallsOnce writes one line, unless the store was never called.
+// logCallsOnce writes one line, unless the store has never been called.
 func (b *Balancer) logCallsOnce() {
 	fields := make([]any, 0, 2*(storePurposeCount+1))
 	total := uint64(0)
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -23,26 +23,28 @@
 	log      decisionLog
 	input    []byte
 	output   []byte
-	// lastPacket is when a packet last came, in nanoseconds since the start.
+	// lastPacket is when the last packet arrived, in nanoseconds since the balancer
+	// started.
 	lastPacket     atomic.Int64
 	decisionCounts [tokenroute.ReasonCount]atomic.Uint64
 	// latestSummary is the latest summary of what was observed.
 	latestSummary atomic.Pointer[observe.Summary]
-	// inbox are statements on back ends from other balancers, and statements those
-	// that they should be told.
+	// inbox holds observations of back ends from other balancers, and outbox those to be
+	// sent to them.
 	inbox, outbox mailbox
-	// settleAt is when joined witnesses have waited long enough; zero is never.
+	// settleAt is when the unanswered requests of several balancers, taken together, have
+	// waited long enough to be evaluated; the zero time means never.
 	settleAt time.Time
-	// early are the packets that came before the first table.
+	// early holds the packets that arrived before the first table.
 	early earlyBuffer
-	// refusals are the flows refused for want of room.
+	// refusals counts the flows that were refused for lack of capacity.
 	refusals   refusals
 	malformed  atomic.Uint64
 	sendErrors atomic.Uint64
 }
 
 func newTraffic(balancer *Balancer, socket *net.UDPConn) *traffic {
-	// One byte more than allowed shows oversize datagrams.
+	// With one byte more than the allowed size, oversize datagrams can be recognised.
 	size := balancer.dependencies.Codec.MaximumSize() + 1
 	return &traffic{
 		balancer: balancer,
@@ -54,7 +56,7 @@
 	}
 }
 
-// readRetryDelay spaces reads from a socket that fails.
+// readRetryDelay is the pause between reads from a failing socket.
 const readRetryDelay = 10 * time.Millisecond
 
 func (t *traffic) run(ctx context.Context) error {
@@ -80,25 +82,25 @@
 	}
 }
 
-// deliver lets the traffic goroutine judge by what another balancer saw, also while no
-// packet comes.
+// deliver passes on what other balancers have observed, so that the traffic goroutine
+// evaluates it even while no packet arrives.
 func (t *traffic) deliver(statements []evidence.Statement) {
 	t.inbox.put(statements)
 	t.setWakeup(pastDeadline)
 }
 
-// pastDeadline is a deadline that wakes a read at once.
+// pastDeadline is a deadline that ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// setWakeup ends the read of a packet at a time; the zero time lets it wait.
+// setWakeup makes the read of a packet end at the given time; the zero time lets it wait.
 func (t *traffic) setWakeup(at time.Time) {
 	if err := t.socket.SetReadDeadline(at); err != nil {
-		t.balancer.logger.Debug("Traffic: no deadline, the next packet wakes.", "error", err)
+		t.balancer.logger.Debug("Traffic: read deadline could not be set, waiting for the next packet.", "error", err)
 	}
 }
 
-// handleWakeup hears what other balancers saw and judges by it. The deadline is set before the
-// mailbox is looked at, so that nothing put into it meanwhile is left.
+// handleWakeup evaluates what other balancers have observed. The deadline is set before
+// the mailbox is read, so that nothing put into it meanwhile is left there.
 func (t *traffic) handleWakeup() {
 	t.setWakeup(t.settleAt)
 	t.judgeBackends(time.Now())
@@ -108,8 +110,9 @@
 	}
 }
 
-// judgeBackends takes what other balancers saw, judges by it and by what has waited for an
-// answer, and tells the clients of back ends that are dead.
+// judgeBackends applies what other balancers have observed, evaluates it together with the
+// requests that have waited for an answer here, and notifies the clients of failed back
+// ends.
 func (t *traffic) judgeBackends(now time.Time) {
 	table := t.balancer.table.Load()
 	if table != nil {
@@ -123,8 +126,8 @@
 	t.reportVerdicts(table, now)
 }
 
-// reportVerdicts resets the flows whose back ends were judged dead, and passes on what
-// was seen.
+// reportVerdicts resets the flows whose back ends were detected as failed, and passes on
+// what was observed.
 func (t *traffic) reportVerdicts(table *tokenroute.Table, now time.Time) {
 	for _, verdict := range t.flows.TakeVerdicts() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
@@ -132,7 +135,7 @@
 			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
 	}
 	for _, silent := range t.flows.TakeSilentZones() {
-		t.balancer.logger.Warn("Traffic: a zone answers nothing, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
+		t.balancer.logger.Warn("Traffic: zone does not answer, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
 			"silent_for", now.Sub(silent.Since).Round(time.Millisecond))
 	}
 	for _, abandoned := range t.flows.TakeAbandoned() {
@@ -169,32 +172,33 @@
 	}
 }
 
-// route decides a packet by a table.
+// route makes and carries out the routing decision for a packet.
 func (t *traffic) route(packet tokenroute.Packet, datagram []byte, table *tokenroute.Table, now time.Time) {
 	decision := t.flows.Decide(table, packet, now)
 	t.log.record(packet, t.balancer.dependencies.Codec.RequestID(datagram), decision, table, now)
 	t.execute(decision, packet, datagram)
 }
 
-// tableChanged lets the traffic goroutine take a table, also while no packet comes.
+// tableChanged makes the traffic goroutine use a new table even while no packet arrives.
 func (t *traffic) tableChanged() { t.setWakeup(pastDeadline) }
 
-// routeEarlyPackets sends on what came before the first table.
+// routeEarlyPackets routes the packets that arrived before the first table.
 func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
 	if !t.early.pending() {
 		return
 	}
 	kept := t.early.take(now)
-	t.balancer.logger.Info("Traffic: packets from before the first table are sent on.", "packets", len(kept),
+	t.balancer.logger.Info("Traffic: routing packets that arrived before the first table.", "packets", len(kept),
 		"lost", t.early.lost.Load())
 	for _, each := range kept {
 		t.routeEarlyPacket(each, table, now)
 	}
 }
 
-// routeEarlyPacket decides a packet that has waited for the first table. It refuses nothing:
-// the client may have opened the flow by another balancer meanwhile. An acknowledgement
-// proves that its back end lived when it came, not now.
+// routeEarlyPacket routes a packet that has waited for the first table. It refuses
+// nothing, because the client may have opened the flow through another balancer meanwhile.
+// An acknowledgement proves that its back end was alive when the acknowledgement arrived,
+// not now.
 func (t *traffic) routeEarlyPacket(kept earlyPacket, table *tokenroute.Table, now time.Time) {
 	if kept.acknowledges() {
 		now = kept.receivedAt
@@ -207,7 +211,7 @@
 	t.execute(decision, kept.packet, kept.datagram)
 }
 
-// execute does what was decided on a packet.
+// execute carries out a routing decision for a packet.
 func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.decisionCounts[decision.Reason].Add(1)
 	if decision.Level != nil {
@@ -229,7 +233,7 @@
 	}
 }
 
-// reset tells the client of a flow that its back end no longer holds it.
+// reset notifies the client of a flow that its back end no longer holds the flow.
 func (t *traffic) reset(abandoned tokenroute.Abandoned, table *tokenroute.Table, now time.Time) {
 	packet := tokenroute.Packet{Key: abandoned.Key, Acknowledged: abandoned.Acknowledged}
 	decision := tokenroute.Decision{
@@ -241,7 +245,7 @@
 	t.execute(decision, packet, nil)
 }
 
-// idle is the time since the last packet.
+// idle returns the time since the last packet.
 func (t *traffic) idle() time.Duration {
 	return time.Since(t.balancer.started) - time.Duration(t.lastPacket.Load())
 }
