--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -127,19 +127,19 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "settings: without")
 	}
-	made := &Balancer{
+	balancer := &Balancer{
 		dependencies: outside,
 		logger:       logger,
 		disabled:     off,
 		started:      time.Now(),
 		bus:          events.NewBus(),
 	}
-	made.settings.Store(settings)
-	if err := made.listen(); err != nil {
+	balancer.settings.Store(settings)
+	if err := balancer.listen(); err != nil {
 		return nil, err
 	}
-	made.control = newControl(made, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	return made, nil
+	balancer.control = newControl(balancer, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	return balancer, nil
 }
 
 func (b *Balancer) listen() error {
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -145,7 +145,7 @@
 			}
 		}
 		b.callers = kept
-		if b.now.Sub(burstStart)%observationInterval == 0 {
+		if b.now.Sub(burstStart)%shareUpdateInterval == 0 {
 			b.look()
 		}
 	}
@@ -257,7 +257,7 @@
 		}
 	}
 	b.pictures = append(b.pictures, all.WithRoom(map[demand.Place]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
-	if late := len(b.pictures) - 1 - int(b.lag/observationInterval); late >= 0 {
+	if late := len(b.pictures) - 1 - int(b.lag/shareUpdateInterval); late >= 0 {
 		for place := range b.nodes {
 			b.nodes[place].take(b.pictures[late], b.now)
 		}
@@ -328,7 +328,7 @@
 func (b *burstFleet) foundIn(number uint64, length time.Duration) float64 {
 	before := b.found[number]
 	b.run(length)
-	return float64(b.found[number]-before) / float64(length/observationInterval)
+	return float64(b.found[number]-before) / float64(length/shareUpdateInterval)
 }
 
 // A back end that answers half of its requests with an error is found before a burst, and counts
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -67,9 +67,9 @@
 // by its changes; operators' entries must not be missed, so they are also checked
 // directly.
 func (c *control) checkOperatorEntries(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	batch, err := c.balancer.dependencies.Store.OperatorEntries(bounded)
+	batch, err := c.balancer.dependencies.Store.OperatorEntries(callCtx)
 	c.balancer.storeCalls[storeAudit].count(err)
 	c.publish(ctx, &apiv1.DirectoryNews{Batch: batch, Check: true}, err)
 }
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -38,9 +38,9 @@
 	buildPauseDivisor = 4
 	// slowBuildThreshold is the duration from which a table build is logged.
 	slowBuildThreshold = 200 * time.Millisecond
-	// observationInterval is the time between two updates of the shares of new flows from
+	// shareUpdateInterval is the time between two updates of the shares of new flows from
 	// the traffic observations.
-	observationInterval = 250 * time.Millisecond
+	shareUpdateInterval = 250 * time.Millisecond
 	// maxWaitingFollowers bounds the calls of followers that wait at the same time.
 	maxWaitingFollowers = 256
 )
@@ -88,15 +88,15 @@
 	// the last one took.
 	nextBuild         time.Time
 	nextOperatorCheck time.Time
-	// nextObservation is when the shares of new flows are updated again from the traffic
+	// nextShareUpdate is when the shares of new flows are updated again from the traffic
 	// observations.
-	nextObservation time.Time
+	nextShareUpdate time.Time
 }
 
-func newControl(balancer *Balancer, chance *rand.Rand) *control {
+func newControl(balancer *Balancer, random *rand.Rand) *control {
 	settings := balancer.settings.Load()
 	retention := seconds(settings.GetFlowSeconds())
-	made := &control{
+	c := &control{
 		balancer:  balancer,
 		directory: directory.New(retention),
 		core: replication.NewCore(replication.Config{
@@ -111,7 +111,7 @@
 
 			StartPatience: startupStoreDelay,
 			AuditInterval: auditInterval,
-		}, chance, balancer.started),
+		}, random, balancer.started),
 		client:      replication.NewClient(balancer.logger),
 		programs:    programs{compiled: make(map[string]*compiledPolicy)},
 		observed:    newObserved(),
@@ -121,14 +121,14 @@
 
 		testifyRequests: make(chan *apiv1.TestifyRequest, maxWaitingFollowers),
 		wakeRequested:   make(chan struct{}, 1),
-		testimony:       testimony{clock: chance.Uint64() | 1, client: replication.NewClient(balancer.logger)},
+		testimony:       testimony{clock: random.Uint64() | 1, client: replication.NewClient(balancer.logger)},
 
 		demand: demandState{tree: demand.NewTree(balancer.started)},
 
 		poolLastUse: make(map[flow.Address]map[string]time.Time),
 	}
-	made.core.SetSeeds(settings.GetSeeds())
-	return made
+	c.core.SetSeeds(settings.GetSeeds())
+	return c
 }
 
 func (c *control) run(ctx context.Context) error {
@@ -145,15 +145,15 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case carried, open := <-messages:
+		case msg, open := <-messages:
 			if !open {
 				return nil
 			}
-			c.handle(carried)
-		case asking := <-c.followCalls:
-			c.enqueueFollow(asking)
-		case told := <-c.testifyRequests:
-			c.takeTestimony(told, time.Now())
+			c.handle(msg)
+		case call := <-c.followCalls:
+			c.enqueueFollow(call)
+		case request := <-c.testifyRequests:
+			c.takeTestimony(request, time.Now())
 		case <-c.wakeRequested:
 		case <-ticker.C:
 		}
@@ -187,7 +187,7 @@
 	c.startReport(ctx, now)
 	c.answerWaiting(now)
 	c.lookAside(now)
-	if c.directory.Expire(now) || c.applyObservations(now) {
+	if c.directory.Expire(now) || c.updateShares(now) {
 		c.rebuild = true
 	}
 	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
@@ -208,13 +208,13 @@
 	return min(buildPauseFactor*took, pace.Poll/buildPauseDivisor)
 }
 
-// applyObservations applies what the traffic goroutine and other balancers have observed.
+// updateShares applies what the traffic goroutine and other balancers have observed.
 // It reports whether shares of new flows change as a result.
-func (c *control) applyObservations(now time.Time) bool {
-	if c.balancer.traffic == nil || now.Before(c.nextObservation) {
+func (c *control) updateShares(now time.Time) bool {
+	if c.balancer.traffic == nil || now.Before(c.nextShareUpdate) {
 		return false
 	}
-	c.nextObservation = now.Add(observationInterval)
+	c.nextShareUpdate = now.Add(shareUpdateInterval)
 	c.takeDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
 	changed := c.observed.take(summary, now)
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -174,10 +174,10 @@
 	one, other := asked("10.0.0.8:1"), asked("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, asked("10.0.0.9:1"))
-	now = now.Add(observationInterval + time.Millisecond)
+	now = now.Add(shareUpdateInterval + time.Millisecond)
 	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
 	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
-	now = now.Add(soonPause - observationInterval)
+	now = now.Add(soonPause - shareUpdateInterval)
 	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
 	for range 3 {
 		now = now.Add(toldFor)
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -12,36 +12,36 @@
 	pressureDescription = prometheus.NewDesc("indigobarrow_balancer_demand_pressure",
 		"Requests at the back ends of a pool in a zone for each slot that takes new flows; from 1 on they queue.",
 		[]string{"pool", "zone"}, nil)
-	asksDescription = prometheus.NewDesc("indigobarrow_balancer_demand_asks_per_second",
+	requestRateDescription = prometheus.NewDesc("indigobarrow_balancer_demand_asks_per_second",
 		"New flows and later requests that the clients of a zone ask of a pool.", []string{"pool", "zone"}, nil)
-	roomDescription = prometheus.NewDesc("indigobarrow_balancer_demand_room_slots",
+	capacityDescription = prometheus.NewDesc("indigobarrow_balancer_demand_room_slots",
 		"Slots of a pool in a zone that take new flows.", []string{"pool", "zone"}, nil)
-	pictureAgeDescription = prometheus.NewDesc("indigobarrow_balancer_demand_age_seconds",
+	aggregateAgeDescription = prometheus.NewDesc("indigobarrow_balancer_demand_age_seconds",
 		"Age of the oldest part of the picture of demand.", nil, nil)
-	pictureBalancersDescription = prometheus.NewDesc("indigobarrow_balancer_demand_balancers",
+	aggregateBalancersDescription = prometheus.NewDesc("indigobarrow_balancer_demand_balancers",
 		"Balancers that the picture of demand counts, by zone.", []string{"zone"}, nil)
 )
 
 // collectDemand reports the current view of demand and free capacity.
-func collectDemand(picture *demand.Picture, gauge func(*prometheus.Desc, float64, ...string)) {
-	if picture == nil || picture.At.IsZero() {
+func collectDemand(aggregate *demand.Picture, gauge func(*prometheus.Desc, float64, ...string)) {
+	if aggregate == nil || aggregate.At.IsZero() {
 		return
 	}
-	gauge(pictureAgeDescription, picture.Age(time.Now()).Seconds())
-	for zone, count := range picture.Zones {
-		gauge(pictureBalancersDescription, float64(count), string(zone))
+	gauge(aggregateAgeDescription, aggregate.Age(time.Now()).Seconds())
+	for zone, count := range aggregate.Zones {
+		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	tell := func(place demand.Place) {
-		gauge(roomDescription, picture.Room[place], string(place.Pool), string(place.Zone))
-		gauge(pressureDescription, picture.Pressure(place), string(place.Pool), string(place.Zone))
+	report := func(place demand.Place) {
+		gauge(capacityDescription, aggregate.Room[place], string(place.Pool), string(place.Zone))
+		gauge(pressureDescription, aggregate.Pressure(place), string(place.Pool), string(place.Zone))
 	}
-	for place := range picture.Room {
-		tell(place)
+	for place := range aggregate.Room {
+		report(place)
 	}
-	for place, load := range picture.Places {
-		gauge(asksDescription, load.Asks, string(place.Pool), string(place.Zone))
-		if _, found := picture.Room[place]; !found {
-			tell(place)
+	for place, load := range aggregate.Places {
+		gauge(requestRateDescription, load.Asks, string(place.Pool), string(place.Zone))
+		if _, found := aggregate.Room[place]; !found {
+			report(place)
 		}
 	}
 }
--- a/internal/balancer/early.go
+++ b/internal/balancer/early.go
@@ -60,9 +60,9 @@
 
 // sameAs reports whether a packet is a retransmission of the stored one.
 func (e earlyPacket) sameAs(packet tokenroute.Packet) bool {
-	known := e.packet
-	return known.Key == packet.Key && known.First == packet.First && known.Sequence == packet.Sequence &&
-		known.Length == packet.Length && known.Closing == packet.Closing
+	stored := e.packet
+	return stored.Key == packet.Key && stored.First == packet.First && stored.Sequence == packet.Sequence &&
+		stored.Length == packet.Length && stored.Closing == packet.Closing
 }
 
 // take empties the buffer and returns its packets, oldest first, except that
@@ -70,11 +70,11 @@
 // arrived.
 func (e *earlyBuffer) take(now time.Time) []earlyPacket {
 	e.expire(now)
-	taken := e.packets
+	packets := e.packets
 	e.packets = nil
-	slices.SortStableFunc(taken, func(a, b earlyPacket) int { return a.rank() - b.rank() })
-	e.sent.Add(uint64(len(taken)))
-	return taken
+	slices.SortStableFunc(packets, func(a, b earlyPacket) int { return a.rank() - b.rank() })
+	e.sent.Add(uint64(len(packets)))
+	return packets
 }
 
 func (e earlyPacket) rank() int {
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -100,7 +100,7 @@
 	}
 	now := time.Now()
 	age := time.Duration(request.GetAgeMilliseconds()) * time.Millisecond
-	asking := &followCall{
+	call := &followCall{
 		caller: replication.Caller{
 			Address:     request.GetFromAddress(),
 			Knows:       age < unknownAge,
@@ -129,12 +129,12 @@
 		done:              ctx.Done(),
 	}
 	select {
-	case c.followCalls <- asking:
+	case c.followCalls <- call:
 	default:
 		return nil, errTooManyFollowers
 	}
 	select {
-	case reply := <-asking.reply:
+	case reply := <-call.reply:
 		return reply, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -143,77 +143,77 @@
 
 // enqueueFollow lets a follower wait for news, or lets it be answered at once when too
 // many are waiting.
-func (c *control) enqueueFollow(asking *followCall) {
-	c.core.Called(asking.caller, c.directory.Revision(), asking.receivedAt)
-	c.core.TakeShown(asking.shownBalancers, asking.receivedAt)
-	c.core.TakeSilent(asking.silentBalancers, asking.receivedAt)
-	if asking.wantsFindings {
-		c.hearStruggling(asking.struggling, asking.reportsStruggling, asking.receivedAt)
+func (c *control) enqueueFollow(call *followCall) {
+	c.core.Called(call.caller, c.directory.Revision(), call.receivedAt)
+	c.core.TakeShown(call.shownBalancers, call.receivedAt)
+	c.core.TakeSilent(call.silentBalancers, call.receivedAt)
+	if call.wantsFindings {
+		c.hearStruggling(call.struggling, call.reportsStruggling, call.receivedAt)
 	}
-	if asking.isFollow() {
-		c.findings.takeFollower(asking.caller.Address, asking.findings, asking.receivedAt)
+	if call.isFollow() {
+		c.findings.takeFollower(call.caller.Address, call.findings, call.receivedAt)
 	}
-	c.takeReport(asking.caller.Address, asking.demand, asking.receivedAt)
+	c.takeReport(call.caller.Address, call.demand, call.receivedAt)
 	if len(c.waitingCalls) >= maxWaitingFollowers {
-		asking.deadline = asking.receivedAt
+		call.deadline = call.receivedAt
 	}
-	c.waitingCalls = append(c.waitingCalls, asking)
+	c.waitingCalls = append(c.waitingCalls, call)
 }
 
 // answerWaiting answers the followers for which there is news: entries, or a confirmation
 // more recent than the one that they had when they asked.
 func (c *control) answerWaiting(now time.Time) {
-	found := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.findings.all(now)) })
-	kept := c.waitingCalls[:0]
-	for _, asking := range c.waitingCalls {
-		if asking.disconnected() || c.answer(asking, now, found) {
+	findings := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.findings.all(now)) })
+	remaining := c.waitingCalls[:0]
+	for _, call := range c.waitingCalls {
+		if call.disconnected() || c.answer(call, now, findings) {
 			continue
 		}
-		c.core.Heard(asking.caller.Address, now)
-		kept = append(kept, asking)
+		c.core.Heard(call.caller.Address, now)
+		remaining = append(remaining, call)
 	}
-	clear(c.waitingCalls[len(kept):])
-	c.waitingCalls = kept
+	clear(c.waitingCalls[len(remaining):])
+	c.waitingCalls = remaining
 }
 
 // answer answers a follower if there is news for it, and reports whether it did.
-func (c *control) answer(asking *followCall, now time.Time, found func() []*apiv1.BackendFinding) bool {
+func (c *control) answer(call *followCall, now time.Time, findings func() []*apiv1.BackendFinding) bool {
 	age, known := c.core.Age(now)
-	if !known && now.Before(asking.deadline) {
+	if !known && now.Before(call.deadline) {
 		return false
 	}
-	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
-	statements := c.newsOfBackends(asking, now)
-	if asking.afterRevision >= c.directory.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
+	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
+	observations := c.newsOfBackends(call, now)
+	if call.afterRevision >= c.directory.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
 		return false
 	}
-	if known && asking.wantsFullReply() && !c.fullReplies.allow(now) {
+	if known && call.wantsFullReply() && !c.fullReplies.allow(now) {
 		return false // it is answered in a later window, or its caller gives up
 	}
 	reply := &apiv1.FollowReply{
 		AgeMilliseconds:    uint32(age.Milliseconds()) + 1,
-		WaitedMilliseconds: uint32(now.Sub(asking.receivedAt).Milliseconds()),
+		WaitedMilliseconds: uint32(now.Sub(call.receivedAt).Milliseconds()),
 	}
-	if paged := c.pagedReply(asking, known, now); paged != nil {
-		reply.Batch = &apiv1.DirectoryBatch{Revision: paged.Revision, Complete: true}
-		reply.Page = paged.Page(0)
-		reply.AgeMilliseconds = uint32(now.Sub(paged.ConfirmedAt).Milliseconds()) + 1
+	if pages := c.pagedReply(call, known, now); pages != nil {
+		reply.Batch = &apiv1.DirectoryBatch{Revision: pages.Revision, Complete: true}
+		reply.Page = pages.Page(0)
+		reply.AgeMilliseconds = uint32(now.Sub(pages.ConfirmedAt).Milliseconds()) + 1
 	} else {
-		reply.Batch = c.batchFor(asking, known)
+		reply.Batch = c.batchFor(call, known)
 	}
-	if asking.wantsFindings {
-		reply.Findings = found()
+	if call.wantsFindings {
+		reply.Findings = findings()
 		reply.Struggling, reply.TellsStruggling = c.tellStruggling(now), true
 	}
-	if asking.wantsTestimony {
-		c.addTestimony(reply, statements, now)
-		reply.Demand = c.wholeFor(asking.caller.Address, now)
+	if call.wantsTestimony {
+		c.addTestimony(reply, observations, now)
+		reply.Demand = c.wholeFor(call.caller.Address, now)
 	}
 	if !known {
 		reply.AgeMilliseconds = uint32(unknownAge.Milliseconds())
 		reply.Callers = c.core.Callers()
 	}
-	asking.reply <- reply
+	call.reply <- reply
 	return true
 }
 
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -14,21 +14,21 @@
 // which waits for the other. Its zero value is empty.
 type mailbox struct {
 	// nonEmpty spares the traffic goroutine from taking the lock for each packet.
-	nonEmpty   atomic.Bool
-	mutex      sync.Mutex
-	statements []evidence.Statement
+	nonEmpty     atomic.Bool
+	mutex        sync.Mutex
+	observations []evidence.Statement
 	// lost counts the observations that did not fit.
 	lost atomic.Uint64
 }
 
 // put adds as many of the observations as fit.
-func (m *mailbox) put(statements []evidence.Statement) {
+func (m *mailbox) put(observations []evidence.Statement) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	room := min(len(statements), mailboxLimit-len(m.statements))
-	m.statements = append(m.statements, statements[:room]...)
-	m.lost.Add(uint64(len(statements) - room))
-	m.nonEmpty.Store(len(m.statements) > 0)
+	fit := min(len(observations), mailboxLimit-len(m.observations))
+	m.observations = append(m.observations, observations[:fit]...)
+	m.lost.Add(uint64(len(observations) - fit))
+	m.nonEmpty.Store(len(m.observations) > 0)
 }
 
 // take empties the mailbox and returns what it held.
@@ -38,8 +38,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	taken := m.statements
-	m.statements = nil
+	observations := m.observations
+	m.observations = nil
 	m.nonEmpty.Store(false)
-	return taken
+	return observations
 }
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -27,19 +27,19 @@
 
 // writeToStore makes the call to the store for one write.
 func (c *control) writeToStore(ctx context.Context, write replication.Write, remove []BalancerRevision) {
-	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	store := c.balancer.dependencies.Store
 	var err error
 	switch {
 	case len(write.Put) > 0:
-		err = store.WriteBalancers(bounded, write.Put)
+		err = store.WriteBalancers(callCtx, write.Put)
 	case write.Policy != nil:
-		err = store.RestorePolicy(bounded, *write.Policy)
+		err = store.RestorePolicy(callCtx, *write.Policy)
 	case len(write.Leads) > 0:
-		err = store.WriteLeads(bounded, write.Leads)
+		err = store.WriteLeads(callCtx, write.Leads)
 	default:
-		err = store.RemoveBalancers(bounded, remove)
+		err = store.RemoveBalancers(callCtx, remove)
 	}
 	c.balancer.storeCalls[storeMembers].count(err)
 	c.publish(ctx, &apiv1.DirectoryNews{Write: true}, err)
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -14,8 +14,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/revision"
 )
 
-func (c *control) handle(carried *message.Message) {
-	event, err := events.Decode(carried)
+func (c *control) handle(msg *message.Message) {
+	event, err := events.Decode(msg)
 	if err != nil {
 		c.balancer.logger.Error("Control: event could not be decoded.", "error", err)
 		return
@@ -72,11 +72,11 @@
 // itself. A stale snapshot states what the store held earlier, and so does a batch from an
 // era that the store has left.
 func (c *control) confirms(news *apiv1.DirectoryNews) bool {
-	told := news.GetBatch().GetRevision()
+	batchRevision := news.GetBatch().GetRevision()
 	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollOld {
 		return false
 	}
-	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.directory.Revision())
+	return batchRevision > 0 && revision.EraOf(batchRevision) >= revision.EraOf(c.directory.Revision())
 }
 
 // apply applies entries to the directory, and handles a restore of the store from a backup
@@ -136,15 +136,15 @@
 }
 
 // countByZone counts the balancers of each zone, this one included.
-func (c *control) countByZone(known []*apiv1.Balancer) zoneCounts {
+func (c *control) countByZone(balancers []*apiv1.Balancer) zoneCounts {
 	settings := c.balancer.settings.Load()
-	counted := zoneCounts{demand.Zone(settings.GetZone()): 1}
-	for _, balancer := range known {
+	counts := zoneCounts{demand.Zone(settings.GetZone()): 1}
+	for _, balancer := range balancers {
 		if balancer.GetName() != settings.GetName() {
-			counted[demand.Zone(balancer.GetZone())]++
+			counts[demand.Zone(balancer.GetZone())]++
 		}
 	}
-	return counted
+	return counts
 }
 
 func (c *control) pollEnded(news *apiv1.DirectoryNews, now time.Time) {
--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -56,33 +56,33 @@
 }
 
 // add stores pages and drops those that are too old.
-func (p *pageCache) add(made *replication.Pages, now time.Time) {
+func (p *pageCache) add(added *replication.Pages, now time.Time) {
 	var kept []*replication.Pages
 	for _, each := range p.load() {
 		if !each.Old(now) {
 			kept = append(kept, each)
 		}
 	}
-	kept = append(kept, made)
+	kept = append(kept, added)
 	p.entries.Store(&kept)
 }
 
 // pagesFor returns everything that is known as pages, for a caller that knows everything
 // up to a revision, or nil where it fits in one answer.
 func (c *control) pagesFor(after uint64, now time.Time) *replication.Pages {
-	if known := c.pageCache.reusable(min(after, c.directory.Revision()), now); known != nil {
-		return known
+	if cached := c.pageCache.reusable(min(after, c.directory.Revision()), now); cached != nil {
+		return cached
 	}
 	batch := c.directory.Since(0)
 	if len(batch.GetChanges()) < pagingThreshold {
 		return nil
 	}
 	age, _ := c.core.Age(now)
-	made, err := replication.NewPages(batch, now.Add(-age), now)
+	pages, err := replication.NewPages(batch, now.Add(-age), now)
 	if err != nil {
 		c.balancer.logger.Error("Control: pages could not be built, sending one answer.", "error", err)
 		return nil
 	}
-	c.pageCache.add(made, now)
-	return made
+	c.pageCache.add(pages, now)
+	return pages
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -71,12 +71,12 @@
 // removed while this balancer still counted as in touch with the store, so the period ends
 // with that time and they take no new flows beyond it.
 func (c *control) lapse() tokenroute.Lapse {
-	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
-	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
+	gap, settings := c.core.LastGap(), c.balancer.settings.Load()
+	if gap.Length() < minLapseHeartbeats*milliseconds(settings.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.Lapse{}
 	}
-	lapse := tokenroute.Lapse{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
-	drained := gap.From.Add(time.Duration(loaded.GetDrainMilliseconds() * float64(time.Millisecond)))
+	lapse := tokenroute.Lapse{Since: gap.Until, Until: gap.Until.Add(milliseconds(settings.GetLapseMilliseconds()))}
+	drained := gap.From.Add(time.Duration(settings.GetDrainMilliseconds() * float64(time.Millisecond)))
 	if drained.After(lapse.Since) && drained.Before(lapse.Until) {
 		lapse.Until = drained
 	}
@@ -145,7 +145,7 @@
 }
 
 func (c *control) formerPools(now time.Time) map[flow.Address]map[string]bool {
-	found := make(map[flow.Address]map[string]bool, len(c.poolLastUse))
+	recent := make(map[flow.Address]map[string]bool, len(c.poolLastUse))
 	for address, pools := range c.poolLastUse {
 		kept := make(map[string]bool, len(pools))
 		for pool, lastAt := range pools {
@@ -155,7 +155,7 @@
 			}
 			kept[pool] = true
 		}
-		found[address] = kept
+		recent[address] = kept
 	}
-	return found
+	return recent
 }
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -57,7 +57,7 @@
 // picture is encoded once a look for all of them.
 func (c *control) wholeFor(follower string, now time.Time) *apiv1.DemandReport {
 	t := &c.demand.tellings
-	if t.whole == nil || now.Sub(t.madeAt) >= observationInterval {
+	if t.whole == nil || now.Sub(t.madeAt) >= shareUpdateInterval {
 		t.renew(c.demand.tree.Picture(now), c.demand.room.slots, now)
 	}
 	next, may := t.told[follower].next(t.pressures, now)
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -84,8 +84,8 @@
 
 // deliver passes on what other balancers have observed, so that the traffic goroutine
 // evaluates it even while no packet arrives.
-func (t *traffic) deliver(statements []evidence.Statement) {
-	t.inbox.put(statements)
+func (t *traffic) deliver(observations []evidence.Statement) {
+	t.inbox.put(observations)
 	t.setWakeup(pastDeadline)
 }
 
@@ -103,36 +103,36 @@
 // the mailbox is read, so that nothing put into it meanwhile is left there.
 func (t *traffic) handleWakeup() {
 	t.setWakeup(t.settleAt)
-	t.judgeBackends(time.Now())
+	t.evaluateBackends(time.Now())
 	t.setWakeup(t.settleAt)
 	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
 }
 
-// judgeBackends applies what other balancers have observed, evaluates it together with the
+// evaluateBackends applies what other balancers have observed, evaluates it together with the
 // requests that have waited for an answer here, and notifies the clients of failed back
 // ends.
-func (t *traffic) judgeBackends(now time.Time) {
+func (t *traffic) evaluateBackends(now time.Time) {
 	table := t.balancer.table.Load()
 	if table != nil {
 		t.routeEarlyPackets(table, now)
 		t.flows.Renew(table, now)
 	}
-	for _, statement := range t.inbox.take() {
-		t.flows.Hear(statement, table, now)
+	for _, observation := range t.inbox.take() {
+		t.flows.Hear(observation, table, now)
 	}
 	t.settleAt = t.flows.Settle(now)
-	t.reportVerdicts(table, now)
+	t.reportFailures(table, now)
 }
 
-// reportVerdicts resets the flows whose back ends were detected as failed, and passes on
+// reportFailures resets the flows whose back ends were detected as failed, and passes on
 // what was observed.
-func (t *traffic) reportVerdicts(table *tokenroute.Table, now time.Time) {
-	for _, verdict := range t.flows.TakeVerdicts() {
-		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
-			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Own, "unanswered_elsewhere", verdict.Told,
-			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
+func (t *traffic) reportFailures(table *tokenroute.Table, now time.Time) {
+	for _, failure := range t.flows.TakeVerdicts() {
+		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", failure.Backend.ID,
+			"pool", failure.Backend.Pool, "unanswered_here", failure.Own, "unanswered_elsewhere", failure.Told,
+			"silent_for", now.Sub(failure.SilentSince).Round(time.Millisecond))
 	}
 	for _, silent := range t.flows.TakeSilentZones() {
 		t.balancer.logger.Warn("Traffic: zone does not answer, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
@@ -141,8 +141,8 @@
 	for _, abandoned := range t.flows.TakeAbandoned() {
 		t.reset(abandoned, table, now)
 	}
-	if statements := t.flows.TakeStatements(); len(statements) > 0 {
-		t.outbox.put(statements)
+	if observations := t.flows.TakeStatements(); len(observations) > 0 {
+		t.outbox.put(observations)
 		t.balancer.control.wake()
 	}
 }
@@ -163,7 +163,7 @@
 		t.early.add(packet, datagram, now)
 	}
 	t.route(packet, datagram, table, now)
-	t.reportVerdicts(table, now)
+	t.reportFailures(table, now)
 	if t.inbox.nonEmpty.Load() || t.flows.Holds() && !now.Before(t.settleAt) {
 		t.handleWakeup()
 	}
@@ -187,10 +187,10 @@
 	if !t.early.pending() {
 		return
 	}
-	kept := t.early.take(now)
-	t.balancer.logger.Info("Traffic: routing packets that arrived before the first table.", "packets", len(kept),
+	packets := t.early.take(now)
+	t.balancer.logger.Info("Traffic: routing packets that arrived before the first table.", "packets", len(packets),
 		"lost", t.early.lost.Load())
-	for _, each := range kept {
+	for _, each := range packets {
 		t.routeEarlyPacket(each, table, now)
 	}
 }
@@ -199,16 +199,16 @@
 // nothing, because the client may have opened the flow through another balancer meanwhile.
 // An acknowledgement proves that its back end was alive when the acknowledgement arrived,
 // not now.
-func (t *traffic) routeEarlyPacket(kept earlyPacket, table *tokenroute.Table, now time.Time) {
-	if kept.acknowledges() {
-		now = kept.receivedAt
+func (t *traffic) routeEarlyPacket(early earlyPacket, table *tokenroute.Table, now time.Time) {
+	if early.acknowledges() {
+		now = early.receivedAt
 	}
-	decision := t.flows.Decide(table, kept.packet, now)
+	decision := t.flows.Decide(table, early.packet, now)
 	if decision.Verdict == tokenroute.Refuse {
 		decision.Verdict = tokenroute.Drop
 	}
-	t.log.record(kept.packet, t.balancer.dependencies.Codec.RequestID(kept.datagram), decision, table, now)
-	t.execute(decision, kept.packet, kept.datagram)
+	t.log.record(early.packet, t.balancer.dependencies.Codec.RequestID(early.datagram), decision, table, now)
+	t.execute(decision, early.packet, early.datagram)
 }
 
 // execute carries out a routing decision for a packet.
