--- a/internal/balancer/clientfor_test.go
+++ b/internal/balancer/clientfor_test.go
@@ -8,8 +8,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// A balancer that knows nothing dials as long as its core says, which is short at
-// first, and not as a client does by itself.
+// A balancer that knows nothing uses the dial timeout that its core gives, which is short
+// at first, and not the client's default.
 func TestClientDialsAsLongAsTheCoreSays(t *testing.T) {
 	control := newTestControl()
 	peer := replication.Peer{Address: "10.0.0.2:8166", Purpose: replication.PurposeAsk}
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -19,7 +19,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/settings"
 )
 
-// testSettings are the settings of a balancer, with a pace.
+// testSettings returns the settings of a balancer with a fixed pace.
 func testSettings() *apiv1.BalancerSettings {
 	loaded := settings.BalancerDefaults()
 	loaded.Name, loaded.Zone = "edge-1", "maadi"
@@ -27,7 +27,7 @@
 	return loaded
 }
 
-// newTestControl makes the control state of a balancer without sockets.
+// newTestControl returns the control state of a balancer without sockets.
 func newTestControl() *control {
 	loaded := testSettings()
 	made := &Balancer{
@@ -49,8 +49,8 @@
 		Revision: revision, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{Version: revision}}}}}
 }
 
-// A peer that knows nothing answers with an age beyond all bounds and no
-// revision. It confirms nothing, so the store is asked eagerly as before.
+// A peer that knows nothing answers with an age beyond all limits and no revision. Its
+// answer confirms nothing, so the store is asked as eagerly as before.
 func TestPeerThatKnowsNothingConfirmsNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -71,11 +71,11 @@
 	_, known := control.core.Age(now)
 	require.False(t, known)
 	control.rebuildTable(now)
-	require.Nil(t, control.balancer.table.Load(), "nor is it a ground to refuse flows on")
+	require.Nil(t, control.balancer.table.Load(), "a partial snapshot is no reason to refuse flows either")
 }
 
-// An old copy of the store names everybody, but routes and back ends may have
-// changed since. They serve once a peer or the store has brought the changes.
+// A stale snapshot of the store names all balancers, but routes and back ends may have
+// changed since. They are used once a peer or the store has supplied the changes.
 func TestOldCopyOfTheStoreConfirmsNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -85,7 +85,7 @@
 	control.rebuildTable(now)
 	require.Nil(t, control.balancer.table.Load())
 	reply := control.followOnce(0, now, now.Add(-time.Minute))
-	require.Empty(t, reply.GetBatch().GetChanges(), "nor is it passed on")
+	require.Empty(t, reply.GetBatch().GetChanges(), "the stale snapshot is not passed on either")
 	require.Zero(t, reply.GetBatch().GetRevision())
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: &apiv1.DirectoryBatch{Revision: 6},
 		AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -93,12 +93,13 @@
 	require.NotNil(t, control.balancer.table.Load())
 }
 
-// Story: a balancer that started just as the store came back from a copy read an old answer, which
-// still was of what the store has lost, and took it for later than all that holds: the configuration
-// and the back ends that others told it were ignored until the store had counted beyond it.
+// A balancer that started just as the store was restored from a backup read a stale
+// snapshot, which still contained the writes that the store had lost, and took it for
+// newer than the current state. It then ignored the configuration and the back ends that
+// other balancers reported, until the store's revisions had passed the snapshot's.
 //
-// Evidence: an answer that may be seconds old tells the store's era as of now, so that nothing in it
-// says that its revision was given in the one before.
+// The response of a stale read, which may be seconds old, carries the store's era as of
+// now, so nothing in it shows that its revision was assigned in the previous era.
 func TestOldCopyOfWhatTheStoreHasLostHidesNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -114,8 +115,9 @@
 	require.False(t, control.directory.Backends()[0].Gone)
 }
 
-// A back end that had gone when a balancer started is known to it from the old copy, so that open
-// flows find it: the copy is older than what holds, and is kept.
+// A starting balancer knows a back end that has already gone from the stale snapshot, so
+// that open flows still find it: the snapshot is older than the current state, and is
+// kept.
 func TestOldCopyIsKeptBesideWhatHolds(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -128,8 +130,8 @@
 	require.True(t, control.directory.Backends()[0].Gone)
 }
 
-// An answer of an era that the store has left confirms nothing, and a write that was under way as it
-// was left counts as failed.
+// An answer from an era that the store has left confirms nothing, and a write that was
+// under way when the store left that era counts as failed.
 func TestLateAnswerOfAnEarlierEraConfirmsNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -150,10 +152,10 @@
 	control.pendingWrite = replication.Write{Put: []*apiv1.Balancer{entry}}
 	control.handleNews(&apiv1.DirectoryNews{Write: true}, now)
 	control.core.TakeShown([]*apiv1.Balancer{entry}, now)
-	require.Contains(t, control.core.Shown(now), entry, "it may be lost, and is still to be written")
+	require.Contains(t, control.core.Shown(now), entry, "the write may be lost, so it is still due")
 }
 
-// The reader removes the entry that it knows, and no later one.
+// The reader removes the entry at the revision that it knows, and not a later one.
 func TestEntriesAreRemovedAtTheRevisionsThatAreKnown(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -182,8 +184,8 @@
 	require.Equal(t, uint64(5), control.directory.Routes().GetVersion())
 }
 
-// followOnce puts a follower's call to the control state and returns its answer, or
-// nil while it waits.
+// followOnce passes a follower's call to the control state and returns its answer, or nil
+// while the call waits.
 func (control *control) followOnce(after uint64, confirmedAt, now time.Time) *apiv1.FollowReply {
 	asking := &followCall{afterRevision: after, receivedAt: now, confirmedAt: confirmedAt, deadline: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
@@ -203,7 +205,7 @@
 	require.Nil(t, control.followOnce(0, now, now), "nothing is known yet")
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.NotNil(t, control.followOnce(0, now, now), "entries")
-	require.NotNil(t, control.followOnce(5, now.Add(-time.Second), now), "a younger confirmation")
+	require.NotNil(t, control.followOnce(5, now.Add(-time.Second), now), "a more recent confirmation")
 	require.Nil(t, control.followOnce(5, now, now), "nothing new")
 }
 
@@ -216,8 +218,8 @@
 	require.LessOrEqual(t, len(control.waitingCalls), maxWaitingFollowers)
 }
 
-// At a start of everything, all that is known goes out to as many at a time as a
-// link takes. The others wait, and those that ask for less do not.
+// When the whole fleet starts, complete answers are sent to as many followers at a time as
+// a link can carry. The others wait, but followers that ask for less do not.
 func TestCompleteAnswersGoOutInTurn(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -265,7 +267,8 @@
 	control.directory.Apply(batch, now)
 }
 
-// With one back end in the zone, every retry would meet it again after it died.
+// With only one back end in the zone, every retry would reach the same back end again
+// after it failed.
 func TestFewBackendsInTheZoneShareWithTheOthers(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -275,8 +278,8 @@
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(remote))
 }
 
-// The table turns back to its zone without news, and open flows keep the pools
-// that their route had for the life of a flow.
+// The table changes without news when new flows return to their own zone. Open flows keep
+// the pools that their route had for the lifetime of a flow.
 func TestTableTurnsWithoutNews(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -288,9 +291,9 @@
 	require.True(t, control.nextTableChange.IsZero())
 }
 
-// A back end that vanished gets no new flow later than the time for a leaving
-// one, counted from the removal: knowledge may be stale by one limit and one
-// read of the store, and the grace comes on top.
+// A back end that vanished gets no new flow later than a leaving one would, counted from
+// its removal: the directory may be as old as the staleness limit plus one read of the
+// store, and the grace period comes on top.
 func TestGraceForVanishedBackendsStaysWithinTheDrainTime(t *testing.T) {
 	control := newTestControl()
 	loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1"})
@@ -301,9 +304,9 @@
 	require.Less(t, stale+tickInterval+readTime+control.emptyPoolGrace(), time.Duration(loaded.GetDrainMilliseconds())*time.Millisecond)
 }
 
-// A machine that stood still while it built a table builds the next one soon all the
-// same: knowledge may be as old as the standbys' last turn lets it grow, and the
-// pause and a build that takes as long come on top.
+// A machine that stalled while it built a table must still build the next one soon: the
+// directory may be as old as it gets before the last stand-in reads the store, and the
+// pause plus a build of the same duration come on top.
 func TestNextTableComesInTimeHoweverLongOneTook(t *testing.T) {
 	for _, configuration := range []string{"300", "3000", "6000", "60000"} {
 		loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1",
@@ -333,7 +336,7 @@
 	balancer.reload(Reloader{Load: func() (*apiv1.BalancerSettings, error) { return moved, nil }, Level: level})
 	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "a changed address needs a restart")
 	balancer.reload(Reloader{Load: func() (*apiv1.BalancerSettings, error) { return nil, io.EOF }, Level: level})
-	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "a faulty file changes nothing")
+	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "an invalid file changes nothing")
 }
 
 func policyBatch(revision uint64, name, weight string) *apiv1.DirectoryBatch {
@@ -350,15 +353,16 @@
 	require.Equal(t, uint32(rule.MaximumWeight/2), control.weigher(nil, now)(lending))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(covers), "no policy of its own")
 	control.directory.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
-	require.Zero(t, control.weigher(nil, now)(covers), "the default policy's leaving")
+	require.Zero(t, control.weigher(nil, now)(covers), "the default policy gives a leaving back end no weight")
 	control.directory.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending), "a program that fails is passed over")
+	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending), "a program that fails is ignored")
 	control.directory.Apply(policyBatch(4, "lending", "not a program"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending))
 }
 
-// A read of the operators' orders that shows others than are known makes the next read
-// of a large store a whole one; nothing but the table of routes is taken from it.
+// When a read of the operators' entries shows other orders than are known, the next read
+// of a large store is a complete one. Nothing but the route table is applied from the
+// check itself.
 func TestOrdersChangedUnseenAreReadWhole(t *testing.T) {
 	c := newTestControl()
 	now := time.Now()
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -14,8 +14,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// On a day with 16781 lines, none told of a request that a balancer had refused:
-// beyond a number of lines a second they were dropped whatever they told.
+// Lines used to be dropped beyond one limit per second whatever they described: in 16781
+// lines of a day, none explained a request that a balancer had refused.
 func TestPassingRequestsPushOutNoOtherLine(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
@@ -45,8 +45,8 @@
 	require.Equal(t, sampled([]byte("a3")), sampled([]byte("a3")))
 }
 
-// A flow that was refused for want of room names what it was refused by, and many of them
-// push out no line of another failure.
+// The line of a flow that was refused for lack of capacity states the pressure that caused
+// the refusal, and many such lines do not displace the line of another failure.
 func TestRefusalsForWantOfRoomAreExplained(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -36,12 +36,13 @@
 	require.EqualValues(t, 3, kept.lost.Load())
 	taken := kept.take(now.Add(maxEarlyAge - 1))
 	require.Len(t, taken, maxEarlyPackets)
-	require.EqualValues(t, 3, taken[0].packet.Sequence, "the oldest made room")
+	require.EqualValues(t, 3, taken[0].packet.Sequence, "the oldest were dropped")
 	require.EqualValues(t, maxEarlyPackets+2, taken[maxEarlyPackets-1].packet.Sequence)
 	require.False(t, kept.pending())
 }
 
-// The copy of a first packet comes after 200 ms, and may open the flow elsewhere.
+// The retransmission of a first packet comes after 200 ms and may open the flow through
+// another balancer.
 func TestEarlyFirstPacketsWaitForTheirCopyOnly(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
@@ -55,7 +56,7 @@
 	require.EqualValues(t, 1, kept.lost.Load())
 }
 
-// newTestTraffic is a traffic without a goroutine of its own.
+// newTestTraffic returns the traffic state of a balancer without starting its goroutine.
 func newTestTraffic(t *testing.T, codec Codec) *traffic {
 	made := &Balancer{
 		logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -66,7 +67,7 @@
 	return made.traffic
 }
 
-// refusalCountingCodec counts what is refused.
+// refusalCountingCodec counts the packets that are refused.
 type refusalCountingCodec struct {
 	testCodec
 	refused *int
@@ -81,7 +82,7 @@
 	return netip.MustParseAddrPort("127.0.0.1:9")
 }
 
-// A packet that has waited is not refused: its client may have opened the flow by
+// A packet that has waited is not refused: its client may have opened the flow through
 // another balancer meanwhile, and the refusal would end it.
 func TestNoEarlyPacketIsRefused(t *testing.T) {
 	refused := 0
@@ -95,10 +96,11 @@
 	require.Zero(t, refused)
 	require.EqualValues(t, 1, traffic.decisionCounts[tokenroute.ReasonNoRoute].Load())
 	traffic.route(nowhere, []byte{1}, table, now.Add(2*time.Millisecond))
-	require.Equal(t, 1, refused, "one that comes now is")
+	require.Equal(t, 1, refused, "a packet that arrives now is refused")
 }
 
-// They are decided as of when they came, and time must not run back after that.
+// Acknowledgements are evaluated as of their arrival, and time must not run backwards
+// after them.
 func TestEarlyAcknowledgementsComeFirst(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
@@ -114,7 +116,8 @@
 	require.Equal(t, []byte{2, 1, 3}, order)
 }
 
-// An acknowledgement that has waited does not answer a witness of what came after it.
+// An acknowledgement that has waited does not count as an answer to a request that was
+// sent after the acknowledgement arrived.
 func TestEarlyAcknowledgementProvesItsOwnTimeOnly(t *testing.T) {
 	traffic := newTestTraffic(t, testCodec{})
 	came := time.Now()
@@ -131,7 +134,7 @@
 		return traffic.flows.TakeStatements()
 	}
 	require.Empty(t, hear(came.Add(100*time.Millisecond)))
-	require.Len(t, hear(came), 1, "it answers what was sent before it came")
+	require.Len(t, hear(came), 1, "it answers what was sent before it arrived")
 }
 
 func TestEarlyPacketsGrowOld(t *testing.T) {
@@ -146,7 +149,7 @@
 	require.EqualValues(t, 1, kept.sent.Load())
 }
 
-// A back end would take the second copy of a first packet for one more flow.
+// A back end would count a second transmission of a first packet as another flow.
 func TestOnlyTheLastCopyIsKept(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
@@ -159,11 +162,11 @@
 	taken := kept.take(now.Add(time.Millisecond))
 	require.Len(t, taken, 2)
 	require.Equal(t, []byte{2}, taken[0].datagram)
-	require.Equal(t, []byte{3}, taken[1].datagram, "what came, not what was read since")
+	require.Equal(t, []byte{3}, taken[1].datagram, "the data that arrived, not what the buffer held later")
 }
 
-// testCodec reads datagrams whose first byte is that of the client; all are first
-// packets.
+// testCodec decodes datagrams whose first byte identifies the client. All of them are
+// first packets.
 type testCodec struct{ Codec }
 
 func (testCodec) MaximumSize() int { return 16 }
@@ -182,7 +185,7 @@
 
 func (testCodec) RequestID([]byte) []byte { return nil }
 
-// earlyTable routes everything to one back end.
+// earlyTable returns a table that routes everything to one back end.
 func earlyTable(target netip.AddrPort) *tokenroute.Table {
 	known := directory.New(time.Minute)
 	known.Apply(earlyBatch(target), time.Now())
@@ -190,7 +193,7 @@
 		Weigh: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
-// earlyBatch is a directory with one back end.
+// earlyBatch returns the entries of a directory with one back end.
 func earlyBatch(target netip.AddrPort) *apiv1.DirectoryBatch {
 	address := target.Addr().As4()
 	return &apiv1.DirectoryBatch{Revision: 2, Complete: true, Changes: []*apiv1.DirectoryChange{
@@ -208,9 +211,9 @@
 	return socket
 }
 
-// After a loss of power clients' packets come before a balancer knows anything. The
-// first table sends them on, though no further packet comes; without the mechanism the
-// clients have to repeat them.
+// After a power loss clients' packets arrive before a balancer knows anything. The first
+// table must route them even if no further packet arrives. Without the mechanism the
+// clients have to retransmit them.
 func TestPacketsBeforeTheFirstTableAreSentByIt(t *testing.T) {
 	for _, without := range []string{"", string(mechanism.EarlyPackets)} {
 		t.Run("without "+without, func(t *testing.T) {
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -9,14 +9,14 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Story: a back end's entry went while the balancer that reads the store was turned away. Another
-// one, in touch with the store all the while, read it in that one's place 1.3 s later, took what was
-// missing for lapsed in an outage, and sent the back end new flows for 2 s more: 3.05 s after it
-// had gone.
+// A back end's entry was removed while the balancer that reads the store was being refused
+// by it. Another balancer, which had been in touch with the store all the time, read it as
+// a stand-in 1.3 s later, took the missing entry for one that had expired during an
+// outage, and sent the back end new flows for 2 s more, until 3.05 s after the removal.
 //
-// Evidence: the log of a soak shows the read 1.31 s after the removal and a new flow 1.74 s after
-// the read; knowledge had been stale for 1.65 s, in which no entry can lapse, since one does after
-// three heartbeats of silence.
+// The log of a soak test shows the read 1.31 s after the removal and a new flow 1.74 s
+// after the read. The directory had been unconfirmed for 1.65 s, in which no entry can
+// expire, because an entry expires after three missed heartbeats.
 func TestAGapTooShortToLapseGivesNoGrace(t *testing.T) {
 	control := newTestControl()
 	control.balancer.settings.Load().DrainMilliseconds = 3000
@@ -29,12 +29,12 @@
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
 	require.True(t, control.directory.Backends()[0].Gone)
 	lapse := control.lapse()
-	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows until %s after it may have gone", lapse.Until.Sub(told))
+	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", lapse.Until.Sub(told))
 }
 
-// After a gap in which entries may have lapsed they have their time to come back, but none takes
-// new flows beyond the time of a leaving back end, counted from the last confirmation before the
-// gap, while that has not passed.
+// After a gap in which entries may have expired, they have their time to come back. No
+// expired entry takes new flows beyond the time allowed for a leaving back end, counted
+// from the last confirmation before the gap, as long as that time has not passed.
 func TestLapsedEntriesHaveNoMoreTimeThanLeavingOnes(t *testing.T) {
 	for _, each := range []struct{ gap, until time.Duration }{
 		{gap: 2300 * time.Millisecond, until: 0},
@@ -51,7 +51,7 @@
 		}
 		lapse := control.lapse()
 		if each.until == 0 {
-			require.Zero(t, lapse, "no entry lapses within %s", each.gap)
+			require.Zero(t, lapse, "no entry expires within %s", each.gap)
 			continue
 		}
 		require.InDelta(t, each.until.Seconds(), lapse.Until.Sub(told).Seconds(), 0.001, "after a gap of %s", each.gap)
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -12,11 +12,12 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// throttledListener is a listener whose connections write so many bytes a second.
+// throttledListener is a listener whose connections write a limited number of bytes per
+// second.
 type throttledListener struct {
 	net.Listener
 	bytesPerSecond int
-	// written counts them.
+	// written counts the bytes written.
 	written atomic.Int64
 }
 
@@ -52,9 +53,10 @@
 	return &throttledListener{Listener: listener, bytesPerSecond: bytes}
 }
 
-// A balancer that starts is told ten thousand back ends over a link that takes longer for
-// them than an answer may: 200 KB a second, as a sixth of what 21 followers of a strong one
-// have each. In one answer they never came.
+// A starting balancer receives ten thousand back ends over a link that needs longer for
+// them than a single answer may take: 200 KB per second, one sixth of the bandwidth that
+// each of the 21 followers of a powerful balancer has. In a single answer they never
+// arrived.
 func TestAllIsToldOverANarrowLink(t *testing.T) {
 	now := time.Now()
 	parent, child := newFleetControl(1_000, 10_000, now), newTestControl()
@@ -68,10 +70,10 @@
 	require.Equal(t, parent.directory.Routes().GetVersion(), child.directory.Routes().GetVersion())
 	require.Less(t, int(link.written.Load()), 600_000, "packed")
 	require.False(t, child.core.ConfirmedAt().IsZero())
-	require.False(t, child.core.ConfirmedAt().After(parent.core.ConfirmedAt()), "never younger than it was when the first page was made")
+	require.False(t, child.core.ConfirmedAt().After(parent.core.ConfirmedAt()), "never more recent than when the first page was built")
 }
 
-// Further followers are given the same pages, and are told next what is new since.
+// Further followers receive the same pages, and after them only what has changed since.
 func TestPagesAreMadeOnceForManyFollowers(t *testing.T) {
 	now := time.Now()
 	parent := newFleetControl(100, 2_000, now)
@@ -79,18 +81,18 @@
 	require.NotNil(t, one)
 	parent.directory.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
 	require.Same(t, one, parent.pagesFor(0, now.Add(500*time.Millisecond)))
-	require.NotSame(t, one, parent.pagesFor(10, now.Add(500*time.Millisecond)), "who knows more needs newer ones")
+	require.NotSame(t, one, parent.pagesFor(10, now.Add(500*time.Millisecond)), "a follower that knows more needs newer pages")
 	later := parent.pagesFor(0, now.Add(2*time.Second))
 	require.NotEqual(t, one.ID, later.ID)
 	_, err := parent.pageCache.serve(&apiv1.FollowRequest{PageOf: one.ID, Page: 1})
-	require.NoError(t, err, "a slow follower goes on with its pages")
+	require.NoError(t, err, "a slow follower can still fetch its pages")
 	parent.pageCache.add(later, now.Add(20*time.Second))
 	_, err = parent.pageCache.serve(&apiv1.FollowRequest{PageOf: one.ID, Page: 1})
 	require.ErrorIs(t, err, errPageExpired)
-	require.Nil(t, newFleetControl(10, 100, now).pagesFor(0, now), "little goes in one answer")
+	require.Nil(t, newFleetControl(10, 100, now).pagesFor(0, now), "a small directory fits in one answer")
 }
 
-// Each page is within its bound, whatever there is to tell.
+// Each page stays within its size limit, whatever it contains.
 func TestPagesAreBounded(t *testing.T) {
 	now := time.Now()
 	known := newFleetControl(100, 5_000, now).directory
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -8,8 +8,9 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// newFleetControl is a balancer that knows so many others, in five zones, and so many back ends, four
-// fifths of them of one pool, behind as many routes as a fortieth of the back ends.
+// newFleetControl returns the control state of a balancer that knows the given number of
+// other balancers, in five zones, and the given number of back ends, four fifths of them
+// in one pool, with one route per forty back ends.
 func newFleetControl(balancers, backends int, now time.Time) *control {
 	control := newTestControl()
 	settings := testSettings()
@@ -46,8 +47,8 @@
 		Address: uint32(n + 1), Port: 80, Capacity: 2, Draining: draining}}}
 }
 
-// BenchmarkRenewAfterOneChange is what a balancer pays for one back end that begins to
-// leave, by balancers and back ends.
+// BenchmarkRenewAfterOneChange measures a rebuild of the table after one back end begins
+// to leave, by numbers of balancers and back ends.
 func BenchmarkRenewAfterOneChange(b *testing.B) {
 	for _, size := range [][2]int{{100, 1_000}, {1_000, 10_000}, {2_000, 20_000}} {
 		b.Run(fmt.Sprintf("%d/%d", size[0], size[1]), func(b *testing.B) {
--- a/internal/balancer/silent_test.go
+++ b/internal/balancer/silent_test.go
@@ -19,15 +19,15 @@
 	"github.com/indigobarrow/indigobarrow/platform"
 )
 
-// silentSite is a store and balancers, with all connections to both through proxies.
+// silentSite is a store and balancers, with all connections to both going through proxies.
 type silentSite struct {
 	t       *testing.T
 	store   *metadata.Server
 	storeAt string
 }
 
-// member is a balancer of the site, the path on which it reaches the store, and
-// that on which others reach it.
+// member is a balancer of the site with two proxies: store, through which it reaches the
+// store, and peer, through which other balancers reach it.
 type member struct {
 	*balancer.Balancer
 	address     string
@@ -55,7 +55,7 @@
 		"backend_pool":"one"}],"pools":[{"name":"one"}],"limits":{}}`, version))
 }
 
-// start starts a balancer that uses a part of a core.
+// start starts a balancer that uses the given number of cores.
 func (s *silentSite) start(name string, cores float64, seeds ...string) *member {
 	storePath, err := swallow.Start(s.storeAt)
 	require.NoError(s.t, err)
@@ -90,9 +90,9 @@
 	require.Eventually(s.t, func() bool { return made.Version() == version }, limit, 10*time.Millisecond)
 }
 
-// Connections go silent at one moment, those of both balancers or only those of the
-// one that follows, and the operator changes the configuration at that moment. The
-// bound is that for news, 2 s.
+// Connections go silent at one moment, either those of both balancers or only those of the
+// follower, and an operator changes the configuration at the same moment. News must arrive
+// within its time limit of 2 s.
 func TestNewsWithinTwoSecondsAfterAllConnectionsGoSilent(t *testing.T) {
 	for name, silence := range map[string]func(reader, follower *member){
 		"all": func(reader, follower *member) {
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -13,7 +13,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// freshHandler answers at once with knowledge that is 100 ms old.
+// freshHandler answers at once with data that was confirmed 100 ms ago.
 type freshHandler struct{}
 
 func (freshHandler) Follow(context.Context, *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
@@ -24,8 +24,9 @@
 	return &apiv1.TestifyReply{}, nil
 }
 
-// A peer that answers the second of two calls is no older for the time that the first
-// one was in vain. It counted as stale and was passed over for 2 s.
+// When the first of two calls to a peer goes unanswered and the second is answered, the
+// time lost on the first must not add to the age of the peer's answer. It did: the peer
+// counted as stale and was skipped for 2 s.
 func TestPeerBehindASilentConnectionIsNotPassedOver(t *testing.T) {
 	child := knowing(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -59,6 +60,6 @@
 	require.False(t, child.core.Stale(time.Now()))
 	child.core.SetBalancers([]*apiv1.Balancer{entry}, time.Now())
 	peer, found := child.core.NextPeer(time.Now())
-	require.True(t, found, "it is called again at once")
+	require.True(t, found, "the peer is called again at once")
 	require.Equal(t, proxy.Address(), peer.Address)
 }
