--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -30,14 +30,14 @@
 // newTestControl returns the control state of a balancer without sockets.
 func newTestControl() *control {
 	loaded := testSettings()
-	made := &Balancer{
+	balancer := &Balancer{
 		logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 		started: time.Now().Add(-time.Minute),
 		bus:     events.NewBus(),
 	}
-	made.settings.Store(loaded)
-	made.control = newControl(made, rand.New(rand.NewPCG(1, 2)))
-	return made.control
+	balancer.settings.Store(loaded)
+	balancer.control = newControl(balancer, rand.New(rand.NewPCG(1, 2)))
+	return balancer.control
 }
 
 func (control *control) sinceStart(at time.Time) int64 {
@@ -51,7 +51,7 @@
 
 // A peer that knows nothing answers with an age beyond all limits and no revision. Its
 // answer confirms nothing, so the store is asked as eagerly as before.
-func TestPeerThatKnowsNothingConfirmsNothing(t *testing.T) {
+func TestPeerWithoutKnowledgeDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{
@@ -62,7 +62,7 @@
 	require.False(t, known)
 }
 
-func TestPartOfTheStoreConfirmsNothing(t *testing.T) {
+func TestPartialSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	part := routesBatch(5)
@@ -76,7 +76,7 @@
 
 // A stale snapshot of the store names all balancers, but routes and back ends may have
 // changed since. They are used once a peer or the store has supplied the changes.
-func TestOldCopyOfTheStoreConfirmsNothing(t *testing.T) {
+func TestStaleSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
@@ -100,15 +100,15 @@
 //
 // The response of a stale read, which may be seconds old, carries the store's era as of
 // now, so nothing in it shows that its revision was assigned in the previous era.
-func TestOldCopyOfWhatTheStoreHasLostHidesNothing(t *testing.T) {
+func TestStaleSnapshotOfLostWritesHidesNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollOld),
 		AsOfNanoseconds: control.sinceStart(now)}, now)
-	holds := routesBatch(63)
-	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
+	current := routesBatch(63)
+	current.Changes = append(current.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: holds, AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: current, AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.Equal(t, uint64(63), control.directory.Revision())
 	require.Equal(t, uint64(63), control.directory.Routes().GetVersion())
 	require.Len(t, control.directory.Backends(), 1)
@@ -118,7 +118,7 @@
 // A starting balancer knows a back end that has already gone from the stale snapshot, so
 // that open flows still find it: the snapshot is older than the current state, and is
 // kept.
-func TestOldCopyIsKeptBesideWhatHolds(t *testing.T) {
+func TestStaleSnapshotIsKeptBesideCurrentState(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	old := routesBatch(5)
@@ -132,7 +132,7 @@
 
 // An answer from an era that the store has left confirms nothing, and a write that was
 // under way when the store left that era counts as failed.
-func TestLateAnswerOfAnEarlierEraConfirmsNothing(t *testing.T) {
+func TestLateAnswerOfEarlierEraDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	later, err := revision.Join(1, 3)
@@ -156,7 +156,7 @@
 }
 
 // The reader removes the entry at the revision that it knows, and not a later one.
-func TestEntriesAreRemovedAtTheRevisionsThatAreKnown(t *testing.T) {
+func TestEntriesAreRemovedAtKnownRevisions(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	entry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:8166"}
@@ -174,7 +174,7 @@
 	require.Equal(t, storeStandIn, purposeOf(replication.PollCatchUp, true, false))
 }
 
-func TestFailedCallsLeaveWhatIsKnown(t *testing.T) {
+func TestFailedCallsKeepTheDirectory(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -187,12 +187,12 @@
 // followOnce passes a follower's call to the control state and returns its answer, or nil
 // while the call waits.
 func (control *control) followOnce(after uint64, confirmedAt, now time.Time) *apiv1.FollowReply {
-	asking := &followCall{afterRevision: after, receivedAt: now, confirmedAt: confirmedAt, deadline: now.Add(time.Second),
+	call := &followCall{afterRevision: after, receivedAt: now, confirmedAt: confirmedAt, deadline: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
-	control.enqueueFollow(asking)
+	control.enqueueFollow(call)
 	control.answerWaiting(now)
 	select {
-	case reply := <-asking.reply:
+	case reply := <-call.reply:
 		return reply
 	default:
 		return nil
@@ -209,7 +209,7 @@
 	require.Nil(t, control.followOnce(5, now, now), "nothing new")
 }
 
-func TestFollowersWaitInBoundedNumber(t *testing.T) {
+func TestWaitingFollowersAreBounded(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	for range maxWaitingFollowers + 10 {
@@ -220,25 +220,25 @@
 
 // When the whole fleet starts, complete answers are sent to as many followers at a time as
 // a link can carry. The others wait, but followers that ask for less do not.
-func TestCompleteAnswersGoOutInTurn(t *testing.T) {
+func TestFullRepliesAreRateLimited(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
-	var asking []*followCall
+	var calls []*followCall
 	for range 3*fullReplyLimit - 10 {
-		asking = append(asking, &followCall{receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)})
-		control.enqueueFollow(asking[len(asking)-1])
+		calls = append(calls, &followCall{receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)})
+		control.enqueueFollow(calls[len(calls)-1])
 	}
 	answered := func(at time.Time) int {
 		control.answerWaiting(at)
-		return len(asking) - len(control.waitingCalls)
+		return len(calls) - len(control.waitingCalls)
 	}
 	require.Equal(t, fullReplyLimit, answered(now))
 	require.Equal(t, fullReplyLimit, answered(now.Add(fullReplyWindow/2)))
 	require.NotNil(t, control.followOnce(4, now.Add(-time.Minute), now.Add(fullReplyWindow/2)), "changes only")
 	require.Equal(t, 2*fullReplyLimit, answered(now.Add(fullReplyWindow)))
 	require.Equal(t, 3*fullReplyLimit-10, answered(now.Add(2*fullReplyWindow)))
-	for _, each := range asking {
+	for _, each := range calls {
 		require.Len(t, each.reply, 1)
 	}
 }
@@ -269,7 +269,7 @@
 
 // With only one back end in the zone, every retry would reach the same back end again
 // after it failed.
-func TestFewBackendsInTheZoneShareWithTheOthers(t *testing.T) {
+func TestFewBackendsInTheZoneShareFlowsWithOtherZones(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.firstRoutesAt = now.Add(-time.Hour)
@@ -280,7 +280,7 @@
 
 // The table changes without news when new flows return to their own zone. Open flows keep
 // the pools that their route had for the lifetime of a flow.
-func TestTableTurnsWithoutNews(t *testing.T) {
+func TestTableChangesWithoutNews(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -307,7 +307,7 @@
 // A machine that stalled while it built a table must still build the next one soon: the
 // directory may be as old as it gets before the last stand-in reads the store, and the
 // pause plus a build of the same duration come on top.
-func TestNextTableComesInTimeHoweverLongOneTook(t *testing.T) {
+func TestSlowBuildDoesNotDelayTheNextTable(t *testing.T) {
 	for _, configuration := range []string{"300", "3000", "6000", "60000"} {
 		loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1",
 			"configuration_milliseconds": configuration, "drain_milliseconds": configuration})
@@ -321,7 +321,7 @@
 	}
 }
 
-func TestReloadTakesAllOrNothing(t *testing.T) {
+func TestReloadAppliesAllOrNothing(t *testing.T) {
 	control := newTestControl()
 	balancer := control.balancer
 	level := new(slog.LevelVar)
@@ -344,7 +344,7 @@
 		Revision: revision, Entry: &apiv1.DirectoryChange_Policy{Policy: &apiv1.Policy{Name: name, Weight: weight}}}}}
 }
 
-func TestPoliciesDecideTheSpread(t *testing.T) {
+func TestPoliciesSetTheWeights(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
@@ -363,7 +363,7 @@
 // When a read of the operators' entries shows other orders than are known, the next read
 // of a large store is a complete one. Nothing but the route table is applied from the
 // check itself.
-func TestOrdersChangedUnseenAreReadWhole(t *testing.T) {
+func TestMissedOperatorOrderTriggersFullRead(t *testing.T) {
 	c := newTestControl()
 	now := time.Now()
 	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -16,7 +16,7 @@
 
 // Lines used to be dropped beyond one limit per second whatever they described: in 16781
 // lines of a day, none explained a request that a balancer had refused.
-func TestPassingRequestsPushOutNoOtherLine(t *testing.T) {
+func TestPassingRequestsDoNotDisplaceOtherLines(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
@@ -47,7 +47,7 @@
 
 // The line of a flow that was refused for lack of capacity states the pressure that caused
 // the refusal, and many such lines do not displace the line of another failure.
-func TestRefusalsForWantOfRoomAreExplained(t *testing.T) {
+func TestCapacityRefusalsAreLoggedWithTheirCause(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -23,7 +23,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-func earlyRequest(client byte, sequence uint32) tokenroute.Packet {
+func newTestPacket(client byte, sequence uint32) tokenroute.Packet {
 	return tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, client}}, Sequence: sequence, Length: 1}
 }
 
@@ -31,7 +31,7 @@
 	var kept earlyBuffer
 	now := time.Now()
 	for sequence := range uint32(maxEarlyPackets + 3) {
-		kept.add(earlyRequest(1, sequence), []byte{1}, now)
+		kept.add(newTestPacket(1, sequence), []byte{1}, now)
 	}
 	require.EqualValues(t, 3, kept.lost.Load())
 	taken := kept.take(now.Add(maxEarlyAge - 1))
@@ -43,13 +43,13 @@
 
 // The retransmission of a first packet comes after 200 ms and may open the flow through
 // another balancer.
-func TestEarlyFirstPacketsWaitForTheirCopyOnly(t *testing.T) {
+func TestEarlyOpenersExpireBeforeTheirRetransmission(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
-	first := earlyRequest(1, 1)
+	first := newTestPacket(1, 1)
 	first.First, first.Length = true, 0
 	kept.add(first, []byte{1}, now)
-	kept.add(earlyRequest(2, 1), []byte{2}, now)
+	kept.add(newTestPacket(2, 1), []byte{2}, now)
 	taken := kept.take(now.Add(200 * time.Millisecond))
 	require.Len(t, taken, 1)
 	require.Equal(t, []byte{2}, taken[0].datagram)
@@ -58,13 +58,13 @@
 
 // newTestTraffic returns the traffic state of a balancer without starting its goroutine.
 func newTestTraffic(t *testing.T, codec Codec) *traffic {
-	made := &Balancer{
+	balancer := &Balancer{
 		logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 		started: time.Now(), dependencies: Dependencies{Codec: codec},
 	}
-	made.settings.Store(testSettings())
-	made.traffic = newTraffic(made, listenLoopback(t))
-	return made.traffic
+	balancer.settings.Store(testSettings())
+	balancer.traffic = newTraffic(balancer, listenLoopback(t))
+	return balancer.traffic
 }
 
 // refusalCountingCodec counts the packets that are refused.
@@ -88,7 +88,7 @@
 	refused := 0
 	traffic := newTestTraffic(t, refusalCountingCodec{refused: &refused})
 	now := time.Now()
-	table := earlyTable(netip.MustParseAddrPort("127.0.0.1:9"))
+	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	nowhere := tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1},
 		DestinationPort: 444, Protocol: flow.ProtocolTCP}, First: true}
 	traffic.early.add(nowhere, []byte{1}, now)
@@ -104,11 +104,11 @@
 func TestEarlyAcknowledgementsComeFirst(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
-	acknowledgement := earlyRequest(2, 1)
+	acknowledgement := newTestPacket(2, 1)
 	acknowledgement.Length = 0
-	kept.add(earlyRequest(1, 1), []byte{1}, now)
+	kept.add(newTestPacket(1, 1), []byte{1}, now)
 	kept.add(acknowledgement, []byte{2}, now)
-	kept.add(earlyRequest(3, 1), []byte{3}, now)
+	kept.add(newTestPacket(3, 1), []byte{3}, now)
 	var order []byte
 	for _, each := range kept.take(now) {
 		order = append(order, each.datagram...)
@@ -118,30 +118,30 @@
 
 // An acknowledgement that has waited does not count as an answer to a request that was
 // sent after the acknowledgement arrived.
-func TestEarlyAcknowledgementProvesItsOwnTimeOnly(t *testing.T) {
+func TestEarlyAcknowledgementCountsAsOfItsArrival(t *testing.T) {
 	traffic := newTestTraffic(t, testCodec{})
-	came := time.Now()
-	table := earlyTable(netip.MustParseAddrPort("127.0.0.1:9"))
+	arrivedAt := time.Now()
+	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	key := flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
 	request := tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Sequence: 1, Length: 1}
-	traffic.early.add(request, []byte{1}, came)
-	traffic.early.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
-	now := came.Add(300 * time.Millisecond)
+	traffic.early.add(request, []byte{1}, arrivedAt)
+	traffic.early.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, arrivedAt.Add(time.Millisecond))
+	now := arrivedAt.Add(300 * time.Millisecond)
 	traffic.routeEarlyPackets(table, now)
 	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
-	hear := func(sentAt time.Time) []evidence.Statement {
+	receive := func(sentAt time.Time) []evidence.Statement {
 		traffic.flows.Hear(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
 		return traffic.flows.TakeStatements()
 	}
-	require.Empty(t, hear(came.Add(100*time.Millisecond)))
-	require.Len(t, hear(came), 1, "it answers what was sent before it arrived")
+	require.Empty(t, receive(arrivedAt.Add(100*time.Millisecond)))
+	require.Len(t, receive(arrivedAt), 1, "it answers what was sent before it arrived")
 }
 
-func TestEarlyPacketsGrowOld(t *testing.T) {
+func TestEarlyPacketsExpire(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
-	kept.add(earlyRequest(1, 1), []byte{1}, now)
-	kept.add(earlyRequest(2, 1), []byte{2}, now.Add(maxEarlyAge/2))
+	kept.add(newTestPacket(1, 1), []byte{1}, now)
+	kept.add(newTestPacket(2, 1), []byte{2}, now.Add(maxEarlyAge/2))
 	taken := kept.take(now.Add(maxEarlyAge))
 	require.Len(t, taken, 1)
 	require.Equal(t, []byte{2}, taken[0].datagram)
@@ -150,14 +150,14 @@
 }
 
 // A back end would count a second transmission of a first packet as another flow.
-func TestOnlyTheLastCopyIsKept(t *testing.T) {
+func TestOnlyTheLastRetransmissionIsKept(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
 	datagram := []byte{1}
-	kept.add(earlyRequest(1, 1), datagram, now)
-	kept.add(earlyRequest(2, 1), []byte{2}, now)
+	kept.add(newTestPacket(1, 1), datagram, now)
+	kept.add(newTestPacket(2, 1), []byte{2}, now)
 	datagram[0] = 3
-	kept.add(earlyRequest(1, 1), datagram, now.Add(time.Millisecond))
+	kept.add(newTestPacket(1, 1), datagram, now.Add(time.Millisecond))
 	datagram[0] = 4
 	taken := kept.take(now.Add(time.Millisecond))
 	require.Len(t, taken, 2)
@@ -185,16 +185,16 @@
 
 func (testCodec) RequestID([]byte) []byte { return nil }
 
-// earlyTable returns a table that routes everything to one back end.
-func earlyTable(target netip.AddrPort) *tokenroute.Table {
+// newTestTable returns a table that routes everything to one back end.
+func newTestTable(target netip.AddrPort) *tokenroute.Table {
 	known := directory.New(time.Minute)
-	known.Apply(earlyBatch(target), time.Now())
+	known.Apply(newTestBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
 		Weigh: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
-// earlyBatch returns the entries of a directory with one back end.
-func earlyBatch(target netip.AddrPort) *apiv1.DirectoryBatch {
+// newTestBatch returns the entries of a directory with one back end.
+func newTestBatch(target netip.AddrPort) *apiv1.DirectoryBatch {
 	address := target.Addr().As4()
 	return &apiv1.DirectoryBatch{Revision: 2, Complete: true, Changes: []*apiv1.DirectoryChange{
 		{Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{Version: 1, Routes: []*apiv1.ServiceRoute{
@@ -214,32 +214,32 @@
 // After a power loss clients' packets arrive before a balancer knows anything. The first
 // table must route them even if no further packet arrives. Without the mechanism the
 // clients have to retransmit them.
-func TestPacketsBeforeTheFirstTableAreSentByIt(t *testing.T) {
+func TestFirstTableRoutesEarlyPackets(t *testing.T) {
 	for _, without := range []string{"", string(mechanism.EarlyPackets)} {
 		t.Run("without "+without, func(t *testing.T) {
 			off, err := mechanism.Parse([]string{without}[:min(1, len(without))])
 			require.NoError(t, err)
-			made := &Balancer{
+			balancer := &Balancer{
 				logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 				started: time.Now(), disabled: off, dependencies: Dependencies{Codec: testCodec{}},
 			}
-			made.settings.Store(testSettings())
+			balancer.settings.Store(testSettings())
 			socket, backend, client := listenLoopback(t), listenLoopback(t), listenLoopback(t)
-			made.traffic = newTraffic(made, socket)
-			made.control = newControl(made, rand.New(rand.NewPCG(1, 2)))
+			balancer.traffic = newTraffic(balancer, socket)
+			balancer.control = newControl(balancer, rand.New(rand.NewPCG(1, 2)))
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
-			go func() { ended <- made.traffic.run(ctx) }()
+			go func() { ended <- balancer.traffic.run(ctx) }()
 			t.Cleanup(func() { cancel(); require.NoError(t, <-ended) })
 			_, err = client.WriteToUDPAddrPort([]byte{9}, socket.LocalAddr().(*net.UDPAddr).AddrPort())
 			require.NoError(t, err)
-			require.Eventually(t, func() bool { return made.traffic.decisionCounts[tokenroute.ReasonNoTable].Load() == 1 },
+			require.Eventually(t, func() bool { return balancer.traffic.decisionCounts[tokenroute.ReasonNoTable].Load() == 1 },
 				time.Second, time.Millisecond)
 			now := time.Now()
-			batch := earlyBatch(backend.LocalAddr().(*net.UDPAddr).AddrPort())
-			made.control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: made.control.sinceStart(now)}, now)
-			made.control.rebuildTable(now)
-			require.NotNil(t, made.table.Load())
+			batch := newTestBatch(backend.LocalAddr().(*net.UDPAddr).AddrPort())
+			balancer.control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: balancer.control.sinceStart(now)}, now)
+			balancer.control.rebuildTable(now)
+			require.NotNil(t, balancer.table.Load())
 			require.NoError(t, backend.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
 			size, _, err := backend.ReadFromUDPAddrPort(make([]byte, 16))
 			if without == "" {
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -17,25 +17,25 @@
 // The log of a soak test shows the read 1.31 s after the removal and a new flow 1.74 s
 // after the read. The directory had been unconfirmed for 1.65 s, in which no entry can
 // expire, because an entry expires after three missed heartbeats.
-func TestAGapTooShortToLapseGivesNoGrace(t *testing.T) {
+func TestShortStoreGapGivesNoGrace(t *testing.T) {
 	control := newTestControl()
 	control.balancer.settings.Load().DrainMilliseconds = 3000
-	told := time.Now()
-	holds := routesBatch(5)
-	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
+	confirmedAt := time.Now()
+	initial := routesBatch(5)
+	initial.Changes = append(initial.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.handleNews(&apiv1.DirectoryNews{Batch: holds, AsOfNanoseconds: control.sinceStart(told)}, told)
-	read := told.Add(1650 * time.Millisecond)
-	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
+	control.handleNews(&apiv1.DirectoryNews{Batch: initial, AsOfNanoseconds: control.sinceStart(confirmedAt)}, confirmedAt)
+	readAt := confirmedAt.Add(1650 * time.Millisecond)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(readAt)}, readAt)
 	require.True(t, control.directory.Backends()[0].Gone)
 	lapse := control.lapse()
-	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", lapse.Until.Sub(told))
+	require.False(t, lapse.Until.After(confirmedAt.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", lapse.Until.Sub(confirmedAt))
 }
 
 // After a gap in which entries may have expired, they have their time to come back. No
 // expired entry takes new flows beyond the time allowed for a leaving back end, counted
 // from the last confirmation before the gap, as long as that time has not passed.
-func TestLapsedEntriesHaveNoMoreTimeThanLeavingOnes(t *testing.T) {
+func TestExpiredEntriesGetNoMoreTimeThanLeavingOnes(t *testing.T) {
 	for _, each := range []struct{ gap, until time.Duration }{
 		{gap: 2300 * time.Millisecond, until: 0},
 		{gap: 2500 * time.Millisecond, until: 3 * time.Second},
@@ -45,8 +45,8 @@
 		control := newTestControl()
 		loaded := control.balancer.settings.Load()
 		loaded.DrainMilliseconds, loaded.HeartbeatMilliseconds, loaded.LapseMilliseconds = 3000, 1200, 2000
-		told := time.Now()
-		for revision, at := range []time.Time{told, told.Add(each.gap)} {
+		confirmedAt := time.Now()
+		for revision, at := range []time.Time{confirmedAt, confirmedAt.Add(each.gap)} {
 			control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.sinceStart(at)}, at)
 		}
 		lapse := control.lapse()
@@ -54,6 +54,6 @@
 			require.Zero(t, lapse, "no entry expires within %s", each.gap)
 			continue
 		}
-		require.InDelta(t, each.until.Seconds(), lapse.Until.Sub(told).Seconds(), 0.001, "after a gap of %s", each.gap)
+		require.InDelta(t, each.until.Seconds(), lapse.Until.Sub(confirmedAt).Seconds(), 0.001, "after a gap of %s", each.gap)
 	}
 }
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -57,7 +57,7 @@
 // them than a single answer may take: 200 KB per second, one sixth of the bandwidth that
 // each of the 21 followers of a powerful balancer has. In a single answer they never
 // arrived.
-func TestAllIsToldOverANarrowLink(t *testing.T) {
+func TestFullReplyOverASlowLink(t *testing.T) {
 	now := time.Now()
 	parent, child := newFleetControl(1_000, 10_000, now), newTestControl()
 	t.Cleanup(child.testimony.client.Close)
@@ -74,7 +74,7 @@
 }
 
 // Further followers receive the same pages, and after them only what has changed since.
-func TestPagesAreMadeOnceForManyFollowers(t *testing.T) {
+func TestPagesAreSharedByFollowers(t *testing.T) {
 	now := time.Now()
 	parent := newFleetControl(100, 2_000, now)
 	one := parent.pagesFor(0, now)
@@ -96,13 +96,13 @@
 func TestPagesAreBounded(t *testing.T) {
 	now := time.Now()
 	known := newFleetControl(100, 5_000, now).directory
-	made, err := replication.NewPages(known.Since(0), now, now)
+	pages, err := replication.NewPages(known.Since(0), now, now)
 	require.NoError(t, err)
 	count := 0
-	for number := uint32(0); made.Page(number) != nil; number++ {
-		require.LessOrEqual(t, len(made.Page(number).GetPacked()), 66<<10)
+	for number := uint32(0); pages.Page(number) != nil; number++ {
+		require.LessOrEqual(t, len(pages.Page(number).GetPacked()), 66<<10)
 		count++
 	}
 	require.Greater(t, count, 3)
-	require.Equal(t, uint32(count), made.Page(0).GetCount())
+	require.Equal(t, uint32(count), pages.Page(0).GetCount())
 }
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -47,9 +47,9 @@
 		Address: uint32(n + 1), Port: 80, Capacity: 2, Draining: draining}}}
 }
 
-// BenchmarkRenewAfterOneChange measures a rebuild of the table after one back end begins
+// BenchmarkRebuildAfterOneChange measures a rebuild of the table after one back end begins
 // to leave, by numbers of balancers and back ends.
-func BenchmarkRenewAfterOneChange(b *testing.B) {
+func BenchmarkRebuildAfterOneChange(b *testing.B) {
 	for _, size := range [][2]int{{100, 1_000}, {1_000, 10_000}, {2_000, 20_000}} {
 		b.Run(fmt.Sprintf("%d/%d", size[0], size[1]), func(b *testing.B) {
 			now := time.Now()
--- a/internal/balancer/silent_test.go
+++ b/internal/balancer/silent_test.go
@@ -41,13 +41,13 @@
 		listening.CloseClientConnections()
 		listening.Close()
 	})
-	made := &silentSite{t: t, store: store, storeAt: strings.TrimPrefix(listening.URL, "http://")}
-	made.configure(1)
+	site := &silentSite{t: t, store: store, storeAt: strings.TrimPrefix(listening.URL, "http://")}
+	site.configure(1)
 	for number := range 5 {
 		store.Put(fmt.Sprintf("servers/i-%d", number+1),
 			[]byte(`{"backend_pool":"one","addr":"10.128.0.9:8080","zone":"maadi","state":"ready","capacity":2}`))
 	}
-	return made
+	return site
 }
 
 func (s *silentSite) configure(version int) {
@@ -65,29 +65,29 @@
 	loaded.DataAddress, loaded.ReadinessAddress, loaded.PeerAddress = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	loaded.StoreAddress = storePath.Address()
 	loaded.Seeds = seeds
-	made, err := balancer.New(loaded, balancer.Dependencies{
+	started, err := balancer.New(loaded, balancer.Dependencies{
 		Codec:               platform.Codec{},
 		Store:               platform.NewStore(loaded.StoreAddress, func(error) {}),
 		NewReadinessHandler: platform.ReadinessHandler,
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(s.t, err)
-	peerPath, err := swallow.Start(made.PeerListenerAddress().String())
+	peerPath, err := swallow.Start(started.PeerListenerAddress().String())
 	require.NoError(s.t, err)
-	made.SetAdvertisedPeerAddress(peerPath.Address())
+	started.SetAdvertisedPeerAddress(peerPath.Address())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- made.Run(ctx) }()
+	go func() { done <- started.Run(ctx) }()
 	s.t.Cleanup(func() {
 		storePath.Close()
 		peerPath.Close()
 		cancel()
 		require.NoError(s.t, <-done)
 	})
-	return &member{Balancer: made, address: peerPath.Address(), store: storePath, peer: peerPath}
+	return &member{Balancer: started, address: peerPath.Address(), store: storePath, peer: peerPath}
 }
 
-func (s *silentSite) eventually(made *member, version uint64, limit time.Duration) {
-	require.Eventually(s.t, func() bool { return made.Version() == version }, limit, 10*time.Millisecond)
+func (s *silentSite) eventually(m *member, version uint64, limit time.Duration) {
+	require.Eventually(s.t, func() bool { return m.Version() == version }, limit, 10*time.Millisecond)
 }
 
 // Connections go silent at one moment, either those of both balancers or only those of the
