--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -47,16 +47,16 @@
 
 // control is the state of the control goroutine.
 type control struct {
-	balancer   *Balancer
-	directory  *directory.Directory
-	core       *replication.Core
-	client     *replication.Client
-	packer     replication.Packer
-	programs   programs
-	observed   observed
-	findings   findings
-	demand     demandState
-	withdrawal stepAside
+	balancer    *Balancer
+	replica     *directory.Directory
+	core        *replication.Core
+	client      *replication.Client
+	packer      replication.Packer
+	programs    programs
+	observed    observed
+	allFindings findings
+	demand      demandState
+	withdrawal  stepAside
 	// balancersByZone counts the balancers of each zone, this one included.
 	balancersByZone zoneCounts
 	gate            gate
@@ -94,11 +94,11 @@
 }
 
 func newControl(balancer *Balancer, random *rand.Rand) *control {
-	settings := balancer.settings.Load()
+	settings := balancer.loaded.Load()
 	retention := seconds(settings.GetFlowSeconds())
 	c := &control{
-		balancer:  balancer,
-		directory: directory.New(retention),
+		balancer: balancer,
+		replica:  directory.New(retention),
 		core: replication.NewCore(replication.Config{
 			Self:      balancer.ownEntry(),
 			Pace:      paceOf(settings),
@@ -187,7 +187,7 @@
 	c.startReport(ctx, now)
 	c.answerWaiting(now)
 	c.lookAside(now)
-	if c.directory.Expire(now) || c.updateShares(now) {
+	if c.replica.Expire(now) || c.updateShares(now) {
 		c.rebuild = true
 	}
 	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
@@ -200,7 +200,7 @@
 	if took >= slowBuildThreshold {
 		c.balancer.logger.Info("Control: table build was slow.", "took", took.Round(time.Millisecond))
 	}
-	c.nextBuild = now.Add(buildPause(took, paceOf(c.balancer.settings.Load())))
+	c.nextBuild = now.Add(buildPause(took, paceOf(c.balancer.loaded.Load())))
 }
 
 // buildPause returns the pause after a table build of the given duration.
@@ -219,9 +219,9 @@
 	summary := c.balancer.traffic.latestSummary.Load()
 	changed := c.observed.take(summary, now)
 	c.admit(summary, now)
-	c.findings.own = nil
+	c.allFindings.own = nil
 	if summary != nil && now.Sub(summary.At) <= observedFor {
-		c.findings.own = summary.Findings
+		c.allFindings.own = summary.Findings
 	}
 	changed = c.judgeHealth(now) || changed
 	changed = c.divide(now) || changed
@@ -244,9 +244,9 @@
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: reading the store.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
-	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.directory.Revision(), now)
+	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
-		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).Poll)
+		c.nextOperatorCheck = now.Add(paceOf(c.balancer.loaded.Load()).Poll)
 		go c.checkOperatorEntries(ctx)
 	}
 }
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -35,7 +35,7 @@
 		started: time.Now().Add(-time.Minute),
 		bus:     events.NewBus(),
 	}
-	balancer.settings.Store(loaded)
+	balancer.loaded.Store(loaded)
 	balancer.control = newControl(balancer, rand.New(rand.NewPCG(1, 2)))
 	return balancer.control
 }
@@ -81,7 +81,7 @@
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
 		AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Equal(t, uint64(5), control.directory.Revision())
+	require.Equal(t, uint64(5), control.replica.Revision())
 	control.rebuildTable(now)
 	require.Nil(t, control.balancer.table.Load())
 	reply := control.followOnce(0, now, now.Add(-time.Minute))
@@ -109,10 +109,10 @@
 	current.Changes = append(current.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: current, AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Equal(t, uint64(63), control.directory.Revision())
-	require.Equal(t, uint64(63), control.directory.Routes().GetVersion())
-	require.Len(t, control.directory.Backends(), 1)
-	require.False(t, control.directory.Backends()[0].Gone)
+	require.Equal(t, uint64(63), control.replica.Revision())
+	require.Equal(t, uint64(63), control.replica.Routes().GetVersion())
+	require.Len(t, control.replica.Backends(), 1)
+	require.False(t, control.replica.Backends()[0].Gone)
 }
 
 // A starting balancer knows a back end that has already gone from the stale snapshot, so
@@ -126,8 +126,8 @@
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
 	control.handleNews(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollOld), AsOfNanoseconds: control.sinceStart(now)}, now)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Len(t, control.directory.Backends(), 1)
-	require.True(t, control.directory.Backends()[0].Gone)
+	require.Len(t, control.replica.Backends(), 1)
+	require.True(t, control.replica.Backends()[0].Gone)
 }
 
 // An answer from an era that the store has left confirms nothing, and a write that was
@@ -146,7 +146,7 @@
 	age, known := control.core.Age(now)
 	require.True(t, known)
 	require.Equal(t, 2*time.Second, age)
-	require.Equal(t, uint64(6), control.directory.Routes().GetVersion())
+	require.Equal(t, uint64(6), control.replica.Routes().GetVersion())
 
 	entry := &apiv1.Balancer{Name: "edge-9", Zone: "maadi", PeerAddress: "10.0.0.9:8166"}
 	control.pendingWrite = replication.Write{Put: []*apiv1.Balancer{entry}}
@@ -181,13 +181,13 @@
 	control.handleNews(&apiv1.DirectoryNews{Error: "status 503"}, now)
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Error: "connection refused"}, now)
 	control.handleNews(&apiv1.DirectoryNews{HistoryLost: true, Error: "gone"}, now)
-	require.Equal(t, uint64(5), control.directory.Routes().GetVersion())
+	require.Equal(t, uint64(5), control.replica.Routes().GetVersion())
 }
 
 // followOnce passes a follower's call to the control state and returns its answer, or nil
 // while the call waits.
-func (control *control) followOnce(after uint64, confirmedAt, now time.Time) *apiv1.FollowReply {
-	call := &followCall{afterRevision: after, receivedAt: now, confirmedAt: confirmedAt, deadline: now.Add(time.Second),
+func (control *control) followOnce(afterRevision uint64, confirmedAt, now time.Time) *apiv1.FollowReply {
+	call := &followCall{afterRevision: afterRevision, receivedAt: now, confirmedAt: confirmedAt, deadline: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
 	control.enqueueFollow(call)
 	control.answerWaiting(now)
@@ -264,7 +264,7 @@
 			Entry: &apiv1.DirectoryChange_Backend{Backend: &apiv1.PoolBackend{
 				Id: fmt.Sprintf("%s-%s-%d", pool, zone, place), Pool: pool, Zone: zone, Address: 1, Port: 80}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 }
 
 // With only one back end in the zone, every retry would reach the same back end again
@@ -298,7 +298,7 @@
 	control := newTestControl()
 	loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1"})
 	require.NoError(t, err)
-	control.balancer.settings.Store(loaded)
+	control.balancer.loaded.Store(loaded)
 	stale := time.Duration(loaded.GetStaleMilliseconds()) * time.Millisecond
 	const readTime = 300 * time.Millisecond
 	require.Less(t, stale+tickInterval+readTime+control.emptyPoolGrace(), time.Duration(loaded.GetDrainMilliseconds())*time.Millisecond)
@@ -329,14 +329,14 @@
 	loaded.LogLevel = "debug"
 	load := func() (*apiv1.BalancerSettings, error) { return loaded, nil }
 	balancer.reload(Reloader{Load: load, Level: level})
-	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel())
+	require.Equal(t, "debug", balancer.loaded.Load().GetLogLevel())
 	require.Equal(t, slog.LevelDebug, level.Level())
 	moved := testSettings()
 	moved.DataAddress = "127.0.0.9:1"
 	balancer.reload(Reloader{Load: func() (*apiv1.BalancerSettings, error) { return moved, nil }, Level: level})
-	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "a changed address needs a restart")
+	require.Equal(t, "debug", balancer.loaded.Load().GetLogLevel(), "a changed address needs a restart")
 	balancer.reload(Reloader{Load: func() (*apiv1.BalancerSettings, error) { return nil, io.EOF }, Level: level})
-	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "an invalid file changes nothing")
+	require.Equal(t, "debug", balancer.loaded.Load().GetLogLevel(), "an invalid file changes nothing")
 }
 
 func policyBatch(revision uint64, name, weight string) *apiv1.DirectoryBatch {
@@ -349,14 +349,14 @@
 	now := time.Now()
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
 	covers := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-2", Pool: "covers", Zone: "maadi", Draining: true}}
-	control.directory.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
+	control.replica.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
 	require.Equal(t, uint32(rule.MaximumWeight/2), control.weigher(nil, now)(lending))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(covers), "no policy of its own")
-	control.directory.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
+	control.replica.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
 	require.Zero(t, control.weigher(nil, now)(covers), "the default policy gives a leaving back end no weight")
-	control.directory.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
+	control.replica.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending), "a program that fails is ignored")
-	control.directory.Apply(policyBatch(4, "lending", "not a program"), now)
+	control.replica.Apply(policyBatch(4, "lending", "not a program"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending))
 }
 
@@ -371,13 +371,13 @@
 	c.core.PollSucceeded(replication.PollPage, false, now)
 	c.core.PollStarted(replication.PollSnapshot, now)
 	c.core.PollSucceeded(replication.PollSnapshot, false, now)
-	now = now.Add(2 * paceOf(c.balancer.settings.Load()).Poll)
+	now = now.Add(2 * paceOf(c.balancer.loaded.Load()).Poll)
 	require.NotEqual(t, replication.PollSnapshot, c.core.NextPoll(now))
 	check := routesBatch(6)
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
 	check.Changes = append(check.Changes, order)
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
-	require.Equal(t, uint64(6), c.directory.Routes().GetVersion())
+	require.Equal(t, uint64(6), c.replica.Routes().GetVersion())
 	require.Empty(t, c.evacuated())
 	require.Equal(t, replication.PollSnapshot, c.core.NextPoll(now))
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -54,7 +54,7 @@
 	require.True(t, control.plan(now))
 	control.rebuildTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
-	for _, each := range control.directory.Backends() {
+	for _, each := range control.replica.Backends() {
 		gone.Changes = append(gone.Changes, &apiv1.DirectoryChange{Revision: 6, Gone: true,
 			Entry: &apiv1.DirectoryChange_Backend{Backend: each.PoolBackend}})
 	}
@@ -105,7 +105,7 @@
 	})
 	t.Run("policy of its own", func(t *testing.T) {
 		own := served(now, map[string]int{"maadi": 4, "giza": 4})
-		own.directory.Apply(policyBatch(6, "lending", "1.0"), now)
+		own.replica.Apply(policyBatch(6, "lending", "1.0"), now)
 		own.plan(now)
 		own.rebuildTable(now)
 		require.Less(t, keptAtHome(t, own), 0.1)
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -62,7 +62,7 @@
 		logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 		started: time.Now(), dependencies: Dependencies{Codec: codec},
 	}
-	balancer.settings.Store(testSettings())
+	balancer.loaded.Store(testSettings())
 	balancer.traffic = newTraffic(balancer, listenLoopback(t))
 	return balancer.traffic
 }
@@ -91,7 +91,7 @@
 	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	nowhere := tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1},
 		DestinationPort: 444, Protocol: flow.ProtocolTCP}, First: true}
-	traffic.early.add(nowhere, []byte{1}, now)
+	traffic.earlyBuffer.add(nowhere, []byte{1}, now)
 	traffic.routeEarlyPackets(table, now.Add(time.Millisecond))
 	require.Zero(t, refused)
 	require.EqualValues(t, 1, traffic.decisionCounts[tokenroute.ReasonNoRoute].Load())
@@ -124,8 +124,8 @@
 	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	key := flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
 	request := tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Sequence: 1, Length: 1}
-	traffic.early.add(request, []byte{1}, arrivedAt)
-	traffic.early.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, arrivedAt.Add(time.Millisecond))
+	traffic.earlyBuffer.add(request, []byte{1}, arrivedAt)
+	traffic.earlyBuffer.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, arrivedAt.Add(time.Millisecond))
 	now := arrivedAt.Add(300 * time.Millisecond)
 	traffic.routeEarlyPackets(table, now)
 	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
@@ -217,13 +217,13 @@
 func TestFirstTableRoutesEarlyPackets(t *testing.T) {
 	for _, without := range []string{"", string(mechanism.EarlyPackets)} {
 		t.Run("without "+without, func(t *testing.T) {
-			off, err := mechanism.Parse([]string{without}[:min(1, len(without))])
+			disabled, err := mechanism.Parse([]string{without}[:min(1, len(without))])
 			require.NoError(t, err)
 			balancer := &Balancer{
 				logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-				started: time.Now(), disabled: off, dependencies: Dependencies{Codec: testCodec{}},
+				started: time.Now(), disabled: disabled, dependencies: Dependencies{Codec: testCodec{}},
 			}
-			balancer.settings.Store(testSettings())
+			balancer.loaded.Store(testSettings())
 			socket, backend, client := listenLoopback(t), listenLoopback(t), listenLoopback(t)
 			balancer.traffic = newTraffic(balancer, socket)
 			balancer.control = newControl(balancer, rand.New(rand.NewPCG(1, 2)))
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -144,14 +144,14 @@
 // enqueueFollow lets a follower wait for news, or lets it be answered at once when too
 // many are waiting.
 func (c *control) enqueueFollow(call *followCall) {
-	c.core.Called(call.caller, c.directory.Revision(), call.receivedAt)
+	c.core.Called(call.caller, c.replica.Revision(), call.receivedAt)
 	c.core.TakeShown(call.shownBalancers, call.receivedAt)
 	c.core.TakeSilent(call.silentBalancers, call.receivedAt)
 	if call.wantsFindings {
 		c.hearStruggling(call.struggling, call.reportsStruggling, call.receivedAt)
 	}
 	if call.isFollow() {
-		c.findings.takeFollower(call.caller.Address, call.findings, call.receivedAt)
+		c.allFindings.takeFollower(call.caller.Address, call.findings, call.receivedAt)
 	}
 	c.takeReport(call.caller.Address, call.demand, call.receivedAt)
 	if len(c.waitingCalls) >= maxWaitingFollowers {
@@ -163,10 +163,10 @@
 // answerWaiting answers the followers for which there is news: entries, or a confirmation
 // more recent than the one that they had when they asked.
 func (c *control) answerWaiting(now time.Time) {
-	findings := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.findings.all(now)) })
+	allFindings := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.allFindings.all(now)) })
 	remaining := c.waitingCalls[:0]
 	for _, call := range c.waitingCalls {
-		if call.disconnected() || c.answer(call, now, findings) {
+		if call.disconnected() || c.answer(call, now, allFindings) {
 			continue
 		}
 		c.core.Heard(call.caller.Address, now)
@@ -177,14 +177,14 @@
 }
 
 // answer answers a follower if there is news for it, and reports whether it did.
-func (c *control) answer(call *followCall, now time.Time, findings func() []*apiv1.BackendFinding) bool {
+func (c *control) answer(call *followCall, now time.Time, allFindings func() []*apiv1.BackendFinding) bool {
 	age, known := c.core.Age(now)
 	if !known && now.Before(call.deadline) {
 		return false
 	}
-	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
+	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.loaded.Load()).Younger
 	observations := c.newsOfBackends(call, now)
-	if call.afterRevision >= c.directory.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
+	if call.afterRevision >= c.replica.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
 		return false
 	}
 	if known && call.wantsFullReply() && !c.fullReplies.allow(now) {
@@ -202,7 +202,7 @@
 		reply.Batch = c.batchFor(call, known)
 	}
 	if call.wantsFindings {
-		reply.Findings = findings()
+		reply.Findings = allFindings()
 		reply.Struggling, reply.TellsStruggling = c.tellStruggling(now), true
 	}
 	if call.wantsTestimony {
@@ -219,24 +219,24 @@
 
 // pagedReply returns the pages of everything that is known for a follower that needs all
 // of it, or nil where a single answer is enough.
-func (c *control) pagedReply(asking *followCall, known bool, now time.Time) *replication.Pages {
-	if !known || asking.revisionOnly || !asking.acceptsPages || !c.directory.NeedsAll(asking.afterRevision, asking.withTombstones) {
+func (c *control) pagedReply(call *followCall, known bool, now time.Time) *replication.Pages {
+	if !known || call.revisionOnly || !call.acceptsPages || !c.replica.NeedsAll(call.afterRevision, call.withTombstones) {
 		return nil
 	}
-	return c.pagesFor(asking.afterRevision, now)
+	return c.pagesFor(call.afterRevision, now)
 }
 
 // batchFor returns what is new to a follower, in an encoding that it accepts.
-func (c *control) batchFor(asking *followCall, known bool) *apiv1.DirectoryBatch {
-	if asking.revisionOnly || !known {
+func (c *control) batchFor(call *followCall, known bool) *apiv1.DirectoryBatch {
+	if call.revisionOnly || !known {
 		// Without a revision, the batch states and confirms nothing.
 		return &apiv1.DirectoryBatch{}
 	}
-	batch := c.directory.Since(asking.afterRevision)
-	if asking.withTombstones {
-		batch = c.directory.Everything(asking.afterRevision)
+	batch := c.replica.Since(call.afterRevision)
+	if call.withTombstones {
+		batch = c.replica.Everything(call.afterRevision)
 	}
-	if !asking.acceptsPacked {
+	if !call.acceptsPacked {
 		return batch
 	}
 	packed, err := c.packer.Pack(batch)
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -42,7 +42,7 @@
 		pools:  make(map[demand.Pool]healthSum),
 	}
 	if len(c.observed.unwell) > 0 {
-		for _, group := range c.directory.Groups() {
+		for _, group := range c.replica.Groups() {
 			if _, empty := evacuated[group.Zone]; !empty {
 				made.add(group, &c.observed, warming, now)
 			}
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -81,7 +81,7 @@
 		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
 	picture := control.demand.tree.Picture(now)
 	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
-	control.findings.own = slowOnes(5)
+	control.allFindings.own = slowOnes(5)
 	require.True(t, control.judgeHealth(now), "another table")
 	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -19,7 +19,7 @@
 // expire, because an entry expires after three missed heartbeats.
 func TestShortStoreGapGivesNoGrace(t *testing.T) {
 	control := newTestControl()
-	control.balancer.settings.Load().DrainMilliseconds = 3000
+	control.balancer.loaded.Load().DrainMilliseconds = 3000
 	confirmedAt := time.Now()
 	initial := routesBatch(5)
 	initial.Changes = append(initial.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
@@ -27,7 +27,7 @@
 	control.handleNews(&apiv1.DirectoryNews{Batch: initial, AsOfNanoseconds: control.sinceStart(confirmedAt)}, confirmedAt)
 	readAt := confirmedAt.Add(1650 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(readAt)}, readAt)
-	require.True(t, control.directory.Backends()[0].Gone)
+	require.True(t, control.replica.Backends()[0].Gone)
 	lapse := control.lapse()
 	require.False(t, lapse.Until.After(confirmedAt.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", lapse.Until.Sub(confirmedAt))
 }
@@ -43,7 +43,7 @@
 		{gap: 10 * time.Second, until: 12 * time.Second},
 	} {
 		control := newTestControl()
-		loaded := control.balancer.settings.Load()
+		loaded := control.balancer.loaded.Load()
 		loaded.DrainMilliseconds, loaded.HeartbeatMilliseconds, loaded.LapseMilliseconds = 3000, 1200, 2000
 		confirmedAt := time.Now()
 		for revision, at := range []time.Time{confirmedAt, confirmedAt.Add(each.gap)} {
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -14,9 +14,9 @@
 // which waits for the other. Its zero value is empty.
 type mailbox struct {
 	// nonEmpty spares the traffic goroutine from taking the lock for each packet.
-	nonEmpty     atomic.Bool
-	mutex        sync.Mutex
-	observations []evidence.Statement
+	nonEmpty atomic.Bool
+	mutex    sync.Mutex
+	removed  []evidence.Statement
 	// lost counts the observations that did not fit.
 	lost atomic.Uint64
 }
@@ -25,10 +25,10 @@
 func (m *mailbox) put(observations []evidence.Statement) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	fit := min(len(observations), mailboxLimit-len(m.observations))
-	m.observations = append(m.observations, observations[:fit]...)
+	fit := min(len(observations), mailboxLimit-len(m.removed))
+	m.removed = append(m.removed, observations[:fit]...)
 	m.lost.Add(uint64(len(observations) - fit))
-	m.nonEmpty.Store(len(m.observations) > 0)
+	m.nonEmpty.Store(len(m.removed) > 0)
 }
 
 // take empties the mailbox and returns what it held.
@@ -38,8 +38,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	observations := m.observations
-	m.observations = nil
+	removed := m.removed
+	m.removed = nil
 	m.nonEmpty.Store(false)
-	return observations
+	return removed
 }
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -11,18 +11,18 @@
 
 // startWrite starts the write to the store about balancers that is due, if any.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
-	c.core.SetLost(c.directory.LostPolicies())
-	write, found := c.core.NextWrite(now)
+	c.core.SetLost(c.replica.LostPolicies())
+	pendingWrite, found := c.core.NextWrite(now)
 	if !found {
 		return
 	}
-	c.pendingWrite, c.pendingWriteEra = write, c.balancer.era.Load()
-	if write.Policy != nil {
-		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Gone)
+	c.pendingWrite, c.pendingWriteEra = pendingWrite, c.balancer.era.Load()
+	if pendingWrite.Policy != nil {
+		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", pendingWrite.Policy.Policy.GetName(), "removed", pendingWrite.Policy.Gone)
 	}
-	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(write.Put), "remove", write.Remove,
-		"first_of_zones", len(write.Leads))
-	go c.writeToStore(ctx, write, c.revisionsOf(write.Remove))
+	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(pendingWrite.Put), "remove", pendingWrite.Remove,
+		"first_of_zones", len(pendingWrite.Leads))
+	go c.writeToStore(ctx, pendingWrite, c.revisionsOf(pendingWrite.Remove))
 }
 
 // writeToStore makes the call to the store for one write.
@@ -49,12 +49,12 @@
 // An entry that the directory no longer holds needs no removal and is left out.
 func (c *control) revisionsOf(names []string) []BalancerRevision {
 	entries := make(map[string]*apiv1.Balancer)
-	for _, b := range c.directory.Balancers() {
+	for _, b := range c.replica.Balancers() {
 		entries[b.GetName()] = b
 	}
 	var found []BalancerRevision
 	for _, name := range names {
-		revision := c.directory.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
+		revision := c.replica.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
 		if revision != 0 {
 			found = append(found, BalancerRevision{Balancer: entries[name], Revision: revision})
 		}
@@ -73,7 +73,7 @@
 
 // ownEntry returns this balancer's entry as other balancers see it.
 func (b *Balancer) ownEntry() *apiv1.Balancer {
-	settings := b.settings.Load()
+	settings := b.loaded.Load()
 	return &apiv1.Balancer{
 		Name:           settings.GetName(),
 		Zone:           settings.GetZone(),
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -97,8 +97,8 @@
 	counter(flowEventsDescription, traffic.flows.Missed.Load(), "not_answered")
 	counter(flowEventsDescription, traffic.flows.Verdicts(), "backend_dead")
 	counter(flowEventsDescription, traffic.flows.Silenced(), "zone_silent")
-	counter(earlyDescription, traffic.early.sent.Load(), "sent")
-	counter(earlyDescription, traffic.early.lost.Load(), "lost")
+	counter(earlyDescription, traffic.earlyBuffer.sent.Load(), "sent")
+	counter(earlyDescription, traffic.earlyBuffer.lost.Load(), "lost")
 	counter(lostObservationsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
 	counter(lostObservationsDescription, balancer.control.testimony.board.Refused.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
@@ -147,7 +147,7 @@
 
 // serveMetrics serves the metrics if the settings give an address for them.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
-	address := b.settings.Load().GetMetricsAddress()
+	address := b.loaded.Load().GetMetricsAddress()
 	if address == "" {
 		return nil
 	}
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -49,8 +49,8 @@
 	}
 	c.countUnreadable(news)
 	confirms := c.confirms(news)
-	if _, knows := c.core.Age(now); !knows && confirms && isOlder(news.GetBatch(), c.directory) {
-		c.directory.Clear()
+	if _, knows := c.core.Age(now); !knows && confirms && isOlder(news.GetBatch(), c.replica) {
+		c.replica.Clear()
 	}
 	c.apply(news.GetBatch(), now)
 	if confirms {
@@ -76,26 +76,26 @@
 	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollOld {
 		return false
 	}
-	return batchRevision > 0 && revision.EraOf(batchRevision) >= revision.EraOf(c.directory.Revision())
+	return batchRevision > 0 && revision.EraOf(batchRevision) >= revision.EraOf(c.replica.Revision())
 }
 
 // apply applies entries to the directory, and handles a restore of the store from a backup
 // if their revision shows one.
 func (c *control) apply(batch *apiv1.DirectoryBatch, now time.Time) {
-	before := c.directory.Revision()
-	if c.directory.Apply(batch, now) {
+	before := c.replica.Revision()
+	if c.replica.Apply(batch, now) {
 		c.rebuild = true
 		c.updateBalancers(now)
 	}
-	after := c.directory.Revision()
+	after := c.replica.Revision()
 	c.balancer.era.Store(uint64(revision.EraOf(after)))
 	if before == 0 || revision.EraOf(after) == revision.EraOf(before) {
 		return
 	}
 	c.rebuild = true
-	c.core.StoreRestored(c.directory.Balancers(), now)
+	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.directory.Held())
+		"known_to", revision.Text(before), "held", c.replica.Held())
 }
 
 // countUnreadable counts the entries of the store that could not be decoded.
@@ -112,14 +112,14 @@
 
 // updateBalancers passes on the balancers that the directory lists, if they have changed.
 func (c *control) updateBalancers(now time.Time) {
-	if c.directory.BalancerChanges() == c.balancerChangesSeen {
+	if c.replica.BalancerChanges() == c.balancerChangesSeen {
 		return
 	}
-	c.balancerChangesSeen = c.directory.BalancerChanges()
-	balancers := c.directory.Balancers()
+	c.balancerChangesSeen = c.replica.BalancerChanges()
+	balancers := c.replica.Balancers()
 	c.core.SetBalancers(balancers, now)
 	c.balancersByZone = c.countByZone(balancers)
-	c.observed.balancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
+	c.observed.balancers = c.balancersByZone[demand.Zone(c.balancer.loaded.Load().GetZone())]
 	c.takePlaces(balancers)
 }
 
@@ -137,7 +137,7 @@
 
 // countByZone counts the balancers of each zone, this one included.
 func (c *control) countByZone(balancers []*apiv1.Balancer) zoneCounts {
-	settings := c.balancer.settings.Load()
+	settings := c.balancer.loaded.Load()
 	counts := zoneCounts{demand.Zone(settings.GetZone()): 1}
 	for _, balancer := range balancers {
 		if balancer.GetName() != settings.GetName() {
@@ -166,7 +166,7 @@
 // change was missed, so the whole store is read.
 func (c *control) operatorCheckEnded(news *apiv1.DirectoryNews, now time.Time) {
 	batch := news.GetBatch()
-	if c.directory.Contradicts(batch) {
+	if c.replica.Contradicts(batch) {
 		c.balancer.logger.Info("Control: operator orders differ from the directory, reading the whole store.",
 			"revision", revision.Text(batch.GetOrdersRevision()))
 		c.core.HistoryLost(now)
@@ -194,7 +194,7 @@
 	c.core.Learned(news.GetCallers())
 	if peer.Purpose == replication.PurposeFollow && c.core.SharesOrder(peer.Address) {
 		c.hearStruggling(news.GetStruggling(), news.GetTellsStruggling(), now)
-		c.findings.takeParent(news.GetFindings(), now)
+		c.allFindings.takeParent(news.GetFindings(), now)
 	}
 	if peer.Purpose == replication.PurposeFollow {
 		c.heardParent(news, now)
--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -26,7 +26,7 @@
 
 // serve answers a follower that asks for one page.
 func (p *pageCache) serve(request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
-	for _, each := range p.load() {
+	for _, each := range p.all() {
 		if page := each.Page(request.GetPage()); each.ID == request.GetPageOf() && page != nil {
 			return &apiv1.FollowReply{Page: page}, nil
 		}
@@ -34,9 +34,9 @@
 	return nil, errPageExpired
 }
 
-func (p *pageCache) load() []*replication.Pages {
-	if kept := p.entries.Load(); kept != nil {
-		return *kept
+func (p *pageCache) all() []*replication.Pages {
+	if entries := p.entries.Load(); entries != nil {
+		return *entries
 	}
 	return nil
 }
@@ -44,7 +44,7 @@
 // reusable returns cached pages that fit another follower that needs at least the state of
 // the given revision, or nil.
 func (p *pageCache) reusable(revision uint64, now time.Time) *replication.Pages {
-	all := p.load()
+	all := p.all()
 	if len(all) == 0 {
 		return nil
 	}
@@ -57,23 +57,23 @@
 
 // add stores pages and drops those that are too old.
 func (p *pageCache) add(added *replication.Pages, now time.Time) {
-	var kept []*replication.Pages
-	for _, each := range p.load() {
+	var entries []*replication.Pages
+	for _, each := range p.all() {
 		if !each.Old(now) {
-			kept = append(kept, each)
+			entries = append(entries, each)
 		}
 	}
-	kept = append(kept, added)
-	p.entries.Store(&kept)
+	entries = append(entries, added)
+	p.entries.Store(&entries)
 }
 
 // pagesFor returns everything that is known as pages, for a caller that knows everything
 // up to a revision, or nil where it fits in one answer.
 func (c *control) pagesFor(after uint64, now time.Time) *replication.Pages {
-	if cached := c.pageCache.reusable(min(after, c.directory.Revision()), now); cached != nil {
+	if cached := c.pageCache.reusable(min(after, c.replica.Revision()), now); cached != nil {
 		return cached
 	}
-	batch := c.directory.Since(0)
+	batch := c.replica.Since(0)
 	if len(batch.GetChanges()) < pagingThreshold {
 		return nil
 	}
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -47,10 +47,10 @@
 	return written, nil
 }
 
-func newThrottledListener(t *testing.T, bytes int) *throttledListener {
+func newThrottledListener(t *testing.T, bytesPerSecond int) *throttledListener {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	return &throttledListener{Listener: listener, bytesPerSecond: bytes}
+	return &throttledListener{Listener: listener, bytesPerSecond: bytesPerSecond}
 }
 
 // A starting balancer receives ten thousand back ends over a link that needs longer for
@@ -64,10 +64,10 @@
 	link := newThrottledListener(t, 200<<10)
 	address := serveControlOn(t, parent, link)
 	child.follow(t, address)
-	require.Equal(t, parent.directory.Revision(), child.directory.Revision())
-	require.Len(t, child.directory.Backends(), 10_000)
-	require.Len(t, child.directory.Balancers(), 1_000)
-	require.Equal(t, parent.directory.Routes().GetVersion(), child.directory.Routes().GetVersion())
+	require.Equal(t, parent.replica.Revision(), child.replica.Revision())
+	require.Len(t, child.replica.Backends(), 10_000)
+	require.Len(t, child.replica.Balancers(), 1_000)
+	require.Equal(t, parent.replica.Routes().GetVersion(), child.replica.Routes().GetVersion())
 	require.Less(t, int(link.written.Load()), 600_000, "packed")
 	require.False(t, child.core.ConfirmedAt().IsZero())
 	require.False(t, child.core.ConfirmedAt().After(parent.core.ConfirmedAt()), "never more recent than when the first page was built")
@@ -79,7 +79,7 @@
 	parent := newFleetControl(100, 2_000, now)
 	one := parent.pagesFor(0, now)
 	require.NotNil(t, one)
-	parent.directory.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
+	parent.replica.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
 	require.Same(t, one, parent.pagesFor(0, now.Add(500*time.Millisecond)))
 	require.NotSame(t, one, parent.pagesFor(10, now.Add(500*time.Millisecond)), "a follower that knows more needs newer pages")
 	later := parent.pagesFor(0, now.Add(2*time.Second))
@@ -95,8 +95,8 @@
 // Each page stays within its size limit, whatever it contains.
 func TestPagesAreBounded(t *testing.T) {
 	now := time.Now()
-	known := newFleetControl(100, 5_000, now).directory
-	pages, err := replication.NewPages(known.Since(0), now, now)
+	replica := newFleetControl(100, 5_000, now).replica
+	pages, err := replication.NewPages(replica.Since(0), now, now)
 	require.NoError(t, err)
 	count := 0
 	for number := uint32(0); pages.Page(number) != nil; number++ {
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -22,7 +22,7 @@
 	c.recordPools(now)
 	evacuated := c.evacuated()
 	weights := c.newWeights(evacuated, now)
-	table := tokenroute.NewTable(c.directory, tokenroute.Options{
+	table := tokenroute.NewTable(c.replica, tokenroute.Options{
 		Weigh:      weights.of,
 		WeighPlace: weights.ofPlace,
 		Evacuated:  evacuated,
@@ -39,7 +39,7 @@
 		return
 	}
 	c.scheduleTableChange(now)
-	c.gate.takeRoutes(c.directory.Routes())
+	c.gate.takeRoutes(c.replica.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
@@ -55,7 +55,7 @@
 }
 
 func (c *control) emptyPoolGrace() time.Duration {
-	drain := c.balancer.settings.Load().GetDrainMilliseconds()
+	drain := c.balancer.loaded.Load().GetDrainMilliseconds()
 	return time.Duration(drain/emptyPoolGraceDivisor) * time.Millisecond
 }
 
@@ -71,12 +71,12 @@
 // removed while this balancer still counted as in touch with the store, so the period ends
 // with that time and they take no new flows beyond it.
 func (c *control) lapse() tokenroute.Lapse {
-	gap, settings := c.core.LastGap(), c.balancer.settings.Load()
-	if gap.Length() < minLapseHeartbeats*milliseconds(settings.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
+	gap, loaded := c.core.LastGap(), c.balancer.loaded.Load()
+	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.Lapse{}
 	}
-	lapse := tokenroute.Lapse{Since: gap.Until, Until: gap.Until.Add(milliseconds(settings.GetLapseMilliseconds()))}
-	drained := gap.From.Add(time.Duration(settings.GetDrainMilliseconds() * float64(time.Millisecond)))
+	lapse := tokenroute.Lapse{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
+	drained := gap.From.Add(time.Duration(loaded.GetDrainMilliseconds() * float64(time.Millisecond)))
 	if drained.After(lapse.Since) && drained.Before(lapse.Until) {
 		lapse.Until = drained
 	}
@@ -86,7 +86,7 @@
 func milliseconds(number uint32) time.Duration { return time.Duration(number) * time.Millisecond }
 
 func (c *control) flowRetention() time.Duration {
-	return seconds(c.balancer.settings.Load().GetFlowSeconds())
+	return seconds(c.balancer.loaded.Load().GetFlowSeconds())
 }
 
 // seconds converts a number of seconds to a duration.
@@ -101,7 +101,7 @@
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
 	c.changeTableAt(c.lapse().Until, now)
-	for _, group := range c.directory.Groups() {
+	for _, group := range c.replica.Groups() {
 		if group.Gone > 0 {
 			c.scheduleVanished(group, now)
 		}
@@ -128,10 +128,10 @@
 // recordPools records the pools of each address. Open flows stay on these pools when a
 // later configuration names others.
 func (c *control) recordPools(now time.Time) {
-	if c.directory.Routes() != nil && c.firstRoutesAt.IsZero() {
+	if c.replica.Routes() != nil && c.firstRoutesAt.IsZero() {
 		c.firstRoutesAt = now
 	}
-	for _, route := range c.directory.Routes().GetRoutes() {
+	for _, route := range c.replica.Routes().GetRoutes() {
 		address := tokenroute.AddressOf(route)
 		pools := c.poolLastUse[address]
 		if pools == nil {
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -15,7 +15,7 @@
 	control := newTestControl()
 	settings := testSettings()
 	settings.Zone = "zone-0"
-	control.balancer.settings.Store(settings)
+	control.balancer.loaded.Store(settings)
 	table := &apiv1.RouteTable{Version: 1}
 	for n := range backends / 40 {
 		table.Routes = append(table.Routes, &apiv1.ServiceRoute{Name: fmt.Sprintf("r-%d", n), Address: uint32(n + 1), Port: 443,
@@ -30,7 +30,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%5), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 	control.core.Confirm(now)
 	return control
 }
@@ -61,7 +61,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				control.directory.Apply(&apiv1.DirectoryBatch{Revision: revision,
+				control.replica.Apply(&apiv1.DirectoryBatch{Revision: revision,
 					Changes: []*apiv1.DirectoryChange{fleetBackend(revision, 7, revision%2 == 0)}}, now)
 				control.rebuildTable(now)
 			}
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -18,7 +18,7 @@
 	control := newTestControl()
 	settings := testSettings()
 	settings.Zone, settings.WarmupOvershoot, settings.WarmupSlack = "zone-0", 1.5, 5
-	control.balancer.settings.Store(settings)
+	control.balancer.loaded.Store(settings)
 	batch := routesBatch(9)
 	for n := range backends {
 		entry := &apiv1.PoolBackend{Id: fmt.Sprintf("i-%d", n), Number: uint64(n + 1), Pool: fmt.Sprintf("pool-%d", n%8),
@@ -32,7 +32,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%10), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 	return control
 }
 
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -35,8 +35,8 @@
 	// settleAt is when the unanswered requests of several balancers, taken together, have
 	// waited long enough to be evaluated; the zero time means never.
 	settleAt time.Time
-	// early holds the packets that arrived before the first table.
-	early earlyBuffer
+	// earlyBuffer holds the packets that arrived before the first table.
+	earlyBuffer earlyBuffer
 	// refusals counts the flows that were refused for lack of capacity.
 	refusals   refusals
 	malformed  atomic.Uint64
@@ -49,7 +49,7 @@
 	return &traffic{
 		balancer: balancer,
 		socket:   socket,
-		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.settings.Load().GetZone()),
+		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.loaded.Load().GetZone()),
 		log:      decisionLog{logger: balancer.logger},
 		input:    make([]byte, size),
 		output:   make([]byte, 0, 2*size),
@@ -105,7 +105,7 @@
 	t.setWakeup(t.settleAt)
 	t.evaluateBackends(time.Now())
 	t.setWakeup(t.settleAt)
-	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
+	if t.inbox.nonEmpty.Load() || t.earlyBuffer.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
 }
@@ -160,7 +160,7 @@
 	case table != nil:
 		t.routeEarlyPackets(table, now)
 	case !t.balancer.disabled.Has(mechanism.EarlyPackets):
-		t.early.add(packet, datagram, now)
+		t.earlyBuffer.add(packet, datagram, now)
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
@@ -184,12 +184,12 @@
 
 // routeEarlyPackets routes the packets that arrived before the first table.
 func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
-	if !t.early.pending() {
+	if !t.earlyBuffer.pending() {
 		return
 	}
-	packets := t.early.take(now)
+	packets := t.earlyBuffer.take(now)
 	t.balancer.logger.Info("Traffic: routing packets that arrived before the first table.", "packets", len(packets),
-		"lost", t.early.lost.Load())
+		"lost", t.earlyBuffer.lost.Load())
 	for _, each := range packets {
 		t.routeEarlyPacket(each, table, now)
 	}
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -35,9 +35,9 @@
 
 // newWarming collects what the coldness of back ends depends on.
 func (c *control) newWarming(now time.Time) *warming {
-	settings := c.balancer.settings.Load()
+	settings := c.balancer.loaded.Load()
 	made := &warming{
-		known:     c.directory,
+		known:     c.replica,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -46,10 +46,10 @@
 		takenBack: make(map[string]time.Time),
 		now:       now,
 	}
-	for _, pool := range c.directory.Routes().GetWarmups() {
+	for _, pool := range c.replica.Routes().GetWarmups() {
 		made.pools[pool.GetPool()] = pool
 	}
-	for _, order := range c.directory.Evacuations() {
+	for _, order := range c.replica.Evacuations() {
 		if !order.Holds() {
 			made.takenBack[order.Zone] = order.GoneAt
 		}
@@ -166,7 +166,7 @@
 // the order.
 func (c *control) evacuated() map[string]uint64 {
 	zones := make(map[string]uint64)
-	for _, order := range c.directory.Evacuations() {
+	for _, order := range c.replica.Evacuations() {
 		if order.Holds() {
 			zones[order.Zone] = order.Revision
 		}
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -50,9 +50,9 @@
 		if way == wayBounded {
 			loaded.WarmupOvershoot, loaded.WarmupSlack = 1.5, 5
 		}
-		c.balancer.settings.Store(loaded)
+		c.balancer.loaded.Store(loaded)
 		c.firstRoutesAt = made.now.Add(-time.Hour)
-		c.directory.Apply(made.entries(size, place, zones, allCold), made.now)
+		c.replica.Apply(made.entries(size, place, zones, allCold), made.now)
 		made.controls = append(made.controls, c)
 		made.flows = append(made.flows, tokenroute.NewFlows(mechanism.Set{}))
 	}
@@ -89,7 +89,7 @@
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for place, c := range f.controls {
 		evacuated := c.evacuated()
-		tables[place] = tokenroute.NewTable(c.directory, tokenroute.Options{Weigh: c.weigher(evacuated, f.now),
+		tables[place] = tokenroute.NewTable(c.replica, tokenroute.Options{Weigh: c.weigher(evacuated, f.now),
 			Evacuated: evacuated, Warm: c.newWarming(f.now).of, Now: f.now})
 	}
 	total := perSecond * int(coldLength/time.Second)
@@ -165,17 +165,17 @@
 	}
 	coldOnes := func(now time.Time) int {
 		warming, count := c.newWarming(now), 0
-		for _, backend := range c.directory.Backends() {
+		for _, backend := range c.replica.Backends() {
 			if backend.GetZone() == "maadi" && !warming.of(backend).Until.IsZero() {
 				count++
 			}
 		}
 		return count
 	}
-	c.directory.Apply(order(10, false), fleet.now)
+	c.replica.Apply(order(10, false), fleet.now)
 	require.Contains(t, c.evacuated(), "maadi")
 	require.Zero(t, coldOnes(fleet.now))
-	c.directory.Apply(order(11, true), fleet.now.Add(time.Second))
+	c.replica.Apply(order(11, true), fleet.now.Add(time.Second))
 	require.NotContains(t, c.evacuated(), "maadi")
 	require.Equal(t, 40, coldOnes(fleet.now.Add(time.Second)))
 	require.Zero(t, coldOnes(fleet.now.Add(time.Second+coldLength)))
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -49,7 +49,7 @@
 
 // newWeights collects what the weights of a table depend on.
 func (c *control) newWeights(evacuated map[string]uint64, now time.Time) *weights {
-	zone := c.balancer.settings.Load().GetZone()
+	zone := c.balancer.loaded.Load().GetZone()
 	off := c.balancer.disabled
 	made := &weights{
 		control:  c,
@@ -122,7 +122,7 @@
 func (w *weights) program(pool string) *policy.Program {
 	program, known := w.programs[pool]
 	if !known {
-		program = w.control.programs.find(w.control.directory, pool)
+		program = w.control.programs.find(w.control.replica, pool)
 		w.programs[pool] = program
 	}
 	return program
