--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -15,9 +15,9 @@
 
 // gate is what the control goroutine knows of admission.
 type gate struct {
-	core *admission.Gate
+	core *admission.Controller
 	// urgencies are those of the routes in force, by pool.
-	urgencies map[string][]admission.Urgency
+	urgencies map[string][]admission.Priority
 	pressures pressures
 	// short are the pools that some flows are refused of.
 	short map[string]bool
@@ -26,16 +26,16 @@
 }
 
 func newGate() gate {
-	return gate{core: admission.NewGate(), pressures: pressures{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
+	return gate{core: admission.NewController(), pressures: pressures{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // takeRoutes takes the routes that are in force.
 func (g *gate) takeRoutes(table *apiv1.RouteTable) {
-	g.urgencies = make(map[string][]admission.Urgency)
+	g.urgencies = make(map[string][]admission.Priority)
 	for _, route := range table.GetRoutes() {
 		for _, share := range route.GetPools() {
 			known := g.urgencies[share.GetPool()]
-			if urgency := admission.Urgency(route.GetPriority()); !slices.Contains(known, urgency) {
+			if urgency := admission.Priority(route.GetPriority()); !slices.Contains(known, urgency) {
 				g.urgencies[share.GetPool()] = append(known, urgency)
 			}
 		}
@@ -47,8 +47,8 @@
 const saturatedFor = time.Second
 
 // saturated are the pools that are saturated, or were a moment ago.
-func (g *gate) saturated(zone demand.Zone, picture *demand.Picture, now time.Time) map[string]bool {
-	for pool := range picture.Pools() {
+func (g *gate) saturated(zone demand.Zone, picture *demand.Aggregate, now time.Time) map[string]bool {
+	for pool := range picture.ZonePools() {
 		if g.pressures.saturated(pool, zone, picture) {
 			g.saturatedUntil[string(pool)] = now.Add(saturatedFor)
 		}
@@ -73,30 +73,30 @@
 	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
 	}
-	var demands []admission.Demand
-	for pool := range picture.Pools() {
+	var demands []admission.PoolState
+	for pool := range picture.ZonePools() {
 		if urgencies := c.gate.urgencies[string(pool)]; len(urgencies) > 0 {
 			pressure := c.gate.pressures.on(pool, zone, picture, c.balancersByZone)
-			demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: urgencies, Pressure: pressure})
+			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: urgencies, Pressure: pressure})
 		}
 	}
-	levels := c.gate.core.Step(demands, now)
+	levels := c.gate.core.Update(demands, now)
 	c.tellShort(levels, picture, now)
 	c.balancer.traffic.flows.Admit(levels)
 }
 
 // tellShort tells which pools began or ceased to be short of room.
-func (c *control) tellShort(levels *admission.Levels, picture *demand.Picture, now time.Time) {
+func (c *control) tellShort(levels *admission.Refusals, picture *demand.Aggregate, now time.Time) {
 	short := make(map[string]bool)
 	zone := demand.Zone(c.balancer.loaded.Load().GetZone())
 	for _, level := range levels.All() {
 		if !short[level.Pool] && !c.gate.short[level.Pool] {
-			waiting, room := picture.Whole(demand.Pool(level.Pool))
-			c.balancer.logger.Warn("Control: pool is short of room.", "pool", level.Pool, "urgency", uint64(level.Urgency),
-				"refused_part", rounded(level.Refused), "pressure", rounded(level.Pressure.Waiting),
+			waiting, room := picture.PoolTotals(demand.Pool(level.Pool))
+			c.balancer.logger.Warn("Control: pool is short of room.", "pool", level.Pool, "urgency", uint64(level.Priority),
+				"refused_part", rounded(level.Fraction), "pressure", rounded(level.Pressure.RequestsPerSlot),
 				"pressure_age", level.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(room),
 				"waiting_here", rounded(c.gate.pressures.waiting[level.Pool]),
-				"zone_part", rounded(askedPart(demand.Pool(level.Pool), zone, picture)), "zone_balancers", picture.Zones[zone])
+				"zone_part", rounded(askedPart(demand.Pool(level.Pool), zone, picture)), "zone_balancers", picture.ZoneBalancers[zone])
 		}
 		short[level.Pool] = true
 	}
@@ -118,16 +118,16 @@
 // refusedKind is a pool and an urgency.
 type refusedKind struct {
 	pool    string
-	urgency admission.Urgency
+	urgency admission.Priority
 }
 
-func (r *refusals) count(level *admission.Level) {
+func (r *refusals) count(level *admission.Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.counts == nil {
 		r.counts = make(map[refusedKind]uint64)
 	}
-	r.counts[refusedKind{pool: level.Pool, urgency: level.Urgency}]++
+	r.counts[refusedKind{pool: level.Pool, urgency: level.Priority}]++
 }
 
 func (r *refusals) all() map[refusedKind]uint64 {
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -20,14 +20,14 @@
 	}
 	made.takeRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{
 		{Priority: 2, Pools: share("lending", "covers")}, {Priority: 1, Pools: share("lending")}, {Priority: 2, Pools: share("lending")}}})
-	require.Equal(t, map[string][]admission.Urgency{"lending": {2, 1}, "covers": {2}}, made.urgencies)
+	require.Equal(t, map[string][]admission.Priority{"lending": {2, 1}, "covers": {2}}, made.urgencies)
 }
 
 func TestRefusalsAreCountedByPoolAndUrgency(t *testing.T) {
 	var counted refusals
 	require.Empty(t, counted.all())
-	for _, urgency := range []admission.Urgency{2, 2, 1} {
-		counted.count(&admission.Level{Pool: "lending", Urgency: urgency})
+	for _, urgency := range []admission.Priority{2, 2, 1} {
+		counted.count(&admission.Refusal{Pool: "lending", Priority: urgency})
 	}
 	require.Equal(t, map[refusedKind]uint64{{"lending", 2}: 2, {"lending", 1}: 1}, counted.all())
 }
@@ -39,10 +39,10 @@
 	made.takeRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
 	made.pressures = *seen(1000, now)
-	var levels *admission.Levels
+	var levels *admission.Refusals
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
-		levels = made.core.Step([]admission.Demand{{Pool: "lending", Urgencies: made.urgencies["lending"],
+		levels = made.core.Update([]admission.PoolState{{Pool: "lending", Priorities: made.urgencies["lending"],
 			Pressure: made.pressures.on("lending", "maadi", nil, nil)}}, at)
 	}
 	require.Nil(t, levels)
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -12,7 +12,7 @@
 	// asksTime is how fast the asks that pass here are followed, as they are for the picture.
 	asksTime = 500 * time.Millisecond
 	// asksKept is for how long they are remembered: as long as a picture may be used.
-	asksKept = demand.FreshFor
+	asksKept = demand.MaximumAge
 )
 
 // asks is what this balancer was asked of each pool a second, now and in the last asksKept.
@@ -39,8 +39,8 @@
 	for pool, rate := range a.now {
 		asked[pool] = rate * (1 - part)
 	}
-	for place, load := range summary.Places {
-		asked[place.Pool] += part * load.Asks
+	for place, load := range summary.Loads {
+		asked[place.Pool] += part * load.Offered
 	}
 	a.now = asked
 	a.past = append(a.past, askedAt{at: summary.At, asks: asked})
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -68,7 +68,7 @@
 	nodes    [burstBalancers]burstNode
 	backends [burstBackends]queueing
 	callers  []*burstCaller
-	pictures []*demand.Picture
+	pictures []*demand.Aggregate
 	unwell   map[incarnation.ID]observe.Health
 	// share is what each back end takes of new flows while it is well, as a policy may say.
 	share [burstBackends]float64
@@ -86,7 +86,7 @@
 type burstNode struct {
 	flows    *tokenroute.Flows
 	gate     gate
-	own      demand.Own
+	own      demand.LocalLoad
 	findings map[incarnation.ID]observe.Finding
 }
 
@@ -121,7 +121,7 @@
 // renew makes a table by the findings of now.
 func (b *burstFleet) renew() {
 	b.table = tokenroute.NewTable(b.known, tokenroute.Options{Now: b.now, Previous: b.table,
-		Weigh: func(entry directory.BackendEntry) uint32 {
+		Weight: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.share[entry.GetNumber()-1] * shares.HealthWeight(b.unwell[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
@@ -240,23 +240,23 @@
 // look takes what the balancers observed, as their control goroutines do.
 func (b *burstFleet) look() {
 	joined := make(map[incarnation.ID]observe.Finding)
-	all := demand.Picture{At: b.now, Balancers: burstBalancers, Zones: map[demand.Zone]int{"maadi": burstBalancers},
-		Places: make(map[demand.Place]demand.Load)}
+	all := demand.Aggregate{OldestAt: b.now, Balancers: burstBalancers, ZoneBalancers: map[demand.Zone]int{"maadi": burstBalancers},
+		Loads: make(map[demand.ZonePool]demand.Load)}
 	for place := range b.nodes {
 		node := &b.nodes[place]
 		if summary := node.flows.Summarize(b.now); summary != nil {
 			node.gate.pressures.follow(summary)
-			node.own.Take(summary.Places, summary.At)
+			node.own.Observe(summary.Loads, summary.At)
 			node.findings = summary.Findings
 		}
 		for id, finding := range node.findings {
-			joined[id] = joined[id].Plus(finding)
+			joined[id] = joined[id].Merge(finding)
 		}
-		for at, load := range node.own.Picture("maadi", b.now).Places {
-			all.Places[at] = all.Places[at].Plus(load)
+		for at, load := range node.own.Aggregate("maadi", b.now).Loads {
+			all.Loads[at] = all.Loads[at].Plus(load)
 		}
 	}
-	b.pictures = append(b.pictures, all.WithRoom(map[demand.Place]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
+	b.pictures = append(b.pictures, all.WithSlots(map[demand.ZonePool]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
 	if late := len(b.pictures) - 1 - int(b.lag/shareUpdateInterval); late >= 0 {
 		for place := range b.nodes {
 			b.nodes[place].take(b.pictures[late], b.now)
@@ -264,7 +264,7 @@
 	}
 	judged := make(map[incarnation.ID]observe.Health)
 	for id, finding := range joined {
-		if health := finding.Health(burstBalancers, b.unwell[id]); !health.Well() {
+		if health := finding.Health(burstBalancers, b.unwell[id]); !health.Healthy() {
 			judged[id] = health
 			b.found[id.Number]++
 		}
@@ -274,14 +274,14 @@
 }
 
 // take takes the picture of all.
-func (n *burstNode) take(picture *demand.Picture, now time.Time) {
+func (n *burstNode) take(picture *demand.Aggregate, now time.Time) {
 	n.flows.Saturate(n.gate.saturated("maadi", picture, now))
-	var demands []admission.Demand
-	for pool := range picture.Pools() {
-		demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: n.gate.urgencies[string(pool)],
+	var demands []admission.PoolState
+	for pool := range picture.ZonePools() {
+		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.gate.urgencies[string(pool)],
 			Pressure: n.gate.pressures.on(pool, "maadi", picture, zoneCounts{"maadi": burstBalancers})})
 	}
-	n.flows.Admit(n.gate.core.Step(demands, now))
+	n.flows.Admit(n.gate.core.Update(demands, now))
 }
 
 // second is the second of now.
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -76,8 +76,8 @@
 		attributes = append(attributes, slog.Any("evacuated", table.Evacuated))
 	}
 	if refused := decision.Level; refused != nil {
-		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Urgency)),
-			slog.Float64("refused_part", rounded(refused.Refused)), slog.Float64("pressure", rounded(refused.Pressure.Waiting)),
+		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Priority)),
+			slog.Float64("refused_part", rounded(refused.Fraction)), slog.Float64("pressure", rounded(refused.Pressure.RequestsPerSlot)),
 			slog.Duration("pressure_age", refused.Pressure.Age(now).Round(time.Millisecond)))
 	}
 	level := slog.LevelInfo
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -51,8 +51,8 @@
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
-	level := &admission.Level{Pool: "lending", Urgency: 2, Refused: 0.75,
-		Pressure: admission.Pressure{Waiting: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
+	level := &admission.Refusal{Pool: "lending", Priority: 2, Fraction: 0.75,
+		Pressure: admission.Pressure{RequestsPerSlot: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
 	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Level: level}
 	for range 1000 {
 		log.record(tokenroute.Packet{First: true}, nil, refused, nil, now)
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -19,14 +19,14 @@
 
 // demandState is what the control goroutine knows of the demand on back ends.
 type demandState struct {
-	own  demand.Own
+	own  demand.LocalLoad
 	tree *demand.Tree
 	room room
 	// picture is the latest one, for all goroutines; nil is none.
-	picture atomic.Pointer[demand.Picture]
+	picture atomic.Pointer[demand.Aggregate]
 	// pace is that of reports, and telling is set while one is under way that does not go
 	// with another call.
-	pace     demand.Pace
+	pace     demand.ReportSchedule
 	telling  bool
 	tellings tellings
 	// lapsedAt is when a picture that was planned by was last found too old; zero is since
@@ -37,21 +37,21 @@
 }
 
 // Picture is the latest picture of demand and room, or nil. Any goroutine may ask.
-func (b *Balancer) Picture() *demand.Picture { return b.control.demand.picture.Load() }
+func (b *Balancer) Picture() *demand.Aggregate { return b.control.demand.picture.Load() }
 
 // takeDemand takes what the traffic goroutine has observed and makes a new picture.
 func (c *control) takeDemand(now time.Time) {
 	d := &c.demand
 	if summary := c.balancer.traffic.latestSummary.Load(); summary != nil {
-		d.own.Take(summary.Places, summary.At)
+		d.own.Observe(summary.Loads, summary.At)
 		d.room.takeDead(summary, c.balancer.table.Load(), now)
 	}
 	zone := demand.Zone(c.balancer.loaded.Load().GetZone())
 	above, all := c.core.Levels()
-	d.tree.See(d.own.Picture(zone, now), demand.Levels{Above: above, All: all})
+	d.tree.SetOwn(d.own.Aggregate(zone, now), demand.Position{Depth: above, TreeHeight: all})
 	d.room.look(now)
-	picture := d.tree.Picture(now)
-	d.picture.Store(picture.WithRoom(d.room.living(now)))
+	picture := d.tree.Aggregate(now)
+	d.picture.Store(picture.WithSlots(d.room.living(now)))
 	c.tellWhetherWhole(picture, now)
 }
 
@@ -59,7 +59,7 @@
 const wholePart = 0.9
 
 // tellWhetherWhole logs when the demand of all becomes known, or is known no longer.
-func (c *control) tellWhetherWhole(picture demand.Picture, now time.Time) {
+func (c *control) tellWhetherWhole(picture demand.Aggregate, now time.Time) {
 	listed := c.balancersByZone.total()
 	if listed == 0 {
 		return
@@ -83,12 +83,12 @@
 		return
 	}
 	report := demand.Report{
-		Picture: decodePicture(encoded, now),
-		Until:   c.balancer.started.Add(time.Duration(encoded.GetUntilMilliseconds()) * time.Millisecond),
-		Height:  int(encoded.GetHeight()),
+		Aggregate: decodePicture(encoded, now),
+		ExpiresAt: c.balancer.started.Add(time.Duration(encoded.GetUntilMilliseconds()) * time.Millisecond),
+		Height:    int(encoded.GetHeight()),
 	}
-	c.demand.tree.TakeFollower(demand.Address(from), report, now)
-	c.demand.pace.Taken(now)
+	c.demand.tree.SetFollowerReport(demand.Address(from), report, now)
+	c.demand.pace.FollowerReported(now)
 }
 
 // takeWhole takes what the balancer that is followed says of all.
@@ -97,8 +97,8 @@
 		return
 	}
 	left := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
-	c.demand.tree.TakeParent(decodePicture(news.GetDemand(), left), now)
-	c.demand.tree.TakeLevel(int(news.GetDemand().GetAbove()), now)
+	c.demand.tree.SetParentAggregate(decodePicture(news.GetDemand(), left), now)
+	c.demand.tree.SetParentDepth(int(news.GetDemand().GetAbove()), now)
 }
 
 // reportTo returns the report for the balancer that is followed, or nil while it must not
@@ -108,14 +108,14 @@
 	if parent != c.testimony.parent || !theirs.Known() || !c.core.Leads(parent) {
 		return nil
 	}
-	report, may := c.demand.tree.Hand(demand.Address(parent), now)
+	report, may := c.demand.tree.ReportTo(demand.Address(parent), now)
 	if !may {
 		return nil
 	}
-	c.demand.pace.Told(alone, now)
-	encoded := encodePicture(report.Picture, now)
+	c.demand.pace.Reported(alone, now)
+	encoded := encodePicture(report.Aggregate, now)
 	encoded.Clock = theirs.ID
-	encoded.UntilMilliseconds = uint64(max(0, theirs.Earliest(report.Until)).Milliseconds())
+	encoded.UntilMilliseconds = uint64(max(0, theirs.LowerBound(report.ExpiresAt)).Milliseconds())
 	encoded.Height = uint32(report.Height)
 	return encoded
 }
@@ -152,16 +152,16 @@
 // encodePicture returns a picture for a message. Where there are too many places, pools are
 // left out whole, the last by name: all balancers leave out the same, so that what is told of
 // the others is the sum of all, and is told at each level.
-func encodePicture(picture demand.Picture, now time.Time) *apiv1.DemandReport {
+func encodePicture(picture demand.Aggregate, now time.Time) *apiv1.DemandReport {
 	encoded := &apiv1.DemandReport{
 		Balancers:       uint32(picture.Balancers),
 		AgeMilliseconds: uint32(max(0, picture.Age(now)).Milliseconds()),
 	}
-	for _, zone := range slices.Sorted(maps.Keys(picture.Zones)) {
-		encoded.Zones = append(encoded.Zones, &apiv1.ZoneCount{Zone: string(zone), Balancers: uint32(picture.Zones[zone])})
+	for _, zone := range slices.Sorted(maps.Keys(picture.ZoneBalancers)) {
+		encoded.Zones = append(encoded.Zones, &apiv1.ZoneCount{Zone: string(zone), Balancers: uint32(picture.ZoneBalancers[zone])})
 	}
 	pools := make(map[demand.Pool][]*apiv1.PlaceLoad)
-	for place, load := range picture.Places {
+	for place, load := range picture.Loads {
 		pools[place.Pool] = append(pools[place.Pool], encodeLoad(place, load))
 	}
 	for _, pool := range slices.Sorted(maps.Keys(pools)) {
@@ -173,37 +173,37 @@
 	return encoded
 }
 
-func encodeLoad(place demand.Place, load demand.Load) *apiv1.PlaceLoad {
+func encodeLoad(place demand.ZonePool, load demand.Load) *apiv1.PlaceLoad {
 	return &apiv1.PlaceLoad{
 		Pool:     string(place.Pool),
 		Zone:     string(place.Zone),
-		Waiting:  float32(load.Waiting),
-		Openings: float32(load.Openings),
-		Answers:  float32(load.Answers),
+		Waiting:  float32(load.InFlight),
+		Openings: float32(load.NewFlows),
+		Answers:  float32(load.Responses),
 		Refusals: float32(load.Refusals),
-		Asks:     float32(load.Asks),
+		Asks:     float32(load.Offered),
 	}
 }
 
 // decodePicture reads a picture from a message that left, or came, at a time.
-func decodePicture(encoded *apiv1.DemandReport, at time.Time) demand.Picture {
-	made := demand.Picture{
-		At:        at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
-		Balancers: int(encoded.GetBalancers()),
-		Zones:     make(map[demand.Zone]int, len(encoded.GetZones())),
-		Places:    make(map[demand.Place]demand.Load, len(encoded.GetPlaces())),
+func decodePicture(encoded *apiv1.DemandReport, at time.Time) demand.Aggregate {
+	made := demand.Aggregate{
+		OldestAt:      at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
+		Balancers:     int(encoded.GetBalancers()),
+		ZoneBalancers: make(map[demand.Zone]int, len(encoded.GetZones())),
+		Loads:         make(map[demand.ZonePool]demand.Load, len(encoded.GetPlaces())),
 	}
 	for _, zone := range encoded.GetZones() {
-		made.Zones[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
+		made.ZoneBalancers[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
 	}
 	for _, each := range encoded.GetPlaces() {
-		place := demand.Place{Pool: demand.Pool(each.GetPool()), Zone: demand.Zone(each.GetZone())}
-		made.Places[place] = demand.Load{
-			Waiting:  decodeLoad(each.GetWaiting()),
-			Openings: decodeLoad(each.GetOpenings()),
-			Answers:  decodeLoad(each.GetAnswers()),
-			Refusals: decodeLoad(each.GetRefusals()),
-			Asks:     decodeLoad(each.GetAsks()),
+		place := demand.ZonePool{Pool: demand.Pool(each.GetPool()), Zone: demand.Zone(each.GetZone())}
+		made.Loads[place] = demand.Load{
+			InFlight:  decodeLoad(each.GetWaiting()),
+			NewFlows:  decodeLoad(each.GetOpenings()),
+			Responses: decodeLoad(each.GetAnswers()),
+			Refusals:  decodeLoad(each.GetRefusals()),
+			Offered:   decodeLoad(each.GetAsks()),
 		}
 	}
 	return made
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -20,14 +20,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingIn(zone string) demand.Place {
-	return demand.Place{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingIn(zone string) demand.ZonePool {
+	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
 // asksOf is the part of a balancer whose clients ask so much a second of lending.
-func asksOf(zone string, asks, waiting float64, at time.Time) demand.Picture {
-	return demand.Picture{At: at, Balancers: 1, Zones: map[demand.Zone]int{demand.Zone(zone): 1},
-		Places: map[demand.Place]demand.Load{lendingIn(zone): {Asks: asks, Waiting: waiting}}}
+func asksOf(zone string, asks, waiting float64, at time.Time) demand.Aggregate {
+	return demand.Aggregate{OldestAt: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingIn(zone): {Offered: asks, InFlight: waiting}}}
 }
 
 // pair are a balancer that leads and one that follows it, with its clock known there.
@@ -38,12 +38,12 @@
 	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.ownEntry(), first}, now)
 	require.True(t, follows.core.Leads("10.0.0.2:1"))
 	follows.testimony.parent = "10.0.0.2:1"
-	follows.testimony.theirs = evidence.NewClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
+	follows.testimony.theirs = evidence.NewRemoteClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{leads, follows} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
-	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{All: 1})
-	follows.demand.tree.See(asksOf("giza", 30, 2, now), demand.Levels{Above: 1, All: 1})
+	leads.demand.tree.SetOwn(asksOf("maadi", 10, 1, now), demand.Position{TreeHeight: 1})
+	follows.demand.tree.SetOwn(asksOf("giza", 30, 2, now), demand.Position{Depth: 1, TreeHeight: 1})
 	return leads, follows
 }
 
@@ -69,11 +69,11 @@
 		leads.answerWaiting(now)
 		reply := <-asking.reply
 		follows.takeWhole(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.sinceStart(now)}, now)
-		all := follows.demand.tree.Picture(now)
+		all := follows.demand.tree.Aggregate(now)
 		require.Equal(t, 2, all.Balancers)
-		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.Zones)
-		require.Equal(t, 30.0, all.Places[lendingIn("giza")].Asks)
-		require.Equal(t, 10.0, all.Places[lendingIn("maadi")].Asks)
+		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.ZoneBalancers)
+		require.Equal(t, 30.0, all.Loads[lendingIn("giza")].Offered)
+		require.Equal(t, 10.0, all.Loads[lendingIn("maadi")].Offered)
 	}
 }
 
@@ -84,20 +84,20 @@
 	report := follows.reportTo("10.0.0.2:1", false, now)
 	report.Clock++
 	leads.takeReport("10.0.0.1:1", report, now)
-	require.Equal(t, 1, leads.demand.tree.Picture(now).Balancers)
+	require.Equal(t, 1, leads.demand.tree.Aggregate(now).Balancers)
 }
 
 // A message has a bound, and pools are in it whole or not at all.
 func TestPlacesInAMessageAreBounded(t *testing.T) {
 	made := asksOf("maadi", 1, 1, time.Now())
-	clear(made.Places)
+	clear(made.Loads)
 	for pool := range 100 {
 		for _, zone := range []demand.Zone{"zone-a", "zone-b", "zone-c"} {
-			made.Places[demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
-				Waiting: 1, Openings: 2, Answers: 3, Refusals: 4, Asks: float64(pool)}
+			made.Loads[demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
+				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, Offered: float64(pool)}
 		}
 	}
-	encoded := encodePicture(made, made.At)
+	encoded := encodePicture(made, made.OldestAt)
 	require.LessOrEqual(t, len(encoded.GetPlaces()), placesLimit)
 	require.LessOrEqual(t, proto.Size(encoded), 50*placesLimit)
 	counts := make(map[string]int)
@@ -116,23 +116,23 @@
 func TestPoolsThatAreToldAreWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
-		all := make(map[demand.Place]float64)
-		sum := demand.Picture{At: now, Balancers: 2, Places: make(map[demand.Place]demand.Load)}
+		all := make(map[demand.ZonePool]float64)
+		sum := demand.Aggregate{OldestAt: now, Balancers: 2, Loads: make(map[demand.ZonePool]demand.Load)}
 		for range 2 {
-			part := demand.Picture{At: now, Balancers: 1, Places: make(map[demand.Place]demand.Load)}
+			part := demand.Aggregate{OldestAt: now, Balancers: 1, Loads: make(map[demand.ZonePool]demand.Load)}
 			for pool := range 90 {
 				for zone := range rapid.IntRange(0, 3).Draw(t, "zones") {
-					place := demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
-					part.Places[place] = demand.Load{Asks: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
-					all[place] += part.Places[place].Asks
+					place := demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
+					part.Loads[place] = demand.Load{Offered: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
+					all[place] += part.Loads[place].Offered
 				}
 			}
-			for place, load := range decodePicture(encodePicture(part, now), now).Places {
-				sum.Places[place] = sum.Places[place].Plus(load)
+			for place, load := range decodePicture(encodePicture(part, now), now).Loads {
+				sum.Loads[place] = sum.Loads[place].Plus(load)
 			}
 		}
-		for place, load := range decodePicture(encodePicture(sum, now), now).Places {
-			require.InDelta(t, all[place], load.Asks, 1e-6, place)
+		for place, load := range decodePicture(encodePicture(sum, now), now).Loads {
+			require.InDelta(t, all[place], load.Offered, 1e-6, place)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
 			Waiting: told, Openings: told, Answers: told, Refusals: told, Asks: 5}}}
 		read := decodePicture(encoded, time.Now())
-		require.Equal(t, demand.Load{Asks: 5}, read.Places[lendingIn("maadi")])
+		require.Equal(t, demand.Load{Offered: 5}, read.Loads[lendingIn("maadi")])
 	}
 }
 
@@ -153,10 +153,10 @@
 	now := time.Now()
 	leads, _ := pair(t, now)
 	place := lendingIn("maadi")
-	leads.demand.room.slots = map[demand.Place]float64{place: 10}
+	leads.demand.room.slots = map[demand.ZonePool]float64{place: 10}
 	tell := func(waiting float64) (told int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
-			leads.demand.tree.See(asksOf("maadi", 10, waiting, now), demand.Levels{})
+			leads.demand.tree.SetOwn(asksOf("maadi", 10, waiting, now), demand.Position{})
 			asking := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
 			leads.enqueueFollow(asking)
@@ -175,7 +175,7 @@
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, asked("10.0.0.9:1"))
 	now = now.Add(shareUpdateInterval + time.Millisecond)
-	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
+	leads.demand.tree.SetOwn(asksOf("maadi", 10, 1, now), demand.Position{})
 	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
 	now = now.Add(soonPause - shareUpdateInterval)
 	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
@@ -193,7 +193,7 @@
 	told, last, longest := 0, now, time.Duration(0)
 	for range 100 {
 		now = now.Add(920 * time.Millisecond)
-		leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
+		leads.demand.tree.SetOwn(asksOf("maadi", 10, 1, now), demand.Position{})
 		if leads.wholeFor("10.0.0.1:1", now) != nil {
 			told++
 			longest, last = max(longest, now.Sub(last)), now
@@ -214,10 +214,10 @@
 	control.addBackends("lending", "fayum", 4, now)
 	control.balancersByZone = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureRoom(nil, now)
-	picture := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
-		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Asks: maadi, Waiting: waiting}, lendingIn("giza"): {Asks: giza},
-			lendingIn("fayum"): {Asks: fayum}}}
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	picture := demand.Aggregate{OldestAt: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {Offered: maadi, InFlight: waiting}, lendingIn("giza"): {Offered: giza},
+			lendingIn("fayum"): {Offered: fayum}}}
+	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
 	return control, now
 }
 
@@ -257,7 +257,7 @@
 	control, now := divided(200, 100, 200, 50)
 	control.measureRoom(map[string]uint64{"maadi": 7}, now)
 	picture := *control.demand.picture.Load()
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
 	require.True(t, control.divide(now))
 	require.Zero(t, control.observed.planned["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
@@ -270,7 +270,7 @@
 	control, now := divided(200, 100, 200, 50)
 	require.True(t, control.divide(now))
 	control.weights(now)
-	require.True(t, control.divide(now.Add(demand.FreshFor+time.Millisecond)))
+	require.True(t, control.divide(now.Add(demand.MaximumAge+time.Millisecond)))
 	require.Nil(t, control.observed.planned)
 }
 
@@ -292,10 +292,10 @@
 func TestPressureIsToldWhereThereIsNoRoom(t *testing.T) {
 	now := time.Now()
 	picture := asksOf("maadi", 10, 2, now)
-	picture.Places[lendingIn("giza")] = demand.Load{Asks: 5, Refusals: 5}
-	picture.Places[lendingIn("fayum")] = demand.Load{Asks: 5}
+	picture.Loads[lendingIn("giza")] = demand.Load{Offered: 5, Refusals: 5}
+	picture.Loads[lendingIn("fayum")] = demand.Load{Offered: 5}
 	told := make(map[string]float64)
-	collectDemand(picture.WithRoom(map[demand.Place]float64{lendingIn("maadi"): 4}),
+	collectDemand(picture.WithSlots(map[demand.ZonePool]float64{lendingIn("maadi"): 4}),
 		func(description *prometheus.Desc, value float64, labels ...string) {
 			if description == pressureDescription {
 				told[labels[1]] = value
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -23,24 +23,24 @@
 )
 
 // collectDemand reports the current view of demand and free capacity.
-func collectDemand(aggregate *demand.Picture, gauge func(*prometheus.Desc, float64, ...string)) {
-	if aggregate == nil || aggregate.At.IsZero() {
+func collectDemand(aggregate *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
+	if aggregate == nil || aggregate.OldestAt.IsZero() {
 		return
 	}
 	gauge(aggregateAgeDescription, aggregate.Age(time.Now()).Seconds())
-	for zone, count := range aggregate.Zones {
+	for zone, count := range aggregate.ZoneBalancers {
 		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	report := func(place demand.Place) {
-		gauge(capacityDescription, aggregate.Room[place], string(place.Pool), string(place.Zone))
+	report := func(place demand.ZonePool) {
+		gauge(capacityDescription, aggregate.Slots[place], string(place.Pool), string(place.Zone))
 		gauge(pressureDescription, aggregate.Pressure(place), string(place.Pool), string(place.Zone))
 	}
-	for place := range aggregate.Room {
+	for place := range aggregate.Slots {
 		report(place)
 	}
-	for place, load := range aggregate.Places {
-		gauge(requestRateDescription, load.Asks, string(place.Pool), string(place.Zone))
-		if _, found := aggregate.Room[place]; !found {
+	for place, load := range aggregate.Loads {
+		gauge(requestRateDescription, load.Offered, string(place.Pool), string(place.Zone))
+		if _, found := aggregate.Slots[place]; !found {
 			report(place)
 		}
 	}
--- a/internal/balancer/divide.go
+++ b/internal/balancer/divide.go
@@ -23,8 +23,8 @@
 	}
 	own := demand.Zone(c.balancer.loaded.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
-	for pool := range picture.Pools() {
-		if parts := shares.Among(shares.Zones(picture, pool, own, c.balancersByZone), own); parts != nil {
+	for pool := range picture.ZonePools() {
+		if parts := shares.ZoneShares(shares.ZoneLoads(picture, pool, own, c.balancersByZone), own); parts != nil {
 			planned[pool] = parts
 		}
 	}
@@ -39,8 +39,8 @@
 // steady tells whether plans may rest on the picture. Told once a second, pictures get older
 // than 3 s now and then without a fault; zones that then went by what they see alone sent
 // their surplus to one that still kept its own: one of four zones was served 0.69 where the
-// others had 0.83 to 0.85. So they rest on it for all of demand.FreshFor.
-func (c *control) steady(picture *demand.Picture, now time.Time) bool {
+// others had 0.83 to 0.85. So they rest on it for all of demand.MaximumAge.
+func (c *control) steady(picture *demand.Aggregate, now time.Time) bool {
 	if !picture.Fresh(now) {
 		if c.observed.planned != nil || !c.demand.lapsedAt.IsZero() {
 			c.demand.lapsedAt = now
@@ -56,9 +56,9 @@
 
 // partWeight is the weight of a pool's back ends in a zone that together take their part
 // of the new flows; the greatest weight is 1.
-func (c *control) partWeight(parts map[demand.Zone]float64, place demand.Place) float64 {
+func (c *control) partWeight(parts map[demand.Zone]float64, place demand.ZonePool) float64 {
 	each := func(zone demand.Zone) float64 {
-		backends := c.demand.room.backends[demand.Place{Pool: place.Pool, Zone: zone}]
+		backends := c.demand.room.backends[demand.ZonePool{Pool: place.Pool, Zone: zone}]
 		return math.Max(parts[zone], leastPart) / math.Max(1, float64(backends))
 	}
 	greatest := each(place.Zone)
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -40,9 +40,9 @@
 
 // plan gives a balancer a picture in which clients of its zone ask, and plans by it.
 func (control *control) plan(now time.Time) bool {
-	control.demand.tree.See(asksOf("maadi", 5, 5, now), demand.Levels{})
-	picture := control.demand.tree.Picture(now)
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	control.demand.tree.SetOwn(asksOf("maadi", 5, 5, now), demand.Position{})
+	picture := control.demand.tree.Aggregate(now)
+	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
 	return control.divide(now)
 }
 
@@ -131,7 +131,7 @@
 	for _, elsewhere := range []int{14, 1400, 14_000} {
 		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.room.backends = map[demand.Place]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
+			control.demand.room.backends = map[demand.ZonePool]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
 			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
 			taken := func(zone string, backends int) float64 {
 				weight := math.Ceil(control.partWeight(parts, lendingIn(zone)) * rule.MaximumWeight)
@@ -178,9 +178,9 @@
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
 		picture := *control.demand.picture.Load()
-		picture.At = now
+		picture.OldestAt = now
 		if step%4 == 0 {
-			picture.At = now.Add(-demand.FreshFor - time.Second)
+			picture.OldestAt = now.Add(-demand.MaximumAge - time.Second)
 		}
 		control.demand.picture.Store(&picture)
 		if control.divide(now) {
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -129,8 +129,8 @@
 	now := arrivedAt.Add(300 * time.Millisecond)
 	traffic.routeEarlyPackets(table, now)
 	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
-	receive := func(sentAt time.Time) []evidence.Statement {
-		traffic.flows.Hear(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
+	receive := func(sentAt time.Time) []evidence.Observation {
+		traffic.flows.Receive(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
 		return traffic.flows.TakeStatements()
 	}
 	require.Empty(t, receive(arrivedAt.Add(100*time.Millisecond)))
@@ -190,7 +190,7 @@
 	known := directory.New(time.Minute)
 	known.Apply(newTestBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
-		Weigh: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
+		Weight: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
 // newTestBatch returns the entries of a directory with one back end.
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		for backend, finding := range each.findings {
-			joined[backend] = joined[backend].Plus(finding)
+			joined[backend] = joined[backend].Merge(finding)
 		}
 	}
 	return joined
@@ -82,7 +82,7 @@
 	joined := f.here(now)
 	if f.parent.fresh(now) {
 		for backend, finding := range f.parent.findings {
-			joined[backend] = joined[backend].Or(finding)
+			joined[backend] = joined[backend].Stronger(finding)
 		}
 	}
 	return joined
@@ -94,9 +94,9 @@
 	for backend, finding := range found {
 		encoded = append(encoded, &apiv1.BackendFinding{
 			Number:          backend.Number,
-			Failing:         float32(finding.Failing.Part),
+			Failing:         float32(finding.Failing.Fraction),
 			FailingEvidence: float32(finding.Failing.Evidence),
-			Slow:            float32(finding.Slow.Part),
+			Slow:            float32(finding.Slow.Fraction),
 			SlowEvidence:    float32(finding.Slow.Evidence),
 
 			StartedMilliseconds: uint64(backend.Start),
@@ -113,8 +113,8 @@
 	for _, each := range encoded {
 		backend := incarnation.ID{Number: each.GetNumber(), Start: incarnation.Start(each.GetStartedMilliseconds())}
 		found[backend] = observe.Finding{
-			Failing: observe.Excess{Part: float64(each.GetFailing()), Evidence: float64(each.GetFailingEvidence())},
-			Slow:    observe.Excess{Part: float64(each.GetSlow()), Evidence: float64(each.GetSlowEvidence())},
+			Failing: observe.Excess{Fraction: float64(each.GetFailing()), Evidence: float64(each.GetFailingEvidence())},
+			Slow:    observe.Excess{Fraction: float64(each.GetSlow()), Evidence: float64(each.GetSlowEvidence())},
 		}
 	}
 	return found
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -18,7 +18,7 @@
 var seven = incarnation.ID{Number: 7}
 
 func failing(evidence float64) map[incarnation.ID]observe.Finding {
-	return map[incarnation.ID]observe.Finding{{Number: 7}: {Failing: observe.Excess{Part: 0.5, Evidence: evidence}}}
+	return map[incarnation.ID]observe.Finding{{Number: 7}: {Failing: observe.Excess{Fraction: 0.5, Evidence: evidence}}}
 }
 
 // One balancer sees too few answers to be sure; a tree of them is.
@@ -43,7 +43,7 @@
 func TestFindingsInAMessageAreBounded(t *testing.T) {
 	found := make(map[incarnation.ID]observe.Finding)
 	for number := range uint64(1000) {
-		found[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Part: 0.5, Evidence: float64(number)}}
+		found[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Fraction: 0.5, Evidence: float64(number)}}
 	}
 	encoded := encodeFindings(found)
 	require.Len(t, encoded, findingsLimit)
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -14,12 +14,12 @@
 	c.observed.limits.plan(c.demand.picture.Load(), now)
 	changed := c.observed.judge(found, c.core.OrderSize())
 	for backend, health := range c.observed.unwell {
-		if before[backend].Well() {
+		if before[backend].Healthy() {
 			c.tellHealth("Control: back end counts as unwell.", backend, health, found[backend])
 		}
 	}
 	for backend := range before {
-		if c.observed.unwell[backend].Well() {
+		if c.observed.unwell[backend].Healthy() {
 			c.tellHealth("Control: back end counts as well again.", backend, observe.Health{}, found[backend])
 		}
 	}
@@ -35,6 +35,6 @@
 		}
 	}
 	c.balancer.logger.Info(message, "backend", name, "pool", pool, "failing", rounded(health.Failing), "slow", rounded(health.Slow),
-		"failing_part", rounded(found.Failing.Part), "failing_evidence", rounded(found.Failing.Evidence),
-		"slow_part", rounded(found.Slow.Part), "slow_evidence", rounded(found.Slow.Evidence))
+		"failing_part", rounded(found.Failing.Fraction), "failing_evidence", rounded(found.Failing.Evidence),
+		"slow_part", rounded(found.Slow.Fraction), "slow_evidence", rounded(found.Slow.Evidence))
 }
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -14,13 +14,13 @@
 // flows; the others by their whole pool.
 type healthLimits struct {
 	// places are those of the back ends that are unwell and listed.
-	places map[incarnation.ID]demand.Place
+	places map[incarnation.ID]demand.ZonePool
 	// sums are those of the places that have such back ends, and pools those of their pools.
-	sums  map[demand.Place]healthSum
+	sums  map[demand.ZonePool]healthSum
 	pools map[demand.Pool]healthSum
 	// parts are the parts of what health takes off that may be taken off. Places that are
 	// not listed have no bound.
-	parts map[demand.Place]float64
+	parts map[demand.ZonePool]float64
 }
 
 // healthSum is what the back ends of a place or a pool that take new flows handle at once.
@@ -37,8 +37,8 @@
 // measureHealth sums up the back ends that take new flows, with each new table.
 func (c *control) measureHealth(evacuated map[string]uint64, warming *warming, now time.Time) {
 	made := healthLimits{
-		places: make(map[incarnation.ID]demand.Place, len(c.observed.unwell)),
-		sums:   make(map[demand.Place]healthSum),
+		places: make(map[incarnation.ID]demand.ZonePool, len(c.observed.unwell)),
+		sums:   make(map[demand.ZonePool]healthSum),
 		pools:  make(map[demand.Pool]healthSum),
 	}
 	if len(c.observed.unwell) > 0 {
@@ -61,7 +61,7 @@
 		}
 		slots := slotsOf(backend)
 		sum = sum.plus(healthSum{backends: 1, slots: slots, well: slots})
-		if health := seen.unwell[backend.Incarnation()]; !health.Well() {
+		if health := seen.unwell[backend.Incarnation()]; !health.Healthy() {
 			unwell = true
 			l.places[backend.Incarnation()] = place
 			sum.well -= slots * (1 - shares.HealthWeight(health))
@@ -74,17 +74,17 @@
 }
 
 // plan plans the parts by the demand of now, where a picture tells it.
-func (l *healthLimits) plan(picture *demand.Picture, now time.Time) {
-	l.parts = make(map[demand.Place]float64, len(l.sums))
+func (l *healthLimits) plan(picture *demand.Aggregate, now time.Time) {
+	l.parts = make(map[demand.ZonePool]float64, len(l.sums))
 	for place, sum := range l.sums {
 		waiting := 0.0
 		if picture.Fresh(now) {
-			waiting = picture.Places[place].Waiting
+			waiting = picture.Loads[place].InFlight
 		}
 		if sum.backends < localEnough {
 			sum = l.pools[place.Pool]
 			if picture.Fresh(now) {
-				waiting, _ = picture.Whole(place.Pool)
+				waiting, _ = picture.PoolTotals(place.Pool)
 			}
 		}
 		l.parts[place] = shares.HealthLimit(sum.slots, sum.well, waiting)
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -18,7 +18,7 @@
 func slowOnes(count int) map[incarnation.ID]observe.Finding {
 	found := make(map[incarnation.ID]observe.Finding)
 	for number := range count {
-		found[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Part: 0.9, Evidence: 1000}}
+		found[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Fraction: 0.9, Evidence: 1000}}
 	}
 	return found
 }
@@ -77,10 +77,10 @@
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
-	control.demand.tree.See(demand.Picture{At: now, Balancers: 1, Zones: map[demand.Zone]int{"maadi": 1},
-		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
-	picture := control.demand.tree.Picture(now)
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	control.demand.tree.SetOwn(demand.Aggregate{OldestAt: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {InFlight: 40, Offered: 100}}}, demand.Position{})
+	picture := control.demand.tree.Aggregate(now)
+	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
 	control.allFindings.own = slowOnes(5)
 	require.True(t, control.judgeHealth(now), "another table")
 	control.rebuildTable(now)
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -16,13 +16,13 @@
 	// nonEmpty spares the traffic goroutine from taking the lock for each packet.
 	nonEmpty atomic.Bool
 	mutex    sync.Mutex
-	removed  []evidence.Statement
+	removed  []evidence.Observation
 	// lost counts the observations that did not fit.
 	lost atomic.Uint64
 }
 
 // put adds as many of the observations as fit.
-func (m *mailbox) put(observations []evidence.Statement) {
+func (m *mailbox) put(observations []evidence.Observation) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fit := min(len(observations), mailboxLimit-len(m.removed))
@@ -32,7 +32,7 @@
 }
 
 // take empties the mailbox and returns what it held.
-func (m *mailbox) take() []evidence.Statement {
+func (m *mailbox) take() []evidence.Observation {
 	if !m.nonEmpty.Load() {
 		return nil
 	}
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -100,7 +100,7 @@
 	counter(earlyDescription, traffic.earlyBuffer.sent.Load(), "sent")
 	counter(earlyDescription, traffic.earlyBuffer.lost.Load(), "lost")
 	counter(lostObservationsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
-	counter(lostObservationsDescription, balancer.control.testimony.board.Refused.Load(), "a_second")
+	counter(lostObservationsDescription, balancer.control.testimony.board.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
@@ -123,10 +123,10 @@
 	}
 	reported := make(map[string]bool)
 	for _, level := range traffic.flows.Levels().All() {
-		gauge(refusedFractionDescription, level.Refused, level.Pool, priorityLabel(level.Urgency))
+		gauge(refusedFractionDescription, level.Fraction, level.Pool, priorityLabel(level.Priority))
 		if !reported[level.Pool] {
 			reported[level.Pool] = true
-			gauge(refusalPressureDescription, level.Pressure.Waiting, level.Pool)
+			gauge(refusalPressureDescription, level.Pressure.RequestsPerSlot, level.Pool)
 		}
 	}
 	if table := balancer.table.Load(); table != nil {
@@ -143,7 +143,7 @@
 	gauge(readyDescription, ready)
 }
 
-func priorityLabel(urgency admission.Urgency) string { return strconv.FormatUint(uint64(urgency), 10) }
+func priorityLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
 
 // serveMetrics serves the metrics if the settings give an address for them.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -69,7 +69,7 @@
 }
 
 func (o *observed) remoteShare(pool string, zone *poolZones) float64 {
-	return shares.Remote(o.waiting[pool]*float64(o.balancers), zone.localSlots, zone.remoteSlots)
+	return shares.RemoteShare(o.waiting[pool]*float64(o.balancers), zone.localSlots, zone.remoteSlots)
 }
 
 // take follows a summary and tells whether the table should be made anew.
@@ -82,7 +82,7 @@
 		return false
 	}
 	changed := false
-	for pool := range summary.Waiting {
+	for pool := range summary.InFlight {
 		if zone := o.zones[pool]; zone != nil && !o.divided[pool] {
 			changed = changed || math.Abs(o.remoteShare(pool, zone)-o.remote[pool]) > shareStep
 		}
@@ -95,7 +95,7 @@
 func (o *observed) judge(found map[incarnation.ID]observe.Finding, observers int) bool {
 	unwell := make(map[incarnation.ID]observe.Health, len(o.unwell))
 	for backend, finding := range found {
-		if health := finding.Health(observers, o.unwell[backend]); !health.Well() {
+		if health := finding.Health(observers, o.unwell[backend]); !health.Healthy() {
 			unwell[backend] = health
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	for backend := range o.healthWeights {
-		if o.unwell[backend].Well() {
+		if o.unwell[backend].Healthy() {
 			return true
 		}
 	}
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -48,27 +48,27 @@
 // clients ask. It is unknown while the picture is one of less than half of the balancers
 // listed, or while nothing was seen here: those left out may be short of room, or not. It is
 // none while the picture shows room.
-func (p *pressures) on(pool demand.Pool, own demand.Zone, picture *demand.Picture, listed zoneCounts) admission.Pressure {
+func (p *pressures) on(pool demand.Pool, own demand.Zone, picture *demand.Aggregate, listed zoneCounts) admission.Pressure {
 	if picture == nil || 2*picture.Balancers < listed.total() {
 		return admission.Pressure{}
 	}
-	waiting, room := picture.Whole(pool)
+	waiting, room := picture.PoolTotals(pool)
 	part := askedPart(pool, own, picture)
 	if room == 0 || part == 0 {
 		return admission.Pressure{}
 	}
-	seenAt := picture.At
+	seenAt := picture.OldestAt
 	if p.lastSummaryAt.Before(seenAt) {
 		seenAt = p.lastSummaryAt
 	}
 	if waiting < confirmedAt*room {
 		return admission.Pressure{SeenAt: seenAt}
 	}
-	scale := float64(picture.Zones[own]) / part
+	scale := float64(picture.ZoneBalancers[own]) / part
 	if waiting >= leastWaiting*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.asks.grown(pool, picture.At), mostGrown(picture.Zones[own]))
+		waiting = p.waiting[string(pool)] * scale / min(p.asks.grown(pool, picture.OldestAt), mostGrown(picture.ZoneBalancers[own]))
 	}
-	return admission.Pressure{Waiting: waiting / room, SeenAt: seenAt}
+	return admission.Pressure{RequestsPerSlot: waiting / room, SeenAt: seenAt}
 }
 
 const (
@@ -92,11 +92,11 @@
 
 // saturated tells whether a pool has no free slot, as far as is known. It errs towards
 // saturation, by which answers count for nothing for a while.
-func (p *pressures) saturated(pool demand.Pool, own demand.Zone, picture *demand.Picture) bool {
+func (p *pressures) saturated(pool demand.Pool, own demand.Zone, picture *demand.Aggregate) bool {
 	if picture == nil {
 		return false
 	}
-	waiting, room := picture.Whole(pool)
+	waiting, room := picture.PoolTotals(pool)
 	if room == 0 {
 		return false
 	}
@@ -104,16 +104,16 @@
 		return true
 	}
 	part, here := askedPart(pool, own, picture), p.waiting[string(pool)]
-	return part > 0 && here >= saturatedWaiting && here*float64(picture.Zones[own])/part >= saturatedHere*room
+	return part > 0 && here >= saturatedWaiting && here*float64(picture.ZoneBalancers[own])/part >= saturatedHere*room
 }
 
 // askedPart is the part of what is asked of a pool that the clients of a zone ask, by the
 // balancers that the picture has. Others may be gone, and what they carried passes those
 // that are left: to take them for as busy made pressure of a roll of half the machines.
-func askedPart(pool demand.Pool, own demand.Zone, picture *demand.Picture) float64 {
+func askedPart(pool demand.Pool, own demand.Zone, picture *demand.Aggregate) float64 {
 	mine, all := 0.0, 0.0
-	for zone := range picture.Zones {
-		asks := picture.Places[demand.Place{Pool: pool, Zone: zone}].Asks
+	for zone := range picture.ZoneBalancers {
+		asks := picture.Loads[demand.ZonePool{Pool: pool, Zone: zone}].Offered
 		all += asks
 		if zone == own {
 			mine = asks
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -15,18 +15,18 @@
 	made := &pressures{smoothedWaiting: newSmoothedWaiting()}
 	for step := range 20 {
 		made.follow(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
-			Waiting: map[string]float64{"lending": waiting}})
+			InFlight: map[string]float64{"lending": waiting}})
 	}
 	return made
 }
 
 // uneven is a picture of two zones: three balancers whose clients ask for a quarter, and
 // one whose clients ask for the rest.
-func uneven(at time.Time) *demand.Picture {
-	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
-	made := demand.Picture{At: at, Balancers: 4, Zones: map[demand.Zone]int{"maadi": 3, "giza": 1},
-		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 40}, giza: {Asks: 300, Waiting: 40}}}
-	return made.WithRoom(map[demand.Place]float64{maadi: 10, giza: 10})
+func uneven(at time.Time) *demand.Aggregate {
+	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	made := demand.Aggregate{OldestAt: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
+		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 40}, giza: {Offered: 300, InFlight: 40}}}
+	return made.WithSlots(map[demand.ZonePool]float64{maadi: 10, giza: 10})
 }
 
 // Balancers of zones in uneven demand see different parts of it, and must come to the
@@ -36,8 +36,8 @@
 	// Of 80 requests that wait, 20 come from maadi.
 	inMaadi := seen(20.0/3, now).on("lending", "maadi", uneven(now), listed)
 	inGiza := seen(60, now).on("lending", "giza", uneven(now), listed)
-	require.InDelta(t, 4, inMaadi.Waiting, 0.05)
-	require.InDelta(t, 4, inGiza.Waiting, 0.05)
+	require.InDelta(t, 4, inMaadi.RequestsPerSlot, 0.05)
+	require.InDelta(t, 4, inGiza.RequestsPerSlot, 0.05)
 	require.Equal(t, now, inMaadi.SeenAt)
 }
 
@@ -65,9 +65,9 @@
 func TestBalancersThatAreGoneCarryNothing(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	rolled := uneven(now)
-	rolled.Balancers, rolled.Zones = 3, map[demand.Zone]int{"maadi": 2, "giza": 1}
-	require.InDelta(t, 4, seen(20.0/2, now).on("lending", "maadi", rolled, listed).Waiting, 0.05)
-	require.InDelta(t, 4, seen(60, now).on("lending", "giza", rolled, listed).Waiting, 0.05)
+	rolled.Balancers, rolled.ZoneBalancers = 3, map[demand.Zone]int{"maadi": 2, "giza": 1}
+	require.InDelta(t, 4, seen(20.0/2, now).on("lending", "maadi", rolled, listed).RequestsPerSlot, 0.05)
+	require.InDelta(t, 4, seen(60, now).on("lending", "giza", rolled, listed).RequestsPerSlot, 0.05)
 }
 
 // What one balancer sees is multiplied by all, so chance, or a part of next to nothing in a
@@ -75,12 +75,12 @@
 func TestPressureIsNoneWhileThePictureShowsRoom(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	quiet := uneven(now)
-	quiet.Places = map[demand.Place]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Asks: 1e-9, Waiting: 1e-9},
-		{Pool: "lending", Zone: "giza"}:  {Asks: 100, Waiting: 15},
+	quiet.Loads = map[demand.ZonePool]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {Offered: 1e-9, InFlight: 1e-9},
+		{Pool: "lending", Zone: "giza"}:  {Offered: 100, InFlight: 15},
 	}
 	pressure := seen(20, now).on("lending", "maadi", quiet, listed)
-	require.Zero(t, pressure.Waiting)
+	require.Zero(t, pressure.RequestsPerSlot)
 	require.Equal(t, now, pressure.SeenAt)
 }
 
@@ -88,20 +88,20 @@
 func TestPressureOfFewRequestsIsThatOfThePicture(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	few := uneven(now)
-	few.Places = map[demand.Place]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0},
-		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 40},
+	few.Loads = map[demand.ZonePool]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0},
+		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 40},
 	}
-	require.InDelta(t, 2, seen(1, now).on("lending", "maadi", few, listed).Waiting, 1e-9, "not 45")
+	require.InDelta(t, 2, seen(1, now).on("lending", "maadi", few, listed).RequestsPerSlot, 1e-9, "not 45")
 }
 
 // A burst is known here before the picture tells of it, and for a moment after it has ended.
 func TestPoolIsSaturatedWhileItHasNoFreeSlot(t *testing.T) {
 	now := time.Now()
 	idle := uneven(now)
-	idle.Places = map[demand.Place]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Asks: 100, Waiting: 5},
-		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 5},
+	idle.Loads = map[demand.ZonePool]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {Offered: 100, InFlight: 5},
+		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 5},
 	}
 	require.False(t, seen(0, now).saturated("lending", "maadi", nil), "no picture")
 	require.False(t, seen(0.5, now).saturated("lending", "maadi", idle))
@@ -109,8 +109,8 @@
 	require.True(t, seen(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
 	require.False(t, seen(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
 	lone := uneven(now)
-	lone.Places = map[demand.Place]demand.Load{{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0.1},
-		{Pool: "lending", Zone: "giza"}: {Asks: 300, Waiting: 5}}
+	lone.Loads = map[demand.ZonePool]demand.Load{{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0.1},
+		{Pool: "lending", Zone: "giza"}: {Offered: 300, InFlight: 5}}
 	require.False(t, seen(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
 	require.False(t, seen(50, now).saturated("covers", "maadi", idle), "no room is known")
 	made := newGate()
@@ -126,7 +126,7 @@
 // ask passed this one, where the picture had a half of it; or this one had just started.
 func TestPressureIsNotThatOfAPartThatHasGrown(t *testing.T) {
 	begun, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
-	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
+	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
 		t.Run(name, func(t *testing.T) {
 			made := &pressures{smoothedWaiting: newSmoothedWaiting()}
@@ -136,12 +136,12 @@
 					asked, waiting = 30, 2
 				}
 				made.follow(&observe.Summary{At: begun.Add(time.Duration(step) * 250 * time.Millisecond),
-					Waiting: map[string]float64{"lending": waiting}, Places: map[demand.Place]demand.Load{maadi: {Asks: asked}}})
+					InFlight: map[string]float64{"lending": waiting}, Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: asked}}})
 			}
-			picture := demand.Picture{At: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, Zones: map[demand.Zone]int{"maadi": 2, "giza": 1},
-				Places: map[demand.Place]demand.Load{maadi: {Asks: 30, Waiting: 4}, giza: {Asks: 90, Waiting: 4}}}
-			pressure := made.on("lending", "maadi", picture.WithRoom(map[demand.Place]float64{maadi: 3, giza: 3}), listed)
-			require.LessOrEqual(t, pressure.Waiting, 8/6.0*1.1, "not 16 of 6 slots")
+			picture := demand.Aggregate{OldestAt: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 2, "giza": 1},
+				Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 30, InFlight: 4}, giza: {Offered: 90, InFlight: 4}}}
+			pressure := made.on("lending", "maadi", picture.WithSlots(map[demand.ZonePool]float64{maadi: 3, giza: 3}), listed)
+			require.LessOrEqual(t, pressure.RequestsPerSlot, 8/6.0*1.1, "not 16 of 6 slots")
 		})
 	}
 }
@@ -151,10 +151,10 @@
 // which few requests pass takes what waits from the picture.
 func TestFewRequestsHereRefuseNobodyTwoSecondsAfterABurst(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 20, "giza": 40}
-	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
-	burst := demand.Picture{At: now.Add(-2500 * time.Millisecond), Balancers: 60, Zones: map[demand.Zone]int{"maadi": 20, "giza": 40},
-		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 8}, giza: {Asks: 200, Waiting: 16}}}
-	picture := burst.WithRoom(map[demand.Place]float64{maadi: 2, giza: 4})
+	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	burst := demand.Aggregate{OldestAt: now.Add(-2500 * time.Millisecond), Balancers: 60, ZoneBalancers: map[demand.Zone]int{"maadi": 20, "giza": 40},
+		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 8}, giza: {Offered: 200, InFlight: 16}}}
+	picture := burst.WithSlots(map[demand.ZonePool]float64{maadi: 2, giza: 4})
 	here := seen(0.1, now.Add(-5*time.Second))
-	require.Less(t, here.on("lending", "maadi", picture, listed).Waiting, 3.0, "the least urgent give way from 3 on")
+	require.Less(t, here.on("lending", "maadi", picture, listed).RequestsPerSlot, 3.0, "the least urgent give way from 3 on")
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -23,17 +23,17 @@
 	evacuated := c.evacuated()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.replica, tokenroute.Options{
-		Weigh:      weights.of,
-		WeighPlace: weights.ofPlace,
-		Evacuated:  evacuated,
-		Warm:       c.newWarming(now).teller(),
-		Former:     c.formerPools(now),
-		ByZone:     weights.byZone,
-		AdmitAll:   now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		Lapse:      c.lapse(),
-		EmptyGrace: c.emptyPoolGrace(),
-		Previous:   c.balancer.table.Load(),
-		Now:        now,
+		Weight:         weights.of,
+		PlaceWeight:    weights.ofPlace,
+		Evacuated:      evacuated,
+		Warmup:         c.newWarming(now).teller(),
+		FormerPools:    c.formerPools(now),
+		ZoneByWeight:   weights.byZone,
+		AdmitAllPools:  now.Sub(c.firstRoutesAt) < c.flowRetention(),
+		StoreRecovery:  c.lapse(),
+		EmptyPoolGrace: c.emptyPoolGrace(),
+		Previous:       c.balancer.table.Load(),
+		Now:            now,
 	})
 	if table == nil {
 		return
@@ -43,9 +43,9 @@
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
-			"revision", revision.Text(table.Revision), "routes", table.Routes())
+			"revision", revision.Text(table.Revision), "routes", table.RouteCount())
 	}
-	if c.balancer.traffic != nil && (previous == nil || table.Restarts() > 0) {
+	if c.balancer.traffic != nil && (previous == nil || table.RestartedBackends() > 0) {
 		c.balancer.traffic.tableChanged()
 	}
 	if previous == nil {
@@ -70,12 +70,12 @@
 // the gap was shorter than the time allowed for a leaving back end, entries may have been
 // removed while this balancer still counted as in touch with the store, so the period ends
 // with that time and they take no new flows beyond it.
-func (c *control) lapse() tokenroute.Lapse {
+func (c *control) lapse() tokenroute.StoreRecovery {
 	gap, loaded := c.core.LastGap(), c.balancer.loaded.Load()
 	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
-		return tokenroute.Lapse{}
+		return tokenroute.StoreRecovery{}
 	}
-	lapse := tokenroute.Lapse{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
+	lapse := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
 	drained := gap.From.Add(time.Duration(loaded.GetDrainMilliseconds() * float64(time.Millisecond)))
 	if drained.After(lapse.Since) && drained.Before(lapse.Until) {
 		lapse.Until = drained
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -19,8 +19,8 @@
 // once: live, not draining, in no evacuated zone, warm, and well as far as is known.
 type room struct {
 	// slots is never changed, but replaced.
-	slots    map[demand.Place]float64
-	backends map[demand.Place]int
+	slots    map[demand.ZonePool]float64
+	backends map[demand.ZonePool]int
 	// zones are what each pool has in the balancer's zone and in others, cold ones too.
 	zones map[string]*poolZones
 	// counts are what groups had when they were counted last; those that have not changed
@@ -41,13 +41,13 @@
 
 // deadBackend is a back end that is no room until a time, though the directory has it.
 type deadBackend struct {
-	place demand.Place
+	place demand.ZonePool
 	until time.Time
 }
 
 // coldSlots is what a back end adds to its place from a time on.
 type coldSlots struct {
-	place demand.Place
+	place demand.ZonePool
 	slots float64
 	until time.Time
 }
@@ -65,8 +65,8 @@
 	counts := c.demand.room.counts
 	made := room{
 		dead:     c.demand.room.dead,
-		slots:    make(map[demand.Place]float64),
-		backends: make(map[demand.Place]int),
+		slots:    make(map[demand.ZonePool]float64),
+		backends: make(map[demand.ZonePool]int),
 		zones:    make(map[string]*poolZones),
 		counts:   make(map[directory.Place]groupCount, len(counts)),
 	}
@@ -114,7 +114,7 @@
 }
 
 // countEach adds the slots of a group, where back ends differ by their warmth or health.
-func (r *room) countEach(group *directory.Group, place demand.Place, warming *warming, seen *observed, now time.Time) {
+func (r *room) countEach(group *directory.Group, place demand.ZonePool, warming *warming, seen *observed, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
@@ -203,14 +203,14 @@
 		if r.dead == nil {
 			r.dead = make(map[incarnation.ID]deadBackend)
 		}
-		place := demand.Place{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
+		place := demand.ZonePool{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
 		r.dead[id] = deadBackend{place: place, until: now.Add(deadFor)}
 	}
 }
 
 // living are the slots without those of dead back ends, each of which had as many as the
 // others of its place.
-func (r *room) living(now time.Time) map[demand.Place]float64 {
+func (r *room) living(now time.Time) map[demand.ZonePool]float64 {
 	if len(r.dead) == 0 {
 		return r.slots
 	}
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -75,7 +75,7 @@
 		}
 		control.balancer.traffic.latestSummary.Store(&observe.Summary{At: now, Dead: ids})
 		control.takeDemand(now)
-		return control.balancer.Picture().Room[lendingIn("giza")]
+		return control.balancer.Picture().Slots[lendingIn("giza")]
 	}
 	require.Equal(t, 8.0, judged())
 	require.Equal(t, 4.0, judged(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
--- a/internal/balancer/smoothing.go
+++ b/internal/balancer/smoothing.go
@@ -25,7 +25,7 @@
 	}
 	part := 1 - math.Exp(-summary.At.Sub(f.lastSummaryAt).Seconds()/within.Seconds())
 	f.lastSummaryAt = summary.At
-	for pool, waiting := range summary.Waiting {
+	for pool, waiting := range summary.InFlight {
 		f.waiting[pool] += part * (waiting - f.waiting[pool])
 	}
 	return true
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -28,21 +28,21 @@
 type tellings struct {
 	// whole is the picture encoded, as at a time, and seen the picture.
 	whole  *apiv1.DemandReport
-	seen   demand.Picture
+	seen   demand.Aggregate
 	madeAt time.Time
 	// pressures are those of seen, never changed but replaced.
-	pressures map[demand.Place]float64
+	pressures map[demand.ZonePool]float64
 	told      map[string]telling
 }
 
 // telling is when a follower was told, and of which pressures, and when the next is due.
 type telling struct {
 	at, dueAt time.Time
-	pressures map[demand.Place]float64
+	pressures map[demand.ZonePool]float64
 }
 
 // next is what follows a telling at a time, or none if it must wait.
-func (t telling) next(pressures map[demand.Place]float64, now time.Time) (telling, bool) {
+func (t telling) next(pressures map[demand.ZonePool]float64, now time.Time) (telling, bool) {
 	made := telling{at: now, dueAt: now.Add(tellPause), pressures: pressures}
 	if now.Before(t.dueAt.Add(-tellEarly)) {
 		return made, now.Sub(t.at) >= soonPause && moved(t.pressures, pressures)
@@ -58,7 +58,7 @@
 func (c *control) wholeFor(follower string, now time.Time) *apiv1.DemandReport {
 	t := &c.demand.tellings
 	if t.whole == nil || now.Sub(t.madeAt) >= shareUpdateInterval {
-		t.renew(c.demand.tree.Picture(now), c.demand.room.slots, now)
+		t.renew(c.demand.tree.Aggregate(now), c.demand.room.slots, now)
 	}
 	next, may := t.told[follower].next(t.pressures, now)
 	if !may {
@@ -70,16 +70,16 @@
 		AgeMilliseconds: uint32(max(0, t.seen.Age(now)).Milliseconds()),
 		Zones:           t.whole.GetZones(),
 		Places:          t.whole.GetPlaces(),
-		Above:           uint32(c.demand.tree.Above(now)),
+		Above:           uint32(c.demand.tree.Depth(now)),
 	}
 }
 
 // renew encodes a picture, and forgets the followers that no longer call.
-func (t *tellings) renew(picture demand.Picture, room map[demand.Place]float64, now time.Time) {
+func (t *tellings) renew(picture demand.Aggregate, room map[demand.ZonePool]float64, now time.Time) {
 	t.whole, t.seen, t.madeAt = encodePicture(picture, now), picture, now
-	t.pressures = make(map[demand.Place]float64, len(picture.Places))
-	withRoom := picture.WithRoom(room)
-	for place := range picture.Places {
+	t.pressures = make(map[demand.ZonePool]float64, len(picture.Loads))
+	withRoom := picture.WithSlots(room)
+	for place := range picture.Loads {
 		t.pressures[place] = withRoom.Pressure(place)
 	}
 	if t.told == nil {
@@ -94,7 +94,7 @@
 
 // moved tells whether the pressure of a place has moved by enough to be told sooner. Places
 // without room are beyond all pressure before and after.
-func moved(before, after map[demand.Place]float64) bool {
+func moved(before, after map[demand.ZonePool]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > pressureStep }
 	for place, pressure := range after {
 		if differs(before[place], pressure) {
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -24,13 +24,13 @@
 // testimony passes on what balancers see of back ends that may be dead: up the tree
 // in calls of their own, down it in the answers for which followers wait.
 type testimony struct {
-	board evidence.Board
+	board evidence.Buffer
 	// clock names the clock of this process.
 	clock uint64
 	// parent is the balancer that is followed, its clock, and the sequence up to which
 	// it has told its statements.
 	parent string
-	theirs evidence.Clock
+	theirs evidence.RemoteClock
 	heard  uint64
 	// told is the sequence up to which the parent was told, and telling is set while a
 	// call is under way.
@@ -54,8 +54,8 @@
 }
 
 // hear takes statements of another balancer: what is new is passed on, and judged by.
-func (c *control) hear(statements []evidence.Statement, from string, now time.Time) {
-	var news []evidence.Statement
+func (c *control) hear(statements []evidence.Observation, from string, now time.Time) {
+	var news []evidence.Observation
 	for _, statement := range statements {
 		if c.testimony.board.Add(statement, from, now) {
 			news = append(news, statement)
@@ -75,9 +75,9 @@
 	leftAfter := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
 	leftBefore := c.balancer.started.Add(time.Duration(news.GetLeftBeforeNanoseconds()))
 	shown := time.Duration(news.GetClockMilliseconds()) * time.Millisecond
-	t.theirs = evidence.NewClock(news.GetClock(), shown, leftAfter, leftBefore)
+	t.theirs = evidence.NewRemoteClock(news.GetClock(), shown, leftAfter, leftBefore)
 	t.heard = max(t.heard, news.GetTestimonyLatest())
-	statements := make([]evidence.Statement, 0, len(news.GetTestimony()))
+	statements := make([]evidence.Observation, 0, len(news.GetTestimony()))
 	for _, each := range news.GetTestimony() {
 		left := leftAfter
 		if each.GetAlive() {
@@ -91,18 +91,18 @@
 // startTestify tells the balancer that is followed what it does not know yet.
 func (c *control) startTestify(ctx context.Context, now time.Time) {
 	t := &c.testimony
-	if t.telling || now.Before(t.nextTell) || !t.theirs.Known() || t.told == t.board.Latest() {
+	if t.telling || now.Before(t.nextTell) || !t.theirs.Known() || t.told == t.board.LastSequence() {
 		return
 	}
 	statements := t.board.Since(t.told, t.parent, now)
 	told := t.told
-	t.told = t.board.Latest()
+	t.told = t.board.LastSequence()
 	if len(statements) == 0 {
 		return
 	}
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.loaded.Load().GetPeerAddress(), Clock: t.theirs.ID}
 	for _, statement := range firstToTell(statements) {
-		request.Testimony = append(request.Testimony, encodeStatement(statement, t.theirs.There(statement)))
+		request.Testimony = append(request.Testimony, encodeStatement(statement, t.theirs.Translate(statement)))
 	}
 	t.telling = true
 	t.nextTell = now.Add(gatherTime)
@@ -145,7 +145,7 @@
 		c.balancer.logger.Debug("Control: statements in another clock are left out.", "peer", request.GetFromAddress())
 		return
 	}
-	statements := make([]evidence.Statement, 0, len(request.GetTestimony()))
+	statements := make([]evidence.Observation, 0, len(request.GetTestimony()))
 	for _, each := range request.GetTestimony() {
 		at := c.balancer.started.Add(time.Duration(each.GetMilliseconds()) * time.Millisecond)
 		statements = append(statements, decodeStatement(each, at))
@@ -155,7 +155,7 @@
 
 // newsOfBackends returns the statements that a follower was not told yet, once its call
 // has waited for some to gather.
-func (c *control) newsOfBackends(asking *followCall, now time.Time) []evidence.Statement {
+func (c *control) newsOfBackends(asking *followCall, now time.Time) []evidence.Observation {
 	if !asking.wantsTestimony || now.Sub(asking.receivedAt) < gatherTime {
 		return nil
 	}
@@ -163,7 +163,7 @@
 	if asking.testimonyClock != c.testimony.clock {
 		after = 0
 	}
-	if after == c.testimony.board.Latest() {
+	if after == c.testimony.board.LastSequence() {
 		return nil
 	}
 	return c.testimony.board.Since(after, asking.caller.Address, now)
@@ -171,25 +171,25 @@
 
 // addTestimony adds statements to the answer of a follower, and the clock by which it
 // can tell its own.
-func (c *control) addTestimony(reply *apiv1.FollowReply, statements []evidence.Statement, now time.Time) {
+func (c *control) addTestimony(reply *apiv1.FollowReply, statements []evidence.Observation, now time.Time) {
 	reply.Clock = c.testimony.clock
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
-	reply.TestimonyLatest = c.testimony.board.Latest()
+	reply.TestimonyLatest = c.testimony.board.LastSequence()
 	for _, statement := range firstToTell(statements) {
-		reply.Testimony = append(reply.Testimony, encodeStatement(statement, now.Sub(statement.When())))
+		reply.Testimony = append(reply.Testimony, encodeStatement(statement, now.Sub(statement.Time())))
 	}
 }
 
 // firstToTell returns the statements for which one message has room: signs of life before
 // witnesses, since who misses one would judge a back end that lives.
-func firstToTell(statements []evidence.Statement) []evidence.Statement {
+func firstToTell(statements []evidence.Observation) []evidence.Observation {
 	ordered := slices.Clone(statements)
-	slices.SortStableFunc(ordered, func(one, other evidence.Statement) int { return tellOrder(one) - tellOrder(other) })
+	slices.SortStableFunc(ordered, func(one, other evidence.Observation) int { return tellOrder(one) - tellOrder(other) })
 	return ordered[:min(len(ordered), testimonyLimit)]
 }
 
-func tellOrder(statement evidence.Statement) int {
-	if _, is := statement.(evidence.SignOfLife); is {
+func tellOrder(statement evidence.Observation) int {
+	if _, is := statement.(evidence.Activity); is {
 		return 0
 	}
 	return 1
@@ -197,25 +197,25 @@
 
 // encodeStatement returns a statement for a message, with the time in the form that the
 // message takes.
-func encodeStatement(statement evidence.Statement, at time.Duration) *apiv1.Testimony {
+func encodeStatement(statement evidence.Observation, at time.Duration) *apiv1.Testimony {
 	switch s := statement.(type) {
-	case evidence.Witness:
+	case evidence.UnansweredRequest:
 		// Rounded down it is older, or its age greater by the answer's own rounding.
 		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Client: uint32(s.Client),
 			Zone: s.Zone, Milliseconds: at.Milliseconds()}
-	case evidence.SignOfLife:
+	case evidence.Activity:
 		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Alive: true,
 			Milliseconds: at.Milliseconds()}
 	}
 	return nil
 }
 
-func decodeStatement(encoded *apiv1.Testimony, at time.Time) evidence.Statement {
+func decodeStatement(encoded *apiv1.Testimony, at time.Time) evidence.Observation {
 	backend := evidence.Backend{Number: encoded.GetNumber(), Start: incarnation.Start(encoded.GetStartedMilliseconds())}
 	if encoded.GetAlive() {
-		return evidence.SignOfLife{Backend: backend, At: at}
+		return evidence.Activity{Backend: backend, At: at}
 	}
-	return evidence.Witness{
+	return evidence.UnansweredRequest{
 		Backend: backend,
 		Client:  evidence.Client(encoded.GetClient()),
 		Zone:    encoded.GetZone(),
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -69,7 +69,7 @@
 	other.balancer.loaded.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
-	child.testimony.board.Add(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
+	child.testimony.board.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
 	child.startTestify(context.Background(), now)
 	require.False(t, child.testimony.telling, "the clock of the one that is followed is not known yet")
 
@@ -85,7 +85,7 @@
 	other.follow(t, address)
 	heard := other.testimony.board.Since(0, "", time.Now())
 	require.Len(t, heard, 1)
-	witness := heard[0].(evidence.Witness)
+	witness := heard[0].(evidence.UnansweredRequest)
 	require.Equal(t, evidence.Backend{Number: 7}, witness.Backend)
 	require.Equal(t, "maadi", witness.Zone)
 	require.False(t, witness.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
@@ -99,18 +99,18 @@
 	c := knowing(t)
 	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
 	c.takeTestimony(request, time.Now())
-	require.Zero(t, c.testimony.board.Latest())
+	require.Zero(t, c.testimony.board.LastSequence())
 	request.Clock = c.testimony.clock
 	c.takeTestimony(request, time.Now())
-	require.Equal(t, uint64(1), c.testimony.board.Latest())
+	require.Equal(t, uint64(1), c.testimony.board.LastSequence())
 }
 
 // What could not be told is told again, while it is still of use.
 func TestStatementsThatWereNotToldAreToldAgain(t *testing.T) {
 	c := knowing(t)
 	now := time.Now()
-	c.testimony.parent, c.testimony.theirs = "127.0.0.1:1", evidence.NewClock(3, 0, now, now)
-	c.testimony.board.Add(evidence.SignOfLife{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
+	c.testimony.parent, c.testimony.theirs = "127.0.0.1:1", evidence.NewRemoteClock(3, 0, now, now)
+	c.testimony.board.Add(evidence.Activity{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
 	messages, err := c.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
 	c.startTestify(context.Background(), now)
@@ -127,8 +127,8 @@
 func TestMailboxIsBounded(t *testing.T) {
 	var box mailbox
 	require.Empty(t, box.take())
-	box.put(make([]evidence.Statement, mailboxLimit-1))
-	box.put(make([]evidence.Statement, 3))
+	box.put(make([]evidence.Observation, mailboxLimit-1))
+	box.put(make([]evidence.Observation, 3))
 	require.Equal(t, uint64(2), box.lost.Load())
 	require.Len(t, box.take(), mailboxLimit)
 	require.False(t, box.nonEmpty.Load())
@@ -137,13 +137,13 @@
 
 // One message has room for so many statements; signs of life are among them.
 func TestSignsOfLifeAreToldFirst(t *testing.T) {
-	var statements []evidence.Statement
+	var statements []evidence.Observation
 	for number := range uint64(2 * testimonyLimit) {
-		statements = append(statements, evidence.Witness{Backend: evidence.Backend{Number: number}})
+		statements = append(statements, evidence.UnansweredRequest{Backend: evidence.Backend{Number: number}})
 	}
-	statements = append(statements, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}})
+	statements = append(statements, evidence.Activity{Backend: evidence.Backend{Number: 7}})
 	told := firstToTell(statements)
 	require.Len(t, told, testimonyLimit)
-	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}}, told[0])
-	require.Equal(t, evidence.Witness{Backend: evidence.Backend{Number: 0}}, told[1], "the others in their order")
+	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 7}}, told[0])
+	require.Equal(t, evidence.UnansweredRequest{Backend: evidence.Backend{Number: 0}}, told[1], "the others in their order")
 }
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -84,7 +84,7 @@
 
 // deliver passes on what other balancers have observed, so that the traffic goroutine
 // evaluates it even while no packet arrives.
-func (t *traffic) deliver(observations []evidence.Statement) {
+func (t *traffic) deliver(observations []evidence.Observation) {
 	t.inbox.put(observations)
 	t.setWakeup(pastDeadline)
 }
@@ -117,12 +117,12 @@
 	table := t.balancer.table.Load()
 	if table != nil {
 		t.routeEarlyPackets(table, now)
-		t.flows.Renew(table, now)
+		t.flows.SetTable(table, now)
 	}
 	for _, observation := range t.inbox.take() {
-		t.flows.Hear(observation, table, now)
+		t.flows.Receive(observation, table, now)
 	}
-	t.settleAt = t.flows.Settle(now)
+	t.settleAt = t.flows.EvaluatePending(now)
 	t.reportFailures(table, now)
 }
 
@@ -131,7 +131,7 @@
 func (t *traffic) reportFailures(table *tokenroute.Table, now time.Time) {
 	for _, failure := range t.flows.TakeVerdicts() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", failure.Backend.ID,
-			"pool", failure.Backend.Pool, "unanswered_here", failure.Own, "unanswered_elsewhere", failure.Told,
+			"pool", failure.Backend.Pool, "unanswered_here", failure.Local, "unanswered_elsewhere", failure.Remote,
 			"silent_for", now.Sub(failure.SilentSince).Round(time.Millisecond))
 	}
 	for _, silent := range t.flows.TakeSilentZones() {
@@ -164,7 +164,7 @@
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
-	if t.inbox.nonEmpty.Load() || t.flows.Holds() && !now.Before(t.settleAt) {
+	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
 		t.handleWakeup()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -81,7 +81,7 @@
 func (w *warming) bounded() bool { return w.overshoot != 0 || w.slack != 0 }
 
 // teller tells how cold a back end is, or is nil where all are taken for warm.
-func (w *warming) teller() func(directory.BackendEntry) tokenroute.Warming {
+func (w *warming) teller() func(directory.BackendEntry) tokenroute.Warmup {
 	if !w.bounded() {
 		return nil
 	}
@@ -89,16 +89,16 @@
 }
 
 // of tells how cold a back end is.
-func (w *warming) of(backend directory.BackendEntry) tokenroute.Warming {
+func (w *warming) of(backend directory.BackendEntry) tokenroute.Warmup {
 	until := w.warmFrom(backend)
 	if !w.now.Before(until) {
-		return tokenroute.Warming{}
+		return tokenroute.Warmup{}
 	}
 	rate := w.pools[backend.GetPool()].GetFlowsPerSecond()
-	return tokenroute.Warming{
+	return tokenroute.Warmup{
 		Until:          until,
 		FlowsPerSecond: w.allowance(backend.GetNumber(), rate*w.overshoot+w.slack),
-		Rated:          rate > 0,
+		LimitKnown:     rate > 0,
 	}
 }
 
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -89,8 +89,8 @@
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for place, c := range f.controls {
 		evacuated := c.evacuated()
-		tables[place] = tokenroute.NewTable(c.replica, tokenroute.Options{Weigh: c.weigher(evacuated, f.now),
-			Evacuated: evacuated, Warm: c.newWarming(f.now).of, Now: f.now})
+		tables[place] = tokenroute.NewTable(c.replica, tokenroute.Options{Weight: c.weigher(evacuated, f.now),
+			Evacuated: evacuated, Warmup: c.newWarming(f.now).of, Now: f.now})
 	}
 	total := perSecond * int(coldLength/time.Second)
 	for number := range total {
@@ -109,7 +109,7 @@
 }
 
 func (f *coldFleet) cold(backend *tokenroute.Backend) bool {
-	return backend.Zone == "giza" || backend.Warming.Until.After(f.now)
+	return backend.Zone == "giza" || backend.Warmup.Until.After(f.now)
 }
 
 // most is how many new flows a cold back end got in any second.
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -151,8 +151,8 @@
 }
 
 // placeOf is a place of the directory as demand knows it.
-func placeOf(place directory.Place) demand.Place {
-	return demand.Place{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
+func placeOf(place directory.Place) demand.ZonePool {
+	return demand.ZonePool{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
 }
 
 // remoteWeight is the weight, 0 to 1, of a pool's back ends in other zones.
@@ -162,7 +162,7 @@
 	}
 	remote := c.observed.remote[name]
 	if c.balancer.disabled.Has(mechanism.ZoneSharing) {
-		remote = shares.Remote(0, pool.localSlots, pool.remoteSlots)
+		remote = shares.RemoteShare(0, pool.localSlots, pool.remoteSlots)
 	}
 	weight := shares.RemoteWeight(remote, pool.localBackends, pool.remoteBackends)
 	return min(weight, 1)
