--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -68,7 +68,7 @@
 func (c *control) admit(summary *observe.Summary, now time.Time) {
 	c.gate.pressures.follow(summary)
 	picture := c.demand.picture.Load()
-	zone := demand.Zone(c.balancer.loaded.Load().GetZone())
+	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	c.balancer.traffic.flows.Saturate(c.gate.saturated(zone, picture, now))
 	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
@@ -88,7 +88,7 @@
 // tellShort tells which pools began or ceased to be short of room.
 func (c *control) tellShort(levels *admission.Refusals, picture *demand.Aggregate, now time.Time) {
 	short := make(map[string]bool)
-	zone := demand.Zone(c.balancer.loaded.Load().GetZone())
+	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	for _, level := range levels.All() {
 		if !short[level.Pool] && !c.gate.short[level.Pool] {
 			waiting, room := picture.PoolTotals(demand.Pool(level.Pool))
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -55,7 +55,7 @@
 
 // asideZone is what is known of this zone by now.
 func (c *control) asideZone(now time.Time) aside.Zone {
-	name := c.balancer.loaded.Load().GetName()
+	name := c.balancer.settings.Load().GetName()
 	place, listed := c.withdrawal.places[name]
 	if !listed {
 		return aside.Zone{} // the others don't count on it
@@ -73,7 +73,7 @@
 // tellStruggling are the statements on who struggles for a message, this balancer
 // among them.
 func (c *control) tellStruggling(now time.Time) []*apiv1.Struggling {
-	name := c.balancer.loaded.Load().GetName()
+	name := c.balancer.settings.Load().GetName()
 	if c.withdrawal.core.Struggles() {
 		c.withdrawal.picture.Take(aside.Statement{Name: name, Away: c.withdrawal.core.Aside(), At: now})
 	} else {
@@ -96,7 +96,7 @@
 	}
 	c.withdrawal.heardAt = now
 	for _, each := range told {
-		if each.GetName() == c.balancer.loaded.Load().GetName() {
+		if each.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
 		c.withdrawal.picture.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
@@ -107,7 +107,7 @@
 // takePlaces puts the balancers of this zone in an order that all know. It goes by a
 // hash of the names, so that neither strength nor naming decides.
 func (c *control) takePlaces(known []*apiv1.Balancer) {
-	zone := c.balancer.loaded.Load().GetZone()
+	zone := c.balancer.settings.Load().GetZone()
 	var names []string
 	for _, b := range known {
 		if b.GetZone() == zone {
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -69,7 +69,7 @@
 	places := make(map[int]bool)
 	for number := range 12 {
 		control := newTestControl()
-		control.balancer.loaded.Load().Name = fmt.Sprintf("edge-%d", number)
+		control.balancer.settings.Load().Name = fmt.Sprintf("edge-%d", number)
 		control.takePlaces(known)
 		zone := control.asideZone(time.Now())
 		require.Equal(t, 12, zone.Size)
@@ -77,7 +77,7 @@
 	}
 	require.Len(t, places, 12)
 	control := newTestControl()
-	control.balancer.loaded.Load().Name = "new"
+	control.balancer.settings.Load().Name = "new"
 	control.takePlaces(known)
 	require.Equal(t, aside.Zone{}, control.asideZone(time.Now()))
 }
@@ -87,8 +87,8 @@
 func TestWhoStrugglesIsToldThroughTheParent(t *testing.T) {
 	now := time.Now()
 	leaf, parent, other := newAsideControl(), newAsideControl(), newAsideControl()
-	leaf.balancer.loaded.Load().Name = "edge-2"
-	parent.balancer.loaded.Load().Name = "edge-3"
+	leaf.balancer.settings.Load().Name = "edge-2"
+	parent.balancer.settings.Load().Name = "edge-3"
 	now = leaf.open(2*time.Millisecond, 3*time.Second, now)
 	now = leaf.open(80*time.Millisecond, aside.LookInterval, now)
 	parent.hearStruggling(leaf.tellStruggling(now), true, now)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -92,7 +92,7 @@
 
 // Balancer is one running balancer.
 type Balancer struct {
-	loaded       atomic.Pointer[apiv1.BalancerSettings]
+	settings     atomic.Pointer[apiv1.BalancerSettings]
 	dependencies Dependencies
 	logger       *slog.Logger
 	// disabled holds the mechanisms that are switched off.
@@ -134,7 +134,7 @@
 		started:      time.Now(),
 		bus:          events.NewBus(),
 	}
-	balancer.loaded.Store(settings)
+	balancer.settings.Store(settings)
 	if err := balancer.listen(); err != nil {
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 }
 
 func (b *Balancer) listen() error {
-	address, err := netip.ParseAddrPort(b.loaded.Load().GetDataAddress())
+	address, err := netip.ParseAddrPort(b.settings.Load().GetDataAddress())
 	if err != nil {
 		return errors.Wrap(err, "data address")
 	}
@@ -152,13 +152,13 @@
 		return errors.Wrapf(err, "traffic: listen on %s", address)
 	}
 	b.traffic = newTraffic(b, socket)
-	peers := cmp.Or(b.dependencies.PeerListenAddress, b.loaded.Load().GetPeerAddress())
+	peers := cmp.Or(b.dependencies.PeerListenAddress, b.settings.Load().GetPeerAddress())
 	b.peerListener, err = net.Listen("tcp4", peers)
 	if err != nil {
 		return errors.Wrapf(err, "peers: listen on %s", peers)
 	}
-	b.readinessListener, err = net.Listen("tcp4", b.loaded.Load().GetReadinessAddress())
-	return errors.Wrapf(err, "readiness: listen on %s", b.loaded.Load().GetReadinessAddress())
+	b.readinessListener, err = net.Listen("tcp4", b.settings.Load().GetReadinessAddress())
+	return errors.Wrapf(err, "readiness: listen on %s", b.settings.Load().GetReadinessAddress())
 }
 
 // Ready reports whether the balancer accepts new flows.
@@ -168,7 +168,7 @@
 
 // Run serves until ctx is done.
 func (b *Balancer) Run(ctx context.Context) error {
-	settings := b.loaded.Load()
+	settings := b.settings.Load()
 	b.logger.Info("Started.", "zone", settings.GetZone(), "data", settings.GetDataAddress(),
 		"peers", settings.GetPeerAddress(), "store", settings.GetStoreAddress())
 	group, ctx := errgroup.WithContext(ctx)
@@ -224,7 +224,7 @@
 	b.logger.Info("Stopping as planned.")
 	b.stopping.Store(true)
 	began := time.Now()
-	limit := seconds(stopWaitShare * b.loaded.Load().GetStopSeconds())
+	limit := seconds(stopWaitShare * b.settings.Load().GetStopSeconds())
 	ticker := time.NewTicker(stopQuietPeriod / 4)
 	defer ticker.Stop()
 	for time.Since(began) < limit {
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -44,7 +44,7 @@
 		defer cancel()
 		return store.StaleSnapshot(ctx)
 	case replication.PollChanges:
-		wait := paceOf(c.balancer.loaded.Load()).Wait
+		wait := paceOf(c.balancer.settings.Load()).Wait
 		ctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
 		defer cancel()
 		return store.Changes(ctx, after, wait)
@@ -55,7 +55,7 @@
 	case replication.PollMembers:
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
-		return store.Members(ctx, c.balancer.loaded.Load().GetZone())
+		return store.Members(ctx, c.balancer.settings.Load().GetZone())
 	case replication.PollNone, replication.PollPage:
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -76,7 +76,7 @@
 
 // startPeerCalls starts the calls to other balancers that are due.
 func (c *control) startPeerCalls(ctx context.Context, now time.Time) {
-	c.core.SetSeeds(c.balancer.loaded.Load().GetSeeds())
+	c.core.SetSeeds(c.balancer.settings.Load().GetSeeds())
 	for {
 		peer, found := c.core.NextPeer(now)
 		if !found {
@@ -92,7 +92,7 @@
 
 // requestTo returns the request for a call to a peer. It states what this balancer knows.
 func (c *control) requestTo(peer replication.Peer, age time.Duration, now time.Time) *apiv1.FollowRequest {
-	settings := c.balancer.loaded.Load()
+	settings := c.balancer.settings.Load()
 	request := &apiv1.FollowRequest{
 		From:            settings.GetName(),
 		FromAddress:     settings.GetPeerAddress(),
@@ -113,7 +113,7 @@
 		if c.core.SharesOrder(peer.Address) {
 			// A balancer of another zone has hardly sent to the same back ends, but would
 			// count as one more observer that may find something by chance.
-			request.Findings = encodeFindings(c.allFindings.here(now))
+			request.Findings = encodeFindings(c.findings.here(now))
 			request.TakesFindings = true
 			request.Struggling, request.TellsStruggling = c.tellStruggling(now), true
 		}
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -47,16 +47,16 @@
 
 // control is the state of the control goroutine.
 type control struct {
-	balancer    *Balancer
-	replica     *directory.Directory
-	core        *replication.Core
-	client      *replication.Client
-	packer      replication.Packer
-	programs    programs
-	observed    observed
-	allFindings findings
-	demand      demandState
-	withdrawal  stepAside
+	balancer   *Balancer
+	replica    *directory.Directory
+	core       *replication.Core
+	client     *replication.Client
+	packer     replication.Packer
+	programs   programs
+	observed   observed
+	findings   findings
+	demand     demandState
+	withdrawal stepAside
 	// balancersByZone counts the balancers of each zone, this one included.
 	balancersByZone zoneCounts
 	gate            gate
@@ -94,7 +94,7 @@
 }
 
 func newControl(balancer *Balancer, random *rand.Rand) *control {
-	settings := balancer.loaded.Load()
+	settings := balancer.settings.Load()
 	retention := seconds(settings.GetFlowSeconds())
 	c := &control{
 		balancer: balancer,
@@ -200,7 +200,7 @@
 	if took >= slowBuildThreshold {
 		c.balancer.logger.Info("Control: table build was slow.", "took", took.Round(time.Millisecond))
 	}
-	c.nextBuild = now.Add(buildPause(took, paceOf(c.balancer.loaded.Load())))
+	c.nextBuild = now.Add(buildPause(took, paceOf(c.balancer.settings.Load())))
 }
 
 // buildPause returns the pause after a table build of the given duration.
@@ -219,9 +219,9 @@
 	summary := c.balancer.traffic.latestSummary.Load()
 	changed := c.observed.take(summary, now)
 	c.admit(summary, now)
-	c.allFindings.own = nil
+	c.findings.own = nil
 	if summary != nil && now.Sub(summary.At) <= observedFor {
-		c.allFindings.own = summary.Findings
+		c.findings.own = summary.Findings
 	}
 	changed = c.judgeHealth(now) || changed
 	changed = c.divide(now) || changed
@@ -246,7 +246,7 @@
 	_, knows := c.core.Age(now)
 	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
-		c.nextOperatorCheck = now.Add(paceOf(c.balancer.loaded.Load()).Poll)
+		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).Poll)
 		go c.checkOperatorEntries(ctx)
 	}
 }
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -35,7 +35,7 @@
 		started: time.Now().Add(-time.Minute),
 		bus:     events.NewBus(),
 	}
-	balancer.loaded.Store(loaded)
+	balancer.settings.Store(loaded)
 	balancer.control = newControl(balancer, rand.New(rand.NewPCG(1, 2)))
 	return balancer.control
 }
@@ -298,7 +298,7 @@
 	control := newTestControl()
 	loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1"})
 	require.NoError(t, err)
-	control.balancer.loaded.Store(loaded)
+	control.balancer.settings.Store(loaded)
 	stale := time.Duration(loaded.GetStaleMilliseconds()) * time.Millisecond
 	const readTime = 300 * time.Millisecond
 	require.Less(t, stale+tickInterval+readTime+control.emptyPoolGrace(), time.Duration(loaded.GetDrainMilliseconds())*time.Millisecond)
@@ -329,14 +329,14 @@
 	loaded.LogLevel = "debug"
 	load := func() (*apiv1.BalancerSettings, error) { return loaded, nil }
 	balancer.reload(Reloader{Load: load, Level: level})
-	require.Equal(t, "debug", balancer.loaded.Load().GetLogLevel())
+	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel())
 	require.Equal(t, slog.LevelDebug, level.Level())
 	moved := testSettings()
 	moved.DataAddress = "127.0.0.9:1"
 	balancer.reload(Reloader{Load: func() (*apiv1.BalancerSettings, error) { return moved, nil }, Level: level})
-	require.Equal(t, "debug", balancer.loaded.Load().GetLogLevel(), "a changed address needs a restart")
+	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "a changed address needs a restart")
 	balancer.reload(Reloader{Load: func() (*apiv1.BalancerSettings, error) { return nil, io.EOF }, Level: level})
-	require.Equal(t, "debug", balancer.loaded.Load().GetLogLevel(), "an invalid file changes nothing")
+	require.Equal(t, "debug", balancer.settings.Load().GetLogLevel(), "an invalid file changes nothing")
 }
 
 func policyBatch(revision uint64, name, weight string) *apiv1.DirectoryBatch {
@@ -371,7 +371,7 @@
 	c.core.PollSucceeded(replication.PollPage, false, now)
 	c.core.PollStarted(replication.PollSnapshot, now)
 	c.core.PollSucceeded(replication.PollSnapshot, false, now)
-	now = now.Add(2 * paceOf(c.balancer.loaded.Load()).Poll)
+	now = now.Add(2 * paceOf(c.balancer.settings.Load()).Poll)
 	require.NotEqual(t, replication.PollSnapshot, c.core.NextPoll(now))
 	check := routesBatch(6)
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -46,7 +46,7 @@
 		d.own.Observe(summary.Loads, summary.At)
 		d.room.takeDead(summary, c.balancer.table.Load(), now)
 	}
-	zone := demand.Zone(c.balancer.loaded.Load().GetZone())
+	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	above, all := c.core.Levels()
 	d.tree.SetOwn(d.own.Aggregate(zone, now), demand.Position{Depth: above, TreeHeight: all})
 	d.room.look(now)
@@ -132,7 +132,7 @@
 		return
 	}
 	d.telling = true
-	request := &apiv1.TestifyRequest{FromAddress: c.balancer.loaded.Load().GetPeerAddress(), Demand: report}
+	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Demand: report}
 	client := c.testimony.client
 	go func() {
 		err := client.Testify(ctx, parent, request)
--- a/internal/balancer/divide.go
+++ b/internal/balancer/divide.go
@@ -21,7 +21,7 @@
 	if !c.steady(picture, now) || off.Has(mechanism.DemandShares) || off.Has(mechanism.ZoneSharing) {
 		return c.observed.plan(nil)
 	}
-	own := demand.Zone(c.balancer.loaded.Load().GetZone())
+	own := demand.Zone(c.balancer.settings.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
 	for pool := range picture.ZonePools() {
 		if parts := shares.ZoneShares(shares.ZoneLoads(picture, pool, own, c.balancersByZone), own); parts != nil {
--- a/internal/balancer/early.go
+++ b/internal/balancer/early.go
@@ -28,7 +28,7 @@
 // retransmits it up to 1.6 s later. The zero value is empty. It belongs to the traffic
 // goroutine.
 type earlyBuffer struct {
-	removed []earlyPacket
+	packets []earlyPacket
 	// sent counts the packets that were routed by the first table, and lost those that
 	// were too old by then or did not fit.
 	sent, lost atomic.Uint64
@@ -44,18 +44,18 @@
 // add stores a copy of a packet, replacing an earlier transmission of the same packet.
 func (e *earlyBuffer) add(packet tokenroute.Packet, datagram []byte, now time.Time) {
 	e.expire(now)
-	for place := range e.removed {
-		if e.removed[place].sameAs(packet) {
-			e.removed = slices.Delete(e.removed, place, place+1)
+	for place := range e.packets {
+		if e.packets[place].sameAs(packet) {
+			e.packets = slices.Delete(e.packets, place, place+1)
 			break
 		}
 	}
-	if len(e.removed) >= maxEarlyPackets {
+	if len(e.packets) >= maxEarlyPackets {
 		// The client of the oldest packet is the first to retransmit.
-		e.removed = slices.Delete(e.removed, 0, 1)
+		e.packets = slices.Delete(e.packets, 0, 1)
 		e.lost.Add(1)
 	}
-	e.removed = append(e.removed, earlyPacket{packet: packet, datagram: append([]byte(nil), datagram...), receivedAt: now})
+	e.packets = append(e.packets, earlyPacket{packet: packet, datagram: append([]byte(nil), datagram...), receivedAt: now})
 }
 
 // sameAs reports whether a packet is a retransmission of the stored one.
@@ -70,8 +70,8 @@
 // arrived.
 func (e *earlyBuffer) take(now time.Time) []earlyPacket {
 	e.expire(now)
-	removed := e.removed
-	e.removed = nil
+	removed := e.packets
+	e.packets = nil
 	slices.SortStableFunc(removed, func(a, b earlyPacket) int { return a.rank() - b.rank() })
 	e.sent.Add(uint64(len(removed)))
 	return removed
@@ -91,12 +91,12 @@
 }
 
 // pending reports whether any packet is stored.
-func (e *earlyBuffer) pending() bool { return len(e.removed) > 0 }
+func (e *earlyBuffer) pending() bool { return len(e.packets) > 0 }
 
 func (e *earlyBuffer) expire(now time.Time) {
-	before := len(e.removed)
-	e.removed = slices.DeleteFunc(e.removed, func(p earlyPacket) bool { return now.Sub(p.receivedAt) >= p.maxAge() })
-	e.lost.Add(uint64(before - len(e.removed)))
+	before := len(e.packets)
+	e.packets = slices.DeleteFunc(e.packets, func(p earlyPacket) bool { return now.Sub(p.receivedAt) >= p.maxAge() })
+	e.lost.Add(uint64(before - len(e.packets)))
 }
 
 // maxAge returns how long the packet may wait.
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -62,7 +62,7 @@
 		logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 		started: time.Now(), dependencies: Dependencies{Codec: codec},
 	}
-	balancer.loaded.Store(testSettings())
+	balancer.settings.Store(testSettings())
 	balancer.traffic = newTraffic(balancer, listenLoopback(t))
 	return balancer.traffic
 }
@@ -223,7 +223,7 @@
 				logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 				started: time.Now(), disabled: disabled, dependencies: Dependencies{Codec: testCodec{}},
 			}
-			balancer.loaded.Store(testSettings())
+			balancer.settings.Store(testSettings())
 			socket, backend, client := listenLoopback(t), listenLoopback(t), listenLoopback(t)
 			balancer.traffic = newTraffic(balancer, socket)
 			balancer.control = newControl(balancer, rand.New(rand.NewPCG(1, 2)))
--- a/internal/balancer/export_test.go
+++ b/internal/balancer/export_test.go
@@ -12,7 +12,7 @@
 // SetAdvertisedPeerAddress changes the address that other balancers are given for calls.
 // It must be called before Run.
 func (b *Balancer) SetAdvertisedPeerAddress(address string) {
-	settings := b.loaded.Load()
+	settings := b.settings.Load()
 	settings.PeerAddress = address
 	settings.Seeds = append(settings.Seeds, address)
 	b.control = newControl(b, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -88,10 +88,10 @@
 	control.enqueueFollow(&followCall{caller: caller, receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)})
 	control.enqueueFollow(&followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), revisionOnly: true,
 		reply: make(chan *apiv1.FollowReply, 1)})
-	require.InDelta(t, 9, control.allFindings.all(now)[seven].Failing.Evidence, 1e-6)
+	require.InDelta(t, 9, control.findings.all(now)[seven].Failing.Evidence, 1e-6)
 	well := &followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
 	control.enqueueFollow(well)
-	require.Empty(t, control.allFindings.all(now), "a follower that finds nothing any more says so")
+	require.Empty(t, control.findings.all(now), "a follower that finds nothing any more says so")
 }
 
 // Balancers of another zone hardly see the same back ends. Their findings would
@@ -105,7 +105,7 @@
 			Zone: []string{"maadi", "giza"}[place%2]})
 	}
 	control.core.SetBalancers(known, now)
-	control.allFindings.own = failing(9)
+	control.findings.own = failing(9)
 	follow := func(address string) *apiv1.FollowRequest {
 		return control.requestTo(replication.Peer{Address: address, Purpose: replication.PurposeFollow}, 0, now)
 	}
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -151,7 +151,7 @@
 		c.hearStruggling(call.struggling, call.reportsStruggling, call.receivedAt)
 	}
 	if call.isFollow() {
-		c.allFindings.takeFollower(call.caller.Address, call.findings, call.receivedAt)
+		c.findings.takeFollower(call.caller.Address, call.findings, call.receivedAt)
 	}
 	c.takeReport(call.caller.Address, call.demand, call.receivedAt)
 	if len(c.waitingCalls) >= maxWaitingFollowers {
@@ -163,7 +163,7 @@
 // answerWaiting answers the followers for which there is news: entries, or a confirmation
 // more recent than the one that they had when they asked.
 func (c *control) answerWaiting(now time.Time) {
-	allFindings := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.allFindings.all(now)) })
+	allFindings := sync.OnceValue(func() []*apiv1.BackendFinding { return encodeFindings(c.findings.all(now)) })
 	remaining := c.waitingCalls[:0]
 	for _, call := range c.waitingCalls {
 		if call.disconnected() || c.answer(call, now, allFindings) {
@@ -182,7 +182,7 @@
 	if !known && now.Before(call.deadline) {
 		return false
 	}
-	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.loaded.Load()).Younger
+	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
 	observations := c.newsOfBackends(call, now)
 	if call.afterRevision >= c.replica.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
 		return false
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -10,7 +10,7 @@
 // judgeHealth judges back ends by what all balancers found of them, and tells whether the
 // table should be made anew.
 func (c *control) judgeHealth(now time.Time) bool {
-	before, found := c.observed.unwell, c.allFindings.all(now)
+	before, found := c.observed.unwell, c.findings.all(now)
 	c.observed.limits.plan(c.demand.picture.Load(), now)
 	changed := c.observed.judge(found, c.core.OrderSize())
 	for backend, health := range c.observed.unwell {
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -81,7 +81,7 @@
 		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {InFlight: 40, Offered: 100}}}, demand.Position{})
 	picture := control.demand.tree.Aggregate(now)
 	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
-	control.allFindings.own = slowOnes(5)
+	control.findings.own = slowOnes(5)
 	require.True(t, control.judgeHealth(now), "another table")
 	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -19,7 +19,7 @@
 // expire, because an entry expires after three missed heartbeats.
 func TestShortStoreGapGivesNoGrace(t *testing.T) {
 	control := newTestControl()
-	control.balancer.loaded.Load().DrainMilliseconds = 3000
+	control.balancer.settings.Load().DrainMilliseconds = 3000
 	confirmedAt := time.Now()
 	initial := routesBatch(5)
 	initial.Changes = append(initial.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
@@ -43,7 +43,7 @@
 		{gap: 10 * time.Second, until: 12 * time.Second},
 	} {
 		control := newTestControl()
-		loaded := control.balancer.loaded.Load()
+		loaded := control.balancer.settings.Load()
 		loaded.DrainMilliseconds, loaded.HeartbeatMilliseconds, loaded.LapseMilliseconds = 3000, 1200, 2000
 		confirmedAt := time.Now()
 		for revision, at := range []time.Time{confirmedAt, confirmedAt.Add(each.gap)} {
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -14,9 +14,9 @@
 // which waits for the other. Its zero value is empty.
 type mailbox struct {
 	// nonEmpty spares the traffic goroutine from taking the lock for each packet.
-	nonEmpty atomic.Bool
-	mutex    sync.Mutex
-	removed  []evidence.Observation
+	nonEmpty     atomic.Bool
+	mutex        sync.Mutex
+	observations []evidence.Observation
 	// lost counts the observations that did not fit.
 	lost atomic.Uint64
 }
@@ -25,10 +25,10 @@
 func (m *mailbox) put(observations []evidence.Observation) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	fit := min(len(observations), mailboxLimit-len(m.removed))
-	m.removed = append(m.removed, observations[:fit]...)
+	fit := min(len(observations), mailboxLimit-len(m.observations))
+	m.observations = append(m.observations, observations[:fit]...)
 	m.lost.Add(uint64(len(observations) - fit))
-	m.nonEmpty.Store(len(m.removed) > 0)
+	m.nonEmpty.Store(len(m.observations) > 0)
 }
 
 // take empties the mailbox and returns what it held.
@@ -38,8 +38,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	removed := m.removed
-	m.removed = nil
+	removed := m.observations
+	m.observations = nil
 	m.nonEmpty.Store(false)
 	return removed
 }
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -73,7 +73,7 @@
 
 // ownEntry returns this balancer's entry as other balancers see it.
 func (b *Balancer) ownEntry() *apiv1.Balancer {
-	settings := b.loaded.Load()
+	settings := b.settings.Load()
 	return &apiv1.Balancer{
 		Name:           settings.GetName(),
 		Zone:           settings.GetZone(),
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -147,7 +147,7 @@
 
 // serveMetrics serves the metrics if the settings give an address for them.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
-	address := b.loaded.Load().GetMetricsAddress()
+	address := b.settings.Load().GetMetricsAddress()
 	if address == "" {
 		return nil
 	}
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -119,7 +119,7 @@
 	balancers := c.replica.Balancers()
 	c.core.SetBalancers(balancers, now)
 	c.balancersByZone = c.countByZone(balancers)
-	c.observed.balancers = c.balancersByZone[demand.Zone(c.balancer.loaded.Load().GetZone())]
+	c.observed.balancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
 	c.takePlaces(balancers)
 }
 
@@ -137,7 +137,7 @@
 
 // countByZone counts the balancers of each zone, this one included.
 func (c *control) countByZone(balancers []*apiv1.Balancer) zoneCounts {
-	settings := c.balancer.loaded.Load()
+	settings := c.balancer.settings.Load()
 	counts := zoneCounts{demand.Zone(settings.GetZone()): 1}
 	for _, balancer := range balancers {
 		if balancer.GetName() != settings.GetName() {
@@ -194,7 +194,7 @@
 	c.core.Learned(news.GetCallers())
 	if peer.Purpose == replication.PurposeFollow && c.core.SharesOrder(peer.Address) {
 		c.hearStruggling(news.GetStruggling(), news.GetTellsStruggling(), now)
-		c.allFindings.takeParent(news.GetFindings(), now)
+		c.findings.takeParent(news.GetFindings(), now)
 	}
 	if peer.Purpose == replication.PurposeFollow {
 		c.heardParent(news, now)
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -69,7 +69,7 @@
 		b.logger.Error("Settings: refused, the old ones stay.", "error", err)
 		return
 	}
-	current := b.loaded.Load()
+	current := b.settings.Load()
 	if field := needsRestart(current, loaded); field != "" {
 		b.logger.Error("Settings: refused, the old ones stay.", "field", field,
 			"remedy", "restart the balancer to change this field")
@@ -79,7 +79,7 @@
 		b.logger.Info("Settings: unchanged.")
 		return
 	}
-	b.loaded.Store(loaded)
+	b.settings.Store(loaded)
 	_ = reloader.Level.UnmarshalText([]byte(loaded.GetLogLevel()))
 	b.logger.Info("Settings: in force.")
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -55,7 +55,7 @@
 }
 
 func (c *control) emptyPoolGrace() time.Duration {
-	drain := c.balancer.loaded.Load().GetDrainMilliseconds()
+	drain := c.balancer.settings.Load().GetDrainMilliseconds()
 	return time.Duration(drain/emptyPoolGraceDivisor) * time.Millisecond
 }
 
@@ -71,7 +71,7 @@
 // removed while this balancer still counted as in touch with the store, so the period ends
 // with that time and they take no new flows beyond it.
 func (c *control) lapse() tokenroute.StoreRecovery {
-	gap, loaded := c.core.LastGap(), c.balancer.loaded.Load()
+	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
 	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.StoreRecovery{}
 	}
@@ -86,7 +86,7 @@
 func milliseconds(number uint32) time.Duration { return time.Duration(number) * time.Millisecond }
 
 func (c *control) flowRetention() time.Duration {
-	return seconds(c.balancer.loaded.Load().GetFlowSeconds())
+	return seconds(c.balancer.settings.Load().GetFlowSeconds())
 }
 
 // seconds converts a number of seconds to a duration.
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -15,7 +15,7 @@
 	control := newTestControl()
 	settings := testSettings()
 	settings.Zone = "zone-0"
-	control.balancer.loaded.Store(settings)
+	control.balancer.settings.Store(settings)
 	table := &apiv1.RouteTable{Version: 1}
 	for n := range backends / 40 {
 		table.Routes = append(table.Routes, &apiv1.ServiceRoute{Name: fmt.Sprintf("r-%d", n), Address: uint32(n + 1), Port: 443,
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -72,7 +72,7 @@
 	}
 	warming := c.newWarming(now)
 	c.measureHealth(evacuated, warming, now)
-	own := c.balancer.loaded.Load().GetZone()
+	own := c.balancer.settings.Load().GetZone()
 	for _, group := range c.replica.Groups() {
 		if _, empty := evacuated[group.Zone]; empty {
 			continue
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -18,7 +18,7 @@
 	control := newTestControl()
 	settings := testSettings()
 	settings.Zone, settings.WarmupOvershoot, settings.WarmupSlack = "zone-0", 1.5, 5
-	control.balancer.loaded.Store(settings)
+	control.balancer.settings.Store(settings)
 	batch := routesBatch(9)
 	for n := range backends {
 		entry := &apiv1.PoolBackend{Id: fmt.Sprintf("i-%d", n), Number: uint64(n + 1), Pool: fmt.Sprintf("pool-%d", n%8),
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -100,7 +100,7 @@
 	if len(statements) == 0 {
 		return
 	}
-	request := &apiv1.TestifyRequest{FromAddress: c.balancer.loaded.Load().GetPeerAddress(), Clock: t.theirs.ID}
+	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Clock: t.theirs.ID}
 	for _, statement := range firstToTell(statements) {
 		request.Testimony = append(request.Testimony, encodeStatement(statement, t.theirs.Translate(statement)))
 	}
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -66,7 +66,7 @@
 
 func TestStatementsGoUpAndDown(t *testing.T) {
 	parent, child, other := knowing(t), knowing(t), knowing(t)
-	other.balancer.loaded.Load().PeerAddress = "127.0.0.1:1"
+	other.balancer.settings.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
 	child.testimony.board.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -49,7 +49,7 @@
 	return &traffic{
 		balancer: balancer,
 		socket:   socket,
-		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.loaded.Load().GetZone()),
+		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.settings.Load().GetZone()),
 		log:      decisionLog{logger: balancer.logger},
 		input:    make([]byte, size),
 		output:   make([]byte, 0, 2*size),
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -35,7 +35,7 @@
 
 // newWarming collects what the coldness of back ends depends on.
 func (c *control) newWarming(now time.Time) *warming {
-	settings := c.balancer.loaded.Load()
+	settings := c.balancer.settings.Load()
 	made := &warming{
 		known:     c.replica,
 		self:      settings.GetName(),
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -50,7 +50,7 @@
 		if way == wayBounded {
 			loaded.WarmupOvershoot, loaded.WarmupSlack = 1.5, 5
 		}
-		c.balancer.loaded.Store(loaded)
+		c.balancer.settings.Store(loaded)
 		c.firstRoutesAt = made.now.Add(-time.Hour)
 		c.replica.Apply(made.entries(size, place, zones, allCold), made.now)
 		made.controls = append(made.controls, c)
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -49,7 +49,7 @@
 
 // newWeights collects what the weights of a table depend on.
 func (c *control) newWeights(evacuated map[string]uint64, now time.Time) *weights {
-	zone := c.balancer.loaded.Load().GetZone()
+	zone := c.balancer.settings.Load().GetZone()
 	off := c.balancer.disabled
 	made := &weights{
 		control:  c,
