--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -26,7 +26,7 @@
 }
 
 func newGate() gate {
-	return gate{core: admission.NewController(), pressures: pressures{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
+	return gate{core: admission.NewController(), pressures: pressures{smoothedInFlight: newSmoothedInFlight()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // takeRoutes takes the routes that are in force.
@@ -95,7 +95,7 @@
 			c.balancer.logger.Warn("Control: pool is short of room.", "pool", level.Pool, "urgency", uint64(level.Priority),
 				"refused_part", rounded(level.Fraction), "pressure", rounded(level.Pressure.RequestsPerSlot),
 				"pressure_age", level.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(room),
-				"waiting_here", rounded(c.gate.pressures.waiting[level.Pool]),
+				"waiting_here", rounded(c.gate.pressures.inFlight[level.Pool]),
 				"zone_part", rounded(askedPart(demand.Pool(level.Pool), zone, picture)), "zone_balancers", picture.ZoneBalancers[zone])
 		}
 		short[level.Pool] = true
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -70,7 +70,7 @@
 	waitingCalls    []*followCall
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
-	polling         bool
+	pollInFlight    bool
 	// pendingWrite is the write to the store about balancers that is under way, and
 	// pendingWriteEra the store's era, as far as it was known, when that write began.
 	pendingWrite    replication.Write
@@ -82,7 +82,7 @@
 	// last named each.
 	poolLastUse     map[flow.Address]map[string]time.Time
 	firstRoutesAt   time.Time
-	rebuild         bool
+	rebuildNeeded   bool
 	nextTableChange time.Time
 	// nextBuild is the earliest time of the next table build, which depends on how long
 	// the last one took.
@@ -188,9 +188,9 @@
 	c.answerWaiting(now)
 	c.lookAside(now)
 	if c.replica.Expire(now) || c.updateShares(now) {
-		c.rebuild = true
+		c.rebuildNeeded = true
 	}
-	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
+	due := c.rebuildNeeded || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
 	if !due || now.Before(c.nextBuild) {
 		return
 	}
@@ -233,14 +233,14 @@
 }
 
 func (c *control) startPoll(ctx context.Context, now time.Time) {
-	if c.polling {
+	if c.pollInFlight {
 		return
 	}
 	kind := c.core.NextPoll(now)
 	if kind == replication.PollNone {
 		return
 	}
-	c.polling = true
+	c.pollInFlight = true
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: reading the store.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -31,17 +31,17 @@
 	for zone, count := range aggregate.ZoneBalancers {
 		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	report := func(place demand.ZonePool) {
-		gauge(capacityDescription, aggregate.Slots[place], string(place.Pool), string(place.Zone))
-		gauge(pressureDescription, aggregate.Pressure(place), string(place.Pool), string(place.Zone))
+	report := func(zonePool demand.ZonePool) {
+		gauge(capacityDescription, aggregate.Slots[zonePool], string(zonePool.Pool), string(zonePool.Zone))
+		gauge(pressureDescription, aggregate.Pressure(zonePool), string(zonePool.Pool), string(zonePool.Zone))
 	}
-	for place := range aggregate.Slots {
-		report(place)
+	for zonePool := range aggregate.Slots {
+		report(zonePool)
 	}
-	for place, load := range aggregate.Loads {
-		gauge(requestRateDescription, load.Offered, string(place.Pool), string(place.Zone))
-		if _, found := aggregate.Slots[place]; !found {
-			report(place)
+	for zonePool, load := range aggregate.Loads {
+		gauge(requestRateDescription, load.Offered, string(zonePool.Pool), string(zonePool.Zone))
+		if _, found := aggregate.Slots[zonePool]; !found {
+			report(zonePool)
 		}
 	}
 }
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -122,11 +122,11 @@
 		counter(refusalsDescription, count, kind.pool, priorityLabel(kind.urgency))
 	}
 	reported := make(map[string]bool)
-	for _, level := range traffic.flows.Levels().All() {
-		gauge(refusedFractionDescription, level.Fraction, level.Pool, priorityLabel(level.Priority))
-		if !reported[level.Pool] {
-			reported[level.Pool] = true
-			gauge(refusalPressureDescription, level.Pressure.RequestsPerSlot, level.Pool)
+	for _, refusal := range traffic.flows.Levels().All() {
+		gauge(refusedFractionDescription, refusal.Fraction, refusal.Pool, priorityLabel(refusal.Priority))
+		if !reported[refusal.Pool] {
+			reported[refusal.Pool] = true
+			gauge(refusalPressureDescription, refusal.Pressure.RequestsPerSlot, refusal.Pool)
 		}
 	}
 	if table := balancer.table.Load(); table != nil {
@@ -143,7 +143,9 @@
 	gauge(readyDescription, ready)
 }
 
-func priorityLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
+func priorityLabel(priority admission.Priority) string {
+	return strconv.FormatUint(uint64(priority), 10)
+}
 
 // serveMetrics serves the metrics if the settings give an address for them.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -38,7 +38,7 @@
 	case news.GetWrite():
 		c.writeEnded(news.GetError(), now)
 	case news.GetPeer() == "":
-		c.polling = false
+		c.pollInFlight = false
 		c.pollEnded(news, now)
 	default:
 		c.peerCallEnded(news, asOf, now)
@@ -84,7 +84,7 @@
 func (c *control) apply(batch *apiv1.DirectoryBatch, now time.Time) {
 	before := c.replica.Revision()
 	if c.replica.Apply(batch, now) {
-		c.rebuild = true
+		c.rebuildNeeded = true
 		c.updateBalancers(now)
 	}
 	after := c.replica.Revision()
@@ -92,7 +92,7 @@
 	if before == 0 || revision.EraOf(after) == revision.EraOf(before) {
 		return
 	}
-	c.rebuild = true
+	c.rebuildNeeded = true
 	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
 		"known_to", revision.Text(before), "held", c.replica.Held())
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -28,7 +28,7 @@
 // zone's clients wait at a time. Routers spread a zone's packets evenly over its
 // balancers, so each sees one part in as many.
 type observed struct {
-	smoothedWaiting
+	smoothedInFlight
 	// zones and remote are what the table in force was made with, by pool: the
 	// back ends, and the share of new flows that goes to other zones.
 	zones  map[string]*poolZones
@@ -50,7 +50,7 @@
 }
 
 func newObserved() observed {
-	return observed{smoothedWaiting: newSmoothedWaiting(), remote: make(map[string]float64),
+	return observed{smoothedInFlight: newSmoothedInFlight(), remote: make(map[string]float64),
 		healthWeights: make(map[incarnation.ID]float64), balancers: 1}
 }
 
@@ -69,16 +69,16 @@
 }
 
 func (o *observed) remoteShare(pool string, zone *poolZones) float64 {
-	return shares.RemoteShare(o.waiting[pool]*float64(o.balancers), zone.localSlots, zone.remoteSlots)
+	return shares.RemoteShare(o.inFlight[pool]*float64(o.balancers), zone.localSlots, zone.remoteSlots)
 }
 
 // take follows a summary and tells whether the table should be made anew.
 func (o *observed) take(summary *observe.Summary, now time.Time) bool {
 	if summary == nil || now.Sub(summary.At) > observedFor {
-		clear(o.waiting)
+		clear(o.inFlight)
 		return false
 	}
-	if !o.smoothedWaiting.update(summary, demandTime) {
+	if !o.smoothedInFlight.update(summary, demandTime) {
 		return false
 	}
 	changed := false
@@ -118,7 +118,7 @@
 	if zone == nil || zone.localSlots == 0 {
 		return 0
 	}
-	return o.waiting[pool] * float64(o.balancers) / zone.localSlots
+	return o.inFlight[pool] * float64(o.balancers) / zone.localSlots
 }
 
 // healthChanged tells whether the weight of a back end moves by enough.
@@ -164,8 +164,8 @@
 
 // describe is the demand by pool, for the log.
 func (o *observed) describe() map[string]float64 {
-	described := make(map[string]float64, len(o.waiting))
-	for pool, waiting := range o.waiting {
+	described := make(map[string]float64, len(o.inFlight))
+	for pool, waiting := range o.inFlight {
 		described[pool] = math.Round(waiting*float64(o.balancers)*10) / 10
 	}
 	return described
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -33,7 +33,7 @@
 // The part changes at once where another balancer of the zone stops: what is asked here grows
 // then, by the part that mostGrown allows.
 type pressures struct {
-	smoothedWaiting
+	smoothedInFlight
 	asks asks
 }
 
@@ -66,7 +66,7 @@
 	}
 	scale := float64(picture.ZoneBalancers[own]) / part
 	if waiting >= leastWaiting*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.asks.grown(pool, picture.OldestAt), mostGrown(picture.ZoneBalancers[own]))
+		waiting = p.inFlight[string(pool)] * scale / min(p.asks.grown(pool, picture.OldestAt), mostGrown(picture.ZoneBalancers[own]))
 	}
 	return admission.Pressure{RequestsPerSlot: waiting / room, SeenAt: seenAt}
 }
@@ -103,7 +103,7 @@
 	if waiting >= saturatedAt*room {
 		return true
 	}
-	part, here := askedPart(pool, own, picture), p.waiting[string(pool)]
+	part, here := askedPart(pool, own, picture), p.inFlight[string(pool)]
 	return part > 0 && here >= saturatedWaiting && here*float64(picture.ZoneBalancers[own])/part >= saturatedHere*room
 }
 
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -12,7 +12,7 @@
 
 // seen feeds summaries with the same number of waiting requests.
 func seen(waiting float64, from time.Time) *pressures {
-	made := &pressures{smoothedWaiting: newSmoothedWaiting()}
+	made := &pressures{smoothedInFlight: newSmoothedInFlight()}
 	for step := range 20 {
 		made.follow(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
 			InFlight: map[string]float64{"lending": waiting}})
@@ -129,7 +129,7 @@
 	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
 		t.Run(name, func(t *testing.T) {
-			made := &pressures{smoothedWaiting: newSmoothedWaiting()}
+			made := &pressures{smoothedInFlight: newSmoothedInFlight()}
 			for step := first; step < 30; step++ {
 				asked, waiting := 15.0, 1.0
 				if step >= 20 {
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -12,7 +12,7 @@
 
 // rebuildTable builds the table by which packets are routed.
 func (c *control) rebuildTable(now time.Time) {
-	c.rebuild = false
+	c.rebuildNeeded = false
 	c.nextTableChange = time.Time{}
 	if _, knows := c.core.Age(now); !knows {
 		// Neither a part of the store nor a stale snapshot is sufficient reason to refuse
@@ -30,7 +30,7 @@
 		FormerPools:    c.formerPools(now),
 		ZoneByWeight:   weights.byZone,
 		AdmitAllPools:  now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		StoreRecovery:  c.lapse(),
+		StoreRecovery:  c.storeRecovery(),
 		EmptyPoolGrace: c.emptyPoolGrace(),
 		Previous:       c.balancer.table.Load(),
 		Now:            now,
@@ -59,28 +59,28 @@
 	return time.Duration(drain/emptyPoolGraceDivisor) * time.Millisecond
 }
 
-// minLapseHeartbeats is the smallest number of heartbeats after which the entry of a back
+// minExpiryHeartbeats is the smallest number of heartbeats after which the entry of a back
 // end that cannot reach the store expires: an entry expires after three heartbeats without
 // a write, and the last write may have come one heartbeat before the gap began.
-const minLapseHeartbeats = 2
+const minExpiryHeartbeats = 2
 
-// lapse returns the period in which entries that expired during the last gap in the
+// storeRecovery returns the period in which entries that expired during the last gap in the
 // store's confirmations may come back. If the gap was shorter than the time entries take
 // to expire, entries that vanished were removed on purpose, and the period is empty. If
 // the gap was shorter than the time allowed for a leaving back end, entries may have been
 // removed while this balancer still counted as in touch with the store, so the period ends
 // with that time and they take no new flows beyond it.
-func (c *control) lapse() tokenroute.StoreRecovery {
+func (c *control) storeRecovery() tokenroute.StoreRecovery {
 	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
-	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
+	if gap.Length() < minExpiryHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.StoreRecovery{}
 	}
-	lapse := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
+	recovery := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
 	drained := gap.From.Add(time.Duration(loaded.GetDrainMilliseconds() * float64(time.Millisecond)))
-	if drained.After(lapse.Since) && drained.Before(lapse.Until) {
-		lapse.Until = drained
+	if drained.After(recovery.Since) && drained.Before(recovery.Until) {
+		recovery.Until = drained
 	}
-	return lapse
+	return recovery
 }
 
 func milliseconds(number uint32) time.Duration { return time.Duration(number) * time.Millisecond }
@@ -100,7 +100,7 @@
 func (c *control) scheduleTableChange(now time.Time) {
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
-	c.changeTableAt(c.lapse().Until, now)
+	c.changeTableAt(c.storeRecovery().Until, now)
 	for _, group := range c.replica.Groups() {
 		if group.Gone > 0 {
 			c.scheduleVanished(group, now)
--- a/internal/balancer/smoothing.go
+++ b/internal/balancer/smoothing.go
@@ -7,26 +7,28 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// smoothedWaiting holds the exponentially smoothed number of requests that wait at this
+// smoothedInFlight holds the exponentially smoothed number of requests that wait at this
 // balancer, by pool.
-type smoothedWaiting struct {
-	waiting       map[string]float64
+type smoothedInFlight struct {
+	inFlight      map[string]float64
 	lastSummaryAt time.Time
 }
 
-func newSmoothedWaiting() smoothedWaiting { return smoothedWaiting{waiting: make(map[string]float64)} }
+func newSmoothedInFlight() smoothedInFlight {
+	return smoothedInFlight{inFlight: make(map[string]float64)}
+}
 
 // update moves the averages toward those of a summary, about two thirds of the way (1-1/e)
 // when the time constant within has passed since the last summary. It reports whether the
 // summary was a new one.
-func (f *smoothedWaiting) update(summary *observe.Summary, within time.Duration) bool {
-	if summary == nil || !summary.At.After(f.lastSummaryAt) {
+func (s *smoothedInFlight) update(summary *observe.Summary, within time.Duration) bool {
+	if summary == nil || !summary.At.After(s.lastSummaryAt) {
 		return false
 	}
-	part := 1 - math.Exp(-summary.At.Sub(f.lastSummaryAt).Seconds()/within.Seconds())
-	f.lastSummaryAt = summary.At
+	weight := 1 - math.Exp(-summary.At.Sub(s.lastSummaryAt).Seconds()/within.Seconds())
+	s.lastSummaryAt = summary.At
 	for pool, waiting := range summary.InFlight {
-		f.waiting[pool] += part * (waiting - f.waiting[pool])
+		s.inFlight[pool] += weight * (waiting - s.inFlight[pool])
 	}
 	return true
 }
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -32,9 +32,9 @@
 	// inbox holds observations of back ends from other balancers, and outbox those to be
 	// sent to them.
 	inbox, outbox mailbox
-	// settleAt is when the unanswered requests of several balancers, taken together, have
+	// nextEvaluation is when the unanswered requests of several balancers, taken together, have
 	// waited long enough to be evaluated; the zero time means never.
-	settleAt time.Time
+	nextEvaluation time.Time
 	// earlyBuffer holds the packets that arrived before the first table.
 	earlyBuffer earlyBuffer
 	// refusals counts the flows that were refused for lack of capacity.
@@ -102,9 +102,9 @@
 // handleWakeup evaluates what other balancers have observed. The deadline is set before
 // the mailbox is read, so that nothing put into it meanwhile is left there.
 func (t *traffic) handleWakeup() {
-	t.setWakeup(t.settleAt)
+	t.setWakeup(t.nextEvaluation)
 	t.evaluateBackends(time.Now())
-	t.setWakeup(t.settleAt)
+	t.setWakeup(t.nextEvaluation)
 	if t.inbox.nonEmpty.Load() || t.earlyBuffer.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
@@ -122,7 +122,7 @@
 	for _, observation := range t.inbox.take() {
 		t.flows.Receive(observation, table, now)
 	}
-	t.settleAt = t.flows.EvaluatePending(now)
+	t.nextEvaluation = t.flows.EvaluatePending(now)
 	t.reportFailures(table, now)
 }
 
@@ -164,7 +164,7 @@
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
-	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
+	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.nextEvaluation) {
 		t.handleWakeup()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
