--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -75,12 +75,13 @@
 	// pendingWriteEra the store's era, as far as it was known, when that write began.
 	pendingWrite    replication.Write
 	pendingWriteEra uint64
-	// balancerChangesSeen is the directory's count of balancer changes when the balancers
-	// were last taken over from it.
+	// balancerChangesSeen is the replica's count of balancer changes when the balancers
+	// were last read from it.
 	balancerChangesSeen uint64
 	// poolLastUse holds, for each address, the pools that its route has named and when it
 	// last named each.
-	poolLastUse     map[flow.Address]map[string]time.Time
+	poolLastUse map[flow.Address]map[string]time.Time
+	// firstRoutesAt is when this balancer first had a route table.
 	firstRoutesAt   time.Time
 	rebuildNeeded   bool
 	nextTableChange time.Time
--- a/internal/balancer/smoothing.go
+++ b/internal/balancer/smoothing.go
@@ -7,8 +7,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// smoothedInFlight holds the exponentially smoothed number of requests that wait at this
-// balancer, by pool.
+// smoothedInFlight holds the exponentially smoothed number of requests in flight through
+// this balancer, by pool.
 type smoothedInFlight struct {
 	inFlight      map[string]float64
 	lastSummaryAt time.Time
