--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -28,8 +28,8 @@
 	readAt := confirmedAt.Add(1650 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(readAt)}, readAt)
 	require.True(t, control.replica.Backends()[0].Gone)
-	recovery := control.storeRecovery()
-	require.False(t, recovery.Until.After(confirmedAt.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", recovery.Until.Sub(confirmedAt))
+	storeRecovery := control.storeRecovery()
+	require.False(t, storeRecovery.Until.After(confirmedAt.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", storeRecovery.Until.Sub(confirmedAt))
 }
 
 // After a gap in which entries may have expired, they have their time to come back. No
@@ -49,11 +49,11 @@
 		for revision, at := range []time.Time{confirmedAt, confirmedAt.Add(each.gap)} {
 			control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.sinceStart(at)}, at)
 		}
-		recovery := control.storeRecovery()
+		storeRecovery := control.storeRecovery()
 		if each.until == 0 {
-			require.Zero(t, recovery, "no entry expires within %s", each.gap)
+			require.Zero(t, storeRecovery, "no entry expires within %s", each.gap)
 			continue
 		}
-		require.InDelta(t, each.until.Seconds(), recovery.Until.Sub(confirmedAt).Seconds(), 0.001, "after a gap of %s", each.gap)
+		require.InDelta(t, each.until.Seconds(), storeRecovery.Until.Sub(confirmedAt).Seconds(), 0.001, "after a gap of %s", each.gap)
 	}
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -75,12 +75,12 @@
 	if gap.Length() < minExpiryHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.StoreRecovery{}
 	}
-	recovery := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
+	storeRecovery := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
 	drained := gap.From.Add(time.Duration(loaded.GetDrainMilliseconds() * float64(time.Millisecond)))
-	if drained.After(recovery.Since) && drained.Before(recovery.Until) {
-		recovery.Until = drained
+	if drained.After(storeRecovery.Since) && drained.Before(storeRecovery.Until) {
+		storeRecovery.Until = drained
 	}
-	return recovery
+	return storeRecovery
 }
 
 func milliseconds(number uint32) time.Duration { return time.Duration(number) * time.Millisecond }
--- a/internal/balancer/smoothing.go
+++ b/internal/balancer/smoothing.go
@@ -27,8 +27,8 @@
 	}
 	weight := 1 - math.Exp(-summary.At.Sub(s.lastSummaryAt).Seconds()/within.Seconds())
 	s.lastSummaryAt = summary.At
-	for pool, waiting := range summary.InFlight {
-		s.inFlight[pool] += weight * (waiting - s.inFlight[pool])
+	for pool, inFlight := range summary.InFlight {
+		s.inFlight[pool] += weight * (inFlight - s.inFlight[pool])
 	}
 	return true
 }
