--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -13,54 +13,54 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// newAsideControl is the control state of a balancer that may step aside, with the
+// newWithdrawalControl is the control state of a balancer that may step aside, with the
 // memory of its traffic goroutine.
-func newAsideControl() *control {
+func newWithdrawalControl() *control {
 	control := newTestControl()
 	control.balancer.traffic = &traffic{flows: tokenroute.NewFlows(mechanism.Set{})}
 	control.balancer.table.Store(&tokenroute.Table{})
-	control.withdrawal.places = map[string]int{"edge-1": 0, "edge-2": 1, "edge-3": 2, "edge-4": 3, "edge-5": 4}
+	control.withdrawal.ranks = map[string]int{"edge-1": 0, "edge-2": 1, "edge-3": 2, "edge-4": 3, "edge-5": 4}
 	return control
 }
 
-// open lets flows open, each in so long, and control look at it for a time. Beside
+// openFlows lets flows open, each in so long, and control look at it for a time. Beside
 // those that take long some are not answered in time.
-func (control *control) open(took, length time.Duration, now time.Time) time.Time {
+func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
 	for end := now.Add(length); now.Before(end); now = now.Add(aside.LookInterval) {
-		control.balancer.traffic.flows.Opened[aside.StepOf(took)].Add(12)
+		control.balancer.traffic.flows.OpenedByTime[aside.StepOf(took)].Add(12)
 		if took > 50*time.Millisecond {
-			control.balancer.traffic.flows.Missed.Add(4)
+			control.balancer.traffic.flows.Unanswered.Add(4)
 		}
-		control.lookAside(now)
+		control.updateWithdrawal(now)
 	}
 	return now
 }
 
 // Routers leave out who is not ready, and come back to who is.
-func TestSlowBalancerIsNotReadyForAWhile(t *testing.T) {
-	control := newAsideControl()
-	now := control.open(2*time.Millisecond, 3*time.Second, time.Now())
+func TestSlowBalancerIsTemporarilyNotReady(t *testing.T) {
+	control := newWithdrawalControl()
+	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
 	require.True(t, control.balancer.Ready())
-	now = control.open(80*time.Millisecond, 2*time.Second, now)
+	now = control.openFlows(80*time.Millisecond, 2*time.Second, now)
 	require.False(t, control.balancer.Ready())
 	require.Equal(t, uint64(1), control.balancer.withdrawals.Load())
-	control.open(2*time.Millisecond, 10*time.Second, now)
+	control.openFlows(2*time.Millisecond, 10*time.Second, now)
 	require.True(t, control.balancer.Ready())
 }
 
-func TestStepAsideCanBeSwitchedOff(t *testing.T) {
-	control := newAsideControl()
+func TestWithdrawalCanBeDisabled(t *testing.T) {
+	control := newWithdrawalControl()
 	off, err := mechanism.Parse([]string{"step_aside"})
 	require.NoError(t, err)
 	control.balancer.disabled = off
-	now := control.open(2*time.Millisecond, 3*time.Second, time.Now())
-	control.open(80*time.Millisecond, 5*time.Second, now)
+	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
+	control.openFlows(80*time.Millisecond, 5*time.Second, now)
 	require.True(t, control.balancer.Ready())
 }
 
 // All balancers of a zone agree on the places, whatever they know of other zones, and
 // one that is not listed has none.
-func TestPlacesInAZone(t *testing.T) {
+func TestRanksOfZoneBalancersAreConsistent(t *testing.T) {
 	var known []*apiv1.Balancer
 	for number := range 12 {
 		known = append(known, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", number), Zone: "maadi"})
@@ -70,42 +70,42 @@
 	for number := range 12 {
 		control := newTestControl()
 		control.balancer.settings.Load().Name = fmt.Sprintf("edge-%d", number)
-		control.takePlaces(known)
-		zone := control.asideZone(time.Now())
+		control.rankZoneBalancers(known)
+		zone := control.withdrawalZone(time.Now())
 		require.Equal(t, 12, zone.Size)
 		places[zone.Place] = true
 	}
 	require.Len(t, places, 12)
 	control := newTestControl()
 	control.balancer.settings.Load().Name = "new"
-	control.takePlaces(known)
-	require.Equal(t, aside.Zone{}, control.asideZone(time.Now()))
+	control.rankZoneBalancers(known)
+	require.Equal(t, aside.Zone{}, control.withdrawalZone(time.Now()))
 }
 
 // What one says of itself reaches the others of its zone through the one that they
 // follow, fades when it is not renewed, and is passed on no longer than it holds.
-func TestWhoStrugglesIsToldThroughTheParent(t *testing.T) {
+func TestStrugglingReportsAreRelayedByParent(t *testing.T) {
 	now := time.Now()
-	leaf, parent, other := newAsideControl(), newAsideControl(), newAsideControl()
+	leaf, parent, other := newWithdrawalControl(), newWithdrawalControl(), newWithdrawalControl()
 	leaf.balancer.settings.Load().Name = "edge-2"
 	parent.balancer.settings.Load().Name = "edge-3"
-	now = leaf.open(2*time.Millisecond, 3*time.Second, now)
-	now = leaf.open(80*time.Millisecond, aside.LookInterval, now)
-	parent.hearStruggling(leaf.tellStruggling(now), true, now)
-	other.hearStruggling(parent.tellStruggling(now.Add(time.Second)), true, now.Add(time.Second))
-	require.Equal(t, []aside.Other{{Place: 1}}, other.asideZone(now.Add(time.Second)).Others)
-	parent.hearStruggling(other.tellStruggling(now.Add(2*time.Second)), true, now.Add(2*time.Second))
-	require.Empty(t, parent.tellStruggling(now.Add(4*time.Second)), "an echo renews nothing")
-	require.Empty(t, other.asideZone(now.Add(4*time.Second)).Others)
+	now = leaf.openFlows(2*time.Millisecond, 3*time.Second, now)
+	now = leaf.openFlows(80*time.Millisecond, aside.LookInterval, now)
+	parent.handleStrugglingReports(leaf.strugglingReports(now), true, now)
+	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
+	require.Equal(t, []aside.Other{{Place: 1}}, other.withdrawalZone(now.Add(time.Second)).Others)
+	parent.handleStrugglingReports(other.strugglingReports(now.Add(2*time.Second)), true, now.Add(2*time.Second))
+	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "an echo renews nothing")
+	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Others)
 }
 
 // An older program tells nothing of who struggles. In a rolling release its silence is no
 // sign that the zone is well: 15 of 15 went by it.
-func TestOlderProgramsAreNotHeard(t *testing.T) {
+func TestOlderVersionsAreNotCountedAsReporting(t *testing.T) {
 	now := time.Now()
-	control := newAsideControl()
-	control.hearStruggling(nil, false, now)
-	require.False(t, control.asideZone(now).Heard)
-	control.hearStruggling(nil, true, now)
-	require.True(t, control.asideZone(now).Heard)
+	control := newWithdrawalControl()
+	control.handleStrugglingReports(nil, false, now)
+	require.False(t, control.withdrawalZone(now).Heard)
+	control.handleStrugglingReports(nil, true, now)
+	require.True(t, control.withdrawalZone(now).Heard)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -105,7 +105,7 @@
 	// share, and withdrawals counts how often that state began.
 	withdrawn   atomic.Bool
 	withdrawals atomic.Uint64
-	// confirmedAt is when the store last confirmed the directory, in nanoseconds since
+	// minAggregatePressure is when the store last confirmed the directory, in nanoseconds since
 	// started; 0 means never.
 	confirmedAt atomic.Int64
 	// era counts how often the store was restored from a backup, as far as this balancer
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -52,21 +52,21 @@
 	core       *replication.Core
 	client     *replication.Client
 	packer     replication.Packer
-	programs   programs
-	observed   observed
+	programs   policyCache
+	observed   weightInputs
 	findings   findings
 	demand     demandState
-	withdrawal stepAside
+	withdrawal withdrawalState
 	// balancersByZone counts the balancers of each zone, this one included.
 	balancersByZone zoneCounts
-	gate            gate
+	gate            admissionState
 	followCalls     chan *followCall
 	// testifyRequests carries the calls in which followers report what they saw of back
 	// ends, and wakeRequested wakes this goroutine to pass on what the traffic goroutine
 	// saw.
 	testifyRequests chan *apiv1.TestifyRequest
 	wakeRequested   chan struct{}
-	testimony       testimony
+	testimony       observationExchange
 	waitingCalls    []*followCall
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
@@ -114,15 +114,15 @@
 			AuditInterval: auditInterval,
 		}, random, balancer.started),
 		client:      replication.NewClient(balancer.logger),
-		programs:    programs{compiled: make(map[string]*compiledPolicy)},
-		observed:    newObserved(),
-		withdrawal:  stepAside{core: aside.New()},
-		gate:        newGate(),
+		programs:    policyCache{compiled: make(map[string]*compiledPolicy)},
+		observed:    newWeightInputs(),
+		withdrawal:  withdrawalState{core: aside.New()},
+		gate:        newAdmissionState(),
 		followCalls: make(chan *followCall, maxWaitingFollowers),
 
 		testifyRequests: make(chan *apiv1.TestifyRequest, maxWaitingFollowers),
 		wakeRequested:   make(chan struct{}, 1),
-		testimony:       testimony{clock: random.Uint64() | 1, client: replication.NewClient(balancer.logger)},
+		testimony:       observationExchange{clock: random.Uint64() | 1, client: replication.NewClient(balancer.logger)},
 
 		demand: demandState{tree: demand.NewTree(balancer.started)},
 
@@ -154,7 +154,7 @@
 		case call := <-c.followCalls:
 			c.enqueueFollow(call)
 		case request := <-c.testifyRequests:
-			c.takeTestimony(request, time.Now())
+			c.handleTestifyRequest(request, time.Now())
 		case <-c.wakeRequested:
 		case <-ticker.C:
 		}
@@ -183,11 +183,11 @@
 	c.startPoll(ctx, now)
 	c.startWrite(ctx, now)
 	c.startPeerCalls(ctx, now)
-	c.takeStatements(now)
-	c.startTestify(ctx, now)
-	c.startReport(ctx, now)
+	c.collectObservations(now)
+	c.sendObservations(ctx, now)
+	c.sendDemandReport(ctx, now)
 	c.answerWaiting(now)
-	c.lookAside(now)
+	c.updateWithdrawal(now)
 	if c.replica.Expire(now) || c.updateShares(now) {
 		c.rebuildNeeded = true
 	}
@@ -216,19 +216,19 @@
 		return false
 	}
 	c.nextShareUpdate = now.Add(shareUpdateInterval)
-	c.takeDemand(now)
+	c.updateDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
-	changed := c.observed.take(summary, now)
-	c.admit(summary, now)
+	changed := c.observed.update(summary, now)
+	c.updateAdmission(summary, now)
 	c.findings.own = nil
-	if summary != nil && now.Sub(summary.At) <= observedFor {
+	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
 		c.findings.own = summary.Findings
 	}
-	changed = c.judgeHealth(now) || changed
-	changed = c.divide(now) || changed
+	changed = c.updateHealth(now) || changed
+	changed = c.planZoneShares(now) || changed
 	if changed {
-		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unwell), "demand", c.observed.describe(),
-			"parts", c.observed.planned)
+		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unhealthy), "demand", c.observed.inFlightByPool(),
+			"parts", c.observed.plannedShares)
 	}
 	return changed
 }
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -249,12 +249,12 @@
 	control.firstRoutesAt = now
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
 	local := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "maadi"}}
-	control.addBackends("lending", "maadi", localEnough, now)
-	control.addBackends("lending", "giza", localEnough, now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(remote))
+	control.addBackends("lending", "maadi", minLocalBackends, now)
+	control.addBackends("lending", "giza", minLocalBackends, now)
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(remote))
 	// 0.005 of the new flows over as many back ends, of a million, rounded up.
-	require.Equal(t, uint32(5026), control.weigher(nil, now.Add(spreadTime))(remote))
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now.Add(spreadTime))(local))
+	require.Equal(t, uint32(5026), control.weightFunc(nil, now.Add(startupSpreadTime))(remote))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now.Add(startupSpreadTime))(local))
 }
 
 func (control *control) addBackends(pool, zone string, count int, now time.Time) {
@@ -273,9 +273,9 @@
 	control := newTestControl()
 	now := time.Now()
 	control.firstRoutesAt = now.Add(-time.Hour)
-	control.addBackends("covers", "maadi", localEnough-1, now)
+	control.addBackends("covers", "maadi", minLocalBackends-1, now)
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "covers", Zone: "giza"}}
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(remote))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(remote))
 }
 
 // The table changes without news when new flows return to their own zone. Open flows keep
@@ -286,8 +286,8 @@
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
 	control.rebuildTable(now)
 	require.NotNil(t, control.balancer.table.Load())
-	require.Equal(t, now.Add(spreadTime), control.nextTableChange)
-	control.rebuildTable(now.Add(spreadTime))
+	require.Equal(t, now.Add(startupSpreadTime), control.nextTableChange)
+	control.rebuildTable(now.Add(startupSpreadTime))
 	require.True(t, control.nextTableChange.IsZero())
 }
 
@@ -350,14 +350,14 @@
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
 	covers := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-2", Pool: "covers", Zone: "maadi", Draining: true}}
 	control.replica.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
-	require.Equal(t, uint32(rule.MaximumWeight/2), control.weigher(nil, now)(lending))
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(covers), "no policy of its own")
+	require.Equal(t, uint32(rule.MaximumWeight/2), control.weightFunc(nil, now)(lending))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(covers), "no policy of its own")
 	control.replica.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
-	require.Zero(t, control.weigher(nil, now)(covers), "the default policy gives a leaving back end no weight")
+	require.Zero(t, control.weightFunc(nil, now)(covers), "the default policy gives a leaving back end no weight")
 	control.replica.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending), "a program that fails is ignored")
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending), "a program that fails is ignored")
 	control.replica.Apply(policyBatch(4, "lending", "not a program"), now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending))
 }
 
 // When a read of the operators' entries shows other orders than are known, the next read
@@ -378,7 +378,7 @@
 	check.Changes = append(check.Changes, order)
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
 	require.Equal(t, uint64(6), c.replica.Routes().GetVersion())
-	require.Empty(t, c.evacuated())
+	require.Empty(t, c.evacuatedZones())
 	require.Equal(t, replication.PollSnapshot, c.core.NextPoll(now))
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
 }
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -75,7 +75,7 @@
 	if decision.Reason == tokenroute.ReasonEvacuated {
 		attributes = append(attributes, slog.Any("evacuated", table.Evacuated))
 	}
-	if refused := decision.Level; refused != nil {
+	if refused := decision.Refusal; refused != nil {
 		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Priority)),
 			slog.Float64("refused_part", rounded(refused.Fraction)), slog.Float64("pressure", rounded(refused.Pressure.RequestsPerSlot)),
 			slog.Duration("pressure_age", refused.Pressure.Age(now).Round(time.Millisecond)))
@@ -92,13 +92,13 @@
 
 func describe(packet tokenroute.Packet, request []byte, decision tokenroute.Decision) (message string, kind lineKind) {
 	switch {
-	case decision.Reason == tokenroute.ReasonNoRoom:
+	case decision.Reason == tokenroute.ReasonNoCapacity:
 		return "Traffic: flow refused.", lineNoCapacity
 	case decision.Verdict == tokenroute.Refuse:
 		return "Traffic: flow refused.", lineFailure
 	case decision.Verdict == tokenroute.Drop:
 		return "Traffic: packet dropped.", lineFailure
-	case decision.Reason == tokenroute.ReasonKept:
+	case decision.Reason == tokenroute.ReasonOpenedElsewhere:
 		return "Traffic: flow kept on the back end that opened it.", lineFailure
 	case packet.First:
 		return "Traffic: flow sent to a back end.", lineOpening
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -20,39 +20,39 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingIn(zone string) demand.ZonePool {
-	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingPoolZone(zone string) demand.PoolZone {
+	return demand.PoolZone{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
-// asksOf is the part of a balancer whose clients ask so much a second of lending.
-func asksOf(zone string, asks, waiting float64, at time.Time) demand.Aggregate {
-	return demand.Aggregate{OldestAt: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
-		Loads: map[demand.ZonePool]demand.Load{lendingIn(zone): {Offered: asks, InFlight: waiting}}}
+// demandOf is the part of a balancer whose clients ask so much a second of lending.
+func demandOf(zone string, asks, waiting float64, at time.Time) demand.Aggregate {
+	return demand.Aggregate{At: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
+		Loads: map[demand.PoolZone]demand.Load{lendingPoolZone(zone): {RequestRate: asks, InFlight: waiting}}}
 }
 
-// pair are a balancer that leads and one that follows it, with its clock known there.
-func pair(t *testing.T, now time.Time) (leads, follows *control) {
+// newParentAndFollower are a balancer that leads and one that follows it, with its clock known there.
+func newParentAndFollower(t *testing.T, now time.Time) (leads, follows *control) {
 	leads, follows = newTestControl(), newTestControl()
 	leads.balancer.started = now.Add(-3 * time.Minute)
 	first := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
 	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.ownEntry(), first}, now)
 	require.True(t, follows.core.Leads("10.0.0.2:1"))
 	follows.testimony.parent = "10.0.0.2:1"
-	follows.testimony.theirs = evidence.NewRemoteClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
+	follows.testimony.parentClock = evidence.NewRemoteClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{leads, follows} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
-	leads.demand.tree.SetOwn(asksOf("maadi", 10, 1, now), demand.Position{TreeHeight: 1})
-	follows.demand.tree.SetOwn(asksOf("giza", 30, 2, now), demand.Position{Depth: 1, TreeHeight: 1})
+	leads.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{TreeHeight: 1})
+	follows.demand.tree.SetOwn(demandOf("giza", 30, 2, now), demand.Position{Depth: 1, TreeHeight: 1})
 	return leads, follows
 }
 
 // A report goes up with the call that follows, or in one of its own; the sum comes back with
 // the answer.
-func TestDemandGoesUpAndTheSumComesBack(t *testing.T) {
+func TestDemandReportIsSentUpAndTotalReturned(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Now()
-		leads, follows := pair(t, now)
+		leads, follows := newParentAndFollower(t, now)
 		peer := replication.Peer{Address: "10.0.0.2:1", Purpose: replication.PurposeFollow}
 		request := follows.requestTo(peer, 0, now)
 		require.NotNil(t, request.GetDemand())
@@ -61,51 +61,51 @@
 		asking := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
-			leads.takeTestimony(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
+			leads.handleTestifyRequest(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
 		} else {
 			asking.demand = request.GetDemand()
 		}
 		leads.enqueueFollow(asking)
 		leads.answerWaiting(now)
 		reply := <-asking.reply
-		follows.takeWhole(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.sinceStart(now)}, now)
+		follows.handleTotalDemand(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.sinceStart(now)}, now)
 		all := follows.demand.tree.Aggregate(now)
 		require.Equal(t, 2, all.Balancers)
 		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.ZoneBalancers)
-		require.Equal(t, 30.0, all.Loads[lendingIn("giza")].Offered)
-		require.Equal(t, 10.0, all.Loads[lendingIn("maadi")].Offered)
+		require.Equal(t, 30.0, all.Loads[lendingPoolZone("giza")].RequestRate)
+		require.Equal(t, 10.0, all.Loads[lendingPoolZone("maadi")].RequestRate)
 	}
 }
 
 // A balancer that starts anew has another clock, in which an old report means nothing.
-func TestReportInAnotherClockIsLeftOut(t *testing.T) {
+func TestReportWithAnotherClockIsIgnored(t *testing.T) {
 	now := time.Now()
-	leads, follows := pair(t, now)
-	report := follows.reportTo("10.0.0.2:1", false, now)
+	leads, follows := newParentAndFollower(t, now)
+	report := follows.demandReportFor("10.0.0.2:1", false, now)
 	report.Clock++
-	leads.takeReport("10.0.0.1:1", report, now)
+	leads.handleDemandReport("10.0.0.1:1", report, now)
 	require.Equal(t, 1, leads.demand.tree.Aggregate(now).Balancers)
 }
 
 // A message has a bound, and pools are in it whole or not at all.
-func TestPlacesInAMessageAreBounded(t *testing.T) {
-	made := asksOf("maadi", 1, 1, time.Now())
+func TestReportSizeIsBounded(t *testing.T) {
+	made := demandOf("maadi", 1, 1, time.Now())
 	clear(made.Loads)
 	for pool := range 100 {
 		for _, zone := range []demand.Zone{"zone-a", "zone-b", "zone-c"} {
-			made.Loads[demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
-				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, Offered: float64(pool)}
+			made.Loads[demand.PoolZone{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
+				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, RequestRate: float64(pool)}
 		}
 	}
-	encoded := encodePicture(made, made.OldestAt)
-	require.LessOrEqual(t, len(encoded.GetPlaces()), placesLimit)
-	require.LessOrEqual(t, proto.Size(encoded), 50*placesLimit)
+	encoded := encodeAggregate(made, made.At)
+	require.LessOrEqual(t, len(encoded.GetPlaces()), maxReportPoolZones)
+	require.LessOrEqual(t, proto.Size(encoded), 50*maxReportPoolZones)
 	counts := make(map[string]int)
 	for _, each := range encoded.GetPlaces() {
 		counts[each.GetPool()]++
-		require.Less(t, each.GetPool(), fmt.Sprintf("pool-%04d", placesLimit/3), "the last by name are left out, whatever they ask")
+		require.Less(t, each.GetPool(), fmt.Sprintf("pool-%04d", maxReportPoolZones/3), "the last by name are left out, whatever they ask")
 	}
-	require.Len(t, counts, placesLimit/3)
+	require.Len(t, counts, maxReportPoolZones/3)
 	for pool, count := range counts {
 		require.Equal(t, 3, count, pool)
 	}
@@ -113,50 +113,50 @@
 
 // Balancers that see different demand leave out the same pools, so that what all are told of a
 // pool is the sum over all who see it. Those with the least demand of each were left out.
-func TestPoolsThatAreToldAreWhole(t *testing.T) {
+func TestReportedPoolsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
-		all := make(map[demand.ZonePool]float64)
-		sum := demand.Aggregate{OldestAt: now, Balancers: 2, Loads: make(map[demand.ZonePool]demand.Load)}
+		all := make(map[demand.PoolZone]float64)
+		sum := demand.Aggregate{At: now, Balancers: 2, Loads: make(map[demand.PoolZone]demand.Load)}
 		for range 2 {
-			part := demand.Aggregate{OldestAt: now, Balancers: 1, Loads: make(map[demand.ZonePool]demand.Load)}
+			part := demand.Aggregate{At: now, Balancers: 1, Loads: make(map[demand.PoolZone]demand.Load)}
 			for pool := range 90 {
 				for zone := range rapid.IntRange(0, 3).Draw(t, "zones") {
-					place := demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
-					part.Loads[place] = demand.Load{Offered: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
-					all[place] += part.Loads[place].Offered
+					place := demand.PoolZone{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
+					part.Loads[place] = demand.Load{RequestRate: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
+					all[place] += part.Loads[place].RequestRate
 				}
 			}
-			for place, load := range decodePicture(encodePicture(part, now), now).Loads {
+			for place, load := range decodeAggregate(encodeAggregate(part, now), now).Loads {
 				sum.Loads[place] = sum.Loads[place].Plus(load)
 			}
 		}
-		for place, load := range decodePicture(encodePicture(sum, now), now).Loads {
-			require.InDelta(t, all[place], load.Offered, 1e-6, place)
+		for place, load := range decodeAggregate(encodeAggregate(sum, now), now).Loads {
+			require.InDelta(t, all[place], load.RequestRate, 1e-6, place)
 		}
 	})
 }
 
 // What is no number of requests, told by one balancer, would spoil the sum of all.
-func TestOnlyNumbersOfRequestsAreRead(t *testing.T) {
+func TestInvalidLoadsAreDecodedAsZero(t *testing.T) {
 	for _, told := range []float32{float32(math.NaN()), float32(math.Inf(1)), float32(math.Inf(-1)), -3} {
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
 			Waiting: told, Openings: told, Answers: told, Refusals: told, Asks: 5}}}
-		read := decodePicture(encoded, time.Now())
-		require.Equal(t, demand.Load{Offered: 5}, read.Loads[lendingIn("maadi")])
+		read := decodeAggregate(encoded, time.Now())
+		require.Equal(t, demand.Load{RequestRate: 5}, read.Loads[lendingPoolZone("maadi")])
 	}
 }
 
 // Followers are answered some three times a second each. Told with each answer, the picture
 // took 13.4 of the 22 kB a second that control may take.
-func TestPictureIsToldOnceASecond(t *testing.T) {
+func TestTotalDemandIsSentOncePerSecond(t *testing.T) {
 	now := time.Now()
-	leads, _ := pair(t, now)
-	place := lendingIn("maadi")
-	leads.demand.room.slots = map[demand.ZonePool]float64{place: 10}
+	leads, _ := newParentAndFollower(t, now)
+	place := lendingPoolZone("maadi")
+	leads.demand.capacity.slots = map[demand.PoolZone]float64{place: 10}
 	tell := func(waiting float64) (told int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
-			leads.demand.tree.SetOwn(asksOf("maadi", 10, waiting, now), demand.Position{})
+			leads.demand.tree.SetOwn(demandOf("maadi", 10, waiting, now), demand.Position{})
 			asking := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
 			leads.enqueueFollow(asking)
@@ -170,31 +170,31 @@
 	require.InDelta(t, 10, tell(1), 1)
 	require.InDelta(t, 11, tell(8), 1, "one more, since pressure has moved")
 
-	asked := func(address string) *apiv1.DemandReport { return leads.wholeFor(address, now) }
+	asked := func(address string) *apiv1.DemandReport { return leads.totalDemandFor(address, now) }
 	one, other := asked("10.0.0.8:1"), asked("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, asked("10.0.0.9:1"))
 	now = now.Add(shareUpdateInterval + time.Millisecond)
-	leads.demand.tree.SetOwn(asksOf("maadi", 10, 1, now), demand.Position{})
+	leads.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{})
 	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
-	now = now.Add(soonPause - shareUpdateInterval)
+	now = now.Add(urgentFeedInterval - shareUpdateInterval)
 	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
 	for range 3 {
-		now = now.Add(toldFor)
+		now = now.Add(feedTTL)
 		asked("10.0.0.7:1")
 	}
-	require.Len(t, leads.demand.tellings.told, 1, "who does not call is forgotten")
+	require.Len(t, leads.demand.demandFeed.sent, 1, "who does not call is forgotten")
 }
 
 // Calls that are answered a little sooner than each second bring the picture nearly all.
-func TestPictureIsToldWithAnswersNearlyASecondApart(t *testing.T) {
+func TestTotalDemandIsSentWithRepliesNearlyASecondApart(t *testing.T) {
 	now := time.Now()
-	leads, _ := pair(t, now)
+	leads, _ := newParentAndFollower(t, now)
 	told, last, longest := 0, now, time.Duration(0)
 	for range 100 {
 		now = now.Add(920 * time.Millisecond)
-		leads.demand.tree.SetOwn(asksOf("maadi", 10, 1, now), demand.Position{})
-		if leads.wholeFor("10.0.0.1:1", now) != nil {
+		leads.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{})
+		if leads.totalDemandFor("10.0.0.1:1", now) != nil {
 			told++
 			longest, last = max(longest, now.Sub(last)), now
 		}
@@ -204,25 +204,25 @@
 	require.LessOrEqual(t, longest, 2*920*time.Millisecond)
 }
 
-// divided is a balancer of maadi, which has 4 back ends while giza has 8 and fayum 4, with a
+// newThreeZoneControl is a balancer of maadi, which has 4 back ends while giza has 8 and fayum 4, with a
 // picture of what the zones ask.
-func divided(maadi, giza, fayum, waiting float64) (*control, time.Time) {
+func newThreeZoneControl(maadi, giza, fayum, waiting float64) (*control, time.Time) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.addBackends("lending", "fayum", 4, now)
 	control.balancersByZone = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
-	control.measureRoom(nil, now)
-	picture := demand.Aggregate{OldestAt: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
-		Loads: map[demand.ZonePool]demand.Load{lendingIn("maadi"): {Offered: maadi, InFlight: waiting}, lendingIn("giza"): {Offered: giza},
-			lendingIn("fayum"): {Offered: fayum}}}
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
+	control.measureCapacity(nil, now)
+	picture := demand.Aggregate{At: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
+		Loads: map[demand.PoolZone]demand.Load{lendingPoolZone("maadi"): {RequestRate: maadi, InFlight: waiting}, lendingPoolZone("giza"): {RequestRate: giza},
+			lendingPoolZone("fayum"): {RequestRate: fayum}}}
+	control.demand.aggregate.Store(picture.WithCapacity(control.demand.capacity.slots))
 	return control, now
 }
 
-func (control *control) weights(now time.Time) map[string]uint32 {
-	weigh := control.weigher(nil, now)
+func (control *control) zoneWeights(now time.Time) map[string]uint32 {
+	weigh := control.weightFunc(nil, now)
 	made := make(map[string]uint32)
 	for _, zone := range []string{"maadi", "giza", "fayum"} {
 		made[zone] = weigh(directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: zone}})
@@ -232,70 +232,70 @@
 
 // A zone in more demand than it has room for sends its surplus to the one that has room, and
 // none to the one that is as full. All others alike got it before, by what one zone saw.
-func TestSurplusGoesWhereRoomIs(t *testing.T) {
+func TestSurplusGoesToZonesWithFreeCapacity(t *testing.T) {
 	slots := newTestControl()
 	now := time.Now()
 	slots.addBackends("lending", "maadi", 4, now)
-	slots.measureRoom(nil, now)
-	each := slots.demand.room.slots[lendingIn("maadi")] / 4
-	control, now := divided(200, 100, 200, 20*each)
-	require.True(t, control.divide(now))
-	weights := control.weights(now)
+	slots.measureCapacity(nil, now)
+	each := slots.demand.capacity.slots[lendingPoolZone("maadi")] / 4
+	control, now := newThreeZoneControl(200, 100, 200, 20*each)
+	require.True(t, control.planZoneShares(now))
+	weights := control.zoneWeights(now)
 	require.Equal(t, uint32(rule.MaximumWeight), weights["maadi"])
 	require.LessOrEqual(t, weights["fayum"], uint32(rule.MaximumWeight/1000))
 	// All keep 125 for each four back ends, so of 200 it sends 75 to the eight.
 	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(weights["giza"]), 2)
-	require.False(t, control.divide(now), "the table was made with it")
-	require.True(t, control.newWeights(nil, now).byZone("lending"))
+	require.False(t, control.planZoneShares(now), "the table was made with it")
+	require.True(t, control.newWeights(nil, now).zoneChosenByWeights("lending"))
 	control.balancer.disabled, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
-	require.True(t, control.divide(now))
-	require.Equal(t, control.weights(now)["giza"], control.weights(now)["fayum"], "without it all others are alike")
+	require.True(t, control.planZoneShares(now))
+	require.Equal(t, control.zoneWeights(now)["giza"], control.zoneWeights(now)["fayum"], "without it all others are alike")
 }
 
 // A zone without back ends takes the least used of all the others.
-func TestZoneWithoutBackendsTakesTheLeastUsedOfAll(t *testing.T) {
-	control, now := divided(200, 100, 200, 50)
-	control.measureRoom(map[string]uint64{"maadi": 7}, now)
-	picture := *control.demand.picture.Load()
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
-	require.True(t, control.divide(now))
-	require.Zero(t, control.observed.planned["lending"]["maadi"])
+func TestZoneWithoutBackendsUsesLeastUsedOfAllZones(t *testing.T) {
+	control, now := newThreeZoneControl(200, 100, 200, 50)
+	control.measureCapacity(map[string]uint64{"maadi": 7}, now)
+	picture := *control.demand.aggregate.Load()
+	control.demand.aggregate.Store(picture.WithCapacity(control.demand.capacity.slots))
+	require.True(t, control.planZoneShares(now))
+	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
-	require.NotNil(t, weights.plannedParts("lending"))
-	require.False(t, weights.byZone("lending"))
+	require.NotNil(t, weights.poolShares("lending"))
+	require.False(t, weights.zoneChosenByWeights("lending"))
 }
 
 // An old picture is no ground to send flows anywhere.
-func TestOldPictureDividesNothing(t *testing.T) {
-	control, now := divided(200, 100, 200, 50)
-	require.True(t, control.divide(now))
-	control.weights(now)
-	require.True(t, control.divide(now.Add(demand.MaximumAge+time.Millisecond)))
-	require.Nil(t, control.observed.planned)
+func TestStaleAggregatePlansNoShares(t *testing.T) {
+	control, now := newThreeZoneControl(200, 100, 200, 50)
+	require.True(t, control.planZoneShares(now))
+	control.zoneWeights(now)
+	require.True(t, control.planZoneShares(now.Add(demand.MaximumAge+time.Millisecond)))
+	require.Nil(t, control.observed.plannedShares)
 }
 
 // Room is what takes new flows.
-func TestRoomIsWhatTakesNewFlows(t *testing.T) {
+func TestCapacityCountsBackendsThatTakeNewFlows(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
-	control.measureRoom(nil, now)
-	whole := control.demand.room.slots[lendingIn("giza")]
+	control.measureCapacity(nil, now)
+	whole := control.demand.capacity.slots[lendingPoolZone("giza")]
 	require.Positive(t, whole)
-	require.InDelta(t, 2, whole/control.demand.room.slots[lendingIn("maadi")], 1e-9)
-	control.measureRoom(map[string]uint64{"giza": 7}, now)
-	require.NotContains(t, control.demand.room.slots, lendingIn("giza"), "an evacuated zone has none")
+	require.InDelta(t, 2, whole/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
+	control.measureCapacity(map[string]uint64{"giza": 7}, now)
+	require.NotContains(t, control.demand.capacity.slots, lendingPoolZone("giza"), "an evacuated zone has none")
 }
 
 // Where there is no room at all, that is told, and not left out.
-func TestPressureIsToldWhereThereIsNoRoom(t *testing.T) {
+func TestPressureMetricIsInfiniteWithoutCapacity(t *testing.T) {
 	now := time.Now()
-	picture := asksOf("maadi", 10, 2, now)
-	picture.Loads[lendingIn("giza")] = demand.Load{Offered: 5, Refusals: 5}
-	picture.Loads[lendingIn("fayum")] = demand.Load{Offered: 5}
+	picture := demandOf("maadi", 10, 2, now)
+	picture.Loads[lendingPoolZone("giza")] = demand.Load{RequestRate: 5, Refusals: 5}
+	picture.Loads[lendingPoolZone("fayum")] = demand.Load{RequestRate: 5}
 	told := make(map[string]float64)
-	collectDemand(picture.WithSlots(map[demand.ZonePool]float64{lendingIn("maadi"): 4}),
+	collectDemand(picture.WithCapacity(map[demand.PoolZone]float64{lendingPoolZone("maadi"): 4}),
 		func(description *prometheus.Desc, value float64, labels ...string) {
 			if description == pressureDescription {
 				told[labels[1]] = value
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -24,23 +24,23 @@
 
 // collectDemand reports the current view of demand and free capacity.
 func collectDemand(aggregate *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
-	if aggregate == nil || aggregate.OldestAt.IsZero() {
+	if aggregate == nil || aggregate.At.IsZero() {
 		return
 	}
 	gauge(aggregateAgeDescription, aggregate.Age(time.Now()).Seconds())
 	for zone, count := range aggregate.ZoneBalancers {
 		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	report := func(zonePool demand.ZonePool) {
-		gauge(capacityDescription, aggregate.Slots[zonePool], string(zonePool.Pool), string(zonePool.Zone))
+	report := func(zonePool demand.PoolZone) {
+		gauge(capacityDescription, aggregate.Capacity[zonePool], string(zonePool.Pool), string(zonePool.Zone))
 		gauge(pressureDescription, aggregate.Pressure(zonePool), string(zonePool.Pool), string(zonePool.Zone))
 	}
-	for zonePool := range aggregate.Slots {
+	for zonePool := range aggregate.Capacity {
 		report(zonePool)
 	}
 	for zonePool, load := range aggregate.Loads {
-		gauge(requestRateDescription, load.Offered, string(zonePool.Pool), string(zonePool.Zone))
-		if _, found := aggregate.Slots[zonePool]; !found {
+		gauge(requestRateDescription, load.RequestRate, string(zonePool.Pool), string(zonePool.Zone))
+		if _, found := aggregate.Capacity[zonePool]; !found {
 			report(zonePool)
 		}
 	}
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -17,8 +17,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// served is a balancer of maadi with a table, where lending has back ends in some zones.
-func served(now time.Time, backends map[string]int) *control {
+// newServingControl is a balancer of maadi with a table, where lending has back ends in some zones.
+func newServingControl(now time.Time, backends map[string]int) *control {
 	control := newTestControl()
 	batch := routesBatch(5)
 	batch.Changes[0].GetRoutes().Routes = []*apiv1.ServiceRoute{{Name: "loans", Address: 1, Port: 443,
@@ -38,20 +38,20 @@
 	return control
 }
 
-// plan gives a balancer a picture in which clients of its zone ask, and plans by it.
-func (control *control) plan(now time.Time) bool {
-	control.demand.tree.SetOwn(asksOf("maadi", 5, 5, now), demand.Position{})
+// planWithDemand gives a balancer a picture in which clients of its zone ask, and plans by it.
+func (control *control) planWithDemand(now time.Time) bool {
+	control.demand.tree.SetOwn(demandOf("maadi", 5, 5, now), demand.Position{})
 	picture := control.demand.tree.Aggregate(now)
-	control.demand.picture.Store(picture.WithSlots(control.demand.room.slots))
-	return control.divide(now)
+	control.demand.aggregate.Store(picture.WithCapacity(control.demand.capacity.slots))
+	return control.planZoneShares(now)
 }
 
 // The picture tells of a pool for seconds after its last entry has gone. Its back ends
 // still take new flows then, by the grace of pools that are empty.
-func TestPlannedPoolMayVanish(t *testing.T) {
+func TestPlannedPoolMayDisappear(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
-	require.True(t, control.plan(now))
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	require.True(t, control.planWithDemand(now))
 	control.rebuildTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
 	for _, each := range control.replica.Backends() {
@@ -60,13 +60,13 @@
 	}
 	now = now.Add(100 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.NotNil(t, control.observed.planned)
+	require.NotNil(t, control.observed.plannedShares)
 	require.NotPanics(t, func() { control.rebuildTable(now) })
 }
 
-// keptAtHome is the part of new flows that stays in the zone while its back ends are in use
+// localFraction is the part of new flows that stays in the zone while its back ends are in use
 // and all others are idle.
-func keptAtHome(t *testing.T, control *control) float64 {
+func localFraction(t *testing.T, control *control) float64 {
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
 	require.NotNil(t, route)
@@ -89,52 +89,52 @@
 
 // The weights choose the zone only where they were made by a plan: elsewhere the least used
 // back end of all zones is taken, as without the picture.
-func TestOnlyPlansChooseTheZone(t *testing.T) {
+func TestWeightsChooseZoneOnlyWithPlannedShares(t *testing.T) {
 	now := time.Now()
-	planned := served(now, map[string]int{"maadi": 4, "giza": 4})
-	planned.plan(now)
+	planned := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	planned.planWithDemand(now)
 	planned.rebuildTable(now)
-	require.Greater(t, keptAtHome(t, planned), 0.9)
+	require.Greater(t, localFraction(t, planned), 0.9)
 
 	t.Run("few in the zone", func(t *testing.T) {
-		few := served(now, map[string]int{"maadi": localEnough - 1, "giza": 6})
-		few.plan(now)
-		require.NotNil(t, few.observed.planned)
+		few := newServingControl(now, map[string]int{"maadi": minLocalBackends - 1, "giza": 6})
+		few.planWithDemand(now)
+		require.NotNil(t, few.observed.plannedShares)
 		few.rebuildTable(now)
-		require.Zero(t, keptAtHome(t, few))
+		require.Zero(t, localFraction(t, few))
 	})
 	t.Run("policy of its own", func(t *testing.T) {
-		own := served(now, map[string]int{"maadi": 4, "giza": 4})
+		own := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 		own.replica.Apply(policyBatch(6, "lending", "1.0"), now)
-		own.plan(now)
+		own.planWithDemand(now)
 		own.rebuildTable(now)
-		require.Less(t, keptAtHome(t, own), 0.1)
+		require.Less(t, localFraction(t, own), 0.1)
 	})
 	t.Run("spread after a start", func(t *testing.T) {
-		young := served(now, map[string]int{"maadi": 4, "giza": 4})
+		young := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 		young.firstRoutesAt = now
-		young.plan(now)
+		young.planWithDemand(now)
 		young.rebuildTable(now)
-		require.Less(t, keptAtHome(t, young), 0.1)
+		require.Less(t, localFraction(t, young), 0.1)
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
-		other := served(now, map[string]int{"maadi": 4, "giza": 4})
-		other.observed.planned = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
+		other := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+		other.observed.plannedShares = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
 		other.rebuildTable(now)
-		require.Zero(t, keptAtHome(t, other)-keptAtHome(t, served(now, map[string]int{"maadi": 4, "giza": 4})))
+		require.Zero(t, localFraction(t, other)-localFraction(t, newServingControl(now, map[string]int{"maadi": 4, "giza": 4})))
 	})
 }
 
 // What is planned away is what goes away, also where a zone has a few back ends and the
 // others a hundred times as many.
-func TestPartsAreFineEnoughForManyBackends(t *testing.T) {
+func TestShareWeightsArePreciseForManyBackends(t *testing.T) {
 	for _, elsewhere := range []int{14, 1400, 14_000} {
 		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.room.backends = map[demand.ZonePool]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
+			control.demand.capacity.backends = map[demand.PoolZone]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): elsewhere}
 			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
 			taken := func(zone string, backends int) float64 {
-				weight := math.Ceil(control.partWeight(parts, lendingIn(zone)) * rule.MaximumWeight)
+				weight := math.Ceil(control.shareWeight(parts, lendingPoolZone(zone)) * rule.MaximumWeight)
 				return weight * float64(backends)
 			}
 			home, away := taken("maadi", 14), taken("giza", elsewhere)
@@ -144,46 +144,46 @@
 }
 
 // A zone that the new plan no longer names had a part before, too.
-func TestZonesThatLeaveThePlanCount(t *testing.T) {
-	var o observed
+func TestZonesDroppedFromPlanAreCompared(t *testing.T) {
+	var o weightInputs
 	parts := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
 		return map[demand.Pool]map[demand.Zone]float64{"lending": zones}
 	}
-	o.parts = parts(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
-	require.False(t, o.plan(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
-	o.parts = parts(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
-	require.True(t, o.plan(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
+	require.False(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
+	require.True(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
 }
 
 // Pools that are divided by the picture take no new table for what one zone sees alone.
-func TestPlannedPoolsDontFollowTheirOwnZone(t *testing.T) {
+func TestPlannedPoolsIgnoreLocalLoadChanges(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
-	require.True(t, control.plan(now))
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	require.True(t, control.planWithDemand(now))
 	control.rebuildTable(now)
 	require.False(t, control.observeWaiting("lending", 12, now))
-	control.observed.planned = nil
+	control.observed.plannedShares = nil
 	control.rebuildTable(now)
 	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without a plan they do")
 }
 
 // A picture that comes and goes, as reports are late, makes a table each time. One that has
-// lapsed is planned by again once it has been fresh for returnTime.
-func TestPictureThatComesAndGoesIsLeftAlone(t *testing.T) {
+// lapsed is planned by again once it has been fresh for recoveryDelay.
+func TestIntermittentlyStaleAggregatePlansNoShares(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
-	require.True(t, control.plan(now))
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	require.True(t, control.planWithDemand(now))
 	control.rebuildTable(now)
 	tables := 0
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
-		picture := *control.demand.picture.Load()
-		picture.OldestAt = now
+		picture := *control.demand.aggregate.Load()
+		picture.At = now
 		if step%4 == 0 {
-			picture.OldestAt = now.Add(-demand.MaximumAge - time.Second)
+			picture.At = now.Add(-demand.MaximumAge - time.Second)
 		}
-		control.demand.picture.Store(&picture)
-		if control.divide(now) {
+		control.demand.aggregate.Store(&picture)
+		if control.planZoneShares(now) {
 			tables++
 			control.rebuildTable(now)
 		}
@@ -191,7 +191,7 @@
 	require.Equal(t, 1, tables, "none but as it lapses")
 	for range 8 {
 		now = now.Add(500 * time.Millisecond)
-		control.plan(now)
+		control.planWithDemand(now)
 	}
-	require.NotNil(t, control.observed.planned)
+	require.NotNil(t, control.observed.plannedShares)
 }
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -131,7 +131,7 @@
 	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
 	receive := func(sentAt time.Time) []evidence.Observation {
 		traffic.flows.Receive(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
-		return traffic.flows.TakeStatements()
+		return traffic.flows.TakeObservations()
 	}
 	require.Empty(t, receive(arrivedAt.Add(100*time.Millisecond)))
 	require.Len(t, receive(arrivedAt), 1, "it answers what was sent before it arrived")
@@ -190,7 +190,7 @@
 	known := directory.New(time.Minute)
 	known.Apply(newTestBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
-		Weight: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
+		WeightOf: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
 // newTestBatch returns the entries of a directory with one back end.
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -16,7 +16,7 @@
 	caller        replication.Caller
 	afterRevision uint64
 	receivedAt    time.Time
-	// confirmedAt is when the follower's own knowledge was last confirmed.
+	// minAggregatePressure is when the follower's own knowledge was last confirmed.
 	confirmedAt time.Time
 	deadline    time.Time
 	findings    []*apiv1.BackendFinding
@@ -148,12 +148,12 @@
 	c.core.TakeShown(call.shownBalancers, call.receivedAt)
 	c.core.TakeSilent(call.silentBalancers, call.receivedAt)
 	if call.wantsFindings {
-		c.hearStruggling(call.struggling, call.reportsStruggling, call.receivedAt)
+		c.handleStrugglingReports(call.struggling, call.reportsStruggling, call.receivedAt)
 	}
 	if call.isFollow() {
-		c.findings.takeFollower(call.caller.Address, call.findings, call.receivedAt)
+		c.findings.updateFollower(call.caller.Address, call.findings, call.receivedAt)
 	}
-	c.takeReport(call.caller.Address, call.demand, call.receivedAt)
+	c.handleDemandReport(call.caller.Address, call.demand, call.receivedAt)
 	if len(c.waitingCalls) >= maxWaitingFollowers {
 		call.deadline = call.receivedAt
 	}
@@ -183,7 +183,7 @@
 		return false
 	}
 	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
-	observations := c.newsOfBackends(call, now)
+	observations := c.pendingObservations(call, now)
 	if call.afterRevision >= c.replica.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
 		return false
 	}
@@ -203,11 +203,11 @@
 	}
 	if call.wantsFindings {
 		reply.Findings = allFindings()
-		reply.Struggling, reply.TellsStruggling = c.tellStruggling(now), true
+		reply.Struggling, reply.TellsStruggling = c.strugglingReports(now), true
 	}
 	if call.wantsTestimony {
-		c.addTestimony(reply, observations, now)
-		reply.Demand = c.wholeFor(call.caller.Address, now)
+		c.addObservations(reply, observations, now)
+		reply.Demand = c.totalDemandFor(call.caller.Address, now)
 	}
 	if !known {
 		reply.AgeMilliseconds = uint32(unknownAge.Milliseconds())
@@ -220,7 +220,7 @@
 // pagedReply returns the pages of everything that is known for a follower that needs all
 // of it, or nil where a single answer is enough.
 func (c *control) pagedReply(call *followCall, known bool, now time.Time) *replication.Pages {
-	if !known || call.revisionOnly || !call.acceptsPages || !c.replica.NeedsAll(call.afterRevision, call.withTombstones) {
+	if !known || call.revisionOnly || !call.acceptsPages || !c.replica.NeedsSnapshot(call.afterRevision, call.withTombstones) {
 		return nil
 	}
 	return c.pagesFor(call.afterRevision, now)
@@ -234,7 +234,7 @@
 	}
 	batch := c.replica.Since(call.afterRevision)
 	if call.withTombstones {
-		batch = c.replica.Everything(call.afterRevision)
+		batch = c.replica.SinceWithTombstones(call.afterRevision)
 	}
 	if !call.acceptsPacked {
 		return batch
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -18,7 +18,7 @@
 	}
 	c.pendingWrite, c.pendingWriteEra = pendingWrite, c.balancer.era.Load()
 	if pendingWrite.Policy != nil {
-		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", pendingWrite.Policy.Policy.GetName(), "removed", pendingWrite.Policy.Gone)
+		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", pendingWrite.Policy.Policy.GetName(), "removed", pendingWrite.Policy.Removed)
 	}
 	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(pendingWrite.Put), "remove", pendingWrite.Remove,
 		"first_of_zones", len(pendingWrite.Leads))
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -94,13 +94,13 @@
 	counter(faultyDescription, traffic.sendErrors.Load(), "not_sent")
 	counter(unreadableDescription, balancer.unreadableEntries.Load())
 	counter(flowEventsDescription, traffic.flows.Retried.Load(), "retried")
-	counter(flowEventsDescription, traffic.flows.Missed.Load(), "not_answered")
-	counter(flowEventsDescription, traffic.flows.Verdicts(), "backend_dead")
-	counter(flowEventsDescription, traffic.flows.Silenced(), "zone_silent")
+	counter(flowEventsDescription, traffic.flows.Unanswered.Load(), "not_answered")
+	counter(flowEventsDescription, traffic.flows.BackendFailures(), "backend_dead")
+	counter(flowEventsDescription, traffic.flows.SilentZoneCount(), "zone_silent")
 	counter(earlyDescription, traffic.earlyBuffer.sent.Load(), "sent")
 	counter(earlyDescription, traffic.earlyBuffer.lost.Load(), "lost")
 	counter(lostObservationsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
-	counter(lostObservationsDescription, balancer.control.testimony.board.Dropped.Load(), "a_second")
+	counter(lostObservationsDescription, balancer.control.testimony.buffer.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
@@ -118,11 +118,11 @@
 		gauge(eraDescription, float64(balancer.era.Load()))
 		gauge(ageDescription, (time.Since(balancer.started) - time.Duration(confirmed)).Seconds())
 	}
-	for kind, count := range traffic.refusals.all() {
-		counter(refusalsDescription, count, kind.pool, priorityLabel(kind.urgency))
+	for kind, count := range traffic.refusals.snapshot() {
+		counter(refusalsDescription, count, kind.pool, priorityLabel(kind.priority))
 	}
 	reported := make(map[string]bool)
-	for _, refusal := range traffic.flows.Levels().All() {
+	for _, refusal := range traffic.flows.Refusals().All() {
 		gauge(refusedFractionDescription, refusal.Fraction, refusal.Pool, priorityLabel(refusal.Priority))
 		if !reported[refusal.Pool] {
 			reported[refusal.Pool] = true
@@ -135,7 +135,7 @@
 			gauge(evacuatedDescription, float64(revision.NumberOf(ordered)), zone)
 		}
 	}
-	collectDemand(balancer.Picture(), gauge)
+	collectDemand(balancer.DemandAggregate(), gauge)
 	ready := 0.0
 	if balancer.Ready() {
 		ready = 1
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -32,9 +32,9 @@
 	case news.GetCheck():
 		c.operatorCheckEnded(news, now)
 	case news.GetTestified():
-		c.testified(news, now)
+		c.handleTestifyResult(news, now)
 	case news.GetReported():
-		c.reported(news, now)
+		c.handleDemandReportResult(news, now)
 	case news.GetWrite():
 		c.writeEnded(news.GetError(), now)
 	case news.GetPeer() == "":
@@ -95,7 +95,7 @@
 	c.rebuildNeeded = true
 	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.replica.Held())
+		"known_to", revision.Text(before), "held", c.replica.OverrideCount())
 }
 
 // countUnreadable counts the entries of the store that could not be decoded.
@@ -119,8 +119,8 @@
 	balancers := c.replica.Balancers()
 	c.core.SetBalancers(balancers, now)
 	c.balancersByZone = c.countByZone(balancers)
-	c.observed.balancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
-	c.takePlaces(balancers)
+	c.observed.zoneBalancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
+	c.rankZoneBalancers(balancers)
 }
 
 // zoneCounts holds the number of balancers that the directory lists in each zone.
@@ -193,11 +193,11 @@
 	c.core.PeerAnswered(peer, asOf, now)
 	c.core.Learned(news.GetCallers())
 	if peer.Purpose == replication.PurposeFollow && c.core.SharesOrder(peer.Address) {
-		c.hearStruggling(news.GetStruggling(), news.GetTellsStruggling(), now)
-		c.findings.takeParent(news.GetFindings(), now)
+		c.handleStrugglingReports(news.GetStruggling(), news.GetTellsStruggling(), now)
+		c.findings.updateParent(news.GetFindings(), now)
 	}
 	if peer.Purpose == replication.PurposeFollow {
-		c.heardParent(news, now)
-		c.takeWhole(news, now)
+		c.handleParentObservations(news, now)
+		c.handleTotalDemand(news, now)
 	}
 }
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -63,7 +63,7 @@
 	t.Cleanup(child.testimony.client.Close)
 	link := newThrottledListener(t, 200<<10)
 	address := serveControlOn(t, parent, link)
-	child.follow(t, address)
+	child.followFrom(t, address)
 	require.Equal(t, parent.replica.Revision(), child.replica.Revision())
 	require.Len(t, child.replica.Backends(), 10_000)
 	require.Len(t, child.replica.Balancers(), 1_000)
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -20,26 +20,26 @@
 		return
 	}
 	c.recordPools(now)
-	evacuated := c.evacuated()
+	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.replica, tokenroute.Options{
-		Weight:         weights.of,
-		PlaceWeight:    weights.ofPlace,
-		Evacuated:      evacuated,
-		Warmup:         c.newWarming(now).teller(),
-		FormerPools:    c.formerPools(now),
-		ZoneByWeight:   weights.byZone,
-		AdmitAllPools:  now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		StoreRecovery:  c.storeRecovery(),
-		EmptyPoolGrace: c.emptyPoolGrace(),
-		Previous:       c.balancer.table.Load(),
-		Now:            now,
+		WeightOf:         weights.backendWeight,
+		WeightOfPoolZone: weights.uniformWeight,
+		Evacuated:        evacuated,
+		WarmupOf:         c.newWarmupState(now).warmupFunc(),
+		FormerPools:      c.formerPools(now),
+		ZoneByWeight:     weights.zoneChosenByWeights,
+		AdmitAllPools:    now.Sub(c.firstRoutesAt) < c.flowRetention(),
+		StoreRecovery:    c.storeRecovery(),
+		EmptyPoolGrace:   c.emptyPoolGrace(),
+		Previous:         c.balancer.table.Load(),
+		Now:              now,
 	})
 	if table == nil {
 		return
 	}
 	c.scheduleTableChange(now)
-	c.gate.takeRoutes(c.replica.Routes())
+	c.gate.updateRoutes(c.replica.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
@@ -51,7 +51,7 @@
 	if previous == nil {
 		previous = &tokenroute.Table{}
 	}
-	c.tellEvacuations(previous.Evacuated, table.Evacuated)
+	c.logEvacuations(previous.Evacuated, table.Evacuated)
 }
 
 func (c *control) emptyPoolGrace() time.Duration {
@@ -99,10 +99,10 @@
 // period of a vanished pool is over.
 func (c *control) scheduleTableChange(now time.Time) {
 	c.nextTableChange = time.Time{}
-	c.changeTableAt(c.firstRoutesAt.Add(spreadTime), now)
+	c.changeTableAt(c.firstRoutesAt.Add(startupSpreadTime), now)
 	c.changeTableAt(c.storeRecovery().Until, now)
-	for _, group := range c.replica.Groups() {
-		if group.Gone > 0 {
+	for _, group := range c.replica.BackendGroups() {
+		if group.TombstoneCount > 0 {
 			c.scheduleVanished(group, now)
 		}
 	}
@@ -110,10 +110,10 @@
 
 // scheduleVanished schedules a table change for the end of the grace period of each
 // vanished back end of a group.
-func (c *control) scheduleVanished(group *directory.Group, now time.Time) {
+func (c *control) scheduleVanished(group *directory.BackendGroup, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone {
-			c.changeTableAt(backend.VanishedAt.Add(c.emptyPoolGrace()), now)
+			c.changeTableAt(backend.RemovalSeenAt.Add(c.emptyPoolGrace()), now)
 		}
 	}
 }
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -28,7 +28,7 @@
 // time lost on the first must not add to the age of the peer's answer. It did: the peer
 // counted as stale and was skipped for 2 s.
 func TestPeerBehindASilentConnectionIsNotSkipped(t *testing.T) {
-	child := knowing(t)
+	child := newControlWithRoutes(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -32,7 +32,7 @@
 			case asking := <-c.followCalls:
 				c.enqueueFollow(asking)
 			case told := <-c.testifyRequests:
-				c.takeTestimony(told, time.Now())
+				c.handleTestifyRequest(told, time.Now())
 			case <-time.After(time.Millisecond):
 			}
 			c.answerWaiting(time.Now())
@@ -45,8 +45,8 @@
 	return listener.Addr().String()
 }
 
-// knowing makes a control that knows something.
-func knowing(t *testing.T) *control {
+// newControlWithRoutes makes a control that knows something.
+func newControlWithRoutes(t *testing.T) *control {
 	c := newTestControl()
 	now := time.Now()
 	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
@@ -54,8 +54,8 @@
 	return c
 }
 
-// follow makes one call to the balancer at an address and takes the answer.
-func (c *control) follow(t *testing.T, address string) {
+// followFrom makes one call to the balancer at an address and takes the answer.
+func (c *control) followFrom(t *testing.T, address string) {
 	ctx := context.Background()
 	messages, err := c.balancer.bus.Subscribe(ctx)
 	require.NoError(t, err)
@@ -64,63 +64,63 @@
 	c.handle(<-messages)
 }
 
-func TestStatementsGoUpAndDown(t *testing.T) {
-	parent, child, other := knowing(t), knowing(t), knowing(t)
+func TestObservationsTravelUpAndDownTheTree(t *testing.T) {
+	parent, child, other := newControlWithRoutes(t), newControlWithRoutes(t), newControlWithRoutes(t)
 	other.balancer.settings.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
-	child.testimony.board.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
-	child.startTestify(context.Background(), now)
-	require.False(t, child.testimony.telling, "the clock of the one that is followed is not known yet")
+	child.testimony.buffer.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
+	child.sendObservations(context.Background(), now)
+	require.False(t, child.testimony.sending, "the clock of the one that is followed is not known yet")
 
-	child.follow(t, address)
-	require.Equal(t, parent.testimony.clock, child.testimony.theirs.ID)
+	child.followFrom(t, address)
+	require.Equal(t, parent.testimony.clock, child.testimony.parentClock.ID)
 	messages, err := child.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
-	child.startTestify(context.Background(), time.Now())
-	require.True(t, child.testimony.telling)
+	child.sendObservations(context.Background(), time.Now())
+	require.True(t, child.testimony.sending)
 	child.handle(<-messages)
-	require.False(t, child.testimony.telling)
+	require.False(t, child.testimony.sending)
 
-	other.follow(t, address)
-	heard := other.testimony.board.Since(0, "", time.Now())
+	other.followFrom(t, address)
+	heard := other.testimony.buffer.Since(0, "", time.Now())
 	require.Len(t, heard, 1)
 	witness := heard[0].(evidence.UnansweredRequest)
 	require.Equal(t, evidence.Backend{Number: 7}, witness.Backend)
 	require.Equal(t, "maadi", witness.Zone)
 	require.False(t, witness.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
 	require.WithinDuration(t, now.Add(-700*time.Millisecond), witness.SentAt, 5*time.Second)
-	require.Equal(t, uint64(1), other.testimony.heard)
-	require.Empty(t, other.testimony.board.Since(0, address, time.Now()), "who told it is not told")
+	require.Equal(t, uint64(1), other.testimony.receivedSequence)
+	require.Empty(t, other.testimony.buffer.Since(0, address, time.Now()), "who told it is not told")
 }
 
 // Statements in the clock of a process that has ended mean nothing.
-func TestStatementsInAnotherClockAreLeftOut(t *testing.T) {
-	c := knowing(t)
+func TestObservationsWithAnotherClockAreIgnored(t *testing.T) {
+	c := newControlWithRoutes(t)
 	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
-	c.takeTestimony(request, time.Now())
-	require.Zero(t, c.testimony.board.LastSequence())
+	c.handleTestifyRequest(request, time.Now())
+	require.Zero(t, c.testimony.buffer.LastSequence())
 	request.Clock = c.testimony.clock
-	c.takeTestimony(request, time.Now())
-	require.Equal(t, uint64(1), c.testimony.board.LastSequence())
+	c.handleTestifyRequest(request, time.Now())
+	require.Equal(t, uint64(1), c.testimony.buffer.LastSequence())
 }
 
 // What could not be told is told again, while it is still of use.
-func TestStatementsThatWereNotToldAreToldAgain(t *testing.T) {
-	c := knowing(t)
+func TestUndeliveredObservationsAreSentAgain(t *testing.T) {
+	c := newControlWithRoutes(t)
 	now := time.Now()
-	c.testimony.parent, c.testimony.theirs = "127.0.0.1:1", evidence.NewRemoteClock(3, 0, now, now)
-	c.testimony.board.Add(evidence.Activity{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
+	c.testimony.parent, c.testimony.parentClock = "127.0.0.1:1", evidence.NewRemoteClock(3, 0, now, now)
+	c.testimony.buffer.Add(evidence.Activity{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
 	messages, err := c.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
-	c.startTestify(context.Background(), now)
-	require.Equal(t, uint64(1), c.testimony.told)
+	c.sendObservations(context.Background(), now)
+	require.Equal(t, uint64(1), c.testimony.sentSequence)
 	c.handle(<-messages)
-	require.Zero(t, c.testimony.told)
-	c.startTestify(context.Background(), time.Now())
-	require.False(t, c.testimony.telling, "after a pause")
-	c.startTestify(context.Background(), time.Now().Add(testifyPause))
-	require.True(t, c.testimony.telling)
+	require.Zero(t, c.testimony.sentSequence)
+	c.sendObservations(context.Background(), time.Now())
+	require.False(t, c.testimony.sending, "after a pause")
+	c.sendObservations(context.Background(), time.Now().Add(testifyRetryDelay))
+	require.True(t, c.testimony.sending)
 	c.handle(<-messages)
 }
 
@@ -136,14 +136,14 @@
 }
 
 // One message has room for so many statements; signs of life are among them.
-func TestSignsOfLifeAreToldFirst(t *testing.T) {
+func TestActivityIsSentFirst(t *testing.T) {
 	var statements []evidence.Observation
-	for number := range uint64(2 * testimonyLimit) {
+	for number := range uint64(2 * maxObservations) {
 		statements = append(statements, evidence.UnansweredRequest{Backend: evidence.Backend{Number: number}})
 	}
 	statements = append(statements, evidence.Activity{Backend: evidence.Backend{Number: 7}})
-	told := firstToTell(statements)
-	require.Len(t, told, testimonyLimit)
+	told := selectObservations(statements)
+	require.Len(t, told, maxObservations)
 	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 7}}, told[0])
 	require.Equal(t, evidence.UnansweredRequest{Backend: evidence.Backend{Number: 0}}, told[1], "the others in their order")
 }
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -38,7 +38,7 @@
 	// earlyBuffer holds the packets that arrived before the first table.
 	earlyBuffer earlyBuffer
 	// refusals counts the flows that were refused for lack of capacity.
-	refusals   refusals
+	refusals   refusalCounters
 	malformed  atomic.Uint64
 	sendErrors atomic.Uint64
 }
@@ -49,7 +49,7 @@
 	return &traffic{
 		balancer: balancer,
 		socket:   socket,
-		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.settings.Load().GetZone()),
+		flows:    tokenroute.NewFlows(balancer.disabled).WithZone(balancer.settings.Load().GetZone()),
 		log:      decisionLog{logger: balancer.logger},
 		input:    make([]byte, size),
 		output:   make([]byte, 0, 2*size),
@@ -129,7 +129,7 @@
 // reportFailures resets the flows whose back ends were detected as failed, and passes on
 // what was observed.
 func (t *traffic) reportFailures(table *tokenroute.Table, now time.Time) {
-	for _, failure := range t.flows.TakeVerdicts() {
+	for _, failure := range t.flows.TakeBackendFailures() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", failure.Backend.ID,
 			"pool", failure.Backend.Pool, "unanswered_here", failure.Local, "unanswered_elsewhere", failure.Remote,
 			"silent_for", now.Sub(failure.SilentSince).Round(time.Millisecond))
@@ -138,10 +138,10 @@
 		t.balancer.logger.Warn("Traffic: zone does not answer, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
 			"silent_for", now.Sub(silent.Since).Round(time.Millisecond))
 	}
-	for _, abandoned := range t.flows.TakeAbandoned() {
+	for _, abandoned := range t.flows.TakeAbandonedFlows() {
 		t.reset(abandoned, table, now)
 	}
-	if observations := t.flows.TakeStatements(); len(observations) > 0 {
+	if observations := t.flows.TakeObservations(); len(observations) > 0 {
 		t.outbox.put(observations)
 		t.balancer.control.wake()
 	}
@@ -214,8 +214,8 @@
 // execute carries out a routing decision for a packet.
 func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.decisionCounts[decision.Reason].Add(1)
-	if decision.Level != nil {
-		t.refusals.count(decision.Level)
+	if decision.Refusal != nil {
+		t.refusals.increment(decision.Refusal)
 	}
 	codec := t.balancer.dependencies.Codec
 	var err error
@@ -234,7 +234,7 @@
 }
 
 // reset notifies the client of a flow that its back end no longer holds the flow.
-func (t *traffic) reset(abandoned tokenroute.Abandoned, table *tokenroute.Table, now time.Time) {
+func (t *traffic) reset(abandoned tokenroute.AbandonedFlow, table *tokenroute.Table, now time.Time) {
 	packet := tokenroute.Packet{Key: abandoned.Key, Acknowledged: abandoned.Acknowledged}
 	decision := tokenroute.Decision{
 		Verdict: tokenroute.Refuse,
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -16,10 +16,10 @@
 	pendingTime = 200 * time.Millisecond
 	// remoteTTL is how long a witness that another balancer told counts.
 	remoteTTL = 3 * time.Second
-	// maxStatements bounds the witnesses that wait to be told, and as many signs of
+	// maxObservations bounds the witnesses that wait to be told, and as many signs of
 	// life: where many back ends fall silent at once, witnesses would crowd out what
 	// speaks against them.
-	maxStatements = 256
+	maxObservations = 256
 )
 
 // pendingEvaluation is a back end whose joined witnesses wait for an answer.
@@ -31,7 +31,7 @@
 // Receive takes what another balancer saw. Statements on back ends that the table does
 // not have, or has another start of, are of no concern.
 func (f *Flows) Receive(statement evidence.Observation, table *Table, now time.Time) {
-	if table == nil || f.off.Has(mechanism.JoinedEvidence) {
+	if table == nil || f.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
 	backend := table.Backend(statement.BackendID())
@@ -40,26 +40,28 @@
 	}
 	switch heard := statement.(type) {
 	case evidence.UnansweredRequest:
-		f.liveness.receive(heard, backend, now)
+		f.failureDetector.receive(heard, backend, now)
 	case evidence.Activity:
-		f.liveness.recordAlive(backend, heard.At)
+		f.failureDetector.recordActivity(backend, heard.At)
 	}
 }
 
-// TakeStatements returns what this balancer has seen since the last call and others
+// TakeObservations returns what this balancer has seen since the last call and others
 // should know.
-func (f *Flows) TakeStatements() []evidence.Observation {
-	taken := f.liveness.statements
-	f.liveness.statements = nil
+func (f *Flows) TakeObservations() []evidence.Observation {
+	taken := f.failureDetector.observations
+	f.failureDetector.observations = nil
 	return taken
 }
 
 // EvaluatePending judges by the joined witnesses that nobody answered in time, and returns when
 // the next ones will have waited long enough; the zero time is never.
-func (f *Flows) EvaluatePending(now time.Time) time.Time { return f.liveness.evaluatePending(now) }
+func (f *Flows) EvaluatePending(now time.Time) time.Time {
+	return f.failureDetector.evaluatePending(now)
+}
 
 // HasPending tells whether joined witnesses wait for an answer.
-func (f *Flows) HasPending() bool { return len(f.liveness.pending) > 0 }
+func (f *Flows) HasPending() bool { return len(f.failureDetector.pending) > 0 }
 
 // receive takes a witness that another balancer tells of. It counts for those that reach
 // the back end by the way that the other one does: from the same zone, or where the
@@ -73,8 +75,8 @@
 	if judged == nil || now.Sub(heard.SentAt) > remoteTTL {
 		return
 	}
-	if !heard.SentAt.After(judged.aliveAt) {
-		l.reportAlive(backend, judged)
+	if !heard.SentAt.After(judged.activeAt) {
+		l.reportActivity(backend, judged)
 		return
 	}
 	client := clientAddressOf(heard.Client)
@@ -146,7 +148,7 @@
 
 // reportUnanswered lets the other balancers know of a client whose request stayed unanswered.
 func (l *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
-	l.queueStatement(evidence.UnansweredRequest{
+	l.queueObservation(evidence.UnansweredRequest{
 		Backend: backend.Incarnation(),
 		Client:  evidence.Client(binary.BigEndian.Uint32(client[:])),
 		Zone:    l.zone,
@@ -154,25 +156,25 @@
 	})
 }
 
-// reportAlive lets the other balancers know that a back end lived later than they think.
-func (l *FailureDetector) reportAlive(backend *Backend, judged *backendHealth) {
-	l.queueStatement(evidence.Activity{Backend: backend.Incarnation(), At: judged.aliveAt})
+// reportActivity lets the other balancers know that a back end lived later than they think.
+func (l *FailureDetector) reportActivity(backend *Backend, judged *backendHealth) {
+	l.queueObservation(evidence.Activity{Backend: backend.Incarnation(), At: judged.activeAt})
 }
 
-// queueStatement lets the other balancers know of a statement, as far as there is room.
-func (l *FailureDetector) queueStatement(statement evidence.Observation) {
+// queueObservation lets the other balancers know of a statement, as far as there is room.
+func (l *FailureDetector) queueObservation(statement evidence.Observation) {
 	if l.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
 	_, life := statement.(evidence.Activity)
 	waiting := 0
-	for _, each := range l.statements {
+	for _, each := range l.observations {
 		if _, is := each.(evidence.Activity); is == life {
 			waiting++
 		}
 	}
-	if waiting < maxStatements {
-		l.statements = append(l.statements, statement)
+	if waiting < maxObservations {
+		l.observations = append(l.observations, statement)
 	}
 }
 
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -17,10 +17,10 @@
 // simulation are balancers of one zone in virtual time that follow each other in a tree
 // and pass on what they see, before back ends of which some fall silent at once.
 type simulation struct {
-	chance    *rand.Rand
-	table     *Table
-	balancers []simulatedBalancer
-	flows     []simulatedFlow
+	random *rand.Rand
+	table  *Table
+	nodes  []simulatedBalancer
+	flows  []simulatedFlow
 	// failedAt is when the first `dead` back ends fell silent.
 	failed, failedAt int
 	// detectedAfter is when each balancer's resets told of a dead back end, by both.
@@ -37,29 +37,29 @@
 	flows *Flows
 	board evidence.Buffer
 	// sentUpTo is the sequence up to which the neighbours were told.
-	sentUpTo    uint64
-	nextMessage int
-	inbox       []message
+	sentUpTo      uint64
+	nextMessageAt int
+	inbox         []message
 }
 
 // message are statements under way to a balancer.
 type message struct {
-	from       string
-	statements []evidence.Observation
-	arrivesAt  int
+	from         string
+	observations []evidence.Observation
+	arrivesAt    int
 }
 
 // simulatedFlow is a client's flow: it asks, repeats, and asks again after a pause.
 type simulatedFlow struct {
-	key      flow.Key
-	balancer int
-	backend  int
-	n        uint32
-	sentAt   int
-	repeats  int
-	nextAt   int
-	waiting  bool
-	// answeredAt is when the answer comes, where that is known before; 0 is not.
+	key         flow.Key
+	balancer    int
+	backend     int
+	requests    uint32
+	sentAt      int
+	retransmits int
+	nextAt      int
+	waiting     bool
+	// respondedAt is when the answer comes, where that is known before; 0 is not.
 	answeredAt int
 }
 
@@ -92,17 +92,17 @@
 	for number := range backends {
 		changes = append(changes, inZone(backend(2, uint64(number+1), "lending"), zone(number)))
 	}
-	made := &simulation{chance: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
+	made := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for place := range balancers {
-		made.balancers = append(made.balancers, simulatedBalancer{flows: NewFlows(off).InZone(home(place))})
+		made.nodes = append(made.nodes, simulatedBalancer{flows: NewFlows(off).WithZone(home(place))})
 	}
 	for number := range backends * flows {
 		place := len(made.flows)
 		made.flows = append(made.flows, simulatedFlow{
 			key: flow.Key{Source: [4]byte{100, byte(place >> 16), byte(place >> 8), byte(place)}, SourcePort: 1,
 				Destination: [4]byte{0, 0, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP},
-			balancer: made.chance.IntN(balancers), backend: number % backends, nextAt: made.chance.IntN(3000),
+			balancer: made.random.IntN(balancers), backend: number % backends, nextAt: made.random.IntN(3000),
 		})
 	}
 	return made
@@ -113,7 +113,7 @@
 		for index := range j.flows {
 			j.ask(&j.flows[index], now)
 		}
-		for place := range j.balancers {
+		for place := range j.nodes {
 			j.applyResets(place, now)
 			j.exchange(place, now)
 		}
@@ -124,33 +124,33 @@
 func (j *simulation) ask(f *simulatedFlow, now int) {
 	silent := f.backend < j.failed && now >= j.failedAt
 	switch {
-	case f.backend < 0 || now < f.nextAt || !f.waiting && f.n > 0 && j.idleFrom > 0 && f.backend >= j.idleFrom && f.backend < j.idleFrom+10:
+	case f.backend < 0 || now < f.nextAt || !f.waiting && f.requests > 0 && j.idleFrom > 0 && f.backend >= j.idleFrom && f.backend < j.idleFrom+10:
 		return
 	case !f.waiting:
-		f.n++
-		f.sentAt, f.repeats, f.waiting = now, 0, true
+		f.requests++
+		f.sentAt, f.retransmits, f.waiting = now, 0, true
 		if silent {
 			j.lost++
 		}
-	case !silent && f.repeats == 0:
+	case !silent && f.retransmits == 0:
 		// The answer to the request has come: it is acknowledged.
-		j.balancers[f.balancer].flows.Decide(j.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n,
-			Acknowledged: 5000*f.n + 300}, at(now))
-		f.waiting, f.nextAt = false, now+1000+j.chance.IntN(4000)
+		j.nodes[f.balancer].flows.Decide(j.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
+			Acknowledged: 5000*f.requests + 300}, at(now))
+		f.waiting, f.nextAt = false, now+1000+j.random.IntN(4000)
 		return
 	default:
-		f.repeats++
+		f.retransmits++
 	}
-	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.n, Acknowledged: 5000 * f.n, Length: 500}
-	if j.balancers[f.balancer].flows.Decide(j.table, packet, at(now)).Verdict == Refuse {
+	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
+	if j.nodes[f.balancer].flows.Decide(j.table, packet, at(now)).Verdict == Refuse {
 		j.reset(f)
 		return
 	}
 	switch {
 	case !silent:
 		f.nextAt = now + 25
-	case f.repeats < len(retransmitTimes):
-		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
+	case f.retransmits < len(retransmitTimes):
+		f.nextAt = f.sentAt + retransmitTimes[f.retransmits]
 	default:
 		j.reset(f)
 	}
@@ -161,9 +161,9 @@
 
 // applyResets carries out the verdicts of a balancer.
 func (j *simulation) applyResets(place, now int) {
-	node := &j.balancers[place]
+	node := &j.nodes[place]
 	node.flows.EvaluatePending(at(now))
-	for _, abandoned := range node.flows.TakeAbandoned() {
+	for _, abandoned := range node.flows.TakeAbandonedFlows() {
 		number := int(abandoned.Backend.Number) - 1
 		if number >= j.failed {
 			panic(fmt.Sprintf("back end %d lives", number))
@@ -178,44 +178,44 @@
 
 // exchange takes what has arrived and passes on what is new, up and down.
 func (j *simulation) exchange(place, now int) {
-	node := &j.balancers[place]
+	node := &j.nodes[place]
 	kept := node.inbox[:0]
 	for _, each := range node.inbox {
 		if each.arrivesAt > now {
 			kept = append(kept, each)
 			continue
 		}
-		for _, statement := range each.statements {
+		for _, statement := range each.observations {
 			if node.board.Add(statement, each.from, at(now)) {
 				node.flows.Receive(statement, j.table, at(now))
 			}
 		}
 	}
 	node.inbox = kept
-	for _, statement := range node.flows.TakeStatements() {
+	for _, statement := range node.flows.TakeObservations() {
 		node.board.Add(statement, "", at(now))
 	}
-	if now < node.nextMessage || node.sentUpTo == node.board.LastSequence() {
+	if now < node.nextMessageAt || node.sentUpTo == node.board.LastSequence() {
 		return
 	}
-	node.nextMessage = now + batchTime
+	node.nextMessageAt = now + batchTime
 	if place > 0 {
 		j.send(place, (place-1)/treeWidth, now)
 	}
-	for child := place*treeWidth + 1; child <= min(place*treeWidth+treeWidth, len(j.balancers)-1); child++ {
+	for child := place*treeWidth + 1; child <= min(place*treeWidth+treeWidth, len(j.nodes)-1); child++ {
 		j.send(place, child, now)
 	}
 	node.sentUpTo = node.board.LastSequence()
 }
 
 func (j *simulation) send(from, to, now int) {
-	statements := j.balancers[from].board.Since(j.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
+	statements := j.nodes[from].board.Since(j.nodes[from].sentUpTo, fmt.Sprint(to), at(now))
 	if len(statements) > 0 {
 		arrivesAt := now + messageTime
 		if j.extraDelay != nil {
 			arrivesAt += j.extraDelay(from, now) + j.extraDelay(to, now)
 		}
-		j.balancers[to].inbox = append(j.balancers[to].inbox, message{from: fmt.Sprint(from), statements: statements, arrivesAt: arrivesAt})
+		j.nodes[to].inbox = append(j.nodes[to].inbox, message{from: fmt.Sprint(from), observations: statements, arrivesAt: arrivesAt})
 	}
 }
 
@@ -233,7 +233,7 @@
 // requests of its own, one back end after the other, half of them after 3 seconds;
 // joined, half know after some 1.0 second, of which 0.6 are two repetitions and 0.2 the
 // wait for an answer, and a third of the requests go to the dead.
-func TestADeathIsLearnedOnce(t *testing.T) {
+func TestSharedReportsShortenFailureDetection(t *testing.T) {
 	for _, balancers := range []int{88, 300} {
 		t.Run(fmt.Sprintf("%d balancers", balancers), func(t *testing.T) {
 			t.Parallel()
@@ -255,12 +255,12 @@
 
 // A third of all back ends falls silent at once: no balancer can tell its own link from
 // that, and what is passed on stays within its bound.
-func TestAThirdSilentAtOnceStaysBounded(t *testing.T) {
+func TestObservationsStayBoundedWhenThirdOfBackendsFails(t *testing.T) {
 	fleet := newSimulation(88, 150, 50, mechanism.Set{})
 	fleet.run(7000)
-	for place := range fleet.balancers {
-		require.Zero(t, fleet.balancers[place].board.Dropped.Load())
-		require.Less(t, int(fleet.balancers[place].board.LastSequence()), 600)
+	for place := range fleet.nodes {
+		require.Zero(t, fleet.nodes[place].board.Dropped.Load())
+		require.Less(t, int(fleet.nodes[place].board.LastSequence()), 600)
 	}
 	require.NotEmpty(t, fleet.detectionTimes())
 }
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -19,32 +19,32 @@
 // restartingBackend is a directory of three back ends of which the second one starts again under
 // its number.
 type restartingBackend struct {
-	known    *directory.Directory
+	entries  *directory.Directory
 	revision uint64
 }
 
 func newRestartingBackend(startedAt int) *restartingBackend {
-	made := &restartingBackend{known: directory.New(time.Minute), revision: 100}
+	made := &restartingBackend{entries: directory.New(time.Minute), revision: 100}
 	first := backend(2, 2, "lending")
 	first.GetBackend().StartedMilliseconds = startOf(startedAt)
 	table := routes(1, route(1, share("lending", 1)))
 	table.GetRoutes().IdleMilliseconds = 15_000
 	changes := []*apiv1.DirectoryChange{table, backend(2, 1, "lending"), first, backend(2, 3, "lending")}
-	made.known.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: made.revision}, at(startedAt))
+	made.entries.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: made.revision}, at(startedAt))
 	return made
 }
 
 // startOf is the start of a back end at a time, as its entry tells it.
 func startOf(milliseconds int) uint64 { return uint64(at(milliseconds).UnixMilli()) }
 
-func (r *restartingBackend) table() *Table { return NewTable(r.known, defaultOptions()) }
+func (r *restartingBackend) table() *Table { return NewTable(r.entries, defaultOptions()) }
 
 // restart lets the directory learn that the second back end has started again.
 func (r *restartingBackend) restart(startedAt, learnedAt int) *Table {
 	r.revision++
 	again := backend(r.revision, 2, "lending")
 	again.GetBackend().StartedMilliseconds = startOf(startedAt)
-	r.known.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{again}, Revision: r.revision}, at(learnedAt))
+	r.entries.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{again}, Revision: r.revision}, at(learnedAt))
 	return r.table()
 }
 
@@ -54,20 +54,20 @@
 
 // What speaks against a start of a back end says nothing of the next one, whose flows would
 // else be reset while it lives.
-func TestVerdictOnAnEarlierStartEndsWithIt(t *testing.T) {
+func TestFailureOfEarlierStartDoesNotAffectNext(t *testing.T) {
 	back, flows := newRestartingBackend(-60_000), NewFlows(mechanism.Set{})
 	before := back.table()
 	require.Equal(t, []Verdict{Forward, Refuse}, sendUnanswered(flows, before, 2, []byte{1, 2}, 0, 600))
 	after := back.restart(500, 700)
 	require.Equal(t, Forward, flows.Decide(after, request(3, 2, 1), at(750)).Verdict, "a flow of the new start")
 	require.Equal(t, Forward, flows.Decide(after, request(1, 2, 1), at(1400)).Verdict, "a copy of what the earlier one left unanswered")
-	flows.TakeAbandoned()
+	flows.TakeAbandonedFlows()
 	for client := range evidence.Client(3) {
 		flows.Receive(evidence.UnansweredRequest{Backend: id(2, -60_000), Client: client + 50, SentAt: at(900)}, after, at(1600))
 	}
 	flows.EvaluatePending(at(2000))
 	require.Equal(t, Forward, flows.Decide(after, request(4, 2, 1), at(2001)).Verdict, "witnesses of the earlier start")
-	require.Empty(t, flows.TakeAbandoned())
+	require.Empty(t, flows.TakeAbandonedFlows())
 	for client := range evidence.Client(2) {
 		flows.Receive(evidence.UnansweredRequest{Backend: id(2, 500), Client: client + 50, SentAt: at(1500)}, after, at(2100))
 	}
@@ -78,7 +78,7 @@
 // A request that may not be repeated is lost when its flow's back end has started again
 // since and holds the flow no more. So flows of the earlier start are reset once the new one
 // is known, the idle ones too, each once; those that it may hold are not.
-func TestFlowsOfAnEarlierStartAreReset(t *testing.T) {
+func TestFlowsOfEarlierStartAreReset(t *testing.T) {
 	back, flows := newRestartingBackend(-60_000), NewFlows(mechanism.Set{})
 	table := back.table()
 	exchange := func(client byte, now int) {
@@ -97,20 +97,20 @@
 	table = back.restart(12_100, 13_000)
 	flows.SetTable(table, at(13_010))
 	reset := make(map[flow.Key]Reason)
-	for _, abandoned := range flows.TakeAbandoned() {
+	for _, abandoned := range flows.TakeAbandonedFlows() {
 		require.Equal(t, id(2, 12_100), abandoned.Backend.Incarnation())
 		reset[abandoned.Key] = abandoned.Reason
 	}
 	require.Equal(t, map[flow.Key]Reason{clientKey(1): ReasonRestarted, clientKey(2): ReasonRestarted}, reset)
 	require.Equal(t, "restarted_backend", ReasonRestarted.String())
 	flows.SetTable(back.table(), at(13_100))
-	require.Empty(t, flows.TakeAbandoned(), "each is told once")
+	require.Empty(t, flows.TakeAbandonedFlows(), "each is told once")
 	exchange(4, 13_200)
-	require.Empty(t, flows.TakeAbandoned())
+	require.Empty(t, flows.TakeAbandonedFlows())
 }
 
 // The place of a back end in the order of a flow goes by its number, not by its start.
-func TestRestartMovesNoNewFlows(t *testing.T) {
+func TestRestartKeepsBackendOrder(t *testing.T) {
 	back := newRestartingBackend(-60_000)
 	before, after := back.table(), back.restart(500, 700)
 	for port := range 300 {
@@ -123,7 +123,7 @@
 // A back end starts again and again under its number; its entries come up to 3 s late, clocks
 // differ by up to 2 s, and clients open flows, rest and ask. No flow of the living start is
 // ever reset.
-func TestFlowsOfTheLivingStartAreNeverReset(t *testing.T) {
+func TestFlowsOfCurrentStartAreNeverReset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		skew := rapid.IntRange(-2000, 2000).Draw(t, "clock differs by ms")
@@ -161,7 +161,7 @@
 				flows.Decide(table, packet, at(now+15))
 				c.nextAt = now + 100 + chance.IntN(6000)
 			}
-			for _, abandoned := range flows.TakeAbandoned() {
+			for _, abandoned := range flows.TakeAbandonedFlows() {
 				opened := (int(abandoned.Key.SourcePort) - 1000) * 20
 				require.Less(t, opened, living, "a flow of the living start was reset at %d", now)
 			}
