--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -22,26 +22,26 @@
 		"Balancers that the picture of demand counts, by zone.", []string{"zone"}, nil)
 )
 
-// collectDemand gives the picture of demand and room.
-func collectDemand(picture *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
-	if picture == nil || picture.At.IsZero() {
+// collectDemand reports the current view of demand and free capacity.
+func collectDemand(aggregate *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
+	if aggregate == nil || aggregate.At.IsZero() {
 		return
 	}
-	gauge(aggregateAgeDescription, picture.Age(time.Now()).Seconds())
-	for zone, count := range picture.ZoneBalancers {
+	gauge(aggregateAgeDescription, aggregate.Age(time.Now()).Seconds())
+	for zone, count := range aggregate.ZoneBalancers {
 		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	tell := func(place demand.PoolZone) {
-		gauge(capacityDescription, picture.Capacity[place], string(place.Pool), string(place.Zone))
-		gauge(pressureDescription, picture.Pressure(place), string(place.Pool), string(place.Zone))
+	report := func(zonePool demand.PoolZone) {
+		gauge(capacityDescription, aggregate.Capacity[zonePool], string(zonePool.Pool), string(zonePool.Zone))
+		gauge(pressureDescription, aggregate.Pressure(zonePool), string(zonePool.Pool), string(zonePool.Zone))
 	}
-	for place := range picture.Capacity {
-		tell(place)
+	for zonePool := range aggregate.Capacity {
+		report(zonePool)
 	}
-	for place, load := range picture.Loads {
-		gauge(requestRateDescription, load.RequestRate, string(place.Pool), string(place.Zone))
-		if _, found := picture.Capacity[place]; !found {
-			tell(place)
+	for zonePool, load := range aggregate.Loads {
+		gauge(requestRateDescription, load.RequestRate, string(zonePool.Pool), string(zonePool.Zone))
+		if _, found := aggregate.Capacity[zonePool]; !found {
+			report(zonePool)
 		}
 	}
 }
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -9,32 +9,32 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Story: a back end's entry went while the balancer that reads the store was turned away. Another
-// one, in touch with the store all the while, read it in that one's place 1.3 s later, took what was
-// missing for lapsed in an outage, and sent the back end new flows for 2 s more: 3.05 s after it
-// had gone.
+// A back end's entry was removed while the balancer that reads the store was being refused
+// by it. Another balancer, which had been in touch with the store all the time, read it as
+// a stand-in 1.3 s later, took the missing entry for one that had expired during an
+// outage, and sent the back end new flows for 2 s more, until 3.05 s after the removal.
 //
-// Evidence: the log of a soak shows the read 1.31 s after the removal and a new flow 1.74 s after
-// the read; knowledge had been stale for 1.65 s, in which no entry can lapse, since one does after
-// three heartbeats of silence.
+// The log of a soak test shows the read 1.31 s after the removal and a new flow 1.74 s
+// after the read. The directory had been unconfirmed for 1.65 s, in which no entry can
+// expire, because an entry expires after three missed heartbeats.
 func TestShortStoreGapGivesNoGrace(t *testing.T) {
 	control := newTestControl()
 	control.balancer.settings.Load().DrainMilliseconds = 3000
-	told := time.Now()
-	holds := routesBatch(5)
-	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
+	confirmedAt := time.Now()
+	initial := routesBatch(5)
+	initial.Changes = append(initial.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.handleNews(&apiv1.DirectoryNews{Batch: holds, AsOfNanoseconds: control.sinceStart(told)}, told)
-	read := told.Add(1650 * time.Millisecond)
-	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
+	control.handleNews(&apiv1.DirectoryNews{Batch: initial, AsOfNanoseconds: control.sinceStart(confirmedAt)}, confirmedAt)
+	readAt := confirmedAt.Add(1650 * time.Millisecond)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(readAt)}, readAt)
 	require.True(t, control.replica.Backends()[0].Gone)
-	lapse := control.storeRecovery()
-	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows until %s after it may have gone", lapse.Until.Sub(told))
+	storeRecovery := control.storeRecovery()
+	require.False(t, storeRecovery.Until.After(confirmedAt.Add(3*time.Second)), "new flows are sent until %s after the back end may have gone", storeRecovery.Until.Sub(confirmedAt))
 }
 
-// After a gap in which entries may have lapsed they have their time to come back, but none takes
-// new flows beyond the time of a leaving back end, counted from the last confirmation before the
-// gap, while that has not passed.
+// After a gap in which entries may have expired, they have their time to come back. No
+// expired entry takes new flows beyond the time allowed for a leaving back end, counted
+// from the last confirmation before the gap, as long as that time has not passed.
 func TestExpiredEntriesGetNoMoreTimeThanLeavingOnes(t *testing.T) {
 	for _, each := range []struct{ gap, until time.Duration }{
 		{gap: 2300 * time.Millisecond, until: 0},
@@ -45,15 +45,15 @@
 		control := newTestControl()
 		loaded := control.balancer.settings.Load()
 		loaded.DrainMilliseconds, loaded.HeartbeatMilliseconds, loaded.LapseMilliseconds = 3000, 1200, 2000
-		told := time.Now()
-		for revision, at := range []time.Time{told, told.Add(each.gap)} {
+		confirmedAt := time.Now()
+		for revision, at := range []time.Time{confirmedAt, confirmedAt.Add(each.gap)} {
 			control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.sinceStart(at)}, at)
 		}
-		lapse := control.storeRecovery()
+		storeRecovery := control.storeRecovery()
 		if each.until == 0 {
-			require.Zero(t, lapse, "no entry lapses within %s", each.gap)
+			require.Zero(t, storeRecovery, "no entry expires within %s", each.gap)
 			continue
 		}
-		require.InDelta(t, each.until.Seconds(), lapse.Until.Sub(told).Seconds(), 0.001, "after a gap of %s", each.gap)
+		require.InDelta(t, each.until.Seconds(), storeRecovery.Until.Sub(confirmedAt).Seconds(), 0.001, "after a gap of %s", each.gap)
 	}
 }
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -9,44 +9,44 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// startWrite writes what is due about balancers to the store.
+// startWrite starts the write to the store about balancers that is due, if any.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
 	c.core.SetLost(c.replica.LostPolicies())
-	write, found := c.core.NextWrite(now)
+	pendingWrite, found := c.core.NextWrite(now)
 	if !found {
 		return
 	}
-	c.pendingWrite, c.pendingWriteEra = write, c.balancer.era.Load()
-	if write.Policy != nil {
-		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Removed)
+	c.pendingWrite, c.pendingWriteEra = pendingWrite, c.balancer.era.Load()
+	if pendingWrite.Policy != nil {
+		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", pendingWrite.Policy.Policy.GetName(), "removed", pendingWrite.Policy.Removed)
 	}
-	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(write.Put), "remove", write.Remove,
-		"first_of_zones", len(write.Leads))
-	go c.writeToStore(ctx, write, c.revisionsOf(write.Remove))
+	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(pendingWrite.Put), "remove", pendingWrite.Remove,
+		"first_of_zones", len(pendingWrite.Leads))
+	go c.writeToStore(ctx, pendingWrite, c.revisionsOf(pendingWrite.Remove))
 }
 
 // writeToStore makes the call to the store for one write.
 func (c *control) writeToStore(ctx context.Context, write replication.Write, remove []BalancerRevision) {
-	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	store := c.balancer.dependencies.Store
 	var err error
 	switch {
 	case len(write.Put) > 0:
-		err = store.WriteBalancers(bounded, write.Put)
+		err = store.WriteBalancers(callCtx, write.Put)
 	case write.Policy != nil:
-		err = store.RestorePolicy(bounded, *write.Policy)
+		err = store.RestorePolicy(callCtx, *write.Policy)
 	case len(write.Leads) > 0:
-		err = store.WriteLeads(bounded, write.Leads)
+		err = store.WriteLeads(callCtx, write.Leads)
 	default:
-		err = store.RemoveBalancers(bounded, remove)
+		err = store.RemoveBalancers(callCtx, remove)
 	}
 	c.balancer.storeCalls[storeMembers].count(err)
 	c.publish(ctx, &apiv1.DirectoryNews{Write: true}, err)
 }
 
-// revisionsOf are the entries of balancers as the directory has them. One that it
-// no longer has needs no removal.
+// revisionsOf returns the named balancers' entries with their revisions in the directory.
+// An entry that the directory no longer holds needs no removal and is left out.
 func (c *control) revisionsOf(names []string) []BalancerRevision {
 	entries := make(map[string]*apiv1.Balancer)
 	for _, b := range c.replica.Balancers() {
@@ -62,15 +62,16 @@
 	return found
 }
 
-// writeEnded takes the end of a write. One that was under way when the store came back from a
-// copy may be lost, and counts as failed: it is made again if it is still due.
+// writeEnded handles the end of a write. A write that was under way when the store was
+// restored from a backup may be lost, so it counts as failed and is repeated if it is
+// still due.
 func (c *control) writeEnded(failure string, now time.Time) {
 	failed := failure != "" || c.pendingWriteEra != c.balancer.era.Load()
 	c.core.WriteEnded(c.pendingWrite, failed, now)
 	c.pendingWrite = replication.Write{}
 }
 
-// ownEntry is how this balancer shows itself to the others.
+// ownEntry returns this balancer's entry as other balancers see it.
 func (b *Balancer) ownEntry() *apiv1.Balancer {
 	settings := b.settings.Load()
 	return &apiv1.Balancer{
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -29,7 +29,7 @@
 	c.answered.Add(1)
 }
 
-// collector reads the balancer's counters when the metrics are asked for.
+// collector reads the balancer's counters when metrics are collected.
 type collector struct {
 	balancer *Balancer
 }
@@ -73,8 +73,8 @@
 		"1 while the balancer takes new flows.", nil, nil)
 )
 
-// Describe implements prometheus.Collector. It announces nothing, since what
-// is collected depends on the state of the balancer.
+// Describe implements prometheus.Collector. It sends no descriptions, because the set of
+// metrics depends on the state of the balancer.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -121,12 +121,12 @@
 	for kind, count := range traffic.refusals.snapshot() {
 		counter(refusalsDescription, count, kind.pool, priorityLabel(kind.priority))
 	}
-	told := make(map[string]bool)
-	for _, level := range traffic.flows.Refusals().All() {
-		gauge(refusedFractionDescription, level.Fraction, level.Pool, priorityLabel(level.Priority))
-		if !told[level.Pool] {
-			told[level.Pool] = true
-			gauge(refusalPressureDescription, level.Pressure.RequestsPerSlot, level.Pool)
+	reported := make(map[string]bool)
+	for _, refusal := range traffic.flows.Refusals().All() {
+		gauge(refusedFractionDescription, refusal.Fraction, refusal.Pool, priorityLabel(refusal.Priority))
+		if !reported[refusal.Pool] {
+			reported[refusal.Pool] = true
+			gauge(refusalPressureDescription, refusal.Pressure.RequestsPerSlot, refusal.Pool)
 		}
 	}
 	if table := balancer.table.Load(); table != nil {
@@ -143,9 +143,11 @@
 	gauge(readyDescription, ready)
 }
 
-func priorityLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
+func priorityLabel(priority admission.Priority) string {
+	return strconv.FormatUint(uint64(priority), 10)
+}
 
-// serveMetrics serves the metrics if the settings give them an address.
+// serveMetrics serves the metrics if the settings give an address for them.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
 	address := b.settings.Load().GetMetricsAddress()
 	if address == "" {
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -23,26 +23,28 @@
 	log      decisionLog
 	input    []byte
 	output   []byte
-	// lastPacket is when a packet last came, in nanoseconds since the start.
+	// lastPacket is when the last packet arrived, in nanoseconds since the balancer
+	// started.
 	lastPacket     atomic.Int64
 	decisionCounts [tokenroute.ReasonCount]atomic.Uint64
 	// latestSummary is the latest summary of what was observed.
 	latestSummary atomic.Pointer[observe.Summary]
-	// inbox are statements on back ends from other balancers, and statements those
-	// that they should be told.
+	// inbox holds observations of back ends from other balancers, and outbox those to be
+	// sent to them.
 	inbox, outbox mailbox
-	// nextEvaluation is when joined witnesses have waited long enough; zero is never.
+	// nextEvaluation is when the unanswered requests of several balancers, taken together, have
+	// waited long enough to be evaluated; the zero time means never.
 	nextEvaluation time.Time
-	// earlyBuffer are the packets that came before the first table.
+	// earlyBuffer holds the packets that arrived before the first table.
 	earlyBuffer earlyBuffer
-	// refusals are the flows refused for want of room.
+	// refusals counts the flows that were refused for lack of capacity.
 	refusals   refusalCounters
 	malformed  atomic.Uint64
 	sendErrors atomic.Uint64
 }
 
 func newTraffic(balancer *Balancer, socket *net.UDPConn) *traffic {
-	// One byte more than allowed shows oversize datagrams.
+	// With one byte more than the allowed size, oversize datagrams can be recognised.
 	size := balancer.dependencies.Codec.MaximumSize() + 1
 	return &traffic{
 		balancer: balancer,
@@ -54,7 +56,7 @@
 	}
 }
 
-// readRetryDelay spaces reads from a socket that fails.
+// readRetryDelay is the pause between reads from a failing socket.
 const readRetryDelay = 10 * time.Millisecond
 
 func (t *traffic) run(ctx context.Context) error {
@@ -80,25 +82,25 @@
 	}
 }
 
-// deliver lets the traffic goroutine judge by what another balancer saw, also while no
-// packet comes.
-func (t *traffic) deliver(statements []evidence.Observation) {
-	t.inbox.put(statements)
+// deliver passes on what other balancers have observed, so that the traffic goroutine
+// evaluates it even while no packet arrives.
+func (t *traffic) deliver(observations []evidence.Observation) {
+	t.inbox.put(observations)
 	t.setWakeup(pastDeadline)
 }
 
-// pastDeadline is a deadline that wakes a read at once.
+// pastDeadline is a deadline that ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// setWakeup ends the read of a packet at a time; the zero time lets it wait.
+// setWakeup makes the read of a packet end at the given time; the zero time lets it wait.
 func (t *traffic) setWakeup(at time.Time) {
 	if err := t.socket.SetReadDeadline(at); err != nil {
-		t.balancer.logger.Debug("Traffic: no deadline, the next packet wakes.", "error", err)
+		t.balancer.logger.Debug("Traffic: read deadline could not be set, waiting for the next packet.", "error", err)
 	}
 }
 
-// handleWakeup hears what other balancers saw and judges by it. The deadline is set before the
-// mailbox is looked at, so that nothing put into it meanwhile is left.
+// handleWakeup evaluates what other balancers have observed. The deadline is set before
+// the mailbox is read, so that nothing put into it meanwhile is left there.
 func (t *traffic) handleWakeup() {
 	t.setWakeup(t.nextEvaluation)
 	t.evaluateBackends(time.Now())
@@ -108,38 +110,39 @@
 	}
 }
 
-// evaluateBackends takes what other balancers saw, judges by it and by what has waited for an
-// answer, and tells the clients of back ends that are dead.
+// evaluateBackends applies what other balancers have observed, evaluates it together with the
+// requests that have waited for an answer here, and notifies the clients of failed back
+// ends.
 func (t *traffic) evaluateBackends(now time.Time) {
 	table := t.balancer.table.Load()
 	if table != nil {
 		t.routeEarlyPackets(table, now)
 		t.flows.SetTable(table, now)
 	}
-	for _, statement := range t.inbox.take() {
-		t.flows.Receive(statement, table, now)
+	for _, observation := range t.inbox.take() {
+		t.flows.Receive(observation, table, now)
 	}
 	t.nextEvaluation = t.flows.EvaluatePending(now)
 	t.reportFailures(table, now)
 }
 
-// reportFailures resets the flows whose back ends were judged dead, and passes on what
-// was seen.
+// reportFailures resets the flows whose back ends were detected as failed, and passes on
+// what was observed.
 func (t *traffic) reportFailures(table *tokenroute.Table, now time.Time) {
-	for _, verdict := range t.flows.TakeBackendFailures() {
-		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
-			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Local, "unanswered_elsewhere", verdict.Remote,
-			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
+	for _, failure := range t.flows.TakeBackendFailures() {
+		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", failure.Backend.ID,
+			"pool", failure.Backend.Pool, "unanswered_here", failure.Local, "unanswered_elsewhere", failure.Remote,
+			"silent_for", now.Sub(failure.SilentSince).Round(time.Millisecond))
 	}
 	for _, silent := range t.flows.TakeSilentZones() {
-		t.balancer.logger.Warn("Traffic: a zone answers nothing, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
+		t.balancer.logger.Warn("Traffic: zone does not answer, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
 			"silent_for", now.Sub(silent.Since).Round(time.Millisecond))
 	}
 	for _, abandoned := range t.flows.TakeAbandonedFlows() {
 		t.reset(abandoned, table, now)
 	}
-	if statements := t.flows.TakeObservations(); len(statements) > 0 {
-		t.outbox.put(statements)
+	if observations := t.flows.TakeObservations(); len(observations) > 0 {
+		t.outbox.put(observations)
 		t.balancer.control.wake()
 	}
 }
@@ -169,45 +172,46 @@
 	}
 }
 
-// route decides a packet by a table.
+// route makes and carries out the routing decision for a packet.
 func (t *traffic) route(packet tokenroute.Packet, datagram []byte, table *tokenroute.Table, now time.Time) {
 	decision := t.flows.Decide(table, packet, now)
 	t.log.record(packet, t.balancer.dependencies.Codec.RequestID(datagram), decision, table, now)
 	t.execute(decision, packet, datagram)
 }
 
-// tableChanged lets the traffic goroutine take a table, also while no packet comes.
+// tableChanged makes the traffic goroutine use a new table even while no packet arrives.
 func (t *traffic) tableChanged() { t.setWakeup(pastDeadline) }
 
-// routeEarlyPackets sends on what came before the first table.
+// routeEarlyPackets routes the packets that arrived before the first table.
 func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
 	if !t.earlyBuffer.pending() {
 		return
 	}
-	kept := t.earlyBuffer.take(now)
-	t.balancer.logger.Info("Traffic: packets from before the first table are sent on.", "packets", len(kept),
+	packets := t.earlyBuffer.take(now)
+	t.balancer.logger.Info("Traffic: routing packets that arrived before the first table.", "packets", len(packets),
 		"lost", t.earlyBuffer.lost.Load())
-	for _, each := range kept {
+	for _, each := range packets {
 		t.routeEarlyPacket(each, table, now)
 	}
 }
 
-// routeEarlyPacket decides a packet that has waited for the first table. It refuses nothing:
-// the client may have opened the flow by another balancer meanwhile. An acknowledgement
-// proves that its back end lived when it came, not now.
-func (t *traffic) routeEarlyPacket(kept earlyPacket, table *tokenroute.Table, now time.Time) {
-	if kept.acknowledges() {
-		now = kept.receivedAt
+// routeEarlyPacket routes a packet that has waited for the first table. It refuses
+// nothing, because the client may have opened the flow through another balancer meanwhile.
+// An acknowledgement proves that its back end was alive when the acknowledgement arrived,
+// not now.
+func (t *traffic) routeEarlyPacket(early earlyPacket, table *tokenroute.Table, now time.Time) {
+	if early.acknowledges() {
+		now = early.receivedAt
 	}
-	decision := t.flows.Decide(table, kept.packet, now)
+	decision := t.flows.Decide(table, early.packet, now)
 	if decision.Verdict == tokenroute.Refuse {
 		decision.Verdict = tokenroute.Drop
 	}
-	t.log.record(kept.packet, t.balancer.dependencies.Codec.RequestID(kept.datagram), decision, table, now)
-	t.execute(decision, kept.packet, kept.datagram)
+	t.log.record(early.packet, t.balancer.dependencies.Codec.RequestID(early.datagram), decision, table, now)
+	t.execute(decision, early.packet, early.datagram)
 }
 
-// execute does what was decided on a packet.
+// execute carries out a routing decision for a packet.
 func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.decisionCounts[decision.Reason].Add(1)
 	if decision.Refusal != nil {
@@ -229,7 +233,7 @@
 	}
 }
 
-// reset tells the client of a flow that its back end no longer holds it.
+// reset notifies the client of a flow that its back end no longer holds the flow.
 func (t *traffic) reset(abandoned tokenroute.AbandonedFlow, table *tokenroute.Table, now time.Time) {
 	packet := tokenroute.Packet{Key: abandoned.Key, Acknowledged: abandoned.Acknowledged}
 	decision := tokenroute.Decision{
@@ -241,7 +245,7 @@
 	t.execute(decision, packet, nil)
 }
 
-// idle is the time since the last packet.
+// idle returns the time since the last packet.
 func (t *traffic) idle() time.Duration {
 	return time.Since(t.balancer.started) - time.Duration(t.lastPacket.Load())
 }
