--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -66,7 +66,7 @@
 const (
 	// fullReplyLimit is how many such answers may be sent within fullReplyWindow. It is
 	// the number of balancers that follow a powerful one.
-	fullReplyLimit  = 2 * replication.DefaultTreeWidth
+	fullReplyLimit  = 2 * replication.DefaultTreeFanout
 	fullReplyWindow = 200 * time.Millisecond
 )
 
@@ -103,7 +103,7 @@
 	call := &followCall{
 		caller: replication.Caller{
 			Address:     request.GetFromAddress(),
-			Knows:       age < unknownAge,
+			HasData:     age < unknownAge,
 			Revision:    request.GetAfter(),
 			ConfirmedAt: now.Add(-age),
 		},
@@ -144,9 +144,9 @@
 // enqueueFollow lets a follower wait for news, or lets it be answered at once when too
 // many are waiting.
 func (c *control) enqueueFollow(call *followCall) {
-	c.core.Called(call.caller, c.replica.Revision(), call.receivedAt)
-	c.core.TakeShown(call.shownBalancers, call.receivedAt)
-	c.core.TakeSilent(call.silentBalancers, call.receivedAt)
+	c.core.CallReceived(call.caller, c.replica.Revision(), call.receivedAt)
+	c.core.AddUnlistedEntries(call.shownBalancers, call.receivedAt)
+	c.core.HandleSilentReport(call.silentBalancers, call.receivedAt)
 	if call.wantsFindings {
 		c.handleStrugglingReports(call.struggling, call.reportsStruggling, call.receivedAt)
 	}
@@ -169,7 +169,7 @@
 		if call.disconnected() || c.answer(call, now, allFindings) {
 			continue
 		}
-		c.core.Heard(call.caller.Address, now)
+		c.core.RecordActivity(call.caller.Address, now)
 		remaining = append(remaining, call)
 	}
 	clear(c.waitingCalls[len(remaining):])
@@ -182,7 +182,7 @@
 	if !known && now.Before(call.deadline) {
 		return false
 	}
-	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
+	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).MinAdvance
 	observations := c.pendingObservations(call, now)
 	if call.afterRevision >= c.replica.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
 		return false
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -11,7 +11,7 @@
 
 // startWrite starts the write to the store about balancers that is due, if any.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
-	c.core.SetLost(c.replica.LostPolicies())
+	c.core.SetLostPolicies(c.replica.LostPolicies())
 	pendingWrite, found := c.core.NextWrite(now)
 	if !found {
 		return
@@ -21,7 +21,7 @@
 		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", pendingWrite.Policy.Policy.GetName(), "removed", pendingWrite.Policy.Removed)
 	}
 	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(pendingWrite.Put), "remove", pendingWrite.Remove,
-		"first_of_zones", len(pendingWrite.Leads))
+		"first_of_zones", len(pendingWrite.ZoneLeads))
 	go c.writeToStore(ctx, pendingWrite, c.revisionsOf(pendingWrite.Remove))
 }
 
@@ -36,8 +36,8 @@
 		err = store.WriteBalancers(callCtx, write.Put)
 	case write.Policy != nil:
 		err = store.RestorePolicy(callCtx, *write.Policy)
-	case len(write.Leads) > 0:
-		err = store.WriteLeads(callCtx, write.Leads)
+	case len(write.ZoneLeads) > 0:
+		err = store.WriteLeads(callCtx, write.ZoneLeads)
 	default:
 		err = store.RemoveBalancers(callCtx, remove)
 	}
