--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -43,7 +43,7 @@
 	// Unanswered counts openings that a back end did not answer in time.
 	Unanswered atomic.Uint64
 	// OpenedByTime counts opened flows by the time that they took to open.
-	OpenedByTime [aside.Steps]atomic.Uint64
+	OpenedByTime [aside.Buckets]atomic.Uint64
 	// TokenOverrides counts packets sent to the back end that opened their flow although their
 	// token named another one.
 	TokenOverrides atomic.Uint64
@@ -219,7 +219,7 @@
 // ResponseTimeout is counted as unanswered instead.
 func (f *Flows) countOpened(took time.Duration) {
 	if took < ResponseTimeout {
-		f.OpenedByTime[aside.StepOf(took)].Add(1)
+		f.OpenedByTime[aside.BucketOf(took)].Add(1)
 	}
 }
 
