--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -45,7 +45,7 @@
 		known.bind = known.bind || bind
 		return
 	}
-	if backend, found := core.hint(key, opens); found {
+	if backend, found := core.lookupHint(key, opens); found {
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key, Backend: backend, Recorded: true})
 		return
 	}
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -17,11 +17,11 @@
 	learnedAt uint32
 	active    bool
 	// viewVersion must be in force before the flows are listed.
-	viewVersion uint64
-	listed      bool
-	// recorded is set when the flows that were opened here lately at the back
+	viewVersion  uint64
+	flowsOffered bool
+	// flowsRecorded is set when the flows that were opened here lately at the back
 	// end are recorded: their SYN may come again through another node.
-	recorded bool
+	flowsRecorded bool
 }
 
 // MarkLeaving keeps new flows from a back end, without the store. Marking a marked
@@ -125,14 +125,14 @@
 
 // recordFlowsForMark records the flows opened here lately at a marked back end.
 func (core *Core) recordFlowsForMark(known *markState) {
-	if known.recorded || core.settled == nil || core.viewInForce < known.viewVersion {
+	if known.flowsRecorded || core.settled == nil || core.viewInForce < known.viewVersion {
 		return
 	}
-	if !known.listed {
-		known.listed = true
+	if !known.flowsOffered {
+		known.flowsOffered = true
 		core.offerEmbryonic(known.mark.GetBackend())
 	}
-	known.recorded = !core.hasOutstandingOffers(purposeMark)
+	known.flowsRecorded = !core.hasOutstandingOffers(purposeMark)
 }
 
 func (core *Core) marksCompletedEverywhere() bool {
@@ -155,7 +155,7 @@
 // marksCompleted reports whether the new flows of all marks are recorded.
 func (core *Core) marksCompleted() bool {
 	for _, known := range core.marks {
-		if !known.recorded {
+		if !known.flowsRecorded {
 			return false
 		}
 	}
