--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -11,25 +11,25 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// pictureAge is the silence after which what others said of who struggles counts no
+// strugglingMaxAge is the silence after which what others said of who struggles counts no
 // more. Followers call twice a second, or each second while there is no news.
-const pictureAge = replication.FollowWait + 500*time.Millisecond
+const strugglingMaxAge = replication.FollowWait + 500*time.Millisecond
 
-// stepAside is what control knows of who carries its share.
-type stepAside struct {
+// withdrawalState is what control knows of who carries its share.
+type withdrawalState struct {
 	core    *aside.Core
-	picture aside.Picture
-	// heardAt is when another balancer last told who struggles, or that nobody does.
-	heardAt time.Time
-	// places are the places of the balancers of this zone, by name, in an order that
+	reports aside.Picture
+	// lastReportAt is when another balancer last told who struggles, or that nobody does.
+	lastReportAt time.Time
+	// ranks are the places of the balancers of this zone, by name, in an order that
 	// all know.
-	places map[string]int
+	ranks map[string]int
 }
 
-// lookAside looks at how long new flows took to open here, and steps aside or comes
+// updateWithdrawal looks at how long new flows took to open here, and steps aside or comes
 // back by it. Routers ask for readiness twice a second and turn away after two
 // refusals; open flows then pass other balancers, which resolve their tokens as well.
-func (c *control) lookAside(now time.Time) {
+func (c *control) updateWithdrawal(now time.Time) {
 	if c.balancer.traffic == nil || c.balancer.off.Has(mechanism.StepAside) {
 		return
 	}
@@ -39,7 +39,7 @@
 		counts.Opened[step] = flows.Opened[step].Load()
 	}
 	core := c.aside.core
-	if !core.Look(counts, c.asideZone(now), now) {
+	if !core.Look(counts, c.withdrawalZone(now), now) {
 		return
 	}
 	c.balancer.aside.Store(core.Aside())
@@ -53,60 +53,60 @@
 		"opened_promptly", seen.Prompt, "slowly", seen.Slow, "not_in_time", seen.Missed)
 }
 
-// asideZone is what is known of this zone by now.
-func (c *control) asideZone(now time.Time) aside.Zone {
+// withdrawalZone is what is known of this zone by now.
+func (c *control) withdrawalZone(now time.Time) aside.Zone {
 	name := c.balancer.settings.Load().GetName()
-	place, listed := c.aside.places[name]
+	place, listed := c.aside.ranks[name]
 	if !listed {
 		return aside.Zone{} // the others don't count on it
 	}
-	heard := now.Sub(c.aside.heardAt) < pictureAge && c.aside.picture.Whole()
-	zone := aside.Zone{Place: place, Size: len(c.aside.places), Heard: heard}
-	for _, statement := range c.aside.picture.Now(now) {
-		if other, here := c.aside.places[statement.Name]; here && statement.Name != name {
+	heard := now.Sub(c.aside.lastReportAt) < strugglingMaxAge && c.aside.reports.Whole()
+	zone := aside.Zone{Place: place, Size: len(c.aside.ranks), Heard: heard}
+	for _, statement := range c.aside.reports.Now(now) {
+		if other, here := c.aside.ranks[statement.Name]; here && statement.Name != name {
 			zone.Others = append(zone.Others, aside.Other{Place: other, Away: statement.Away})
 		}
 	}
 	return zone
 }
 
-// tellStruggling are the statements on who struggles for a message, this balancer
+// strugglingReports are the statements on who struggles for a message, this balancer
 // among them.
-func (c *control) tellStruggling(now time.Time) []*apiv1.Struggling {
+func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
 	if c.aside.core.Struggles() {
-		c.aside.picture.Take(aside.Statement{Name: name, Away: c.aside.core.Aside(), At: now})
+		c.aside.reports.Take(aside.Statement{Name: name, Away: c.aside.core.Aside(), At: now})
 	} else {
-		c.aside.picture.Drop(name)
+		c.aside.reports.Drop(name)
 	}
 	var told []*apiv1.Struggling
-	for _, statement := range c.aside.picture.Now(now) {
+	for _, statement := range c.aside.reports.Now(now) {
 		told = append(told, &apiv1.Struggling{Name: statement.Name, Away: statement.Away,
 			Milliseconds: uint32(now.Sub(statement.At).Milliseconds())})
 	}
 	return told
 }
 
-// hearStruggling takes statements of another balancer. What is said of this one it
+// handleStrugglingReports takes statements of another balancer. What is said of this one it
 // knows better. One that tells nothing of the kind, as an older program, is not heard: in a
 // rolling release all of a zone would take its silence for a zone that is well.
-func (c *control) hearStruggling(told []*apiv1.Struggling, tells bool, now time.Time) {
+func (c *control) handleStrugglingReports(told []*apiv1.Struggling, tells bool, now time.Time) {
 	if !tells {
 		return
 	}
-	c.aside.heardAt = now
+	c.aside.lastReportAt = now
 	for _, each := range told {
 		if each.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.aside.picture.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
+		c.aside.reports.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
 			At: now.Add(-time.Duration(each.GetMilliseconds()) * time.Millisecond)})
 	}
 }
 
-// takePlaces puts the balancers of this zone in an order that all know. It goes by a
+// rankZoneBalancers puts the balancers of this zone in an order that all know. It goes by a
 // hash of the names, so that neither strength nor naming decides.
-func (c *control) takePlaces(known []*apiv1.Balancer) {
+func (c *control) rankZoneBalancers(known []*apiv1.Balancer) {
 	zone := c.balancer.settings.Load().GetZone()
 	var names []string
 	for _, b := range known {
@@ -115,13 +115,13 @@
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(cmp.Compare(asideRank(a), asideRank(b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(withdrawalHash(a), withdrawalHash(b)), cmp.Compare(a, b))
 	})
-	c.aside.places = make(map[string]int, len(names))
+	c.aside.ranks = make(map[string]int, len(names))
 	for place, name := range names {
-		c.aside.places[name] = place
+		c.aside.ranks[name] = place
 	}
 }
 
-// asideRank is the place of a balancer in that order.
-func asideRank(name string) uint64 { return nameHash("aside/" + name) }
+// withdrawalHash is the place of a balancer in that order.
+func withdrawalHash(name string) uint64 { return nameHash("aside/" + name) }
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -19,7 +19,7 @@
 	control := newTestControl()
 	control.balancer.traffic = &traffic{flows: tokenroute.NewFlows(mechanism.Set{})}
 	control.balancer.table.Store(&tokenroute.Table{})
-	control.aside.places = map[string]int{"edge-1": 0, "edge-2": 1, "edge-3": 2, "edge-4": 3, "edge-5": 4}
+	control.aside.ranks = map[string]int{"edge-1": 0, "edge-2": 1, "edge-3": 2, "edge-4": 3, "edge-5": 4}
 	return control
 }
 
@@ -31,7 +31,7 @@
 		if took > 50*time.Millisecond {
 			control.balancer.traffic.flows.Missed.Add(4)
 		}
-		control.lookAside(now)
+		control.updateWithdrawal(now)
 	}
 	return now
 }
@@ -70,16 +70,16 @@
 	for number := range 12 {
 		control := newTestControl()
 		control.balancer.settings.Load().Name = fmt.Sprintf("edge-%d", number)
-		control.takePlaces(known)
-		zone := control.asideZone(time.Now())
+		control.rankZoneBalancers(known)
+		zone := control.withdrawalZone(time.Now())
 		require.Equal(t, 12, zone.Size)
 		places[zone.Place] = true
 	}
 	require.Len(t, places, 12)
 	control := newTestControl()
 	control.balancer.settings.Load().Name = "new"
-	control.takePlaces(known)
-	require.Equal(t, aside.Zone{}, control.asideZone(time.Now()))
+	control.rankZoneBalancers(known)
+	require.Equal(t, aside.Zone{}, control.withdrawalZone(time.Now()))
 }
 
 // What one says of itself reaches the others of its zone through the one that they
@@ -91,12 +91,12 @@
 	parent.balancer.settings.Load().Name = "edge-3"
 	now = leaf.open(2*time.Millisecond, 3*time.Second, now)
 	now = leaf.open(80*time.Millisecond, aside.LookInterval, now)
-	parent.hearStruggling(leaf.tellStruggling(now), true, now)
-	other.hearStruggling(parent.tellStruggling(now.Add(time.Second)), true, now.Add(time.Second))
-	require.Equal(t, []aside.Other{{Place: 1}}, other.asideZone(now.Add(time.Second)).Others)
-	parent.hearStruggling(other.tellStruggling(now.Add(2*time.Second)), true, now.Add(2*time.Second))
-	require.Empty(t, parent.tellStruggling(now.Add(4*time.Second)), "an echo renews nothing")
-	require.Empty(t, other.asideZone(now.Add(4*time.Second)).Others)
+	parent.handleStrugglingReports(leaf.strugglingReports(now), true, now)
+	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
+	require.Equal(t, []aside.Other{{Place: 1}}, other.withdrawalZone(now.Add(time.Second)).Others)
+	parent.handleStrugglingReports(other.strugglingReports(now.Add(2*time.Second)), true, now.Add(2*time.Second))
+	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "an echo renews nothing")
+	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Others)
 }
 
 // An older program tells nothing of who struggles. In a rolling release its silence is no
@@ -104,8 +104,8 @@
 func TestOlderProgramsAreNotHeard(t *testing.T) {
 	now := time.Now()
 	control := newAsideControl()
-	control.hearStruggling(nil, false, now)
-	require.False(t, control.asideZone(now).Heard)
-	control.hearStruggling(nil, true, now)
-	require.True(t, control.asideZone(now).Heard)
+	control.handleStrugglingReports(nil, false, now)
+	require.False(t, control.withdrawalZone(now).Heard)
+	control.handleStrugglingReports(nil, true, now)
+	require.True(t, control.withdrawalZone(now).Heard)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -105,7 +105,7 @@
 	// often that began.
 	aside  atomic.Bool
 	asides atomic.Uint64
-	// confirmedAt is when the store confirmed what is known, in nanoseconds
+	// minAggregatePressure is when the store confirmed what is known, in nanoseconds
 	// since the start; 0 is never.
 	confirmedAt atomic.Int64
 	// era is how often the store came back from a copy, as far as is known.
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -85,7 +85,7 @@
 
 type burstNode struct {
 	flows    *tokenroute.Flows
-	gate     gate
+	gate     admissionState
 	own      demand.Own
 	findings map[incarnation.ID]observe.Finding
 }
@@ -108,8 +108,8 @@
 	}
 	made.known.Apply(batch, made.now)
 	for place := range made.nodes {
-		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), gate: newGate()}
-		made.nodes[place].gate.takeRoutes(made.known.Routes())
+		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), gate: newAdmissionState()}
+		made.nodes[place].gate.updateRoutes(made.known.Routes())
 	}
 	for range calmCallers {
 		made.callers = append(made.callers, &burstCaller{at: made.now})
@@ -245,7 +245,7 @@
 	for place := range b.nodes {
 		node := &b.nodes[place]
 		if summary := node.flows.Summarize(b.now); summary != nil {
-			node.gate.pressures.follow(summary)
+			node.gate.pressures.addSummary(summary)
 			node.own.Take(summary.Places, summary.At)
 			node.findings = summary.Findings
 		}
@@ -275,13 +275,13 @@
 
 // take takes the picture of all.
 func (n *burstNode) take(picture *demand.Picture, now time.Time) {
-	n.flows.Saturate(n.gate.saturated("maadi", picture, now))
+	n.flows.Saturate(n.gate.saturatedPools("maadi", picture, now))
 	var demands []admission.Demand
 	for pool := range picture.Pools() {
-		demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: n.gate.urgencies[string(pool)],
-			Pressure: n.gate.pressures.on(pool, "maadi", picture, listing{"maadi": burstBalancers})})
+		demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: n.gate.priorities[string(pool)],
+			Pressure: n.gate.pressures.estimate(pool, "maadi", picture, listing{"maadi": burstBalancers})})
 	}
-	n.flows.Admit(n.gate.core.Step(demands, now))
+	n.flows.Admit(n.gate.controller.Step(demands, now))
 }
 
 // second is the second of now.
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -106,16 +106,16 @@
 	request.WithoutChanges = peer.RevisionOnly
 	if peer.Purpose == replication.PurposeFollow {
 		if peer.Address == c.testimony.parent {
-			request.TestimonyAfter, request.TestimonyClock = c.testimony.heard, c.testimony.theirs.ID
+			request.TestimonyAfter, request.TestimonyClock = c.testimony.receivedSequence, c.testimony.parentClock.ID
 		}
 		request.TakesTestimony = true
-		request.Demand = c.reportTo(peer.Address, false, now)
+		request.Demand = c.demandReportFor(peer.Address, false, now)
 		if c.core.SharesOrder(peer.Address) {
 			// Who is of another zone has hardly seen the same back ends, but counts
 			// as one more that might by chance.
-			request.Findings = encodeFindings(c.findings.here(now))
+			request.Findings = encodeFindings(c.findings.subtree(now))
 			request.TakesFindings = true
-			request.Struggling, request.TellsStruggling = c.tellStruggling(now), true
+			request.Struggling, request.TellsStruggling = c.strugglingReports(now), true
 		}
 		request.Shown = c.core.Shown(now)
 		request.Silent = c.core.Silent(now)
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -51,20 +51,20 @@
 	core     *replication.Core
 	client   *replication.Client
 	packer   replication.Packer
-	programs programs
-	observed observed
+	programs policyCache
+	observed weightInputs
 	findings findings
 	demand   demandState
-	aside    stepAside
+	aside    withdrawalState
 	// listed are the balancers of each zone, this one included.
 	listed    listing
-	gate      gate
+	gate      admissionState
 	followers chan *follower
 	// testimonies are calls of followers that tell what they saw of back ends, and
 	// nudged wakes this goroutine to pass on what the traffic goroutine saw.
 	testimonies chan *apiv1.TestifyRequest
 	nudged      chan struct{}
-	testimony   testimony
+	testimony   observationExchange
 	waiting     []*follower
 	complete    completeAnswers
 	pages       pages
@@ -108,15 +108,15 @@
 			AuditInterval: auditInterval,
 		}, chance, balancer.started),
 		client:    replication.NewClient(balancer.logger),
-		programs:  programs{compiled: make(map[string]*compiledPolicy)},
-		observed:  newObserved(),
-		aside:     stepAside{core: aside.New()},
-		gate:      newGate(),
+		programs:  policyCache{compiled: make(map[string]*compiledPolicy)},
+		observed:  newWeightInputs(),
+		aside:     withdrawalState{core: aside.New()},
+		gate:      newAdmissionState(),
 		followers: make(chan *follower, followersLimit),
 
 		testimonies: make(chan *apiv1.TestifyRequest, followersLimit),
 		nudged:      make(chan struct{}, 1),
-		testimony:   testimony{clock: chance.Uint64() | 1, client: replication.NewClient(balancer.logger)},
+		testimony:   observationExchange{clock: chance.Uint64() | 1, client: replication.NewClient(balancer.logger)},
 
 		demand: demandState{tree: demand.NewTree(balancer.started)},
 
@@ -148,7 +148,7 @@
 		case asking := <-c.followers:
 			c.take(asking)
 		case told := <-c.testimonies:
-			c.takeTestimony(told, time.Now())
+			c.handleTestifyRequest(told, time.Now())
 		case <-c.nudged:
 		case <-ticker.C:
 		}
@@ -176,11 +176,11 @@
 	c.startPoll(ctx, now)
 	c.startWrite(ctx, now)
 	c.startCalls(ctx, now)
-	c.takeStatements(now)
-	c.startTestify(ctx, now)
-	c.startReport(ctx, now)
+	c.collectObservations(now)
+	c.sendObservations(ctx, now)
+	c.sendDemandReport(ctx, now)
 	c.answerWaiting(now)
-	c.lookAside(now)
+	c.updateWithdrawal(now)
 	if c.known.Expire(now) || c.takeObserved(now) {
 		c.rebuild = true
 	}
@@ -209,19 +209,19 @@
 		return false
 	}
 	c.nextLook = now.Add(lookPause)
-	c.takeDemand(now)
+	c.updateDemand(now)
 	summary := c.balancer.traffic.observed.Load()
-	changed := c.observed.take(summary, now)
-	c.admit(summary, now)
+	changed := c.observed.applySummary(summary, now)
+	c.updateAdmission(summary, now)
 	c.findings.own = nil
-	if summary != nil && now.Sub(summary.At) <= observedFor {
+	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
 		c.findings.own = summary.Findings
 	}
-	changed = c.judgeHealth(now) || changed
-	changed = c.divide(now) || changed
+	changed = c.updateHealth(now) || changed
+	changed = c.planZoneShares(now) || changed
 	if changed {
-		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unwell), "demand", c.observed.describe(),
-			"parts", c.observed.planned)
+		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unhealthy), "demand", c.observed.inFlightByPool(),
+			"parts", c.observed.plannedShares)
 	}
 	return changed
 }
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -247,12 +247,12 @@
 	control.firstAt = now
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
 	local := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "maadi"}}
-	control.addBackends("lending", "maadi", localEnough, now)
-	control.addBackends("lending", "giza", localEnough, now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(remote))
+	control.addBackends("lending", "maadi", minLocalBackends, now)
+	control.addBackends("lending", "giza", minLocalBackends, now)
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(remote))
 	// 0.005 of the new flows over as many back ends, of a million, rounded up.
-	require.Equal(t, uint32(5026), control.weigher(nil, now.Add(spreadTime))(remote))
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now.Add(spreadTime))(local))
+	require.Equal(t, uint32(5026), control.weightFunc(nil, now.Add(startupSpreadTime))(remote))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now.Add(startupSpreadTime))(local))
 }
 
 func (control *control) addBackends(pool, zone string, count int, now time.Time) {
@@ -270,9 +270,9 @@
 	control := newTestControl()
 	now := time.Now()
 	control.firstAt = now.Add(-time.Hour)
-	control.addBackends("covers", "maadi", localEnough-1, now)
+	control.addBackends("covers", "maadi", minLocalBackends-1, now)
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "covers", Zone: "giza"}}
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(remote))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(remote))
 }
 
 // The table turns back to its zone without news, and open flows keep the pools
@@ -283,8 +283,8 @@
 	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.nanoseconds(now)}, now)
 	control.renewTable(now)
 	require.NotNil(t, control.balancer.table.Load())
-	require.Equal(t, now.Add(spreadTime), control.nextTurn)
-	control.renewTable(now.Add(spreadTime))
+	require.Equal(t, now.Add(startupSpreadTime), control.nextTurn)
+	control.renewTable(now.Add(startupSpreadTime))
 	require.True(t, control.nextTurn.IsZero())
 }
 
@@ -347,14 +347,14 @@
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
 	covers := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-2", Pool: "covers", Zone: "maadi", Draining: true}}
 	control.known.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
-	require.Equal(t, uint32(rule.MaximumWeight/2), control.weigher(nil, now)(lending))
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(covers), "no policy of its own")
+	require.Equal(t, uint32(rule.MaximumWeight/2), control.weightFunc(nil, now)(lending))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(covers), "no policy of its own")
 	control.known.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
-	require.Zero(t, control.weigher(nil, now)(covers), "the default policy's leaving")
+	require.Zero(t, control.weightFunc(nil, now)(covers), "the default policy's leaving")
 	control.known.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending), "a program that fails is passed over")
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending), "a program that fails is passed over")
 	control.known.Apply(policyBatch(4, "lending", "not a program"), now)
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(lending))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending))
 }
 
 // A read of the operators' orders that shows others than are known makes the next read
@@ -374,7 +374,7 @@
 	check.Changes = append(check.Changes, order)
 	c.learn(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
 	require.Equal(t, uint64(6), c.known.Routes().GetVersion())
-	require.Empty(t, c.evacuated())
+	require.Empty(t, c.evacuatedZones())
 	require.Equal(t, replication.PollSnapshot, c.core.NextPoll(now))
 	c.learn(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
 }
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -12,63 +12,63 @@
 	"github.com/indigobarrow/indigobarrow/internal/demand"
 )
 
-// placesLimit bounds the places in one message: some 50 bytes each, so 6 kB. A balancer tells
+// maxReportPoolZones bounds the places in one message: some 50 bytes each, so 6 kB. A balancer tells
 // one a second up, three where others follow it, and one a second to each of those, more
-// while pressure moves (tellPause, soonPause).
-const placesLimit = 128
+// while pressure moves (feedInterval, urgentFeedInterval).
+const maxReportPoolZones = 128
 
 // demandState is what the control goroutine knows of the demand on back ends.
 type demandState struct {
-	own  demand.Own
-	tree *demand.Tree
-	room room
-	// picture is the latest one, for all goroutines; nil is none.
-	picture atomic.Pointer[demand.Picture]
-	// pace is that of reports, and telling is set while one is under way that does not go
+	local    demand.Own
+	tree     *demand.Tree
+	capacity capacity
+	// aggregate is the latest one, for all goroutines; nil is none.
+	aggregate atomic.Pointer[demand.Picture]
+	// schedule is that of reports, and telling is set while one is under way that does not go
 	// with another call.
-	pace     demand.Pace
-	telling  bool
-	tellings tellings
-	// lapsedAt is when a picture that was planned by was last found too old; zero is since
+	schedule  demand.Pace
+	reporting bool
+	feed      demandFeed
+	// staleAt is when a picture that was planned by was last found too old; zero is since
 	// it was fresh for long enough.
-	lapsedAt time.Time
-	// whole is set while the demand of all is known.
-	whole bool
+	staleAt time.Time
+	// complete is set while the demand of all is known.
+	complete bool
 }
 
-// Picture is the latest picture of demand and room, or nil. Any goroutine may ask.
-func (b *Balancer) Picture() *demand.Picture { return b.control.demand.picture.Load() }
+// DemandAggregate is the latest picture of demand and room, or nil. Any goroutine may ask.
+func (b *Balancer) DemandAggregate() *demand.Picture { return b.control.demand.aggregate.Load() }
 
-// takeDemand takes what the traffic goroutine has observed and makes a new picture.
-func (c *control) takeDemand(now time.Time) {
+// updateDemand takes what the traffic goroutine has observed and makes a new picture.
+func (c *control) updateDemand(now time.Time) {
 	d := &c.demand
 	if summary := c.balancer.traffic.observed.Load(); summary != nil {
-		d.own.Take(summary.Places, summary.At)
-		d.room.takeDead(summary, c.balancer.table.Load(), now)
+		d.local.Take(summary.Places, summary.At)
+		d.capacity.updateFailed(summary, c.balancer.table.Load(), now)
 	}
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	above, all := c.core.Levels()
-	d.tree.See(d.own.Picture(zone, now), demand.Levels{Above: above, All: all})
-	d.room.look(now)
+	d.tree.See(d.local.Picture(zone, now), demand.Levels{Above: above, All: all})
+	d.capacity.addWarmed(now)
 	picture := d.tree.Picture(now)
-	d.picture.Store(picture.WithRoom(d.room.living(now)))
-	c.tellWhetherWhole(picture, now)
+	d.aggregate.Store(picture.WithRoom(d.capacity.liveSlots(now)))
+	c.logCompleteness(picture, now)
 }
 
-// wholePart is the part of all balancers that a picture counts that is told to be whole.
-const wholePart = 0.9
+// completeFraction is the part of all balancers that a picture counts that is told to be whole.
+const completeFraction = 0.9
 
-// tellWhetherWhole logs when the demand of all becomes known, or is known no longer.
-func (c *control) tellWhetherWhole(picture demand.Picture, now time.Time) {
+// logCompleteness logs when the demand of all becomes known, or is known no longer.
+func (c *control) logCompleteness(picture demand.Picture, now time.Time) {
 	listed := c.listed.all()
 	if listed == 0 {
 		return
 	}
-	whole := picture.Fresh(now) && float64(picture.Balancers) >= wholePart*float64(listed)
-	if whole == c.demand.whole {
+	whole := picture.Fresh(now) && float64(picture.Balancers) >= completeFraction*float64(listed)
+	if whole == c.demand.complete {
 		return
 	}
-	c.demand.whole = whole
+	c.demand.complete = whole
 	message := "Control: demand of all is known."
 	if !whole {
 		message = "Control: demand of all is not known, a part must do."
@@ -77,34 +77,34 @@
 		"age", picture.Age(now).Round(time.Millisecond))
 }
 
-// takeReport takes the report of a follower. One in another clock means nothing.
-func (c *control) takeReport(from string, encoded *apiv1.DemandReport, now time.Time) {
+// handleDemandReport takes the report of a follower. One in another clock means nothing.
+func (c *control) handleDemandReport(from string, encoded *apiv1.DemandReport, now time.Time) {
 	if from == "" || encoded == nil || encoded.GetClock() != c.testimony.clock {
 		return
 	}
 	report := demand.Report{
-		Picture: decodePicture(encoded, now),
+		Picture: decodeAggregate(encoded, now),
 		Until:   c.balancer.started.Add(time.Duration(encoded.GetUntilMilliseconds()) * time.Millisecond),
 		Height:  int(encoded.GetHeight()),
 	}
 	c.demand.tree.TakeFollower(demand.Address(from), report, now)
-	c.demand.pace.Taken(now)
+	c.demand.schedule.Taken(now)
 }
 
-// takeWhole takes what the balancer that is followed says of all.
-func (c *control) takeWhole(news *apiv1.DirectoryNews, now time.Time) {
+// handleTotalDemand takes what the balancer that is followed says of all.
+func (c *control) handleTotalDemand(news *apiv1.DirectoryNews, now time.Time) {
 	if news.GetDemand() == nil {
 		return
 	}
 	left := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
-	c.demand.tree.TakeParent(decodePicture(news.GetDemand(), left), now)
+	c.demand.tree.TakeParent(decodeAggregate(news.GetDemand(), left), now)
 	c.demand.tree.TakeLevel(int(news.GetDemand().GetAbove()), now)
 }
 
-// reportTo returns the report for the balancer that is followed, or nil while it must not
+// demandReportFor returns the report for the balancer that is followed, or nil while it must not
 // be told. It goes alone or with another call.
-func (c *control) reportTo(parent string, alone bool, now time.Time) *apiv1.DemandReport {
-	theirs := c.testimony.theirs
+func (c *control) demandReportFor(parent string, alone bool, now time.Time) *apiv1.DemandReport {
+	theirs := c.testimony.parentClock
 	if parent != c.testimony.parent || !theirs.Known() || !c.core.Leads(parent) {
 		return nil
 	}
@@ -112,26 +112,26 @@
 	if !may {
 		return nil
 	}
-	c.demand.pace.Told(alone, now)
-	encoded := encodePicture(report.Picture, now)
+	c.demand.schedule.Told(alone, now)
+	encoded := encodeAggregate(report.Picture, now)
 	encoded.Clock = theirs.ID
 	encoded.UntilMilliseconds = uint64(max(0, theirs.Earliest(report.Until)).Milliseconds())
 	encoded.Height = uint32(report.Height)
 	return encoded
 }
 
-// startReport tells a report that does not wait for the next call.
-func (c *control) startReport(ctx context.Context, now time.Time) {
+// sendDemandReport tells a report that does not wait for the next call.
+func (c *control) sendDemandReport(ctx context.Context, now time.Time) {
 	d := &c.demand
-	if d.telling || c.testimony.telling || c.balancer.traffic == nil || !d.pace.Due(now) {
+	if d.reporting || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
 		return
 	}
 	parent := c.testimony.parent
-	report := c.reportTo(parent, true, now)
+	report := c.demandReportFor(parent, true, now)
 	if report == nil {
 		return
 	}
-	d.telling = true
+	d.reporting = true
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Demand: report}
 	client := c.testimony.client
 	go func() {
@@ -141,18 +141,18 @@
 	}()
 }
 
-// reported takes the end of a call that told a report.
-func (c *control) reported(news *apiv1.DirectoryNews, now time.Time) {
-	c.demand.telling = false
+// handleDemandReportResult takes the end of a call that told a report.
+func (c *control) handleDemandReportResult(news *apiv1.DirectoryNews, now time.Time) {
+	c.demand.reporting = false
 	if news.GetError() != "" {
-		c.demand.pace.Failed(now)
+		c.demand.schedule.Failed(now)
 	}
 }
 
-// encodePicture returns a picture for a message. Where there are too many places, pools are
+// encodeAggregate returns a picture for a message. Where there are too many places, pools are
 // left out whole, the last by name: all balancers leave out the same, so that what is told of
 // the others is the sum of all, and is told at each level.
-func encodePicture(picture demand.Picture, now time.Time) *apiv1.DemandReport {
+func encodeAggregate(picture demand.Picture, now time.Time) *apiv1.DemandReport {
 	encoded := &apiv1.DemandReport{
 		Balancers:       uint32(picture.Balancers),
 		AgeMilliseconds: uint32(max(0, picture.Age(now)).Milliseconds()),
@@ -165,7 +165,7 @@
 		pools[place.Pool] = append(pools[place.Pool], encodeLoad(place, load))
 	}
 	for _, pool := range slices.Sorted(maps.Keys(pools)) {
-		if len(encoded.Places)+len(pools[pool]) > placesLimit {
+		if len(encoded.Places)+len(pools[pool]) > maxReportPoolZones {
 			break
 		}
 		encoded.Places = append(encoded.Places, pools[pool]...)
@@ -185,8 +185,8 @@
 	}
 }
 
-// decodePicture reads a picture from a message that left, or came, at a time.
-func decodePicture(encoded *apiv1.DemandReport, at time.Time) demand.Picture {
+// decodeAggregate reads a picture from a message that left, or came, at a time.
+func decodeAggregate(encoded *apiv1.DemandReport, at time.Time) demand.Picture {
 	made := demand.Picture{
 		At:        at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
 		Balancers: int(encoded.GetBalancers()),
@@ -199,19 +199,19 @@
 	for _, each := range encoded.GetPlaces() {
 		place := demand.Place{Pool: demand.Pool(each.GetPool()), Zone: demand.Zone(each.GetZone())}
 		made.Places[place] = demand.Load{
-			Waiting:  decodeLoad(each.GetWaiting()),
-			Openings: decodeLoad(each.GetOpenings()),
-			Answers:  decodeLoad(each.GetAnswers()),
-			Refusals: decodeLoad(each.GetRefusals()),
-			Asks:     decodeLoad(each.GetAsks()),
+			Waiting:  decodeNumber(each.GetWaiting()),
+			Openings: decodeNumber(each.GetOpenings()),
+			Answers:  decodeNumber(each.GetAnswers()),
+			Refusals: decodeNumber(each.GetRefusals()),
+			Asks:     decodeNumber(each.GetAsks()),
 		}
 	}
 	return made
 }
 
-// decodeLoad reads a number of requests. What is none counts as 0: one balancer that tells
+// decodeNumber reads a number of requests. What is none counts as 0: one balancer that tells
 // it would spoil the sum of all.
-func decodeLoad(told float32) float64 {
+func decodeNumber(told float32) float64 {
 	load := float64(told)
 	if math.IsNaN(load) || math.IsInf(load, 0) || load < 0 {
 		return 0
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -38,7 +38,7 @@
 	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.entry(), first}, now)
 	require.True(t, follows.core.Leads("10.0.0.2:1"))
 	follows.testimony.parent = "10.0.0.2:1"
-	follows.testimony.theirs = evidence.NewClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
+	follows.testimony.parentClock = evidence.NewClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{leads, follows} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
@@ -61,14 +61,14 @@
 		asking := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
-			leads.takeTestimony(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
+			leads.handleTestifyRequest(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
 		} else {
 			asking.demand = request.GetDemand()
 		}
 		leads.take(asking)
 		leads.answerWaiting(now)
 		reply := <-asking.reply
-		follows.takeWhole(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.nanoseconds(now)}, now)
+		follows.handleTotalDemand(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.nanoseconds(now)}, now)
 		all := follows.demand.tree.Picture(now)
 		require.Equal(t, 2, all.Balancers)
 		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.Zones)
@@ -81,9 +81,9 @@
 func TestReportInAnotherClockIsLeftOut(t *testing.T) {
 	now := time.Now()
 	leads, follows := pair(t, now)
-	report := follows.reportTo("10.0.0.2:1", false, now)
+	report := follows.demandReportFor("10.0.0.2:1", false, now)
 	report.Clock++
-	leads.takeReport("10.0.0.1:1", report, now)
+	leads.handleDemandReport("10.0.0.1:1", report, now)
 	require.Equal(t, 1, leads.demand.tree.Picture(now).Balancers)
 }
 
@@ -97,15 +97,15 @@
 				Waiting: 1, Openings: 2, Answers: 3, Refusals: 4, Asks: float64(pool)}
 		}
 	}
-	encoded := encodePicture(made, made.At)
-	require.LessOrEqual(t, len(encoded.GetPlaces()), placesLimit)
-	require.LessOrEqual(t, proto.Size(encoded), 50*placesLimit)
+	encoded := encodeAggregate(made, made.At)
+	require.LessOrEqual(t, len(encoded.GetPlaces()), maxReportPoolZones)
+	require.LessOrEqual(t, proto.Size(encoded), 50*maxReportPoolZones)
 	counts := make(map[string]int)
 	for _, each := range encoded.GetPlaces() {
 		counts[each.GetPool()]++
-		require.Less(t, each.GetPool(), fmt.Sprintf("pool-%04d", placesLimit/3), "the last by name are left out, whatever they ask")
+		require.Less(t, each.GetPool(), fmt.Sprintf("pool-%04d", maxReportPoolZones/3), "the last by name are left out, whatever they ask")
 	}
-	require.Len(t, counts, placesLimit/3)
+	require.Len(t, counts, maxReportPoolZones/3)
 	for pool, count := range counts {
 		require.Equal(t, 3, count, pool)
 	}
@@ -127,11 +127,11 @@
 					all[place] += part.Places[place].Asks
 				}
 			}
-			for place, load := range decodePicture(encodePicture(part, now), now).Places {
+			for place, load := range decodeAggregate(encodeAggregate(part, now), now).Places {
 				sum.Places[place] = sum.Places[place].Plus(load)
 			}
 		}
-		for place, load := range decodePicture(encodePicture(sum, now), now).Places {
+		for place, load := range decodeAggregate(encodeAggregate(sum, now), now).Places {
 			require.InDelta(t, all[place], load.Asks, 1e-6, place)
 		}
 	})
@@ -142,7 +142,7 @@
 	for _, told := range []float32{float32(math.NaN()), float32(math.Inf(1)), float32(math.Inf(-1)), -3} {
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
 			Waiting: told, Openings: told, Answers: told, Refusals: told, Asks: 5}}}
-		read := decodePicture(encoded, time.Now())
+		read := decodeAggregate(encoded, time.Now())
 		require.Equal(t, demand.Load{Asks: 5}, read.Places[lendingIn("maadi")])
 	}
 }
@@ -153,7 +153,7 @@
 	now := time.Now()
 	leads, _ := pair(t, now)
 	place := lendingIn("maadi")
-	leads.demand.room.slots = map[demand.Place]float64{place: 10}
+	leads.demand.capacity.slots = map[demand.Place]float64{place: 10}
 	tell := func(waiting float64) (told int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
 			leads.demand.tree.See(asksOf("maadi", 10, waiting, now), demand.Levels{})
@@ -170,20 +170,20 @@
 	require.InDelta(t, 10, tell(1), 1)
 	require.InDelta(t, 11, tell(8), 1, "one more, since pressure has moved")
 
-	asked := func(address string) *apiv1.DemandReport { return leads.wholeFor(address, now) }
+	asked := func(address string) *apiv1.DemandReport { return leads.totalDemandFor(address, now) }
 	one, other := asked("10.0.0.8:1"), asked("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, asked("10.0.0.9:1"))
 	now = now.Add(lookPause + time.Millisecond)
 	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
 	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
-	now = now.Add(soonPause - lookPause)
+	now = now.Add(urgentFeedInterval - lookPause)
 	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
 	for range 3 {
-		now = now.Add(toldFor)
+		now = now.Add(feedTTL)
 		asked("10.0.0.7:1")
 	}
-	require.Len(t, leads.demand.tellings.told, 1, "who does not call is forgotten")
+	require.Len(t, leads.demand.feed.sent, 1, "who does not call is forgotten")
 }
 
 // Calls that are answered a little sooner than each second bring the picture nearly all.
@@ -194,7 +194,7 @@
 	for range 100 {
 		now = now.Add(920 * time.Millisecond)
 		leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
-		if leads.wholeFor("10.0.0.1:1", now) != nil {
+		if leads.totalDemandFor("10.0.0.1:1", now) != nil {
 			told++
 			longest, last = max(longest, now.Sub(last)), now
 		}
@@ -213,16 +213,16 @@
 	control.addBackends("lending", "giza", 8, now)
 	control.addBackends("lending", "fayum", 4, now)
 	control.listed = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
-	control.measureRoom(nil, now)
+	control.measureCapacity(nil, now)
 	picture := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
 		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Asks: maadi, Waiting: waiting}, lendingIn("giza"): {Asks: giza},
 			lendingIn("fayum"): {Asks: fayum}}}
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
 	return control, now
 }
 
 func (control *control) weights(now time.Time) map[string]uint32 {
-	weigh := control.weigher(nil, now)
+	weigh := control.weightFunc(nil, now)
 	made := make(map[string]uint32)
 	for _, zone := range []string{"maadi", "giza", "fayum"} {
 		made[zone] = weigh(directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: zone}})
@@ -236,42 +236,42 @@
 	slots := newTestControl()
 	now := time.Now()
 	slots.addBackends("lending", "maadi", 4, now)
-	slots.measureRoom(nil, now)
-	each := slots.demand.room.slots[lendingIn("maadi")] / 4
+	slots.measureCapacity(nil, now)
+	each := slots.demand.capacity.slots[lendingIn("maadi")] / 4
 	control, now := divided(200, 100, 200, 20*each)
-	require.True(t, control.divide(now))
+	require.True(t, control.planZoneShares(now))
 	weights := control.weights(now)
 	require.Equal(t, uint32(rule.MaximumWeight), weights["maadi"])
 	require.LessOrEqual(t, weights["fayum"], uint32(rule.MaximumWeight/1000))
 	// All keep 125 for each four back ends, so of 200 it sends 75 to the eight.
 	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(weights["giza"]), 2)
-	require.False(t, control.divide(now), "the table was made with it")
-	require.True(t, control.newWeights(nil, now).byZone("lending"))
+	require.False(t, control.planZoneShares(now), "the table was made with it")
+	require.True(t, control.newWeights(nil, now).zoneChosenByWeights("lending"))
 	control.balancer.off, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
-	require.True(t, control.divide(now))
+	require.True(t, control.planZoneShares(now))
 	require.Equal(t, control.weights(now)["giza"], control.weights(now)["fayum"], "without it all others are alike")
 }
 
 // A zone without back ends takes the least used of all the others.
 func TestZoneWithoutBackendsTakesTheLeastUsedOfAll(t *testing.T) {
 	control, now := divided(200, 100, 200, 50)
-	control.measureRoom(map[string]uint64{"maadi": 7}, now)
-	picture := *control.demand.picture.Load()
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
-	require.True(t, control.divide(now))
-	require.Zero(t, control.observed.planned["lending"]["maadi"])
+	control.measureCapacity(map[string]uint64{"maadi": 7}, now)
+	picture := *control.demand.aggregate.Load()
+	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
+	require.True(t, control.planZoneShares(now))
+	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
-	require.NotNil(t, weights.plannedParts("lending"))
-	require.False(t, weights.byZone("lending"))
+	require.NotNil(t, weights.plannedShares("lending"))
+	require.False(t, weights.zoneChosenByWeights("lending"))
 }
 
 // An old picture is no ground to send flows anywhere.
 func TestOldPictureDividesNothing(t *testing.T) {
 	control, now := divided(200, 100, 200, 50)
-	require.True(t, control.divide(now))
+	require.True(t, control.planZoneShares(now))
 	control.weights(now)
-	require.True(t, control.divide(now.Add(demand.FreshFor+time.Millisecond)))
-	require.Nil(t, control.observed.planned)
+	require.True(t, control.planZoneShares(now.Add(demand.FreshFor+time.Millisecond)))
+	require.Nil(t, control.observed.plannedShares)
 }
 
 // Room is what takes new flows.
@@ -280,12 +280,12 @@
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
-	control.measureRoom(nil, now)
-	whole := control.demand.room.slots[lendingIn("giza")]
+	control.measureCapacity(nil, now)
+	whole := control.demand.capacity.slots[lendingIn("giza")]
 	require.Positive(t, whole)
-	require.InDelta(t, 2, whole/control.demand.room.slots[lendingIn("maadi")], 1e-9)
-	control.measureRoom(map[string]uint64{"giza": 7}, now)
-	require.NotContains(t, control.demand.room.slots, lendingIn("giza"), "an evacuated zone has none")
+	require.InDelta(t, 2, whole/control.demand.capacity.slots[lendingIn("maadi")], 1e-9)
+	control.measureCapacity(map[string]uint64{"giza": 7}, now)
+	require.NotContains(t, control.demand.capacity.slots, lendingIn("giza"), "an evacuated zone has none")
 }
 
 // Where there is no room at all, that is told, and not left out.
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -42,8 +42,8 @@
 func (control *control) plan(now time.Time) bool {
 	control.demand.tree.See(asksOf("maadi", 5, 5, now), demand.Levels{})
 	picture := control.demand.tree.Picture(now)
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
-	return control.divide(now)
+	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
+	return control.planZoneShares(now)
 }
 
 // The picture tells of a pool for seconds after its last entry has gone. Its back ends
@@ -60,7 +60,7 @@
 	}
 	now = now.Add(100 * time.Millisecond)
 	control.learn(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.nanoseconds(now)}, now)
-	require.NotNil(t, control.observed.planned)
+	require.NotNil(t, control.observed.plannedShares)
 	require.NotPanics(t, func() { control.renewTable(now) })
 }
 
@@ -97,9 +97,9 @@
 	require.Greater(t, keptAtHome(t, planned), 0.9)
 
 	t.Run("few in the zone", func(t *testing.T) {
-		few := served(now, map[string]int{"maadi": localEnough - 1, "giza": 6})
+		few := served(now, map[string]int{"maadi": minLocalBackends - 1, "giza": 6})
 		few.plan(now)
-		require.NotNil(t, few.observed.planned)
+		require.NotNil(t, few.observed.plannedShares)
 		few.renewTable(now)
 		require.Zero(t, keptAtHome(t, few))
 	})
@@ -119,7 +119,7 @@
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
 		other := served(now, map[string]int{"maadi": 4, "giza": 4})
-		other.observed.planned = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
+		other.observed.plannedShares = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
 		other.renewTable(now)
 		require.Zero(t, keptAtHome(t, other)-keptAtHome(t, served(now, map[string]int{"maadi": 4, "giza": 4})))
 	})
@@ -131,10 +131,10 @@
 	for _, elsewhere := range []int{14, 1400, 14_000} {
 		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.room.backends = map[demand.Place]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
+			control.demand.capacity.backends = map[demand.Place]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
 			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
 			taken := func(zone string, backends int) float64 {
-				weight := math.Ceil(control.partWeight(parts, lendingIn(zone)) * rule.MaximumWeight)
+				weight := math.Ceil(control.shareWeight(parts, lendingIn(zone)) * rule.MaximumWeight)
 				return weight * float64(backends)
 			}
 			home, away := taken("maadi", 14), taken("giza", elsewhere)
@@ -145,14 +145,14 @@
 
 // A zone that the new plan no longer names had a part before, too.
 func TestZonesThatLeaveThePlanCount(t *testing.T) {
-	var o observed
+	var o weightInputs
 	parts := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
 		return map[demand.Pool]map[demand.Zone]float64{"lending": zones}
 	}
-	o.parts = parts(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
-	require.False(t, o.plan(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
-	o.parts = parts(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
-	require.True(t, o.plan(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
+	require.False(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
+	require.True(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
 }
 
 // Pools that are divided by the picture take no new table for what one zone sees alone.
@@ -162,13 +162,13 @@
 	require.True(t, control.plan(now))
 	control.renewTable(now)
 	require.False(t, control.observeWaiting("lending", 12, now))
-	control.observed.planned = nil
+	control.observed.plannedShares = nil
 	control.renewTable(now)
 	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without a plan they do")
 }
 
 // A picture that comes and goes, as reports are late, makes a table each time. One that has
-// lapsed is planned by again once it has been fresh for returnTime.
+// lapsed is planned by again once it has been fresh for recoveryDelay.
 func TestPictureThatComesAndGoesIsLeftAlone(t *testing.T) {
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 4, "giza": 4})
@@ -177,13 +177,13 @@
 	tables := 0
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
-		picture := *control.demand.picture.Load()
+		picture := *control.demand.aggregate.Load()
 		picture.At = now
 		if step%4 == 0 {
 			picture.At = now.Add(-demand.FreshFor - time.Second)
 		}
-		control.demand.picture.Store(&picture)
-		if control.divide(now) {
+		control.demand.aggregate.Store(&picture)
+		if control.planZoneShares(now) {
 			tables++
 			control.renewTable(now)
 		}
@@ -193,5 +193,5 @@
 		now = now.Add(500 * time.Millisecond)
 		control.plan(now)
 	}
-	require.NotNil(t, control.observed.planned)
+	require.NotNil(t, control.observed.plannedShares)
 }
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// reportFor is for how long findings of another balancer count. Followers call
+	// findingsTTL is for how long findings of another balancer count. Followers call
 	// again within replication.FollowWait.
-	reportFor = 2*replication.FollowWait + time.Second
-	// findingsLimit bounds the findings in one message.
-	findingsLimit = 32
+	findingsTTL = 2*replication.FollowWait + time.Second
+	// maxFindings bounds the findings in one message.
+	maxFindings = 32
 )
 
-// report is what another balancer has found, by back end.
-type report struct {
+// findingsReport is what another balancer has found, by back end.
+type findingsReport struct {
 	at       time.Time
 	findings map[incarnation.ID]observe.Finding
 }
 
-func (r report) fresh(now time.Time) bool { return now.Sub(r.at) < reportFor }
+func (r findingsReport) fresh(now time.Time) bool { return now.Sub(r.at) < findingsTTL }
 
 // findings joins what this balancer finds of back ends with what others find.
 // One balancer alone sees a few answers of each back end, or none. Findings go
@@ -33,35 +33,35 @@
 // followers, and down again as those of all.
 type findings struct {
 	own       map[incarnation.ID]observe.Finding
-	followers map[string]report
+	followers map[string]findingsReport
 	// parent is what the balancer that this one follows says of all, this one
 	// included.
-	parent report
+	parent findingsReport
 }
 
-// takeFollower takes the findings of a follower and of those behind it.
-func (f *findings) takeFollower(address string, found []*apiv1.BackendFinding, now time.Time) {
+// updateFollower takes the findings of a follower and of those behind it.
+func (f *findings) updateFollower(address string, found []*apiv1.BackendFinding, now time.Time) {
 	if address == "" {
 		return
 	}
 	if f.followers == nil {
-		f.followers = make(map[string]report)
+		f.followers = make(map[string]findingsReport)
 	}
 	for known, each := range f.followers {
 		if !each.fresh(now) {
 			delete(f.followers, known)
 		}
 	}
-	f.followers[address] = report{at: now, findings: decodeFindings(found)}
+	f.followers[address] = findingsReport{at: now, findings: decodeFindings(found)}
 }
 
-// takeParent takes the findings of all.
-func (f *findings) takeParent(found []*apiv1.BackendFinding, now time.Time) {
-	f.parent = report{at: now, findings: decodeFindings(found)}
+// updateParent takes the findings of all.
+func (f *findings) updateParent(found []*apiv1.BackendFinding, now time.Time) {
+	f.parent = findingsReport{at: now, findings: decodeFindings(found)}
 }
 
-// here are the findings of this balancer and of those that follow it.
-func (f *findings) here(now time.Time) map[incarnation.ID]observe.Finding {
+// subtree are the findings of this balancer and of those that follow it.
+func (f *findings) subtree(now time.Time) map[incarnation.ID]observe.Finding {
 	joined := make(map[incarnation.ID]observe.Finding, len(f.own))
 	for backend, finding := range f.own {
 		joined[backend] = finding
@@ -79,7 +79,7 @@
 
 // all are the findings of all balancers, as far as they are known here.
 func (f *findings) all(now time.Time) map[incarnation.ID]observe.Finding {
-	joined := f.here(now)
+	joined := f.subtree(now)
 	if f.parent.fresh(now) {
 		for backend, finding := range f.parent.findings {
 			joined[backend] = joined[backend].Or(finding)
@@ -105,7 +105,7 @@
 	slices.SortFunc(encoded, func(a, b *apiv1.BackendFinding) int {
 		return cmp.Compare(b.GetFailingEvidence()+b.GetSlowEvidence(), a.GetFailingEvidence()+a.GetSlowEvidence())
 	})
-	return encoded[:min(len(encoded), findingsLimit)]
+	return encoded[:min(len(encoded), maxFindings)]
 }
 
 func decodeFindings(encoded []*apiv1.BackendFinding) map[incarnation.ID]observe.Finding {
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -26,16 +26,16 @@
 	now := time.Now()
 	var root, middle, leaf findings
 	root.own, middle.own, leaf.own = failing(5), failing(4), failing(4)
-	middle.takeFollower("leaf", encodeFindings(leaf.here(now)), now)
-	root.takeFollower("middle", encodeFindings(middle.here(now)), now)
+	middle.updateFollower("leaf", encodeFindings(leaf.subtree(now)), now)
+	root.updateFollower("middle", encodeFindings(middle.subtree(now)), now)
 	require.InDelta(t, 13, root.all(now)[seven].Failing.Evidence, 1e-6)
-	middle.takeParent(encodeFindings(root.all(now)), now)
-	leaf.takeParent(encodeFindings(middle.all(now)), now)
+	middle.updateParent(encodeFindings(root.all(now)), now)
+	leaf.updateParent(encodeFindings(middle.all(now)), now)
 	require.InDelta(t, 13, leaf.all(now)[seven].Failing.Evidence, 1e-6, "no answer counts twice")
-	require.InDelta(t, 8, middle.here(now)[seven].Failing.Evidence, 1e-6, "what came from above is not told above")
-	root.takeFollower("middle", encodeFindings(middle.here(now)), now.Add(time.Second))
+	require.InDelta(t, 8, middle.subtree(now)[seven].Failing.Evidence, 1e-6, "what came from above is not told above")
+	root.updateFollower("middle", encodeFindings(middle.subtree(now)), now.Add(time.Second))
 	require.InDelta(t, 13, root.all(now.Add(time.Second))[seven].Failing.Evidence, 1e-6)
-	late := now.Add(2 * reportFor)
+	late := now.Add(2 * findingsTTL)
 	require.InDelta(t, 5, root.all(late)[seven].Failing.Evidence, 1e-6, "who is not heard any more does not count")
 	require.InDelta(t, 4, leaf.all(late)[seven].Failing.Evidence, 1e-6)
 }
@@ -46,7 +46,7 @@
 		found[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Part: 0.5, Evidence: float64(number)}}
 	}
 	encoded := encodeFindings(found)
-	require.Len(t, encoded, findingsLimit)
+	require.Len(t, encoded, maxFindings)
 	require.InDelta(t, 999, encoded[0].GetSlowEvidence(), 1e-6, "those with the most evidence")
 }
 
@@ -56,14 +56,14 @@
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
-	require.False(t, control.observed.judge(failing(14), 1))
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(entry))
-	require.False(t, control.observed.judge(failing(16), 20), "for twenty observers it is too little")
-	require.True(t, control.observed.judge(failing(16), 1))
-	require.LessOrEqual(t, control.weigher(nil, now)(entry), uint32(rule.MaximumWeight/20))
-	require.False(t, control.observed.judge(failing(9), 1), "nothing changes while it still counts as failing")
-	require.True(t, control.observed.judge(nil, 1))
-	require.Equal(t, uint32(rule.MaximumWeight), control.weigher(nil, now)(entry))
+	require.False(t, control.observed.updateHealth(failing(14), 1))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
+	require.False(t, control.observed.updateHealth(failing(16), 20), "for twenty observers it is too little")
+	require.True(t, control.observed.updateHealth(failing(16), 1))
+	require.LessOrEqual(t, control.weightFunc(nil, now)(entry), uint32(rule.MaximumWeight/20))
+	require.False(t, control.observed.updateHealth(failing(9), 1), "nothing changes while it still counts as failing")
+	require.True(t, control.observed.updateHealth(nil, 1))
+	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
 }
 
 // A policy has the last word on what is observed.
@@ -72,9 +72,9 @@
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
 	control.known.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
-	require.True(t, control.observed.judge(failing(16), 1))
-	require.Equal(t, uint32(rule.MaximumWeight/4), control.weigher(nil, now)(entry))
-	require.False(t, control.observed.judge(failing(16), 1), "the table was made with it")
+	require.True(t, control.observed.updateHealth(failing(16), 1))
+	require.Equal(t, uint32(rule.MaximumWeight/4), control.weightFunc(nil, now)(entry))
+	require.False(t, control.observed.updateHealth(failing(16), 1), "the table was made with it")
 }
 
 // A call that tells, asks or fetches brings no findings, and ends none.
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -16,7 +16,7 @@
 	caller  replication.Caller
 	after   uint64
 	takenAt time.Time
-	// confirmedAt is when the follower's own knowledge was confirmed.
+	// minAggregatePressure is when the follower's own knowledge was confirmed.
 	confirmedAt time.Time
 	until       time.Time
 	findings    []*apiv1.BackendFinding
@@ -143,12 +143,12 @@
 	c.core.TakeShown(asking.shown, asking.takenAt)
 	c.core.TakeSilent(asking.silent, asking.takenAt)
 	if asking.takesFindings {
-		c.hearStruggling(asking.struggling, asking.tellsStruggling, asking.takenAt)
+		c.handleStrugglingReports(asking.struggling, asking.tellsStruggling, asking.takenAt)
 	}
 	if asking.follows() {
-		c.findings.takeFollower(asking.caller.Address, asking.findings, asking.takenAt)
+		c.findings.updateFollower(asking.caller.Address, asking.findings, asking.takenAt)
 	}
-	c.takeReport(asking.caller.Address, asking.demand, asking.takenAt)
+	c.handleDemandReport(asking.caller.Address, asking.demand, asking.takenAt)
 	if len(c.waiting) >= followersLimit {
 		asking.until = asking.takenAt
 	}
@@ -178,7 +178,7 @@
 		return false
 	}
 	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
-	statements := c.newsOfBackends(asking, now)
+	statements := c.pendingObservations(asking, now)
 	if asking.after >= c.known.Revision() && !younger && len(statements) == 0 && now.Before(asking.until) {
 		return false
 	}
@@ -198,11 +198,11 @@
 	}
 	if asking.takesFindings {
 		reply.Findings = found()
-		reply.Struggling, reply.TellsStruggling = c.tellStruggling(now), true
+		reply.Struggling, reply.TellsStruggling = c.strugglingReports(now), true
 	}
 	if asking.takesTestimony {
-		c.addTestimony(reply, statements, now)
-		reply.Demand = c.wholeFor(asking.caller.Address, now)
+		c.addObservations(reply, statements, now)
+		reply.Demand = c.totalDemandFor(asking.caller.Address, now)
 	}
 	if !known {
 		reply.AgeMilliseconds = uint32(unknownAge.Milliseconds())
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -7,27 +7,27 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// judgeHealth judges back ends by what all balancers found of them, and tells whether the
+// updateHealth judges back ends by what all balancers found of them, and tells whether the
 // table should be made anew.
-func (c *control) judgeHealth(now time.Time) bool {
-	before, found := c.observed.unwell, c.findings.all(now)
-	c.observed.limits.plan(c.demand.picture.Load(), now)
-	changed := c.observed.judge(found, c.core.OrderSize())
-	for backend, health := range c.observed.unwell {
+func (c *control) updateHealth(now time.Time) bool {
+	before, found := c.observed.unhealthy, c.findings.all(now)
+	c.observed.limits.update(c.demand.aggregate.Load(), now)
+	changed := c.observed.updateHealth(found, c.core.OrderSize())
+	for backend, health := range c.observed.unhealthy {
 		if before[backend].Well() {
-			c.tellHealth("Control: back end counts as unwell.", backend, health, found[backend])
+			c.logHealthChange("Control: back end counts as unwell.", backend, health, found[backend])
 		}
 	}
 	for backend := range before {
-		if c.observed.unwell[backend].Well() {
-			c.tellHealth("Control: back end counts as well again.", backend, observe.Health{}, found[backend])
+		if c.observed.unhealthy[backend].Well() {
+			c.logHealthChange("Control: back end counts as well again.", backend, observe.Health{}, found[backend])
 		}
 	}
 	return changed
 }
 
-// tellHealth writes to the log by what evidence the health of a back end changed.
-func (c *control) tellHealth(message string, backend incarnation.ID, health observe.Health, found observe.Finding) {
+// logHealthChange writes to the log by what evidence the health of a back end changed.
+func (c *control) logHealthChange(message string, backend incarnation.ID, health observe.Health, found observe.Finding) {
 	name, pool := "", ""
 	if table := c.balancer.table.Load(); table != nil {
 		if known := table.Backend(backend); known != nil {
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -10,90 +10,90 @@
 )
 
 // healthLimits bound what health takes off the weights of back ends by what the others can bear.
-// A place with localEnough back ends or more is bounded by itself, since zones keep their new
+// A place with minLocalBackends back ends or more is bounded by itself, since zones keep their new
 // flows; the others by their whole pool.
 type healthLimits struct {
-	// places are those of the back ends that are unwell and listed.
-	places map[incarnation.ID]demand.Place
-	// sums are those of the places that have such back ends, and pools those of their pools.
-	sums  map[demand.Place]healthSum
-	pools map[demand.Pool]healthSum
-	// parts are the parts of what health takes off that may be taken off. Places that are
+	// poolZones are those of the back ends that are unwell and listed.
+	poolZones map[incarnation.ID]demand.Place
+	// poolZoneTotals are those of the places that have such back ends, and pools those of their pools.
+	poolZoneTotals map[demand.Place]slotTotals
+	poolTotals     map[demand.Pool]slotTotals
+	// allowed are the parts of what health takes off that may be taken off. Places that are
 	// not listed have no bound.
-	parts map[demand.Place]float64
+	allowed map[demand.Place]float64
 }
 
-// healthSum is what the back ends of a place or a pool that take new flows handle at once.
-type healthSum struct {
+// slotTotals is what the back ends of a place or a pool that take new flows handle at once.
+type slotTotals struct {
 	backends int
 	// slots are those of all, and well those that remain by their health.
-	slots, well float64
+	slots, healthySlots float64
 }
 
-func (s healthSum) plus(other healthSum) healthSum {
-	return healthSum{backends: s.backends + other.backends, slots: s.slots + other.slots, well: s.well + other.well}
+func (s slotTotals) plus(other slotTotals) slotTotals {
+	return slotTotals{backends: s.backends + other.backends, slots: s.slots + other.slots, healthySlots: s.healthySlots + other.healthySlots}
 }
 
-// measureHealth sums up the back ends that take new flows, with each new table.
-func (c *control) measureHealth(evacuated map[string]uint64, warming *warming, now time.Time) {
+// computeHealthLimits sums up the back ends that take new flows, with each new table.
+func (c *control) computeHealthLimits(evacuated map[string]uint64, warming *warmupState, now time.Time) {
 	made := healthLimits{
-		places: make(map[incarnation.ID]demand.Place, len(c.observed.unwell)),
-		sums:   make(map[demand.Place]healthSum),
-		pools:  make(map[demand.Pool]healthSum),
+		poolZones:      make(map[incarnation.ID]demand.Place, len(c.observed.unhealthy)),
+		poolZoneTotals: make(map[demand.Place]slotTotals),
+		poolTotals:     make(map[demand.Pool]slotTotals),
 	}
-	if len(c.observed.unwell) > 0 {
+	if len(c.observed.unhealthy) > 0 {
 		for _, group := range c.known.Groups() {
 			if _, empty := evacuated[group.Zone]; !empty {
-				made.add(group, &c.observed, warming, now)
+				made.addGroup(group, &c.observed, warming, now)
 			}
 		}
 	}
-	made.plan(c.demand.picture.Load(), now)
+	made.update(c.demand.aggregate.Load(), now)
 	c.observed.limits = made
 }
 
-// add sums up a group. Cold back ends bear little, and are no room.
-func (l *healthLimits) add(group *directory.Group, seen *observed, warming *warming, now time.Time) {
-	place, sum, unwell := placeOf(group.Place), healthSum{}, false
+// addGroup sums up a group. Cold back ends bear little, and are no room.
+func (l *healthLimits) addGroup(group *directory.Group, seen *weightInputs, warming *warmupState, now time.Time) {
+	place, sum, unwell := poolZoneOf(group.Place), slotTotals{}, false
 	for _, backend := range group.Entries {
-		if backend.Gone || backend.GetDraining() || warming.bounded() && now.Before(warming.warmFrom(backend)) {
+		if backend.Gone || backend.GetDraining() || warming.limited() && now.Before(warming.warmAt(backend)) {
 			continue
 		}
-		slots := slotsOf(backend)
-		sum = sum.plus(healthSum{backends: 1, slots: slots, well: slots})
-		if health := seen.unwell[backend.Incarnation()]; !health.Well() {
+		slots := backendSlots(backend)
+		sum = sum.plus(slotTotals{backends: 1, slots: slots, healthySlots: slots})
+		if health := seen.unhealthy[backend.Incarnation()]; !health.Well() {
 			unwell = true
-			l.places[backend.Incarnation()] = place
-			sum.well -= slots * (1 - shares.HealthWeight(health))
+			l.poolZones[backend.Incarnation()] = place
+			sum.healthySlots -= slots * (1 - shares.HealthWeight(health))
 		}
 	}
-	l.pools[place.Pool] = l.pools[place.Pool].plus(sum)
+	l.poolTotals[place.Pool] = l.poolTotals[place.Pool].plus(sum)
 	if unwell {
-		l.sums[place] = sum
+		l.poolZoneTotals[place] = sum
 	}
 }
 
-// plan plans the parts by the demand of now, where a picture tells it.
-func (l *healthLimits) plan(picture *demand.Picture, now time.Time) {
-	l.parts = make(map[demand.Place]float64, len(l.sums))
-	for place, sum := range l.sums {
+// update plans the parts by the demand of now, where a picture tells it.
+func (l *healthLimits) update(picture *demand.Picture, now time.Time) {
+	l.allowed = make(map[demand.Place]float64, len(l.poolZoneTotals))
+	for place, sum := range l.poolZoneTotals {
 		waiting := 0.0
 		if picture.Fresh(now) {
 			waiting = picture.Places[place].Waiting
 		}
-		if sum.backends < localEnough {
-			sum = l.pools[place.Pool]
+		if sum.backends < minLocalBackends {
+			sum = l.poolTotals[place.Pool]
 			if picture.Fresh(now) {
 				waiting, _ = picture.Whole(place.Pool)
 			}
 		}
-		l.parts[place] = shares.HealthLimit(sum.slots, sum.well, waiting)
+		l.allowed[place] = shares.HealthLimit(sum.slots, sum.healthySlots, waiting)
 	}
 }
 
-// of is the part of what health takes off a back end that may be taken off.
-func (l *healthLimits) of(backend incarnation.ID) float64 {
-	part, bounded := l.parts[l.places[backend]]
+// allowedFraction is the part of what health takes off a back end that may be taken off.
+func (l *healthLimits) allowedFraction(backend incarnation.ID) float64 {
+	part, bounded := l.allowed[l.poolZones[backend]]
 	if !bounded {
 		return 1
 	}
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -60,7 +60,7 @@
 				all += count
 			}
 			even := busiest(t, control)
-			require.True(t, control.observed.judge(slowOnes(each.unwell), 1))
+			require.True(t, control.observed.updateHealth(slowOnes(each.unwell), 1))
 			control.renewTable(now)
 			require.LessOrEqual(t, busiest(t, control), 2*even+0.02, "twice what it has while all are well")
 			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the room is still room")
@@ -72,7 +72,7 @@
 func TestHealthLimitFollowsDemand(t *testing.T) {
 	now := time.Now()
 	control := served(now, map[string]int{"maadi": 10})
-	require.True(t, control.observed.judge(slowOnes(5), 1))
+	require.True(t, control.observed.updateHealth(slowOnes(5), 1))
 	control.renewTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
@@ -80,9 +80,9 @@
 	control.demand.tree.See(demand.Picture{At: now, Balancers: 1, Zones: map[demand.Zone]int{"maadi": 1},
 		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
 	picture := control.demand.tree.Picture(now)
-	control.demand.picture.Store(picture.WithRoom(control.demand.room.slots))
+	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
 	control.findings.own = slowOnes(5)
-	require.True(t, control.judgeHealth(now), "another table")
+	require.True(t, control.updateHealth(now), "another table")
 	control.renewTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
 }
@@ -94,9 +94,9 @@
 		b.Run(fmt.Sprint(unwell), func(b *testing.B) {
 			now := time.Now()
 			control := sized(140_000, 100, 0, now)
-			control.observed.judge(slowOnes(unwell), 1)
+			control.observed.updateHealth(slowOnes(unwell), 1)
 			for b.Loop() {
-				control.measureRoom(nil, now)
+				control.measureCapacity(nil, now)
 			}
 		})
 	}
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -32,9 +32,9 @@
 	case news.GetCheck():
 		c.checkEnded(news, now)
 	case news.GetTestified():
-		c.testified(news, now)
+		c.handleTestifyResult(news, now)
 	case news.GetReported():
-		c.reported(news, now)
+		c.handleDemandReportResult(news, now)
 	case news.GetWrite():
 		c.writeEnded(news.GetError(), now)
 	case news.GetPeer() == "":
@@ -116,8 +116,8 @@
 	balancers := c.known.Balancers()
 	c.core.SetBalancers(balancers, now)
 	c.listed = c.countByZone(balancers)
-	c.observed.balancers = c.listed[demand.Zone(c.balancer.settings.Load().GetZone())]
-	c.takePlaces(balancers)
+	c.observed.zoneBalancers = c.listed[demand.Zone(c.balancer.settings.Load().GetZone())]
+	c.rankZoneBalancers(balancers)
 }
 
 // listing is how many balancers the directory lists in each zone.
@@ -190,11 +190,11 @@
 	c.core.PeerAnswered(peer, asOf, now)
 	c.core.Learned(news.GetCallers())
 	if peer.Purpose == replication.PurposeFollow && c.core.SharesOrder(peer.Address) {
-		c.hearStruggling(news.GetStruggling(), news.GetTellsStruggling(), now)
-		c.findings.takeParent(news.GetFindings(), now)
+		c.handleStrugglingReports(news.GetStruggling(), news.GetTellsStruggling(), now)
+		c.findings.updateParent(news.GetFindings(), now)
 	}
 	if peer.Purpose == replication.PurposeFollow {
-		c.heardParent(news, now)
-		c.takeWhole(news, now)
+		c.handleParentObservations(news, now)
+		c.handleTotalDemand(news, now)
 	}
 }
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -100,7 +100,7 @@
 	counter(earlyDescription, traffic.early.sent.Load(), "sent")
 	counter(earlyDescription, traffic.early.lost.Load(), "lost")
 	counter(statementsDescription, traffic.heard.lost.Load()+traffic.statements.lost.Load(), "mailbox")
-	counter(statementsDescription, balancer.control.testimony.board.Refused.Load(), "a_second")
+	counter(statementsDescription, balancer.control.testimony.buffer.Refused.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
@@ -118,8 +118,8 @@
 		gauge(eraDescription, float64(balancer.era.Load()))
 		gauge(ageDescription, (time.Since(balancer.started) - time.Duration(confirmed)).Seconds())
 	}
-	for kind, count := range traffic.refusals.all() {
-		counter(refusalsDescription, count, kind.pool, urgencyLabel(kind.urgency))
+	for kind, count := range traffic.refusals.snapshot() {
+		counter(refusalsDescription, count, kind.pool, urgencyLabel(kind.priority))
 	}
 	told := make(map[string]bool)
 	for _, level := range traffic.flows.Levels().All() {
@@ -135,7 +135,7 @@
 			gauge(evacuatedDescription, float64(revision.NumberOf(ordered)), zone)
 		}
 	}
-	collectDemand(balancer.Picture(), gauge)
+	collectDemand(balancer.DemandAggregate(), gauge)
 	ready := 0.0
 	if balancer.Ready() {
 		ready = 1
--- a/internal/balancer/observed_test.go
+++ b/internal/balancer/observed_test.go
@@ -18,7 +18,7 @@
 	asked := false
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 250 * time.Millisecond {
 		summary := &observe.Summary{At: from.Add(elapsed), Waiting: map[string]float64{pool: waiting}}
-		asked = control.observed.take(summary, from.Add(elapsed)) || asked
+		asked = control.observed.applySummary(summary, from.Add(elapsed)) || asked
 	}
 	return asked
 }
@@ -31,14 +31,14 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
-	few := control.weigher(nil, now)(remote)
+	few := control.weightFunc(nil, now)(remote)
 	require.LessOrEqual(t, few, uint32(rule.MaximumWeight/100))
 	require.False(t, control.observeWaiting("lending", 1, now), "a zone with room needs no new table")
 	require.True(t, control.observeWaiting("lending", 3.5, now.Add(10*time.Second)))
-	more := control.weigher(nil, now.Add(10*time.Second))(remote)
+	more := control.weightFunc(nil, now.Add(10*time.Second))(remote)
 	require.Greater(t, more, 20*few)
 	control.observeWaiting("lending", 400, now.Add(20*time.Second))
-	require.InDelta(t, rule.MaximumWeight, control.weigher(nil, now.Add(20*time.Second))(remote), 10, "all zones alike at most")
+	require.InDelta(t, rule.MaximumWeight, control.weightFunc(nil, now.Add(20*time.Second))(remote), 10, "all zones alike at most")
 }
 
 // Routers spread a zone's packets over its balancers, so each sees a part.
@@ -49,11 +49,11 @@
 	control.addBackends("lending", "giza", 8, now)
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
 	control.observeWaiting("lending", 1, now)
-	alone := control.weigher(nil, now)(remote)
-	control.observed.balancers = control.countByZone([]*apiv1.Balancer{
+	alone := control.weightFunc(nil, now)(remote)
+	control.observed.zoneBalancers = control.countByZone([]*apiv1.Balancer{
 		{Name: "edge-1", Zone: "maadi"}, {Name: "edge-2", Zone: "maadi"}, {Name: "edge-3", Zone: "maadi"}, {Name: "edge-4", Zone: "giza"}})["maadi"]
-	require.Equal(t, 3, control.observed.balancers)
-	require.Greater(t, control.weigher(nil, now)(remote), alone)
+	require.Equal(t, 3, control.observed.zoneBalancers)
+	require.Greater(t, control.weightFunc(nil, now)(remote), alone)
 }
 
 // What was observed long ago is no ground to send flows to other zones.
@@ -65,6 +65,6 @@
 	control.observeWaiting("lending", 400, now)
 	require.NotEmpty(t, control.observed.waiting)
 	old := &observe.Summary{At: now.Add(2 * time.Second), Waiting: map[string]float64{"lending": 400}}
-	control.observed.take(old, now.Add(10*time.Second))
+	control.observed.applySummary(old, now.Add(10*time.Second))
 	require.Empty(t, control.observed.waiting)
 }
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -8,52 +8,52 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// pressureTime is how fast what waits here is followed. One balancer sees some requests
+// pressureTimeConstant is how fast what waits here is followed. One balancer sees some requests
 // at a time, so a single look is mostly chance.
-const pressureTime = 300 * time.Millisecond
+const pressureTimeConstant = 300 * time.Millisecond
 
 const (
-	// confirmedAt is the pressure that the picture must show before anybody is refused:
+	// minAggregatePressure is the pressure that the picture must show before anybody is refused:
 	// below it the fleet itself counts fewer requests than slots, so some are free. What one
 	// balancer sees, multiplied, is no ground: before the first traffic a zone's part of next
 	// to nothing made pressures of billions of a quiet start, and 409 flows were refused.
-	confirmedAt = 1.0
-	// leastWaiting is how many requests must wait here on average for what waits here to be
+	minAggregatePressure = 1.0
+	// minLocalInFlight is how many requests must wait here on average for what waits here to be
 	// taken at the scale of all. With fewer, one more is as much as the whole pool can do;
 	// the picture itself is taken, a second or two late.
-	leastWaiting = 1.0
+	minLocalInFlight = 1.0
 )
 
-// pressures follow what waits at this balancer for each pool. A picture is a second or
+// pressureEstimator follow what waits at this balancer for each pool. A picture is a second or
 // two old, and in that time a burst fills the queues of all back ends; what waits here is
 // known at once. Of the picture is taken which part of all passes here, which changes
 // slowly: with the pressure of the picture itself a burst was refused half a second
 // later, and for a second after its end.
 //
 // The part changes at once where another balancer of the zone stops: what is asked here grows
-// then, by the part that mostGrown allows.
-type pressures struct {
+// then, by the part that maxGrowth allows.
+type pressureEstimator struct {
 	followed
-	asks asks
+	rates requestRates
 }
 
-// follow follows the requests that wait here, and what is asked.
-func (p *pressures) follow(summary *observe.Summary) {
-	p.take(summary, pressureTime)
-	p.asks.follow(summary)
+// addSummary follows the requests that wait here, and what is asked.
+func (p *pressureEstimator) addSummary(summary *observe.Summary) {
+	p.take(summary, pressureTimeConstant)
+	p.rates.addSummary(summary)
 }
 
-// on is the pressure on a pool. Routers spread a zone's packets evenly over its
+// estimate is the pressure on a pool. Routers spread a zone's packets evenly over its
 // balancers, and the picture tells which part of what is asked of the pool the zone's
 // clients ask. It is unknown while the picture is one of less than half of the balancers
 // listed, or while nothing was seen here: those left out may be short of room, or not. It is
 // none while the picture shows room.
-func (p *pressures) on(pool demand.Pool, own demand.Zone, picture *demand.Picture, listed listing) admission.Pressure {
+func (p *pressureEstimator) estimate(pool demand.Pool, own demand.Zone, picture *demand.Picture, listed listing) admission.Pressure {
 	if picture == nil || 2*picture.Balancers < listed.all() {
 		return admission.Pressure{}
 	}
 	waiting, room := picture.Whole(pool)
-	part := askedPart(pool, own, picture)
+	part := zoneRequestFraction(pool, own, picture)
 	if room == 0 || part == 0 {
 		return admission.Pressure{}
 	}
@@ -61,29 +61,29 @@
 	if p.seenAt.Before(seenAt) {
 		seenAt = p.seenAt
 	}
-	if waiting < confirmedAt*room {
+	if waiting < minAggregatePressure*room {
 		return admission.Pressure{SeenAt: seenAt}
 	}
 	scale := float64(picture.Zones[own]) / part
-	if waiting >= leastWaiting*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.asks.grown(pool, picture.At), mostGrown(picture.Zones[own]))
+	if waiting >= minLocalInFlight*scale {
+		waiting = p.waiting[string(pool)] * scale / min(p.rates.growthSince(pool, picture.At), maxGrowth(picture.Zones[own]))
 	}
 	return admission.Pressure{Waiting: waiting / room, SeenAt: seenAt}
 }
 
 const (
-	// saturatedAt is the pressure that a picture shows of a pool without a free slot.
-	saturatedAt = 1.0
-	// saturatedHere is the pressure from which on what waits here is taken to show the same
-	// before the picture does, if saturatedWaiting requests wait at least: what is seen of it
+	// saturationPressure is the pressure that a picture shows of a pool without a free slot.
+	saturationPressure = 1.0
+	// localSaturationPressure is the pressure from which on what waits here is taken to show the same
+	// before the picture does, if minSaturationInFlight requests wait at least: what is seen of it
 	// here is uncertain by a third.
-	saturatedHere    = 1.5
-	saturatedWaiting = 1.0
+	localSaturationPressure = 1.5
+	minSaturationInFlight   = 1.0
 )
 
-// mostGrown is how many times the part of a balancer grows when another one of its zone stops.
+// maxGrowth is how many times the part of a balancer grows when another one of its zone stops.
 // What is asked grows in a burst too, so no more of it is put down to that.
-func mostGrown(balancers int) float64 {
+func maxGrowth(balancers int) float64 {
 	if balancers < 2 {
 		return 2
 	}
@@ -92,7 +92,7 @@
 
 // saturated tells whether a pool has no free slot, as far as is known. It errs towards
 // saturation, by which answers count for nothing for a while.
-func (p *pressures) saturated(pool demand.Pool, own demand.Zone, picture *demand.Picture) bool {
+func (p *pressureEstimator) saturated(pool demand.Pool, own demand.Zone, picture *demand.Picture) bool {
 	if picture == nil {
 		return false
 	}
@@ -100,17 +100,17 @@
 	if room == 0 {
 		return false
 	}
-	if waiting >= saturatedAt*room {
+	if waiting >= saturationPressure*room {
 		return true
 	}
-	part, here := askedPart(pool, own, picture), p.waiting[string(pool)]
-	return part > 0 && here >= saturatedWaiting && here*float64(picture.Zones[own])/part >= saturatedHere*room
+	part, here := zoneRequestFraction(pool, own, picture), p.waiting[string(pool)]
+	return part > 0 && here >= minSaturationInFlight && here*float64(picture.Zones[own])/part >= localSaturationPressure*room
 }
 
-// askedPart is the part of what is asked of a pool that the clients of a zone ask, by the
+// zoneRequestFraction is the part of what is asked of a pool that the clients of a zone ask, by the
 // balancers that the picture has. Others may be gone, and what they carried passes those
 // that are left: to take them for as busy made pressure of a roll of half the machines.
-func askedPart(pool demand.Pool, own demand.Zone, picture *demand.Picture) float64 {
+func zoneRequestFraction(pool demand.Pool, own demand.Zone, picture *demand.Picture) float64 {
 	mine, all := 0.0, 0.0
 	for zone := range picture.Zones {
 		asks := picture.Places[demand.Place{Pool: pool, Zone: zone}].Asks
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -11,10 +11,10 @@
 )
 
 // seen feeds summaries with the same number of waiting requests.
-func seen(waiting float64, from time.Time) *pressures {
-	made := &pressures{followed: newFollowed()}
+func seen(waiting float64, from time.Time) *pressureEstimator {
+	made := &pressureEstimator{followed: newFollowed()}
 	for step := range 20 {
-		made.follow(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
+		made.addSummary(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
 			Waiting: map[string]float64{"lending": waiting}})
 	}
 	return made
@@ -34,8 +34,8 @@
 func TestBalancersOfAllZonesSeeTheSamePressure(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	// Of 80 requests that wait, 20 come from maadi.
-	inMaadi := seen(20.0/3, now).on("lending", "maadi", uneven(now), listed)
-	inGiza := seen(60, now).on("lending", "giza", uneven(now), listed)
+	inMaadi := seen(20.0/3, now).estimate("lending", "maadi", uneven(now), listed)
+	inGiza := seen(60, now).estimate("lending", "giza", uneven(now), listed)
 	require.InDelta(t, 4, inMaadi.Waiting, 0.05)
 	require.InDelta(t, 4, inGiza.Waiting, 0.05)
 	require.Equal(t, now, inMaadi.SeenAt)
@@ -44,19 +44,19 @@
 func TestPressureIsUnknownWithoutAPictureOfMost(t *testing.T) {
 	now := time.Now()
 	known := seen(20, now)
-	require.Zero(t, known.on("lending", "maadi", nil, map[demand.Zone]int{"maadi": 3}))
+	require.Zero(t, known.estimate("lending", "maadi", nil, map[demand.Zone]int{"maadi": 3}))
 	few := map[demand.Zone]int{"maadi": 3, "giza": 6}
-	require.Zero(t, known.on("lending", "maadi", uneven(now), few), "four of nine")
+	require.Zero(t, known.estimate("lending", "maadi", uneven(now), few), "four of nine")
 	all := map[demand.Zone]int{"maadi": 3, "giza": 1}
-	require.Zero(t, known.on("covers", "maadi", uneven(now), all), "no room is known")
-	require.Zero(t, known.on("lending", "elsewhere", uneven(now), all), "a zone that it does not have")
+	require.Zero(t, known.estimate("covers", "maadi", uneven(now), all), "no room is known")
+	require.Zero(t, known.estimate("lending", "elsewhere", uneven(now), all), "a zone that it does not have")
 }
 
 // A balancer that sees no packets any more does not go on with what it saw.
 func TestPressureAges(t *testing.T) {
 	now := time.Now()
 	known := seen(20, now.Add(-time.Minute))
-	pressure := known.on("lending", "maadi", uneven(now), map[demand.Zone]int{"maadi": 3, "giza": 1})
+	pressure := known.estimate("lending", "maadi", uneven(now), map[demand.Zone]int{"maadi": 3, "giza": 1})
 	require.Greater(t, pressure.Age(now), 50*time.Second)
 }
 
@@ -66,8 +66,8 @@
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	rolled := uneven(now)
 	rolled.Balancers, rolled.Zones = 3, map[demand.Zone]int{"maadi": 2, "giza": 1}
-	require.InDelta(t, 4, seen(20.0/2, now).on("lending", "maadi", rolled, listed).Waiting, 0.05)
-	require.InDelta(t, 4, seen(60, now).on("lending", "giza", rolled, listed).Waiting, 0.05)
+	require.InDelta(t, 4, seen(20.0/2, now).estimate("lending", "maadi", rolled, listed).Waiting, 0.05)
+	require.InDelta(t, 4, seen(60, now).estimate("lending", "giza", rolled, listed).Waiting, 0.05)
 }
 
 // What one balancer sees is multiplied by all, so chance, or a part of next to nothing in a
@@ -79,7 +79,7 @@
 		{Pool: "lending", Zone: "maadi"}: {Asks: 1e-9, Waiting: 1e-9},
 		{Pool: "lending", Zone: "giza"}:  {Asks: 100, Waiting: 15},
 	}
-	pressure := seen(20, now).on("lending", "maadi", quiet, listed)
+	pressure := seen(20, now).estimate("lending", "maadi", quiet, listed)
 	require.Zero(t, pressure.Waiting)
 	require.Equal(t, now, pressure.SeenAt)
 }
@@ -92,7 +92,7 @@
 		{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0},
 		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 40},
 	}
-	require.InDelta(t, 2, seen(1, now).on("lending", "maadi", few, listed).Waiting, 1e-9, "not 45")
+	require.InDelta(t, 2, seen(1, now).estimate("lending", "maadi", few, listed).Waiting, 1e-9, "not 45")
 }
 
 // A burst is known here before the picture tells of it, and for a moment after it has ended.
@@ -113,12 +113,12 @@
 		{Pool: "lending", Zone: "giza"}: {Asks: 300, Waiting: 5}}
 	require.False(t, seen(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
 	require.False(t, seen(50, now).saturated("covers", "maadi", idle), "no room is known")
-	made := newGate()
+	made := newAdmissionState()
 	made.pressures = *seen(3, now)
-	require.True(t, made.saturated("maadi", idle, now)["lending"])
+	require.True(t, made.saturatedPools("maadi", idle, now)["lending"])
 	made.pressures = *seen(0, now)
-	require.True(t, made.saturated("maadi", idle, now.Add(saturatedFor))["lending"])
-	require.False(t, made.saturated("maadi", idle, now.Add(saturatedFor+time.Millisecond))["lending"])
+	require.True(t, made.saturatedPools("maadi", idle, now.Add(saturationHold))["lending"])
+	require.False(t, made.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
 }
 
 // Story: 2 to 10 s after bursts flows were refused at pressures of 4 and of 16, by pictures 2.4 and
@@ -129,18 +129,18 @@
 	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
 		t.Run(name, func(t *testing.T) {
-			made := &pressures{followed: newFollowed()}
+			made := &pressureEstimator{followed: newFollowed()}
 			for step := first; step < 30; step++ {
 				asked, waiting := 15.0, 1.0
 				if step >= 20 {
 					asked, waiting = 30, 2
 				}
-				made.follow(&observe.Summary{At: begun.Add(time.Duration(step) * 250 * time.Millisecond),
+				made.addSummary(&observe.Summary{At: begun.Add(time.Duration(step) * 250 * time.Millisecond),
 					Waiting: map[string]float64{"lending": waiting}, Places: map[demand.Place]demand.Load{maadi: {Asks: asked}}})
 			}
 			picture := demand.Picture{At: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, Zones: map[demand.Zone]int{"maadi": 2, "giza": 1},
 				Places: map[demand.Place]demand.Load{maadi: {Asks: 30, Waiting: 4}, giza: {Asks: 90, Waiting: 4}}}
-			pressure := made.on("lending", "maadi", picture.WithRoom(map[demand.Place]float64{maadi: 3, giza: 3}), listed)
+			pressure := made.estimate("lending", "maadi", picture.WithRoom(map[demand.Place]float64{maadi: 3, giza: 3}), listed)
 			require.LessOrEqual(t, pressure.Waiting, 8/6.0*1.1, "not 16 of 6 slots")
 		})
 	}
@@ -156,5 +156,5 @@
 		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 8}, giza: {Asks: 200, Waiting: 16}}}
 	picture := burst.WithRoom(map[demand.Place]float64{maadi: 2, giza: 4})
 	here := seen(0.1, now.Add(-5*time.Second))
-	require.Less(t, here.on("lending", "maadi", picture, listed).Waiting, 3.0, "the least urgent give way from 3 on")
+	require.Less(t, here.estimate("lending", "maadi", picture, listed).Waiting, 3.0, "the least urgent give way from 3 on")
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -19,15 +19,15 @@
 		return
 	}
 	c.rememberPools(now)
-	evacuated := c.evacuated()
+	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.known, tokenroute.Options{
-		Weigh:      weights.of,
-		WeighPlace: weights.ofPlace,
+		Weigh:      weights.weight,
+		WeighPlace: weights.uniformWeight,
 		Evacuated:  evacuated,
-		Warm:       c.newWarming(now).teller(),
+		Warm:       c.newWarmupState(now).warmupFunc(),
 		Former:     c.formerPools(now),
-		ByZone:     weights.byZone,
+		ByZone:     weights.zoneChosenByWeights,
 		AdmitAll:   now.Sub(c.firstAt) < c.flowLife(),
 		Lapse:      c.lapse(),
 		EmptyGrace: c.emptyGrace(),
@@ -38,7 +38,7 @@
 		return
 	}
 	c.scheduleTurn(now)
-	c.gate.takeRoutes(c.known.Routes())
+	c.gate.updateRoutes(c.known.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
@@ -50,7 +50,7 @@
 	if previous == nil {
 		previous = &tokenroute.Table{}
 	}
-	c.tellEvacuations(previous.Evacuated, table.Evacuated)
+	c.logEvacuations(previous.Evacuated, table.Evacuated)
 }
 
 func (c *control) emptyGrace() time.Duration {
@@ -96,7 +96,7 @@
 // their zone, lapsed entries have had their time, or a vanished pool has.
 func (c *control) scheduleTurn(now time.Time) {
 	c.nextTurn = time.Time{}
-	c.turnAt(c.firstAt.Add(spreadTime), now)
+	c.turnAt(c.firstAt.Add(startupSpreadTime), now)
 	c.turnAt(c.lapse().Until, now)
 	for _, group := range c.known.Groups() {
 		if group.Gone > 0 {
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -39,7 +39,7 @@
 // slots are those of all places.
 func (control *control) slots() float64 {
 	all := 0.0
-	for _, slots := range control.demand.room.slots {
+	for _, slots := range control.demand.capacity.slots {
 		all += slots
 	}
 	return all
@@ -50,16 +50,16 @@
 func TestRoomGrowsAsBackendsTurnWarm(t *testing.T) {
 	now := time.Now()
 	control := sized(400, 10, 40, now)
-	control.measureRoom(nil, now)
+	control.measureCapacity(nil, now)
 	require.InDelta(t, 720, control.slots(), 1e-9)
-	before := control.demand.room.slots
-	control.demand.room.look(now.Add(59 * time.Second))
+	before := control.demand.capacity.slots
+	control.demand.capacity.addWarmed(now.Add(59 * time.Second))
 	require.InDelta(t, 720, control.slots(), 1e-9)
-	control.demand.room.look(now.Add(61 * time.Second))
+	control.demand.capacity.addWarmed(now.Add(61 * time.Second))
 	require.InDelta(t, 800, control.slots(), 1e-9)
-	require.NotEqual(t, before, control.demand.room.slots, "pictures that were given out don't change")
-	control.measureRoom(nil, now)
-	require.Less(t, testing.AllocsPerRun(1, func() { control.demand.room.look(now.Add(time.Hour)) }), 100.0)
+	require.NotEqual(t, before, control.demand.capacity.slots, "pictures that were given out don't change")
+	control.measureCapacity(nil, now)
+	require.Less(t, testing.AllocsPerRun(1, func() { control.demand.capacity.addWarmed(now.Add(time.Hour)) }), 100.0)
 }
 
 // A zone whose back ends have died is no room while the directory still has them: the others
@@ -74,14 +74,14 @@
 			ids[place].Number = number
 		}
 		control.balancer.traffic.observed.Store(&observe.Summary{At: now, Dead: ids})
-		control.takeDemand(now)
-		return control.balancer.Picture().Room[lendingIn("giza")]
+		control.updateDemand(now)
+		return control.balancer.DemandAggregate().Room[lendingIn("giza")]
 	}
 	require.Equal(t, 8.0, judged())
 	require.Equal(t, 4.0, judged(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
 	control.renewTable(now)
 	require.Equal(t, 4.0, judged(), "verdicts end before entries do")
-	now = now.Add(deadFor)
+	now = now.Add(failedHold)
 	require.Equal(t, 8.0, judged())
 }
 
@@ -95,9 +95,9 @@
 			}
 		})
 		b.Run(fmt.Sprintf("look/cold=%d", cold), func(b *testing.B) {
-			control.measureRoom(nil, now)
+			control.measureCapacity(nil, now)
 			for b.Loop() {
-				control.demand.room.look(now.Add(time.Second))
+				control.demand.capacity.addWarmed(now.Add(time.Second))
 			}
 		})
 	}
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -9,93 +9,93 @@
 )
 
 const (
-	// tellPause is the mean time between two tellings of the picture to one follower, whose
+	// feedInterval is the mean time between two tellings of the picture to one follower, whose
 	// calls are answered one to three times a second; each telling is some 50 bytes a place.
-	// One may be tellEarly early: with calls answered each 0.92 s, one in two would else be
+	// One may be feedTolerance early: with calls answered each 0.92 s, one in two would else be
 	// told nothing, and pictures be a second older at each level.
-	tellPause = time.Second
-	tellEarly = 250 * time.Millisecond
-	// soonPause is the same while the pressure of a place has moved by more than
-	// pressureStep since, in requests for each slot: a quarter of the room crosses zones
+	feedInterval  = time.Second
+	feedTolerance = 250 * time.Millisecond
+	// urgentFeedInterval is the same while the pressure of a place has moved by more than
+	// minPressureChange since, in requests for each slot: a quarter of the room crosses zones
 	// then that did not, or no longer.
-	soonPause    = 300 * time.Millisecond
-	pressureStep = 0.25
-	// toldFor is how long a follower that does not call is remembered.
-	toldFor = 10 * time.Second
+	urgentFeedInterval = 300 * time.Millisecond
+	minPressureChange  = 0.25
+	// feedTTL is how long a follower that does not call is remembered.
+	feedTTL = 10 * time.Second
 )
 
-// tellings are what followers were told of the picture.
-type tellings struct {
-	// whole is the picture encoded, as at a time, and seen the picture.
-	whole  *apiv1.DemandReport
-	seen   demand.Picture
-	madeAt time.Time
+// demandFeed are what followers were told of the picture.
+type demandFeed struct {
+	// encoded is the picture encoded, as at a time, and seen the picture.
+	encoded   *apiv1.DemandReport
+	aggregate demand.Picture
+	encodedAt time.Time
 	// pressures are those of seen, never changed but replaced.
 	pressures map[demand.Place]float64
-	told      map[string]telling
+	sent      map[string]feedState
 }
 
-// telling is when a follower was told, and of which pressures, and when the next is due.
-type telling struct {
-	at, dueAt time.Time
-	pressures map[demand.Place]float64
+// feedState is when a follower was told, and of which pressures, and when the next is due.
+type feedState struct {
+	sentAt, dueAt time.Time
+	pressures     map[demand.Place]float64
 }
 
 // next is what follows a telling at a time, or none if it must wait.
-func (t telling) next(pressures map[demand.Place]float64, now time.Time) (telling, bool) {
-	made := telling{at: now, dueAt: now.Add(tellPause), pressures: pressures}
-	if now.Before(t.dueAt.Add(-tellEarly)) {
-		return made, now.Sub(t.at) >= soonPause && moved(t.pressures, pressures)
+func (t feedState) next(pressures map[demand.Place]float64, now time.Time) (feedState, bool) {
+	made := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
+	if now.Before(t.dueAt.Add(-feedTolerance)) {
+		return made, now.Sub(t.sentAt) >= urgentFeedInterval && pressureChanged(t.pressures, pressures)
 	}
 	if now.Before(t.dueAt) {
-		made.dueAt = t.dueAt.Add(tellPause)
+		made.dueAt = t.dueAt.Add(feedInterval)
 	}
 	return made, true
 }
 
-// wholeFor returns what a follower is told of all, or nil while it was told of late. The
+// totalDemandFor returns what a follower is told of all, or nil while it was told of late. The
 // picture is encoded once a look for all of them.
-func (c *control) wholeFor(follower string, now time.Time) *apiv1.DemandReport {
-	t := &c.demand.tellings
-	if t.whole == nil || now.Sub(t.madeAt) >= lookPause {
-		t.renew(c.demand.tree.Picture(now), c.demand.room.slots, now)
+func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
+	t := &c.demand.feed
+	if t.encoded == nil || now.Sub(t.encodedAt) >= lookPause {
+		t.refresh(c.demand.tree.Picture(now), c.demand.capacity.slots, now)
 	}
-	next, may := t.told[follower].next(t.pressures, now)
+	next, may := t.sent[follower].next(t.pressures, now)
 	if !may {
 		return nil
 	}
-	t.told[follower] = next
+	t.sent[follower] = next
 	return &apiv1.DemandReport{
-		Balancers:       t.whole.GetBalancers(),
-		AgeMilliseconds: uint32(max(0, t.seen.Age(now)).Milliseconds()),
-		Zones:           t.whole.GetZones(),
-		Places:          t.whole.GetPlaces(),
+		Balancers:       t.encoded.GetBalancers(),
+		AgeMilliseconds: uint32(max(0, t.aggregate.Age(now)).Milliseconds()),
+		Zones:           t.encoded.GetZones(),
+		Places:          t.encoded.GetPlaces(),
 		Above:           uint32(c.demand.tree.Above(now)),
 	}
 }
 
-// renew encodes a picture, and forgets the followers that no longer call.
-func (t *tellings) renew(picture demand.Picture, room map[demand.Place]float64, now time.Time) {
-	t.whole, t.seen, t.madeAt = encodePicture(picture, now), picture, now
+// refresh encodes a picture, and forgets the followers that no longer call.
+func (t *demandFeed) refresh(picture demand.Picture, room map[demand.Place]float64, now time.Time) {
+	t.encoded, t.aggregate, t.encodedAt = encodeAggregate(picture, now), picture, now
 	t.pressures = make(map[demand.Place]float64, len(picture.Places))
 	withRoom := picture.WithRoom(room)
 	for place := range picture.Places {
 		t.pressures[place] = withRoom.Pressure(place)
 	}
-	if t.told == nil {
-		t.told = make(map[string]telling)
+	if t.sent == nil {
+		t.sent = make(map[string]feedState)
 	}
-	for follower, last := range t.told {
-		if now.Sub(last.at) > toldFor {
-			delete(t.told, follower)
+	for follower, last := range t.sent {
+		if now.Sub(last.sentAt) > feedTTL {
+			delete(t.sent, follower)
 		}
 	}
 }
 
-// moved tells whether the pressure of a place has moved by enough to be told sooner. Places
+// pressureChanged tells whether the pressure of a place has moved by enough to be told sooner. Places
 // without room are beyond all pressure before and after.
-func moved(before, after map[demand.Place]float64) bool {
-	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > pressureStep }
+func pressureChanged(before, after map[demand.Place]float64) bool {
+	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > minPressureChange }
 	for place, pressure := range after {
 		if differs(before[place], pressure) {
 			return true
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	// gatherTime lets statements gather between two messages to one balancer. A
+	// batchDelay lets statements gather between two messages to one balancer. A
 	// machine of 0.06 cores takes some 5 ms of each.
-	gatherTime = 25 * time.Millisecond
-	// testifyPause is the pause after a message that failed.
-	testifyPause = 200 * time.Millisecond
-	// testimonyLimit bounds the statements in one message.
-	testimonyLimit = 64
+	batchDelay = 25 * time.Millisecond
+	// testifyRetryDelay is the pause after a message that failed.
+	testifyRetryDelay = 200 * time.Millisecond
+	// maxObservations bounds the statements in one message.
+	maxObservations = 64
 )
 
-// testimony passes on what balancers see of back ends that may be dead: up the tree
+// observationExchange passes on what balancers see of back ends that may be dead: up the tree
 // in calls of their own, down it in the answers for which followers wait.
-type testimony struct {
-	board evidence.Board
+type observationExchange struct {
+	buffer evidence.Board
 	// clock names the clock of this process.
 	clock uint64
 	// parent is the balancer that is followed, its clock, and the sequence up to which
 	// it has told its statements.
-	parent string
-	theirs evidence.Clock
-	heard  uint64
-	// told is the sequence up to which the parent was told, and telling is set while a
+	parent           string
+	parentClock      evidence.Clock
+	receivedSequence uint64
+	// sentSequence is the sequence up to which the parent was told, and telling is set while a
 	// call is under way.
-	told     uint64
-	telling  bool
-	nextTell time.Time
-	client   *replication.Client
+	sentSequence uint64
+	sending      bool
+	nextSendAt   time.Time
+	client       *replication.Client
 }
 
 // clockNow is what the clock of this process shows.
 func (c *control) clockNow(now time.Time) time.Duration { return now.Sub(c.balancer.started) }
 
-// takeStatements takes what the traffic goroutine has seen.
-func (c *control) takeStatements(now time.Time) {
+// collectObservations takes what the traffic goroutine has seen.
+func (c *control) collectObservations(now time.Time) {
 	if c.balancer.traffic == nil {
 		return
 	}
 	for _, statement := range c.balancer.traffic.statements.take() {
-		c.testimony.board.Add(statement, "", now)
+		c.testimony.buffer.Add(statement, "", now)
 	}
 }
 
-// hear takes statements of another balancer: what is new is passed on, and judged by.
-func (c *control) hear(statements []evidence.Statement, from string, now time.Time) {
+// receiveObservations takes statements of another balancer: what is new is passed on, and judged by.
+func (c *control) receiveObservations(statements []evidence.Statement, from string, now time.Time) {
 	var news []evidence.Statement
 	for _, statement := range statements {
-		if c.testimony.board.Add(statement, from, now) {
+		if c.testimony.buffer.Add(statement, from, now) {
 			news = append(news, statement)
 		}
 	}
@@ -66,46 +66,46 @@
 	}
 }
 
-// heardParent takes the statements of the balancer that is followed.
-func (c *control) heardParent(news *apiv1.DirectoryNews, now time.Time) {
+// handleParentObservations takes the statements of the balancer that is followed.
+func (c *control) handleParentObservations(news *apiv1.DirectoryNews, now time.Time) {
 	t := &c.testimony
-	if t.parent != news.GetPeer() || t.theirs.ID != news.GetClock() {
-		t.parent, t.heard = news.GetPeer(), 0
+	if t.parent != news.GetPeer() || t.parentClock.ID != news.GetClock() {
+		t.parent, t.receivedSequence = news.GetPeer(), 0
 	}
 	leftAfter := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
 	leftBefore := c.balancer.started.Add(time.Duration(news.GetLeftBeforeNanoseconds()))
 	shown := time.Duration(news.GetClockMilliseconds()) * time.Millisecond
-	t.theirs = evidence.NewClock(news.GetClock(), shown, leftAfter, leftBefore)
-	t.heard = max(t.heard, news.GetTestimonyLatest())
+	t.parentClock = evidence.NewClock(news.GetClock(), shown, leftAfter, leftBefore)
+	t.receivedSequence = max(t.receivedSequence, news.GetTestimonyLatest())
 	statements := make([]evidence.Statement, 0, len(news.GetTestimony()))
 	for _, each := range news.GetTestimony() {
 		left := leftAfter
 		if each.GetAlive() {
 			left = leftBefore
 		}
-		statements = append(statements, decodeStatement(each, left.Add(-time.Duration(each.GetMilliseconds())*time.Millisecond)))
+		statements = append(statements, decodeObservation(each, left.Add(-time.Duration(each.GetMilliseconds())*time.Millisecond)))
 	}
-	c.hear(statements, t.parent, now)
+	c.receiveObservations(statements, t.parent, now)
 }
 
-// startTestify tells the balancer that is followed what it does not know yet.
-func (c *control) startTestify(ctx context.Context, now time.Time) {
+// sendObservations tells the balancer that is followed what it does not know yet.
+func (c *control) sendObservations(ctx context.Context, now time.Time) {
 	t := &c.testimony
-	if t.telling || now.Before(t.nextTell) || !t.theirs.Known() || t.told == t.board.Latest() {
+	if t.sending || now.Before(t.nextSendAt) || !t.parentClock.Known() || t.sentSequence == t.buffer.Latest() {
 		return
 	}
-	statements := t.board.Since(t.told, t.parent, now)
-	told := t.told
-	t.told = t.board.Latest()
+	statements := t.buffer.Since(t.sentSequence, t.parent, now)
+	told := t.sentSequence
+	t.sentSequence = t.buffer.Latest()
 	if len(statements) == 0 {
 		return
 	}
-	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Clock: t.theirs.ID}
-	for _, statement := range firstToTell(statements) {
-		request.Testimony = append(request.Testimony, encodeStatement(statement, t.theirs.There(statement)))
+	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Clock: t.parentClock.ID}
+	for _, statement := range selectObservations(statements) {
+		request.Testimony = append(request.Testimony, encodeObservation(statement, t.parentClock.There(statement)))
 	}
-	t.telling = true
-	t.nextTell = now.Add(gatherTime)
+	t.sending = true
+	t.nextSendAt = now.Add(batchDelay)
 	parent, client := t.parent, t.client
 	go func() {
 		err := client.Testify(ctx, parent, request)
@@ -114,13 +114,13 @@
 	}()
 }
 
-// testified takes the end of a call that told statements. After a failure they are told
+// handleTestifyResult takes the end of a call that told statements. After a failure they are told
 // again, as far as they are still posted.
-func (c *control) testified(news *apiv1.DirectoryNews, now time.Time) {
-	c.testimony.telling = false
+func (c *control) handleTestifyResult(news *apiv1.DirectoryNews, now time.Time) {
+	c.testimony.sending = false
 	if news.GetError() != "" {
-		c.testimony.told = news.GetTestimonyLatest()
-		c.testimony.nextTell = now.Add(testifyPause)
+		c.testimony.sentSequence = news.GetTestimonyLatest()
+		c.testimony.nextSendAt = now.Add(testifyRetryDelay)
 	}
 }
 
@@ -134,10 +134,10 @@
 	}
 }
 
-// takeTestimony takes the statements of a follower. Times in a clock that is not that
+// handleTestifyRequest takes the statements of a follower. Times in a clock that is not that
 // of this process mean nothing.
-func (c *control) takeTestimony(request *apiv1.TestifyRequest, now time.Time) {
-	c.takeReport(request.GetFromAddress(), request.GetDemand(), now)
+func (c *control) handleTestifyRequest(request *apiv1.TestifyRequest, now time.Time) {
+	c.handleDemandReport(request.GetFromAddress(), request.GetDemand(), now)
 	if len(request.GetTestimony()) == 0 {
 		return
 	}
@@ -148,56 +148,56 @@
 	statements := make([]evidence.Statement, 0, len(request.GetTestimony()))
 	for _, each := range request.GetTestimony() {
 		at := c.balancer.started.Add(time.Duration(each.GetMilliseconds()) * time.Millisecond)
-		statements = append(statements, decodeStatement(each, at))
+		statements = append(statements, decodeObservation(each, at))
 	}
-	c.hear(statements, request.GetFromAddress(), now)
+	c.receiveObservations(statements, request.GetFromAddress(), now)
 }
 
-// newsOfBackends returns the statements that a follower was not told yet, once its call
+// pendingObservations returns the statements that a follower was not told yet, once its call
 // has waited for some to gather.
-func (c *control) newsOfBackends(asking *follower, now time.Time) []evidence.Statement {
-	if !asking.takesTestimony || now.Sub(asking.takenAt) < gatherTime {
+func (c *control) pendingObservations(asking *follower, now time.Time) []evidence.Statement {
+	if !asking.takesTestimony || now.Sub(asking.takenAt) < batchDelay {
 		return nil
 	}
 	after := asking.testimonyAfter
 	if asking.testimonyClock != c.testimony.clock {
 		after = 0
 	}
-	if after == c.testimony.board.Latest() {
+	if after == c.testimony.buffer.Latest() {
 		return nil
 	}
-	return c.testimony.board.Since(after, asking.caller.Address, now)
+	return c.testimony.buffer.Since(after, asking.caller.Address, now)
 }
 
-// addTestimony adds statements to the answer of a follower, and the clock by which it
+// addObservations adds statements to the answer of a follower, and the clock by which it
 // can tell its own.
-func (c *control) addTestimony(reply *apiv1.FollowReply, statements []evidence.Statement, now time.Time) {
+func (c *control) addObservations(reply *apiv1.FollowReply, statements []evidence.Statement, now time.Time) {
 	reply.Clock = c.testimony.clock
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
-	reply.TestimonyLatest = c.testimony.board.Latest()
-	for _, statement := range firstToTell(statements) {
-		reply.Testimony = append(reply.Testimony, encodeStatement(statement, now.Sub(statement.When())))
+	reply.TestimonyLatest = c.testimony.buffer.Latest()
+	for _, statement := range selectObservations(statements) {
+		reply.Testimony = append(reply.Testimony, encodeObservation(statement, now.Sub(statement.When())))
 	}
 }
 
-// firstToTell returns the statements for which one message has room: signs of life before
+// selectObservations returns the statements for which one message has room: signs of life before
 // witnesses, since who misses one would judge a back end that lives.
-func firstToTell(statements []evidence.Statement) []evidence.Statement {
+func selectObservations(statements []evidence.Statement) []evidence.Statement {
 	ordered := slices.Clone(statements)
-	slices.SortStableFunc(ordered, func(one, other evidence.Statement) int { return tellOrder(one) - tellOrder(other) })
-	return ordered[:min(len(ordered), testimonyLimit)]
+	slices.SortStableFunc(ordered, func(one, other evidence.Statement) int { return observationRank(one) - observationRank(other) })
+	return ordered[:min(len(ordered), maxObservations)]
 }
 
-func tellOrder(statement evidence.Statement) int {
+func observationRank(statement evidence.Statement) int {
 	if _, is := statement.(evidence.SignOfLife); is {
 		return 0
 	}
 	return 1
 }
 
-// encodeStatement returns a statement for a message, with the time in the form that the
+// encodeObservation returns a statement for a message, with the time in the form that the
 // message takes.
-func encodeStatement(statement evidence.Statement, at time.Duration) *apiv1.Testimony {
+func encodeObservation(statement evidence.Statement, at time.Duration) *apiv1.Testimony {
 	switch s := statement.(type) {
 	case evidence.Witness:
 		// Rounded down it is older, or its age greater by the answer's own rounding.
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func decodeStatement(encoded *apiv1.Testimony, at time.Time) evidence.Statement {
+func decodeObservation(encoded *apiv1.Testimony, at time.Time) evidence.Statement {
 	backend := evidence.Backend{Number: encoded.GetNumber(), Start: incarnation.Start(encoded.GetStartedMilliseconds())}
 	if encoded.GetAlive() {
 		return evidence.SignOfLife{Backend: backend, At: at}
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -32,7 +32,7 @@
 			case asking := <-c.followers:
 				c.take(asking)
 			case told := <-c.testimonies:
-				c.takeTestimony(told, time.Now())
+				c.handleTestifyRequest(told, time.Now())
 			case <-time.After(time.Millisecond):
 			}
 			c.answerWaiting(time.Now())
@@ -69,58 +69,58 @@
 	other.balancer.settings.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
-	child.testimony.board.Add(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
-	child.startTestify(context.Background(), now)
-	require.False(t, child.testimony.telling, "the clock of the one that is followed is not known yet")
+	child.testimony.buffer.Add(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
+	child.sendObservations(context.Background(), now)
+	require.False(t, child.testimony.sending, "the clock of the one that is followed is not known yet")
 
 	child.follow(t, address)
-	require.Equal(t, parent.testimony.clock, child.testimony.theirs.ID)
+	require.Equal(t, parent.testimony.clock, child.testimony.parentClock.ID)
 	messages, err := child.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
-	child.startTestify(context.Background(), time.Now())
-	require.True(t, child.testimony.telling)
+	child.sendObservations(context.Background(), time.Now())
+	require.True(t, child.testimony.sending)
 	child.handle(<-messages)
-	require.False(t, child.testimony.telling)
+	require.False(t, child.testimony.sending)
 
 	other.follow(t, address)
-	heard := other.testimony.board.Since(0, "", time.Now())
+	heard := other.testimony.buffer.Since(0, "", time.Now())
 	require.Len(t, heard, 1)
 	witness := heard[0].(evidence.Witness)
 	require.Equal(t, evidence.Backend{Number: 7}, witness.Backend)
 	require.Equal(t, "maadi", witness.Zone)
 	require.False(t, witness.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
 	require.WithinDuration(t, now.Add(-700*time.Millisecond), witness.SentAt, 5*time.Second)
-	require.Equal(t, uint64(1), other.testimony.heard)
-	require.Empty(t, other.testimony.board.Since(0, address, time.Now()), "who told it is not told")
+	require.Equal(t, uint64(1), other.testimony.receivedSequence)
+	require.Empty(t, other.testimony.buffer.Since(0, address, time.Now()), "who told it is not told")
 }
 
 // Statements in the clock of a process that has ended mean nothing.
 func TestStatementsInAnotherClockAreLeftOut(t *testing.T) {
 	c := knowing(t)
 	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
-	c.takeTestimony(request, time.Now())
-	require.Zero(t, c.testimony.board.Latest())
+	c.handleTestifyRequest(request, time.Now())
+	require.Zero(t, c.testimony.buffer.Latest())
 	request.Clock = c.testimony.clock
-	c.takeTestimony(request, time.Now())
-	require.Equal(t, uint64(1), c.testimony.board.Latest())
+	c.handleTestifyRequest(request, time.Now())
+	require.Equal(t, uint64(1), c.testimony.buffer.Latest())
 }
 
 // What could not be told is told again, while it is still of use.
 func TestStatementsThatWereNotToldAreToldAgain(t *testing.T) {
 	c := knowing(t)
 	now := time.Now()
-	c.testimony.parent, c.testimony.theirs = "127.0.0.1:1", evidence.NewClock(3, 0, now, now)
-	c.testimony.board.Add(evidence.SignOfLife{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
+	c.testimony.parent, c.testimony.parentClock = "127.0.0.1:1", evidence.NewClock(3, 0, now, now)
+	c.testimony.buffer.Add(evidence.SignOfLife{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
 	messages, err := c.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
-	c.startTestify(context.Background(), now)
-	require.Equal(t, uint64(1), c.testimony.told)
+	c.sendObservations(context.Background(), now)
+	require.Equal(t, uint64(1), c.testimony.sentSequence)
 	c.handle(<-messages)
-	require.Zero(t, c.testimony.told)
-	c.startTestify(context.Background(), time.Now())
-	require.False(t, c.testimony.telling, "after a pause")
-	c.startTestify(context.Background(), time.Now().Add(testifyPause))
-	require.True(t, c.testimony.telling)
+	require.Zero(t, c.testimony.sentSequence)
+	c.sendObservations(context.Background(), time.Now())
+	require.False(t, c.testimony.sending, "after a pause")
+	c.sendObservations(context.Background(), time.Now().Add(testifyRetryDelay))
+	require.True(t, c.testimony.sending)
 	c.handle(<-messages)
 }
 
@@ -138,12 +138,12 @@
 // One message has room for so many statements; signs of life are among them.
 func TestSignsOfLifeAreToldFirst(t *testing.T) {
 	var statements []evidence.Statement
-	for number := range uint64(2 * testimonyLimit) {
+	for number := range uint64(2 * maxObservations) {
 		statements = append(statements, evidence.Witness{Backend: evidence.Backend{Number: number}})
 	}
 	statements = append(statements, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}})
-	told := firstToTell(statements)
-	require.Len(t, told, testimonyLimit)
+	told := selectObservations(statements)
+	require.Len(t, told, maxObservations)
 	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}}, told[0])
 	require.Equal(t, evidence.Witness{Backend: evidence.Backend{Number: 0}}, told[1], "the others in their order")
 }
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -36,7 +36,7 @@
 	// early are the packets that came before the first table.
 	early early
 	// refusals are the flows refused for want of room.
-	refusals  refusals
+	refusals  refusalCounters
 	malformed atomic.Uint64
 	failed    atomic.Uint64
 }
@@ -211,7 +211,7 @@
 func (t *traffic) carryOut(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.counts[decision.Reason].Add(1)
 	if decision.Level != nil {
-		t.refusals.count(decision.Level)
+		t.refusals.increment(decision.Level)
 	}
 	codec := t.balancer.outside.Codec
 	var err error
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -10,40 +10,40 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// budgetShare is the part of what a cold back end bears that is dealt out. The
+// budgetFraction is the part of what a cold back end bears that is dealt out. The
 // rest is for balancers that know other members than this one, and so let others
 // send besides.
-const budgetShare = 0.5
+const budgetFraction = 0.5
 
-// warming tells how cold back ends are, and what this balancer may send them.
+// warmupState tells how cold back ends are, and what this balancer may send them.
 // What a cold back end bears counts over all balancers. So a few balancers, whom
 // rendezvous hashing names for each back end, may use it, and share that.
-type warming struct {
-	known *directory.Directory
-	self  string
-	// balancers are the hashes of the others' names. They are listed with the first back
+type warmupState struct {
+	directory *directory.Directory
+	self      string
+	// peerHashes are the hashes of the others' names. They are listed with the first back
 	// end that is cold, since there mostly is none; listed is set then.
-	balancers []uint64
-	listed    bool
-	selfHash  uint64
-	overshoot float64
-	slack     float64
-	pools     map[string]*apiv1.PoolWarmup
-	takenBack map[string]time.Time
-	now       time.Time
+	peerHashes  []uint64
+	peersHashed bool
+	selfHash    uint64
+	overshoot   float64
+	slack       float64
+	pools       map[string]*apiv1.PoolWarmup
+	revokedAt   map[string]time.Time
+	now         time.Time
 }
 
-// newWarming collects what the coldness of back ends depends on.
-func (c *control) newWarming(now time.Time) *warming {
+// newWarmupState collects what the coldness of back ends depends on.
+func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
-	made := &warming{
-		known:     c.known,
+	made := &warmupState{
+		directory: c.known,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
 		slack:     settings.GetWarmupSlack(),
 		pools:     make(map[string]*apiv1.PoolWarmup),
-		takenBack: make(map[string]time.Time),
+		revokedAt: make(map[string]time.Time),
 		now:       now,
 	}
 	for _, pool := range c.known.Routes().GetWarmups() {
@@ -51,24 +51,24 @@
 	}
 	for _, order := range c.known.Evacuations() {
 		if !order.Holds() {
-			made.takenBack[order.Zone] = order.GoneAt
+			made.revokedAt[order.Zone] = order.GoneAt
 		}
 	}
 	return made
 }
 
-// others are the hashes of the names of the other balancers.
-func (w *warming) others() []uint64 {
-	if w.listed {
-		return w.balancers
+// otherBalancers are the hashes of the names of the other balancers.
+func (w *warmupState) otherBalancers() []uint64 {
+	if w.peersHashed {
+		return w.peerHashes
 	}
-	w.listed = true
-	for _, b := range w.known.Balancers() {
+	w.peersHashed = true
+	for _, b := range w.directory.Balancers() {
 		if b.GetName() != w.self {
-			w.balancers = append(w.balancers, nameHash(b.GetName()))
+			w.peerHashes = append(w.peerHashes, nameHash(b.GetName()))
 		}
 	}
-	return w.balancers
+	return w.peerHashes
 }
 
 func nameHash(name string) uint64 {
@@ -77,20 +77,20 @@
 	return hash.Sum64()
 }
 
-// bounded tells whether cold back ends are bounded at all.
-func (w *warming) bounded() bool { return w.overshoot != 0 || w.slack != 0 }
+// limited tells whether cold back ends are bounded at all.
+func (w *warmupState) limited() bool { return w.overshoot != 0 || w.slack != 0 }
 
-// teller tells how cold a back end is, or is nil where all are taken for warm.
-func (w *warming) teller() func(directory.BackendEntry) tokenroute.Warming {
-	if !w.bounded() {
+// warmupFunc tells how cold a back end is, or is nil where all are taken for warm.
+func (w *warmupState) warmupFunc() func(directory.BackendEntry) tokenroute.Warming {
+	if !w.limited() {
 		return nil
 	}
-	return w.of
+	return w.warmup
 }
 
-// of tells how cold a back end is.
-func (w *warming) of(backend directory.BackendEntry) tokenroute.Warming {
-	until := w.warmFrom(backend)
+// warmup tells how cold a back end is.
+func (w *warmupState) warmup(backend directory.BackendEntry) tokenroute.Warming {
+	until := w.warmAt(backend)
 	if !w.now.Before(until) {
 		return tokenroute.Warming{}
 	}
@@ -102,10 +102,10 @@
 	}
 }
 
-// warmFrom is from when on a back end is warm; zero is always. Without a bound in the
+// warmAt is from when on a back end is warm; zero is always. Without a bound in the
 // settings all are.
-func (w *warming) warmFrom(backend directory.BackendEntry) time.Time {
-	if !w.bounded() {
+func (w *warmupState) warmAt(backend directory.BackendEntry) time.Time {
+	if !w.limited() {
 		return time.Time{}
 	}
 	return w.coldUntil(backend)
@@ -114,12 +114,12 @@
 // coldUntil is when a back end is warm. What its entry says is counted from when
 // it was learned, which is later than when it was written. Back ends of a zone
 // that was taken back may have turned cold just before, and have told it or not.
-func (w *warming) coldUntil(backend directory.BackendEntry) time.Time {
+func (w *warmupState) coldUntil(backend directory.BackendEntry) time.Time {
 	var until time.Time
 	if left := backend.GetWarmupMilliseconds(); left > 0 {
 		until = backend.LearnedAt.Add(time.Duration(left) * time.Millisecond)
 	}
-	if back, found := w.takenBack[backend.GetZone()]; found {
+	if back, found := w.revokedAt[backend.GetZone()]; found {
 		length := time.Duration(w.pools[backend.GetPool()].GetMilliseconds()) * time.Millisecond
 		if end := back.Add(length); end.After(until) {
 			until = end
@@ -130,41 +130,41 @@
 
 // allowance is how many new flows this balancer may send to a cold back end within
 // a second, of what all may.
-func (w *warming) allowance(number uint64, bears float64) int {
+func (w *warmupState) allowance(number uint64, bears float64) int {
 	if bears < 1 {
 		return 0
 	}
-	budget := max(1, int(bears*budgetShare))
-	users := min(budget, len(w.others())+1)
-	if w.rankFor(number) >= users {
+	budget := max(1, int(bears*budgetFraction))
+	users := min(budget, len(w.otherBalancers())+1)
+	if w.rank(number) >= users {
 		return 0
 	}
 	return budget / users
 }
 
-// rankFor is how many balancers come before this one in the order of a back end.
-func (w *warming) rankFor(number uint64) int {
-	own, rank := rendezvous(w.selfHash, number), 0
-	for _, other := range w.others() {
-		if rendezvous(other, number) > own {
+// rank is how many balancers come before this one in the order of a back end.
+func (w *warmupState) rank(number uint64) int {
+	own, rank := rendezvousScore(w.selfHash, number), 0
+	for _, other := range w.otherBalancers() {
+		if rendezvousScore(other, number) > own {
 			rank++
 		}
 	}
 	return rank
 }
 
-// rendezvous is the place of a balancer in the order of a back end; the highest
+// rendezvousScore is the place of a balancer in the order of a back end; the highest
 // comes first.
-func rendezvous(balancer, number uint64) uint64 {
+func rendezvousScore(balancer, number uint64) uint64 {
 	mixed := balancer ^ number*0x9e3779b97f4a7c15
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
 	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
 	return mixed ^ mixed>>31
 }
 
-// evacuated returns the zones whose back ends get no new flows, with the revision of
+// evacuatedZones returns the zones whose back ends get no new flows, with the revision of
 // the order.
-func (c *control) evacuated() map[string]uint64 {
+func (c *control) evacuatedZones() map[string]uint64 {
 	zones := make(map[string]uint64)
 	for _, order := range c.known.Evacuations() {
 		if order.Holds() {
@@ -174,8 +174,8 @@
 	return zones
 }
 
-// tellEvacuations logs the orders that have come into force or ended with a table.
-func (c *control) tellEvacuations(before, after map[string]uint64) {
+// logEvacuations logs the orders that have come into force or ended with a table.
+func (c *control) logEvacuations(before, after map[string]uint64) {
 	for zone, ordered := range after {
 		if before[zone] != ordered {
 			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Text(ordered))
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -88,9 +88,9 @@
 func (f *coldFleet) play(perSecond int) {
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for place, c := range f.controls {
-		evacuated := c.evacuated()
-		tables[place] = tokenroute.NewTable(c.known, tokenroute.Options{Weigh: c.weigher(evacuated, f.now),
-			Evacuated: evacuated, Warm: c.newWarming(f.now).of, Now: f.now})
+		evacuated := c.evacuatedZones()
+		tables[place] = tokenroute.NewTable(c.known, tokenroute.Options{Weigh: c.weightFunc(evacuated, f.now),
+			Evacuated: evacuated, Warm: c.newWarmupState(f.now).warmup, Now: f.now})
 	}
 	total := perSecond * int(coldLength/time.Second)
 	for number := range total {
@@ -164,19 +164,19 @@
 			Entry: &apiv1.DirectoryChange_Evacuation{Evacuation: &apiv1.Evacuation{Zone: "maadi"}}}}}
 	}
 	coldOnes := func(now time.Time) int {
-		warming, count := c.newWarming(now), 0
+		warming, count := c.newWarmupState(now), 0
 		for _, backend := range c.known.Backends() {
-			if backend.GetZone() == "maadi" && !warming.of(backend).Until.IsZero() {
+			if backend.GetZone() == "maadi" && !warming.warmup(backend).Until.IsZero() {
 				count++
 			}
 		}
 		return count
 	}
 	c.known.Apply(order(10, false), fleet.now)
-	require.Contains(t, c.evacuated(), "maadi")
+	require.Contains(t, c.evacuatedZones(), "maadi")
 	require.Zero(t, coldOnes(fleet.now))
 	c.known.Apply(order(11, true), fleet.now.Add(time.Second))
-	require.NotContains(t, c.evacuated(), "maadi")
+	require.NotContains(t, c.evacuatedZones(), "maadi")
 	require.Equal(t, 40, coldOnes(fleet.now.Add(time.Second)))
 	require.Zero(t, coldOnes(fleet.now.Add(time.Second+coldLength)))
 }
@@ -186,7 +186,7 @@
 func TestEvacuatedZoneHasNoRoom(t *testing.T) {
 	c := newColdFleet(1, wayBounded, false).controls[0]
 	evacuated := map[string]uint64{"maadi": 10}
-	require.Equal(t, 40, c.newWeights(nil, time.Now()).zones[coldPool].localBackends)
-	require.Zero(t, c.newWeights(evacuated, time.Now()).zones[coldPool].localSlots)
-	require.Equal(t, 160.0, c.newWeights(evacuated, time.Now()).zones[coldPool].remoteSlots)
+	require.Equal(t, 40, c.newWeights(nil, time.Now()).pools[coldPool].localBackends)
+	require.Zero(t, c.newWeights(evacuated, time.Now()).pools[coldPool].localSlots)
+	require.Equal(t, 160.0, c.newWeights(evacuated, time.Now()).pools[coldPool].remoteSlots)
 }
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// localEnough is how many back ends of a pool a zone must have to keep its
+	// minLocalBackends is how many back ends of a pool a zone must have to keep its
 	// new flows. With fewer, one that dies is met again by each retry.
-	localEnough = 3
-	// spreadTime is for how long a balancer that has just learned of its back
+	minLocalBackends = 3
+	// startupSpreadTime is for how long a balancer that has just learned of its back
 	// ends spreads new flows over all zones. After an outage all clients come
 	// back at once, and the zones together take more than each alone.
-	spreadTime = 3 * time.Second
+	startupSpreadTime = 3 * time.Second
 	// defaultPolicy names the policy of pools that have none of their own.
 	defaultPolicy = "default"
-	// longAgo stands for times that nobody has reported, in seconds.
-	longAgo = 3600
+	// unreportedAge stands for times that nobody has reported, in seconds.
+	unreportedAge = 3600
 )
 
 // Back ends as policies know them.
@@ -40,9 +40,9 @@
 type weights struct {
 	control *control
 	zone    string
-	// spread is set while all zones take new flows alike.
-	spread bool
-	zones  map[string]*poolZones
+	// spreadAllZones is set while all zones take new flows alike.
+	spreadAllZones bool
+	pools          map[string]*poolCapacity
 	// programs are those of the pools that were looked up for this table, nil for none.
 	programs map[string]*policy.Program
 }
@@ -52,115 +52,115 @@
 	zone := c.balancer.settings.Load().GetZone()
 	off := c.balancer.off
 	made := &weights{
-		control:  c,
-		zone:     zone,
-		programs: make(map[string]*policy.Program),
-		spread:   now.Sub(c.firstAt) < spreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
-	}
-	c.measureRoom(evacuated, now)
-	made.zones = c.demand.room.zones
-	c.observed.startTable(made.zones)
-	c.observed.divided = make(map[string]bool, len(made.zones))
-	for pool := range made.zones {
-		c.observed.divided[pool] = made.byParts(pool)
+		control:        c,
+		zone:           zone,
+		programs:       make(map[string]*policy.Program),
+		spreadAllZones: now.Sub(c.firstAt) < startupSpreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
+	}
+	c.measureCapacity(evacuated, now)
+	made.pools = c.demand.capacity.pools
+	c.observed.beginTable(made.pools)
+	c.observed.weightedByShares = make(map[string]bool, len(made.pools))
+	for pool := range made.pools {
+		c.observed.weightedByShares[pool] = made.usesPlannedShares(pool)
 	}
 	return made
 }
 
-// weigher gives the weight of a back end.
-func (c *control) weigher(evacuated map[string]uint64, now time.Time) func(directory.BackendEntry) uint32 {
-	return c.newWeights(evacuated, now).of
+// weightFunc gives the weight of a back end.
+func (c *control) weightFunc(evacuated map[string]uint64, now time.Time) func(directory.BackendEntry) uint32 {
+	return c.newWeights(evacuated, now).weight
 }
 
-// of is the weight of a back end.
-func (w *weights) of(backend directory.BackendEntry) uint32 {
+// weight is the weight of a back end.
+func (w *weights) weight(backend directory.BackendEntry) uint32 {
 	c := w.control
 	if program := w.program(backend.GetPool()); program != nil {
 		if weight, ok := c.evaluate(program, backend, backend.GetZone() == w.zone); ok {
 			return weight
 		}
 	}
-	weight := w.placeWeight(directory.Place{Pool: backend.GetPool(), Zone: backend.GetZone()})
+	weight := w.poolZoneWeight(directory.Place{Pool: backend.GetPool(), Zone: backend.GetZone()})
 	if !c.balancer.off.Has(mechanism.Health) {
 		weight *= c.observed.healthWeight(backend.Incarnation())
 	}
 	return uint32(math.Ceil(weight * rule.MaximumWeight))
 }
 
-// ofPlace is the weight of each back end of a place, where all have the same.
-func (w *weights) ofPlace(place directory.Place) (weight uint32, uniform bool) {
-	if w.program(place.Pool) != nil || len(w.control.observed.unwell) > 0 {
+// uniformWeight is the weight of each back end of a place, where all have the same.
+func (w *weights) uniformWeight(place directory.Place) (weight uint32, uniform bool) {
+	if w.program(place.Pool) != nil || len(w.control.observed.unhealthy) > 0 {
 		return 0, false
 	}
-	return uint32(math.Ceil(w.placeWeight(place) * rule.MaximumWeight)), true
+	return uint32(math.Ceil(w.poolZoneWeight(place) * rule.MaximumWeight)), true
 }
 
-// placeWeight is the weight, 0 to 1, of a place's back ends that are well.
-func (w *weights) placeWeight(place directory.Place) float64 {
-	if w.spread {
+// poolZoneWeight is the weight, 0 to 1, of a place's back ends that are well.
+func (w *weights) poolZoneWeight(place directory.Place) float64 {
+	if w.spreadAllZones {
 		return 1
 	}
 	return w.zoneWeight(place)
 }
 
-// byZone tells whether the weights alone choose the zone of a pool's new flows: where they
+// zoneChosenByWeights tells whether the weights alone choose the zone of a pool's new flows: where they
 // are the parts that were planned, and the own zone keeps one. Where it has no back end, the
 // weights of the others differ little, and the least used among all shows a zone that is cut
 // off before anybody tells: with a zone evacuated while another was cut off, 129 more requests
 // were late without.
-func (w *weights) byZone(pool string) bool {
-	return w.byParts(pool) && w.plannedParts(pool)[demand.Zone(w.zone)] > 0
+func (w *weights) zoneChosenByWeights(pool string) bool {
+	return w.usesPlannedShares(pool) && w.plannedShares(pool)[demand.Zone(w.zone)] > 0
 }
 
-// byParts tells whether a pool's weights are the parts that were planned. A policy, the spread
+// usesPlannedShares tells whether a pool's weights are the parts that were planned. A policy, the spread
 // after a start, and few back ends in the zone are weighed otherwise.
-func (w *weights) byParts(pool string) bool {
-	return !w.spread && w.program(pool) == nil && w.plannedParts(pool) != nil
+func (w *weights) usesPlannedShares(pool string) bool {
+	return !w.spreadAllZones && w.program(pool) == nil && w.plannedShares(pool) != nil
 }
 
 // program is the policy of a pool, or nil when the zones decide.
 func (w *weights) program(pool string) *policy.Program {
 	program, known := w.programs[pool]
 	if !known {
-		program = w.control.programs.find(w.control.known, pool)
+		program = w.control.programs.lookup(w.control.known, pool)
 		w.programs[pool] = program
 	}
 	return program
 }
 
-// plannedParts are the parts of a pool's new flows for each zone, or nil where none are
+// plannedShares are the parts of a pool's new flows for each zone, or nil where none are
 // planned, the zone has too few back ends of its own, or all entries have vanished or
 // lapsed, and those that were take new flows for a while.
-func (w *weights) plannedParts(name string) map[demand.Zone]float64 {
-	pool := w.zones[name]
-	if pool == nil || pool.localBackends > 0 && pool.localBackends < localEnough {
+func (w *weights) plannedShares(name string) map[demand.Zone]float64 {
+	pool := w.pools[name]
+	if pool == nil || pool.localBackends > 0 && pool.localBackends < minLocalBackends {
 		return nil
 	}
-	return w.control.observed.parts[demand.Pool(name)]
+	return w.control.observed.appliedShares[demand.Pool(name)]
 }
 
 // zoneWeight is the weight, 0 to 1, of a pool's back ends in a zone.
 func (w *weights) zoneWeight(place directory.Place) float64 {
-	if parts := w.plannedParts(place.Pool); parts != nil {
-		return w.control.partWeight(parts, placeOf(place))
+	if parts := w.plannedShares(place.Pool); parts != nil {
+		return w.control.shareWeight(parts, poolZoneOf(place))
 	}
 	if place.Zone == w.zone {
 		return 1
 	}
-	return w.control.remoteWeight(place.Pool, w.zones[place.Pool])
+	return w.control.remoteWeight(place.Pool, w.pools[place.Pool])
 }
 
-// placeOf is a place of the directory as demand knows it.
-func placeOf(place directory.Place) demand.Place {
+// poolZoneOf is a place of the directory as demand knows it.
+func poolZoneOf(place directory.Place) demand.Place {
 	return demand.Place{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
 }
 
 // remoteWeight is the weight, 0 to 1, of a pool's back ends in other zones.
-func (c *control) remoteWeight(name string, pool *poolZones) float64 {
-	if pool == nil || pool.localBackends < localEnough {
+func (c *control) remoteWeight(name string, pool *poolCapacity) float64 {
+	if pool == nil || pool.localBackends < minLocalBackends {
 		return 1
 	}
-	remote := c.observed.remote[name]
+	remote := c.observed.remoteShares[name]
 	if c.balancer.off.Has(mechanism.ZoneSharing) {
 		remote = shares.Remote(0, pool.localSlots, pool.remoteSlots)
 	}
@@ -169,20 +169,20 @@
 }
 
 func (c *control) evaluate(program *policy.Program, backend directory.BackendEntry, local bool) (uint32, bool) {
-	health := c.observed.unwell[backend.Incarnation()]
+	health := c.observed.unhealthy[backend.Incarnation()]
 	facts := policy.Facts{
 		Name:          backend.GetId(),
 		Zone:          backend.GetZone(),
 		MachineState:  stateLive,
 		Healthy:       true,
-		ReportAge:     longAgo,
-		UpSeconds:     longAgo,
+		ReportAge:     unreportedAge,
+		UpSeconds:     unreportedAge,
 		Local:         local,
 		Capacity:      float64(backend.GetCapacity()),
 		WarmupSeconds: (time.Duration(backend.GetWarmupMilliseconds()) * time.Millisecond).Seconds(),
 		Failing:       health.Failing,
 		Slow:          health.Slow,
-		Use:           c.observed.use(backend.GetPool()),
+		Use:           c.observed.utilization(backend.GetPool()),
 	}
 	if backend.GetDraining() {
 		facts.MachineState = stateLeaving
@@ -199,8 +199,8 @@
 	return uint32(math.Round(outcome.Weight * rule.MaximumWeight)), true
 }
 
-// programs keeps policies compiled.
-type programs struct {
+// policyCache keeps policies compiled.
+type policyCache struct {
 	compiled map[string]*compiledPolicy
 }
 
@@ -209,8 +209,8 @@
 	program *policy.Program
 }
 
-// find returns the program for a pool, or nil when the zones decide.
-func (p *programs) find(known *directory.Directory, pool string) *policy.Program {
+// lookup returns the program for a pool, or nil when the zones decide.
+func (p *policyCache) lookup(known *directory.Directory, pool string) *policy.Program {
 	found := known.Policy(pool)
 	if found == nil {
 		found = known.Policy(defaultPolicy)
