--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -10,7 +10,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/admission"
 )
 
-func TestUrgenciesAreThoseOfThePoolsRoutes(t *testing.T) {
+func TestPrioritiesOfPoolComeFromItsRoutes(t *testing.T) {
 	made := newAdmissionState()
 	share := func(pools ...string) (shares []*apiv1.PoolShare) {
 		for _, pool := range pools {
@@ -23,7 +23,7 @@
 	require.Equal(t, map[string][]admission.Urgency{"lending": {2, 1}, "covers": {2}}, made.priorities)
 }
 
-func TestRefusalsAreCountedByPoolAndUrgency(t *testing.T) {
+func TestRefusalsAreCountedByPoolAndPriority(t *testing.T) {
 	var counted refusalCounters
 	require.Empty(t, counted.snapshot())
 	for _, urgency := range []admission.Urgency{2, 2, 1} {
@@ -33,12 +33,12 @@
 }
 
 // A balancer that hears nothing of the others has no picture, whatever waits here.
-func TestNobodyIsRefusedWithoutAPicture(t *testing.T) {
+func TestNoFlowIsRefusedWithoutAggregate(t *testing.T) {
 	now := time.Now()
 	made := newAdmissionState()
 	made.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
-	made.pressures = *seen(1000, now)
+	made.pressures = *newLoadedEstimator(1000, now)
 	var levels *admission.Levels
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -13,9 +13,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// newAsideControl is the control state of a balancer that may step aside, with the
+// newWithdrawalControl is the control state of a balancer that may step aside, with the
 // memory of its traffic goroutine.
-func newAsideControl() *control {
+func newWithdrawalControl() *control {
 	control := newTestControl()
 	control.balancer.traffic = &traffic{flows: tokenroute.NewFlows(mechanism.Set{})}
 	control.balancer.table.Store(&tokenroute.Table{})
@@ -23,9 +23,9 @@
 	return control
 }
 
-// open lets flows open, each in so long, and control look at it for a time. Beside
+// openFlows lets flows open, each in so long, and control look at it for a time. Beside
 // those that take long some are not answered in time.
-func (control *control) open(took, length time.Duration, now time.Time) time.Time {
+func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
 	for end := now.Add(length); now.Before(end); now = now.Add(aside.LookInterval) {
 		control.balancer.traffic.flows.Opened[aside.StepOf(took)].Add(12)
 		if took > 50*time.Millisecond {
@@ -37,30 +37,30 @@
 }
 
 // Routers leave out who is not ready, and come back to who is.
-func TestSlowBalancerIsNotReadyForAWhile(t *testing.T) {
-	control := newAsideControl()
-	now := control.open(2*time.Millisecond, 3*time.Second, time.Now())
+func TestSlowBalancerIsTemporarilyNotReady(t *testing.T) {
+	control := newWithdrawalControl()
+	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
 	require.True(t, control.balancer.Ready())
-	now = control.open(80*time.Millisecond, 2*time.Second, now)
+	now = control.openFlows(80*time.Millisecond, 2*time.Second, now)
 	require.False(t, control.balancer.Ready())
 	require.Equal(t, uint64(1), control.balancer.asides.Load())
-	control.open(2*time.Millisecond, 10*time.Second, now)
+	control.openFlows(2*time.Millisecond, 10*time.Second, now)
 	require.True(t, control.balancer.Ready())
 }
 
-func TestStepAsideCanBeSwitchedOff(t *testing.T) {
-	control := newAsideControl()
+func TestWithdrawalCanBeDisabled(t *testing.T) {
+	control := newWithdrawalControl()
 	off, err := mechanism.Parse([]string{"step_aside"})
 	require.NoError(t, err)
 	control.balancer.off = off
-	now := control.open(2*time.Millisecond, 3*time.Second, time.Now())
-	control.open(80*time.Millisecond, 5*time.Second, now)
+	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
+	control.openFlows(80*time.Millisecond, 5*time.Second, now)
 	require.True(t, control.balancer.Ready())
 }
 
 // All balancers of a zone agree on the places, whatever they know of other zones, and
 // one that is not listed has none.
-func TestPlacesInAZone(t *testing.T) {
+func TestRanksOfZoneBalancersAreConsistent(t *testing.T) {
 	var known []*apiv1.Balancer
 	for number := range 12 {
 		known = append(known, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", number), Zone: "maadi"})
@@ -84,13 +84,13 @@
 
 // What one says of itself reaches the others of its zone through the one that they
 // follow, fades when it is not renewed, and is passed on no longer than it holds.
-func TestWhoStrugglesIsToldThroughTheParent(t *testing.T) {
+func TestStrugglingReportsAreRelayedByParent(t *testing.T) {
 	now := time.Now()
-	leaf, parent, other := newAsideControl(), newAsideControl(), newAsideControl()
+	leaf, parent, other := newWithdrawalControl(), newWithdrawalControl(), newWithdrawalControl()
 	leaf.balancer.settings.Load().Name = "edge-2"
 	parent.balancer.settings.Load().Name = "edge-3"
-	now = leaf.open(2*time.Millisecond, 3*time.Second, now)
-	now = leaf.open(80*time.Millisecond, aside.LookInterval, now)
+	now = leaf.openFlows(2*time.Millisecond, 3*time.Second, now)
+	now = leaf.openFlows(80*time.Millisecond, aside.LookInterval, now)
 	parent.handleStrugglingReports(leaf.strugglingReports(now), true, now)
 	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
 	require.Equal(t, []aside.Other{{Place: 1}}, other.withdrawalZone(now.Add(time.Second)).Others)
@@ -101,9 +101,9 @@
 
 // An older program tells nothing of who struggles. In a rolling release its silence is no
 // sign that the zone is well: 15 of 15 went by it.
-func TestOlderProgramsAreNotHeard(t *testing.T) {
+func TestOlderVersionsAreNotCountedAsReporting(t *testing.T) {
 	now := time.Now()
-	control := newAsideControl()
+	control := newWithdrawalControl()
 	control.handleStrugglingReports(nil, false, now)
 	require.False(t, control.withdrawalZone(now).Heard)
 	control.handleStrugglingReports(nil, true, now)
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -20,18 +20,18 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingIn(zone string) demand.Place {
+func lendingPoolZone(zone string) demand.Place {
 	return demand.Place{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
-// asksOf is the part of a balancer whose clients ask so much a second of lending.
-func asksOf(zone string, asks, waiting float64, at time.Time) demand.Picture {
+// demandOf is the part of a balancer whose clients ask so much a second of lending.
+func demandOf(zone string, asks, waiting float64, at time.Time) demand.Picture {
 	return demand.Picture{At: at, Balancers: 1, Zones: map[demand.Zone]int{demand.Zone(zone): 1},
-		Places: map[demand.Place]demand.Load{lendingIn(zone): {Asks: asks, Waiting: waiting}}}
+		Places: map[demand.Place]demand.Load{lendingPoolZone(zone): {Asks: asks, Waiting: waiting}}}
 }
 
-// pair are a balancer that leads and one that follows it, with its clock known there.
-func pair(t *testing.T, now time.Time) (leads, follows *control) {
+// newParentAndFollower are a balancer that leads and one that follows it, with its clock known there.
+func newParentAndFollower(t *testing.T, now time.Time) (leads, follows *control) {
 	leads, follows = newTestControl(), newTestControl()
 	leads.balancer.started = now.Add(-3 * time.Minute)
 	first := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
@@ -42,17 +42,17 @@
 	for _, each := range []*control{leads, follows} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
-	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{All: 1})
-	follows.demand.tree.See(asksOf("giza", 30, 2, now), demand.Levels{Above: 1, All: 1})
+	leads.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{All: 1})
+	follows.demand.tree.See(demandOf("giza", 30, 2, now), demand.Levels{Above: 1, All: 1})
 	return leads, follows
 }
 
 // A report goes up with the call that follows, or in one of its own; the sum comes back with
 // the answer.
-func TestDemandGoesUpAndTheSumComesBack(t *testing.T) {
+func TestDemandReportIsSentUpAndTotalReturned(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Now()
-		leads, follows := pair(t, now)
+		leads, follows := newParentAndFollower(t, now)
 		peer := replication.Peer{Address: "10.0.0.2:1", Purpose: replication.PurposeFollow}
 		request := follows.requestTo(peer, 0, now)
 		require.NotNil(t, request.GetDemand())
@@ -72,15 +72,15 @@
 		all := follows.demand.tree.Picture(now)
 		require.Equal(t, 2, all.Balancers)
 		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.Zones)
-		require.Equal(t, 30.0, all.Places[lendingIn("giza")].Asks)
-		require.Equal(t, 10.0, all.Places[lendingIn("maadi")].Asks)
+		require.Equal(t, 30.0, all.Places[lendingPoolZone("giza")].Asks)
+		require.Equal(t, 10.0, all.Places[lendingPoolZone("maadi")].Asks)
 	}
 }
 
 // A balancer that starts anew has another clock, in which an old report means nothing.
-func TestReportInAnotherClockIsLeftOut(t *testing.T) {
+func TestReportWithAnotherClockIsIgnored(t *testing.T) {
 	now := time.Now()
-	leads, follows := pair(t, now)
+	leads, follows := newParentAndFollower(t, now)
 	report := follows.demandReportFor("10.0.0.2:1", false, now)
 	report.Clock++
 	leads.handleDemandReport("10.0.0.1:1", report, now)
@@ -88,8 +88,8 @@
 }
 
 // A message has a bound, and pools are in it whole or not at all.
-func TestPlacesInAMessageAreBounded(t *testing.T) {
-	made := asksOf("maadi", 1, 1, time.Now())
+func TestReportSizeIsBounded(t *testing.T) {
+	made := demandOf("maadi", 1, 1, time.Now())
 	clear(made.Places)
 	for pool := range 100 {
 		for _, zone := range []demand.Zone{"zone-a", "zone-b", "zone-c"} {
@@ -113,7 +113,7 @@
 
 // Balancers that see different demand leave out the same pools, so that what all are told of a
 // pool is the sum over all who see it. Those with the least demand of each were left out.
-func TestPoolsThatAreToldAreWhole(t *testing.T) {
+func TestReportedPoolsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		all := make(map[demand.Place]float64)
@@ -138,25 +138,25 @@
 }
 
 // What is no number of requests, told by one balancer, would spoil the sum of all.
-func TestOnlyNumbersOfRequestsAreRead(t *testing.T) {
+func TestInvalidLoadsAreDecodedAsZero(t *testing.T) {
 	for _, told := range []float32{float32(math.NaN()), float32(math.Inf(1)), float32(math.Inf(-1)), -3} {
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
 			Waiting: told, Openings: told, Answers: told, Refusals: told, Asks: 5}}}
 		read := decodeAggregate(encoded, time.Now())
-		require.Equal(t, demand.Load{Asks: 5}, read.Places[lendingIn("maadi")])
+		require.Equal(t, demand.Load{Asks: 5}, read.Places[lendingPoolZone("maadi")])
 	}
 }
 
 // Followers are answered some three times a second each. Told with each answer, the picture
 // took 13.4 of the 22 kB a second that control may take.
-func TestPictureIsToldOnceASecond(t *testing.T) {
+func TestTotalDemandIsSentOncePerSecond(t *testing.T) {
 	now := time.Now()
-	leads, _ := pair(t, now)
-	place := lendingIn("maadi")
+	leads, _ := newParentAndFollower(t, now)
+	place := lendingPoolZone("maadi")
 	leads.demand.capacity.slots = map[demand.Place]float64{place: 10}
 	tell := func(waiting float64) (told int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
-			leads.demand.tree.See(asksOf("maadi", 10, waiting, now), demand.Levels{})
+			leads.demand.tree.See(demandOf("maadi", 10, waiting, now), demand.Levels{})
 			asking := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
 			leads.take(asking)
@@ -175,7 +175,7 @@
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, asked("10.0.0.9:1"))
 	now = now.Add(lookPause + time.Millisecond)
-	leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
+	leads.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
 	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
 	now = now.Add(urgentFeedInterval - lookPause)
 	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
@@ -187,13 +187,13 @@
 }
 
 // Calls that are answered a little sooner than each second bring the picture nearly all.
-func TestPictureIsToldWithAnswersNearlyASecondApart(t *testing.T) {
+func TestTotalDemandIsSentWithRepliesNearlyASecondApart(t *testing.T) {
 	now := time.Now()
-	leads, _ := pair(t, now)
+	leads, _ := newParentAndFollower(t, now)
 	told, last, longest := 0, now, time.Duration(0)
 	for range 100 {
 		now = now.Add(920 * time.Millisecond)
-		leads.demand.tree.See(asksOf("maadi", 10, 1, now), demand.Levels{})
+		leads.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
 		if leads.totalDemandFor("10.0.0.1:1", now) != nil {
 			told++
 			longest, last = max(longest, now.Sub(last)), now
@@ -204,9 +204,9 @@
 	require.LessOrEqual(t, longest, 2*920*time.Millisecond)
 }
 
-// divided is a balancer of maadi, which has 4 back ends while giza has 8 and fayum 4, with a
+// newThreeZoneControl is a balancer of maadi, which has 4 back ends while giza has 8 and fayum 4, with a
 // picture of what the zones ask.
-func divided(maadi, giza, fayum, waiting float64) (*control, time.Time) {
+func newThreeZoneControl(maadi, giza, fayum, waiting float64) (*control, time.Time) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
@@ -215,13 +215,13 @@
 	control.listed = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureCapacity(nil, now)
 	picture := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
-		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Asks: maadi, Waiting: waiting}, lendingIn("giza"): {Asks: giza},
-			lendingIn("fayum"): {Asks: fayum}}}
+		Places: map[demand.Place]demand.Load{lendingPoolZone("maadi"): {Asks: maadi, Waiting: waiting}, lendingPoolZone("giza"): {Asks: giza},
+			lendingPoolZone("fayum"): {Asks: fayum}}}
 	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
 	return control, now
 }
 
-func (control *control) weights(now time.Time) map[string]uint32 {
+func (control *control) zoneWeights(now time.Time) map[string]uint32 {
 	weigh := control.weightFunc(nil, now)
 	made := make(map[string]uint32)
 	for _, zone := range []string{"maadi", "giza", "fayum"} {
@@ -232,15 +232,15 @@
 
 // A zone in more demand than it has room for sends its surplus to the one that has room, and
 // none to the one that is as full. All others alike got it before, by what one zone saw.
-func TestSurplusGoesWhereRoomIs(t *testing.T) {
+func TestSurplusGoesToZonesWithFreeCapacity(t *testing.T) {
 	slots := newTestControl()
 	now := time.Now()
 	slots.addBackends("lending", "maadi", 4, now)
 	slots.measureCapacity(nil, now)
-	each := slots.demand.capacity.slots[lendingIn("maadi")] / 4
-	control, now := divided(200, 100, 200, 20*each)
+	each := slots.demand.capacity.slots[lendingPoolZone("maadi")] / 4
+	control, now := newThreeZoneControl(200, 100, 200, 20*each)
 	require.True(t, control.planZoneShares(now))
-	weights := control.weights(now)
+	weights := control.zoneWeights(now)
 	require.Equal(t, uint32(rule.MaximumWeight), weights["maadi"])
 	require.LessOrEqual(t, weights["fayum"], uint32(rule.MaximumWeight/1000))
 	// All keep 125 for each four back ends, so of 200 it sends 75 to the eight.
@@ -249,12 +249,12 @@
 	require.True(t, control.newWeights(nil, now).zoneChosenByWeights("lending"))
 	control.balancer.off, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
 	require.True(t, control.planZoneShares(now))
-	require.Equal(t, control.weights(now)["giza"], control.weights(now)["fayum"], "without it all others are alike")
+	require.Equal(t, control.zoneWeights(now)["giza"], control.zoneWeights(now)["fayum"], "without it all others are alike")
 }
 
 // A zone without back ends takes the least used of all the others.
-func TestZoneWithoutBackendsTakesTheLeastUsedOfAll(t *testing.T) {
-	control, now := divided(200, 100, 200, 50)
+func TestZoneWithoutBackendsUsesLeastUsedOfAllZones(t *testing.T) {
+	control, now := newThreeZoneControl(200, 100, 200, 50)
 	control.measureCapacity(map[string]uint64{"maadi": 7}, now)
 	picture := *control.demand.aggregate.Load()
 	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
@@ -266,36 +266,36 @@
 }
 
 // An old picture is no ground to send flows anywhere.
-func TestOldPictureDividesNothing(t *testing.T) {
-	control, now := divided(200, 100, 200, 50)
+func TestStaleAggregatePlansNoShares(t *testing.T) {
+	control, now := newThreeZoneControl(200, 100, 200, 50)
 	require.True(t, control.planZoneShares(now))
-	control.weights(now)
+	control.zoneWeights(now)
 	require.True(t, control.planZoneShares(now.Add(demand.FreshFor+time.Millisecond)))
 	require.Nil(t, control.observed.plannedShares)
 }
 
 // Room is what takes new flows.
-func TestRoomIsWhatTakesNewFlows(t *testing.T) {
+func TestCapacityCountsBackendsThatTakeNewFlows(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.measureCapacity(nil, now)
-	whole := control.demand.capacity.slots[lendingIn("giza")]
+	whole := control.demand.capacity.slots[lendingPoolZone("giza")]
 	require.Positive(t, whole)
-	require.InDelta(t, 2, whole/control.demand.capacity.slots[lendingIn("maadi")], 1e-9)
+	require.InDelta(t, 2, whole/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
 	control.measureCapacity(map[string]uint64{"giza": 7}, now)
-	require.NotContains(t, control.demand.capacity.slots, lendingIn("giza"), "an evacuated zone has none")
+	require.NotContains(t, control.demand.capacity.slots, lendingPoolZone("giza"), "an evacuated zone has none")
 }
 
 // Where there is no room at all, that is told, and not left out.
-func TestPressureIsToldWhereThereIsNoRoom(t *testing.T) {
+func TestPressureMetricIsInfiniteWithoutCapacity(t *testing.T) {
 	now := time.Now()
-	picture := asksOf("maadi", 10, 2, now)
-	picture.Places[lendingIn("giza")] = demand.Load{Asks: 5, Refusals: 5}
-	picture.Places[lendingIn("fayum")] = demand.Load{Asks: 5}
+	picture := demandOf("maadi", 10, 2, now)
+	picture.Places[lendingPoolZone("giza")] = demand.Load{Asks: 5, Refusals: 5}
+	picture.Places[lendingPoolZone("fayum")] = demand.Load{Asks: 5}
 	told := make(map[string]float64)
-	collectDemand(picture.WithRoom(map[demand.Place]float64{lendingIn("maadi"): 4}),
+	collectDemand(picture.WithRoom(map[demand.Place]float64{lendingPoolZone("maadi"): 4}),
 		func(description *prometheus.Desc, value float64, labels ...string) {
 			if description == pressureDescription {
 				told[labels[1]] = value
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -17,8 +17,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// served is a balancer of maadi with a table, where lending has back ends in some zones.
-func served(now time.Time, backends map[string]int) *control {
+// newServingControl is a balancer of maadi with a table, where lending has back ends in some zones.
+func newServingControl(now time.Time, backends map[string]int) *control {
 	control := newTestControl()
 	batch := routesBatch(5)
 	batch.Changes[0].GetRoutes().Routes = []*apiv1.ServiceRoute{{Name: "loans", Address: 1, Port: 443,
@@ -38,9 +38,9 @@
 	return control
 }
 
-// plan gives a balancer a picture in which clients of its zone ask, and plans by it.
-func (control *control) plan(now time.Time) bool {
-	control.demand.tree.See(asksOf("maadi", 5, 5, now), demand.Levels{})
+// planWithDemand gives a balancer a picture in which clients of its zone ask, and plans by it.
+func (control *control) planWithDemand(now time.Time) bool {
+	control.demand.tree.See(demandOf("maadi", 5, 5, now), demand.Levels{})
 	picture := control.demand.tree.Picture(now)
 	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
 	return control.planZoneShares(now)
@@ -48,10 +48,10 @@
 
 // The picture tells of a pool for seconds after its last entry has gone. Its back ends
 // still take new flows then, by the grace of pools that are empty.
-func TestPlannedPoolMayVanish(t *testing.T) {
+func TestPlannedPoolMayDisappear(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
-	require.True(t, control.plan(now))
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	require.True(t, control.planWithDemand(now))
 	control.renewTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
 	for _, each := range control.known.Backends() {
@@ -64,9 +64,9 @@
 	require.NotPanics(t, func() { control.renewTable(now) })
 }
 
-// keptAtHome is the part of new flows that stays in the zone while its back ends are in use
+// localFraction is the part of new flows that stays in the zone while its back ends are in use
 // and all others are idle.
-func keptAtHome(t *testing.T, control *control) float64 {
+func localFraction(t *testing.T, control *control) float64 {
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
 	require.NotNil(t, route)
@@ -89,52 +89,52 @@
 
 // The weights choose the zone only where they were made by a plan: elsewhere the least used
 // back end of all zones is taken, as without the picture.
-func TestOnlyPlansChooseTheZone(t *testing.T) {
+func TestWeightsChooseZoneOnlyWithPlannedShares(t *testing.T) {
 	now := time.Now()
-	planned := served(now, map[string]int{"maadi": 4, "giza": 4})
-	planned.plan(now)
+	planned := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	planned.planWithDemand(now)
 	planned.renewTable(now)
-	require.Greater(t, keptAtHome(t, planned), 0.9)
+	require.Greater(t, localFraction(t, planned), 0.9)
 
 	t.Run("few in the zone", func(t *testing.T) {
-		few := served(now, map[string]int{"maadi": minLocalBackends - 1, "giza": 6})
-		few.plan(now)
+		few := newServingControl(now, map[string]int{"maadi": minLocalBackends - 1, "giza": 6})
+		few.planWithDemand(now)
 		require.NotNil(t, few.observed.plannedShares)
 		few.renewTable(now)
-		require.Zero(t, keptAtHome(t, few))
+		require.Zero(t, localFraction(t, few))
 	})
 	t.Run("policy of its own", func(t *testing.T) {
-		own := served(now, map[string]int{"maadi": 4, "giza": 4})
+		own := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 		own.known.Apply(policyBatch(6, "lending", "1.0"), now)
-		own.plan(now)
+		own.planWithDemand(now)
 		own.renewTable(now)
-		require.Less(t, keptAtHome(t, own), 0.1)
+		require.Less(t, localFraction(t, own), 0.1)
 	})
 	t.Run("spread after a start", func(t *testing.T) {
-		young := served(now, map[string]int{"maadi": 4, "giza": 4})
+		young := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 		young.firstAt = now
-		young.plan(now)
+		young.planWithDemand(now)
 		young.renewTable(now)
-		require.Less(t, keptAtHome(t, young), 0.1)
+		require.Less(t, localFraction(t, young), 0.1)
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
-		other := served(now, map[string]int{"maadi": 4, "giza": 4})
+		other := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 		other.observed.plannedShares = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
 		other.renewTable(now)
-		require.Zero(t, keptAtHome(t, other)-keptAtHome(t, served(now, map[string]int{"maadi": 4, "giza": 4})))
+		require.Zero(t, localFraction(t, other)-localFraction(t, newServingControl(now, map[string]int{"maadi": 4, "giza": 4})))
 	})
 }
 
 // What is planned away is what goes away, also where a zone has a few back ends and the
 // others a hundred times as many.
-func TestPartsAreFineEnoughForManyBackends(t *testing.T) {
+func TestShareWeightsArePreciseForManyBackends(t *testing.T) {
 	for _, elsewhere := range []int{14, 1400, 14_000} {
 		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.capacity.backends = map[demand.Place]int{lendingIn("maadi"): 14, lendingIn("giza"): elsewhere}
+			control.demand.capacity.backends = map[demand.Place]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): elsewhere}
 			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
 			taken := func(zone string, backends int) float64 {
-				weight := math.Ceil(control.shareWeight(parts, lendingIn(zone)) * rule.MaximumWeight)
+				weight := math.Ceil(control.shareWeight(parts, lendingPoolZone(zone)) * rule.MaximumWeight)
 				return weight * float64(backends)
 			}
 			home, away := taken("maadi", 14), taken("giza", elsewhere)
@@ -144,7 +144,7 @@
 }
 
 // A zone that the new plan no longer names had a part before, too.
-func TestZonesThatLeaveThePlanCount(t *testing.T) {
+func TestZonesDroppedFromPlanAreCompared(t *testing.T) {
 	var o weightInputs
 	parts := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
 		return map[demand.Pool]map[demand.Zone]float64{"lending": zones}
@@ -156,10 +156,10 @@
 }
 
 // Pools that are divided by the picture take no new table for what one zone sees alone.
-func TestPlannedPoolsDontFollowTheirOwnZone(t *testing.T) {
+func TestPlannedPoolsIgnoreLocalLoadChanges(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
-	require.True(t, control.plan(now))
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	require.True(t, control.planWithDemand(now))
 	control.renewTable(now)
 	require.False(t, control.observeWaiting("lending", 12, now))
 	control.observed.plannedShares = nil
@@ -169,10 +169,10 @@
 
 // A picture that comes and goes, as reports are late, makes a table each time. One that has
 // lapsed is planned by again once it has been fresh for recoveryDelay.
-func TestPictureThatComesAndGoesIsLeftAlone(t *testing.T) {
+func TestIntermittentlyStaleAggregatePlansNoShares(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
-	require.True(t, control.plan(now))
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+	require.True(t, control.planWithDemand(now))
 	control.renewTable(now)
 	tables := 0
 	for step := range 40 {
@@ -191,7 +191,7 @@
 	require.Equal(t, 1, tables, "none but as it lapses")
 	for range 8 {
 		now = now.Add(500 * time.Millisecond)
-		control.plan(now)
+		control.planWithDemand(now)
 	}
 	require.NotNil(t, control.observed.plannedShares)
 }
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -15,9 +15,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-var seven = incarnation.ID{Number: 7}
+var backendSeven = incarnation.ID{Number: 7}
 
-func failing(evidence float64) map[incarnation.ID]observe.Finding {
+func failingFinding(evidence float64) map[incarnation.ID]observe.Finding {
 	return map[incarnation.ID]observe.Finding{{Number: 7}: {Failing: observe.Excess{Part: 0.5, Evidence: evidence}}}
 }
 
@@ -25,22 +25,22 @@
 func TestFindingsOfAllBalancersAddUp(t *testing.T) {
 	now := time.Now()
 	var root, middle, leaf findings
-	root.own, middle.own, leaf.own = failing(5), failing(4), failing(4)
+	root.own, middle.own, leaf.own = failingFinding(5), failingFinding(4), failingFinding(4)
 	middle.updateFollower("leaf", encodeFindings(leaf.subtree(now)), now)
 	root.updateFollower("middle", encodeFindings(middle.subtree(now)), now)
-	require.InDelta(t, 13, root.all(now)[seven].Failing.Evidence, 1e-6)
+	require.InDelta(t, 13, root.all(now)[backendSeven].Failing.Evidence, 1e-6)
 	middle.updateParent(encodeFindings(root.all(now)), now)
 	leaf.updateParent(encodeFindings(middle.all(now)), now)
-	require.InDelta(t, 13, leaf.all(now)[seven].Failing.Evidence, 1e-6, "no answer counts twice")
-	require.InDelta(t, 8, middle.subtree(now)[seven].Failing.Evidence, 1e-6, "what came from above is not told above")
+	require.InDelta(t, 13, leaf.all(now)[backendSeven].Failing.Evidence, 1e-6, "no answer counts twice")
+	require.InDelta(t, 8, middle.subtree(now)[backendSeven].Failing.Evidence, 1e-6, "what came from above is not told above")
 	root.updateFollower("middle", encodeFindings(middle.subtree(now)), now.Add(time.Second))
-	require.InDelta(t, 13, root.all(now.Add(time.Second))[seven].Failing.Evidence, 1e-6)
+	require.InDelta(t, 13, root.all(now.Add(time.Second))[backendSeven].Failing.Evidence, 1e-6)
 	late := now.Add(2 * findingsTTL)
-	require.InDelta(t, 5, root.all(late)[seven].Failing.Evidence, 1e-6, "who is not heard any more does not count")
-	require.InDelta(t, 4, leaf.all(late)[seven].Failing.Evidence, 1e-6)
+	require.InDelta(t, 5, root.all(late)[backendSeven].Failing.Evidence, 1e-6, "who is not heard any more does not count")
+	require.InDelta(t, 4, leaf.all(late)[backendSeven].Failing.Evidence, 1e-6)
 }
 
-func TestFindingsInAMessageAreBounded(t *testing.T) {
+func TestFindingsPerMessageAreBounded(t *testing.T) {
 	found := make(map[incarnation.ID]observe.Finding)
 	for number := range uint64(1000) {
 		found[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Part: 0.5, Evidence: float64(number)}}
@@ -56,39 +56,39 @@
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
-	require.False(t, control.observed.updateHealth(failing(14), 1))
+	require.False(t, control.observed.updateHealth(failingFinding(14), 1))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
-	require.False(t, control.observed.updateHealth(failing(16), 20), "for twenty observers it is too little")
-	require.True(t, control.observed.updateHealth(failing(16), 1))
+	require.False(t, control.observed.updateHealth(failingFinding(16), 20), "for twenty observers it is too little")
+	require.True(t, control.observed.updateHealth(failingFinding(16), 1))
 	require.LessOrEqual(t, control.weightFunc(nil, now)(entry), uint32(rule.MaximumWeight/20))
-	require.False(t, control.observed.updateHealth(failing(9), 1), "nothing changes while it still counts as failing")
+	require.False(t, control.observed.updateHealth(failingFinding(9), 1), "nothing changes while it still counts as failing")
 	require.True(t, control.observed.updateHealth(nil, 1))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
 }
 
 // A policy has the last word on what is observed.
-func TestPoliciesSeeWhatIsObserved(t *testing.T) {
+func TestPoliciesSeeObservedHealth(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
 	control.known.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
-	require.True(t, control.observed.updateHealth(failing(16), 1))
+	require.True(t, control.observed.updateHealth(failingFinding(16), 1))
 	require.Equal(t, uint32(rule.MaximumWeight/4), control.weightFunc(nil, now)(entry))
-	require.False(t, control.observed.updateHealth(failing(16), 1), "the table was made with it")
+	require.False(t, control.observed.updateHealth(failingFinding(16), 1), "the table was made with it")
 }
 
 // A call that tells, asks or fetches brings no findings, and ends none.
-func TestOnlyFollowersBringFindings(t *testing.T) {
+func TestOnlyFollowCallsUpdateFindings(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	caller := replication.Caller{Address: "10.0.0.2:8166"}
-	follow := &follower{caller: caller, findings: encodeFindings(failing(9)), takenAt: now, until: now.Add(time.Second),
+	follow := &follower{caller: caller, findings: encodeFindings(failingFinding(9)), takenAt: now, until: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
 	control.take(follow)
 	control.take(&follower{caller: caller, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)})
 	control.take(&follower{caller: caller, takenAt: now, until: now.Add(time.Second), withoutChanges: true,
 		reply: make(chan *apiv1.FollowReply, 1)})
-	require.InDelta(t, 9, control.findings.all(now)[seven].Failing.Evidence, 1e-6)
+	require.InDelta(t, 9, control.findings.all(now)[backendSeven].Failing.Evidence, 1e-6)
 	well := &follower{caller: caller, takenAt: now, until: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
 	control.take(well)
 	require.Empty(t, control.findings.all(now), "a follower that finds nothing any more says so")
@@ -96,7 +96,7 @@
 
 // Balancers of another zone hardly see the same back ends. Their findings would
 // cost bytes between zones, and each would raise the evidence that is asked for.
-func TestFindingsStayAmongThoseThatShareAnOrder(t *testing.T) {
+func TestFindingsStayWithinFollowOrder(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	var known []*apiv1.Balancer
@@ -105,7 +105,7 @@
 			Zone: []string{"maadi", "giza"}[place%2]})
 	}
 	control.core.SetBalancers(known, now)
-	control.findings.own = failing(9)
+	control.findings.own = failingFinding(9)
 	follow := func(address string) *apiv1.FollowRequest {
 		return control.requestTo(replication.Peer{Address: address, Purpose: replication.PurposeFollow}, 0, now)
 	}
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -14,8 +14,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// slowOnes are findings by which back ends 1 to count are slow beyond doubt.
-func slowOnes(count int) map[incarnation.ID]observe.Finding {
+// slowFindings are findings by which back ends 1 to count are slow beyond doubt.
+func slowFindings(count int) map[incarnation.ID]observe.Finding {
 	found := make(map[incarnation.ID]observe.Finding)
 	for number := range count {
 		found[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Part: 0.9, Evidence: 1000}}
@@ -23,8 +23,8 @@
 	return found
 }
 
-// busiest is the greatest part of many open flows that one back end gets.
-func busiest(t *testing.T, control *control) float64 {
+// maxBackendFraction is the greatest part of many open flows that one back end gets.
+func maxBackendFraction(t *testing.T, control *control) float64 {
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
 	require.NotNil(t, route)
@@ -43,7 +43,7 @@
 
 // Story: after a burst two of three back ends counted as unwell. The third got 0.84 to 0.94 of
 // all new flows and shed them, and the pool seemed short of room, so that others were refused.
-func TestMajorityOfUnwellBackendsKeepsTheLoadOnTheRestBounded(t *testing.T) {
+func TestLoadOnHealthyMinorityIsBounded(t *testing.T) {
 	now := time.Now()
 	for name, each := range map[string]struct {
 		zones  map[string]int
@@ -54,16 +54,16 @@
 		"most of a hundred":                 {zones: map[string]int{"maadi": 100}, unwell: 80},
 	} {
 		t.Run(name, func(t *testing.T) {
-			control := served(now, each.zones)
+			control := newServingControl(now, each.zones)
 			all := 0
 			for _, count := range each.zones {
 				all += count
 			}
-			even := busiest(t, control)
-			require.True(t, control.observed.updateHealth(slowOnes(each.unwell), 1))
+			even := maxBackendFraction(t, control)
+			require.True(t, control.observed.updateHealth(slowFindings(each.unwell), 1))
 			control.renewTable(now)
-			require.LessOrEqual(t, busiest(t, control), 2*even+0.02, "twice what it has while all are well")
-			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the room is still room")
+			require.LessOrEqual(t, maxBackendFraction(t, control), 2*even+0.02, "twice what it has while all are well")
+			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the room is still room")
 		})
 	}
 }
@@ -71,30 +71,30 @@
 // Where the slots are in use, less is taken off than where they are free, and the table follows.
 func TestHealthLimitFollowsDemand(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 10})
-	require.True(t, control.observed.updateHealth(slowOnes(5), 1))
+	control := newServingControl(now, map[string]int{"maadi": 10})
+	require.True(t, control.observed.updateHealth(slowFindings(5), 1))
 	control.renewTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
 	control.demand.tree.See(demand.Picture{At: now, Balancers: 1, Zones: map[demand.Zone]int{"maadi": 1},
-		Places: map[demand.Place]demand.Load{lendingIn("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
+		Places: map[demand.Place]demand.Load{lendingPoolZone("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
 	picture := control.demand.tree.Picture(now)
 	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
-	control.findings.own = slowOnes(5)
+	control.findings.own = slowFindings(5)
 	require.True(t, control.updateHealth(now), "another table")
 	control.renewTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
 }
 
-// BenchmarkRoomWithUnwellBackends counts the room of a large fleet, with each new table, while some of
+// BenchmarkCapacityWithUnhealthyBackends counts the room of a large fleet, with each new table, while some of
 // its back ends are unwell.
-func BenchmarkRoomWithUnwellBackends(b *testing.B) {
+func BenchmarkCapacityWithUnhealthyBackends(b *testing.B) {
 	for _, unwell := range []int{0, 100} {
 		b.Run(fmt.Sprint(unwell), func(b *testing.B) {
 			now := time.Now()
-			control := sized(140_000, 100, 0, now)
-			control.observed.updateHealth(slowOnes(unwell), 1)
+			control := newSizedControl(140_000, 100, 0, now)
+			control.observed.updateHealth(slowFindings(unwell), 1)
 			for b.Loop() {
 				control.measureCapacity(nil, now)
 			}
--- a/internal/balancer/observed_test.go
+++ b/internal/balancer/observed_test.go
@@ -25,7 +25,7 @@
 
 // With demand lopsided between zones, the back ends of the smallest zone shed
 // what those of the others had room for: a calm day of ours served 0.81.
-func TestZoneInMoreDemandThanItHasRoomForSharesWithOthers(t *testing.T) {
+func TestOverloadedZoneSharesWithOthers(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
@@ -42,7 +42,7 @@
 }
 
 // Routers spread a zone's packets over its balancers, so each sees a part.
-func TestDemandCountsWhatTheOtherBalancersSee(t *testing.T) {
+func TestDemandIncludesOtherBalancersOfZone(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
@@ -57,7 +57,7 @@
 }
 
 // What was observed long ago is no ground to send flows to other zones.
-func TestOldObservationsAreNoDemand(t *testing.T) {
+func TestStaleSummaryClearsDemand(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.addBackends("lending", "maadi", 4, now)
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -61,7 +61,7 @@
 	t.Cleanup(child.testimony.client.Close)
 	link := newNarrow(t, 200<<10)
 	address := serveControlOn(t, parent, link)
-	child.follow(t, address)
+	child.followOnce(t, address)
 	require.Equal(t, parent.known.Revision(), child.known.Revision())
 	require.Len(t, child.known.Backends(), 10_000)
 	require.Len(t, child.known.Balancers(), 1_000)
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -10,8 +10,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// seen feeds summaries with the same number of waiting requests.
-func seen(waiting float64, from time.Time) *pressureEstimator {
+// newLoadedEstimator feeds summaries with the same number of waiting requests.
+func newLoadedEstimator(waiting float64, from time.Time) *pressureEstimator {
 	made := &pressureEstimator{followed: newFollowed()}
 	for step := range 20 {
 		made.addSummary(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
@@ -20,9 +20,9 @@
 	return made
 }
 
-// uneven is a picture of two zones: three balancers whose clients ask for a quarter, and
+// unevenAggregate is a picture of two zones: three balancers whose clients ask for a quarter, and
 // one whose clients ask for the rest.
-func uneven(at time.Time) *demand.Picture {
+func unevenAggregate(at time.Time) *demand.Picture {
 	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
 	made := demand.Picture{At: at, Balancers: 4, Zones: map[demand.Zone]int{"maadi": 3, "giza": 1},
 		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 40}, giza: {Asks: 300, Waiting: 40}}}
@@ -31,92 +31,92 @@
 
 // Balancers of zones in uneven demand see different parts of it, and must come to the
 // same pressure: with equal parts assumed, the clients of one zone were refused more.
-func TestBalancersOfAllZonesSeeTheSamePressure(t *testing.T) {
+func TestPressureIsEqualInAllZones(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	// Of 80 requests that wait, 20 come from maadi.
-	inMaadi := seen(20.0/3, now).estimate("lending", "maadi", uneven(now), listed)
-	inGiza := seen(60, now).estimate("lending", "giza", uneven(now), listed)
+	inMaadi := newLoadedEstimator(20.0/3, now).estimate("lending", "maadi", unevenAggregate(now), listed)
+	inGiza := newLoadedEstimator(60, now).estimate("lending", "giza", unevenAggregate(now), listed)
 	require.InDelta(t, 4, inMaadi.Waiting, 0.05)
 	require.InDelta(t, 4, inGiza.Waiting, 0.05)
 	require.Equal(t, now, inMaadi.SeenAt)
 }
 
-func TestPressureIsUnknownWithoutAPictureOfMost(t *testing.T) {
+func TestPressureIsUnknownWithoutMajorityAggregate(t *testing.T) {
 	now := time.Now()
-	known := seen(20, now)
+	known := newLoadedEstimator(20, now)
 	require.Zero(t, known.estimate("lending", "maadi", nil, map[demand.Zone]int{"maadi": 3}))
 	few := map[demand.Zone]int{"maadi": 3, "giza": 6}
-	require.Zero(t, known.estimate("lending", "maadi", uneven(now), few), "four of nine")
+	require.Zero(t, known.estimate("lending", "maadi", unevenAggregate(now), few), "four of nine")
 	all := map[demand.Zone]int{"maadi": 3, "giza": 1}
-	require.Zero(t, known.estimate("covers", "maadi", uneven(now), all), "no room is known")
-	require.Zero(t, known.estimate("lending", "elsewhere", uneven(now), all), "a zone that it does not have")
+	require.Zero(t, known.estimate("covers", "maadi", unevenAggregate(now), all), "no room is known")
+	require.Zero(t, known.estimate("lending", "elsewhere", unevenAggregate(now), all), "a zone that it does not have")
 }
 
 // A balancer that sees no packets any more does not go on with what it saw.
 func TestPressureAges(t *testing.T) {
 	now := time.Now()
-	known := seen(20, now.Add(-time.Minute))
-	pressure := known.estimate("lending", "maadi", uneven(now), map[demand.Zone]int{"maadi": 3, "giza": 1})
+	known := newLoadedEstimator(20, now.Add(-time.Minute))
+	pressure := known.estimate("lending", "maadi", unevenAggregate(now), map[demand.Zone]int{"maadi": 3, "giza": 1})
 	require.Greater(t, pressure.Age(now), 50*time.Second)
 }
 
 // Where machines are rolled, what they carried passes those that are left. To take as much
 // for the listed ones as for these made a pressure of 4.5 of one of 4.
-func TestBalancersThatAreGoneCarryNothing(t *testing.T) {
+func TestDepartedBalancersAreNotCounted(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
-	rolled := uneven(now)
+	rolled := unevenAggregate(now)
 	rolled.Balancers, rolled.Zones = 3, map[demand.Zone]int{"maadi": 2, "giza": 1}
-	require.InDelta(t, 4, seen(20.0/2, now).estimate("lending", "maadi", rolled, listed).Waiting, 0.05)
-	require.InDelta(t, 4, seen(60, now).estimate("lending", "giza", rolled, listed).Waiting, 0.05)
+	require.InDelta(t, 4, newLoadedEstimator(20.0/2, now).estimate("lending", "maadi", rolled, listed).Waiting, 0.05)
+	require.InDelta(t, 4, newLoadedEstimator(60, now).estimate("lending", "giza", rolled, listed).Waiting, 0.05)
 }
 
 // What one balancer sees is multiplied by all, so chance, or a part of next to nothing in a
 // picture from before the first traffic, must refuse nobody while the fleet counts free slots.
-func TestPressureIsNoneWhileThePictureShowsRoom(t *testing.T) {
+func TestPressureIsZeroWhileAggregateShowsFreeSlots(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
-	quiet := uneven(now)
+	quiet := unevenAggregate(now)
 	quiet.Places = map[demand.Place]demand.Load{
 		{Pool: "lending", Zone: "maadi"}: {Asks: 1e-9, Waiting: 1e-9},
 		{Pool: "lending", Zone: "giza"}:  {Asks: 100, Waiting: 15},
 	}
-	pressure := seen(20, now).estimate("lending", "maadi", quiet, listed)
+	pressure := newLoadedEstimator(20, now).estimate("lending", "maadi", quiet, listed)
 	require.Zero(t, pressure.Waiting)
 	require.Equal(t, now, pressure.SeenAt)
 }
 
 // A balancer through which few of a pool's requests pass takes what all see.
-func TestPressureOfFewRequestsIsThatOfThePicture(t *testing.T) {
+func TestPressureOfFewLocalRequestsComesFromAggregate(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
-	few := uneven(now)
+	few := unevenAggregate(now)
 	few.Places = map[demand.Place]demand.Load{
 		{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0},
 		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 40},
 	}
-	require.InDelta(t, 2, seen(1, now).estimate("lending", "maadi", few, listed).Waiting, 1e-9, "not 45")
+	require.InDelta(t, 2, newLoadedEstimator(1, now).estimate("lending", "maadi", few, listed).Waiting, 1e-9, "not 45")
 }
 
 // A burst is known here before the picture tells of it, and for a moment after it has ended.
 func TestPoolIsSaturatedWhileItHasNoFreeSlot(t *testing.T) {
 	now := time.Now()
-	idle := uneven(now)
+	idle := unevenAggregate(now)
 	idle.Places = map[demand.Place]demand.Load{
 		{Pool: "lending", Zone: "maadi"}: {Asks: 100, Waiting: 5},
 		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 5},
 	}
-	require.False(t, seen(0, now).saturated("lending", "maadi", nil), "no picture")
-	require.False(t, seen(0.5, now).saturated("lending", "maadi", idle))
-	require.True(t, seen(0, now).saturated("lending", "maadi", uneven(now)), "the picture shows it")
-	require.True(t, seen(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
-	require.False(t, seen(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
-	lone := uneven(now)
+	require.False(t, newLoadedEstimator(0, now).saturated("lending", "maadi", nil), "no picture")
+	require.False(t, newLoadedEstimator(0.5, now).saturated("lending", "maadi", idle))
+	require.True(t, newLoadedEstimator(0, now).saturated("lending", "maadi", unevenAggregate(now)), "the picture shows it")
+	require.True(t, newLoadedEstimator(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
+	require.False(t, newLoadedEstimator(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
+	lone := unevenAggregate(now)
 	lone.Places = map[demand.Place]demand.Load{{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0.1},
 		{Pool: "lending", Zone: "giza"}: {Asks: 300, Waiting: 5}}
-	require.False(t, seen(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
-	require.False(t, seen(50, now).saturated("covers", "maadi", idle), "no room is known")
+	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
+	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "no room is known")
 	made := newAdmissionState()
-	made.pressures = *seen(3, now)
+	made.pressures = *newLoadedEstimator(3, now)
 	require.True(t, made.saturatedPools("maadi", idle, now)["lending"])
-	made.pressures = *seen(0, now)
+	made.pressures = *newLoadedEstimator(0, now)
 	require.True(t, made.saturatedPools("maadi", idle, now.Add(saturationHold))["lending"])
 	require.False(t, made.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
 }
@@ -124,7 +124,7 @@
 // Story: 2 to 10 s after bursts flows were refused at pressures of 4 and of 16, by pictures 2.4 and
 // 3.3 s old. The other balancer of the zone had just stopped, so all that the zone's clients
 // ask passed this one, where the picture had a half of it; or this one had just started.
-func TestPressureIsNotThatOfAPartThatHasGrown(t *testing.T) {
+func TestPressureCorrectsForGrownLocalFraction(t *testing.T) {
 	begun, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
 	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
@@ -155,6 +155,6 @@
 	burst := demand.Picture{At: now.Add(-2500 * time.Millisecond), Balancers: 60, Zones: map[demand.Zone]int{"maadi": 20, "giza": 40},
 		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 8}, giza: {Asks: 200, Waiting: 16}}}
 	picture := burst.WithRoom(map[demand.Place]float64{maadi: 2, giza: 4})
-	here := seen(0.1, now.Add(-5*time.Second))
+	here := newLoadedEstimator(0.1, now.Add(-5*time.Second))
 	require.Less(t, here.estimate("lending", "maadi", picture, listed).Waiting, 3.0, "the least urgent give way from 3 on")
 }
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -12,9 +12,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// sized is a balancer that knows so many back ends and balancers in 10 zones; the first of
+// newSizedControl is a balancer that knows so many back ends and balancers in 10 zones; the first of
 // the back ends are cold for a minute.
-func sized(backends, balancers, cold int, now time.Time) *control {
+func newSizedControl(backends, balancers, cold int, now time.Time) *control {
 	control := newTestControl()
 	settings := testSettings()
 	settings.Zone, settings.WarmupOvershoot, settings.WarmupSlack = "zone-0", 1.5, 5
@@ -36,8 +36,8 @@
 	return control
 }
 
-// slots are those of all places.
-func (control *control) slots() float64 {
+// totalSlots are those of all places.
+func (control *control) totalSlots() float64 {
 	all := 0.0
 	for _, slots := range control.demand.capacity.slots {
 		all += slots
@@ -47,16 +47,16 @@
 
 // Back ends that turn warm are room at the next look, without a count of all of them: that
 // took 226 ms for 140,000, up to once a second while some warm up.
-func TestRoomGrowsAsBackendsTurnWarm(t *testing.T) {
+func TestCapacityGrowsAsBackendsWarmUp(t *testing.T) {
 	now := time.Now()
-	control := sized(400, 10, 40, now)
+	control := newSizedControl(400, 10, 40, now)
 	control.measureCapacity(nil, now)
-	require.InDelta(t, 720, control.slots(), 1e-9)
+	require.InDelta(t, 720, control.totalSlots(), 1e-9)
 	before := control.demand.capacity.slots
 	control.demand.capacity.addWarmed(now.Add(59 * time.Second))
-	require.InDelta(t, 720, control.slots(), 1e-9)
+	require.InDelta(t, 720, control.totalSlots(), 1e-9)
 	control.demand.capacity.addWarmed(now.Add(61 * time.Second))
-	require.InDelta(t, 800, control.slots(), 1e-9)
+	require.InDelta(t, 800, control.totalSlots(), 1e-9)
 	require.NotEqual(t, before, control.demand.capacity.slots, "pictures that were given out don't change")
 	control.measureCapacity(nil, now)
 	require.Less(t, testing.AllocsPerRun(1, func() { control.demand.capacity.addWarmed(now.Add(time.Hour)) }), 100.0)
@@ -64,9 +64,9 @@
 
 // A zone whose back ends have died is no room while the directory still has them: the others
 // would send it what they have no room for.
-func TestDeadBackendsAreNoRoom(t *testing.T) {
+func TestFailedBackendsAreNoCapacity(t *testing.T) {
 	now := time.Now()
-	control := served(now, map[string]int{"maadi": 4, "giza": 4})
+	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	control.balancer.traffic = &traffic{}
 	judged := func(dead ...uint64) float64 {
 		ids := make([]incarnation.ID, len(dead))
@@ -75,7 +75,7 @@
 		}
 		control.balancer.traffic.observed.Store(&observe.Summary{At: now, Dead: ids})
 		control.updateDemand(now)
-		return control.balancer.DemandAggregate().Room[lendingIn("giza")]
+		return control.balancer.DemandAggregate().Room[lendingPoolZone("giza")]
 	}
 	require.Equal(t, 8.0, judged())
 	require.Equal(t, 4.0, judged(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
@@ -85,10 +85,10 @@
 	require.Equal(t, 8.0, judged())
 }
 
-func BenchmarkRoom(b *testing.B) {
+func BenchmarkCapacity(b *testing.B) {
 	now := time.Now()
 	for _, cold := range []int{0, 1400} {
-		control := sized(140_000, 12_000, cold, now)
+		control := newSizedControl(140_000, 12_000, cold, now)
 		b.Run(fmt.Sprintf("table/cold=%d", cold), func(b *testing.B) {
 			for b.Loop() {
 				control.newWeights(nil, now)
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -45,8 +45,8 @@
 	return listener.Addr().String()
 }
 
-// knowing makes a control that knows something.
-func knowing(t *testing.T) *control {
+// newControlWithRoutes makes a control that knows something.
+func newControlWithRoutes(t *testing.T) *control {
 	c := newTestControl()
 	now := time.Now()
 	c.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.nanoseconds(now)}, now)
@@ -54,8 +54,8 @@
 	return c
 }
 
-// follow makes one call to the balancer at an address and takes the answer.
-func (c *control) follow(t *testing.T, address string) {
+// followOnce makes one call to the balancer at an address and takes the answer.
+func (c *control) followOnce(t *testing.T, address string) {
 	ctx := context.Background()
 	messages, err := c.balancer.bus.Subscribe(ctx)
 	require.NoError(t, err)
@@ -64,8 +64,8 @@
 	c.handle(<-messages)
 }
 
-func TestStatementsGoUpAndDown(t *testing.T) {
-	parent, child, other := knowing(t), knowing(t), knowing(t)
+func TestObservationsTravelUpAndDownTheTree(t *testing.T) {
+	parent, child, other := newControlWithRoutes(t), newControlWithRoutes(t), newControlWithRoutes(t)
 	other.balancer.settings.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
@@ -73,7 +73,7 @@
 	child.sendObservations(context.Background(), now)
 	require.False(t, child.testimony.sending, "the clock of the one that is followed is not known yet")
 
-	child.follow(t, address)
+	child.followOnce(t, address)
 	require.Equal(t, parent.testimony.clock, child.testimony.parentClock.ID)
 	messages, err := child.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	child.handle(<-messages)
 	require.False(t, child.testimony.sending)
 
-	other.follow(t, address)
+	other.followOnce(t, address)
 	heard := other.testimony.buffer.Since(0, "", time.Now())
 	require.Len(t, heard, 1)
 	witness := heard[0].(evidence.Witness)
@@ -95,8 +95,8 @@
 }
 
 // Statements in the clock of a process that has ended mean nothing.
-func TestStatementsInAnotherClockAreLeftOut(t *testing.T) {
-	c := knowing(t)
+func TestObservationsWithAnotherClockAreIgnored(t *testing.T) {
+	c := newControlWithRoutes(t)
 	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
 	c.handleTestifyRequest(request, time.Now())
 	require.Zero(t, c.testimony.buffer.Latest())
@@ -106,8 +106,8 @@
 }
 
 // What could not be told is told again, while it is still of use.
-func TestStatementsThatWereNotToldAreToldAgain(t *testing.T) {
-	c := knowing(t)
+func TestUndeliveredObservationsAreSentAgain(t *testing.T) {
+	c := newControlWithRoutes(t)
 	now := time.Now()
 	c.testimony.parent, c.testimony.parentClock = "127.0.0.1:1", evidence.NewClock(3, 0, now, now)
 	c.testimony.buffer.Add(evidence.SignOfLife{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
@@ -136,7 +136,7 @@
 }
 
 // One message has room for so many statements; signs of life are among them.
-func TestSignsOfLifeAreToldFirst(t *testing.T) {
+func TestActivityIsSentFirst(t *testing.T) {
 	var statements []evidence.Statement
 	for number := range uint64(2 * maxObservations) {
 		statements = append(statements, evidence.Witness{Backend: evidence.Backend{Number: number}})
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -16,8 +16,8 @@
 
 // Ways in which balancers of a fleet may take cold back ends into account.
 const (
-	wayIgnore  = "ignore"
-	wayBounded = "bounded"
+	modeIgnore  = "ignore"
+	modeLimited = "bounded"
 )
 
 // coldFleet is a fleet of balancers in virtual time, and a zone whose back ends
@@ -25,29 +25,29 @@
 type coldFleet struct {
 	controls []*control
 	flows    []*tokenroute.Flows
-	chance   *rand.Rand
+	random   *rand.Rand
 	now      time.Time
-	// sent are the times of the new flows of each cold back end.
-	sent map[uint64][]time.Time
+	// newFlows are the times of the new flows of each cold back end.
+	newFlows map[uint64][]time.Time
 	// refused counts the flows that found no back end.
 	refused int
 }
 
 const (
 	coldPool   = "lending"
-	coldLength = 2 * time.Second
+	coldPeriod = 2 * time.Second
 )
 
 // newColdFleet makes a fleet of which some balancers do not know a part of the
 // others.
 func newColdFleet(size int, way string, allCold bool) *coldFleet {
-	made := &coldFleet{chance: rand.New(rand.NewPCG(1, uint64(size))), now: time.Now(), sent: make(map[uint64][]time.Time)}
+	made := &coldFleet{random: rand.New(rand.NewPCG(1, uint64(size))), now: time.Now(), newFlows: make(map[uint64][]time.Time)}
 	zones := []string{"maadi", "nasr", "giza"}
 	for place := range size {
 		c := newTestControl()
 		loaded := testSettings()
 		loaded.Name, loaded.Zone = fmt.Sprintf("edge-%d", place), zones[place%len(zones)]
-		if way == wayBounded {
+		if way == modeLimited {
 			loaded.WarmupOvershoot, loaded.WarmupSlack = 1.5, 5
 		}
 		c.balancer.settings.Store(loaded)
@@ -65,12 +65,12 @@
 	batch := &apiv1.DirectoryBatch{Revision: 9, Complete: true, Changes: []*apiv1.DirectoryChange{{
 		Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{Version: 1,
 			Routes:  []*apiv1.ServiceRoute{{Name: "r", Address: 1, Port: 443, Pools: []*apiv1.PoolShare{{Pool: coldPool, Weight: 1000}}}},
-			Warmups: []*apiv1.PoolWarmup{{Pool: coldPool, Milliseconds: uint32(coldLength.Milliseconds())}}}}}}}
+			Warmups: []*apiv1.PoolWarmup{{Pool: coldPool, Milliseconds: uint32(coldPeriod.Milliseconds())}}}}}}}
 	for number := range 120 {
 		entry := &apiv1.PoolBackend{Id: fmt.Sprintf("i-%d", number), Number: uint64(number + 1), Pool: coldPool,
 			Zone: zones[number/40], Address: uint32(number + 1), Port: 80, Capacity: 2}
 		if allCold || entry.GetZone() == "giza" {
-			entry.WarmupMilliseconds = uint32(coldLength.Milliseconds())
+			entry.WarmupMilliseconds = uint32(coldPeriod.Milliseconds())
 		}
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 2, Entry: &apiv1.DirectoryChange_Backend{Backend: entry}})
 	}
@@ -84,38 +84,38 @@
 	return batch
 }
 
-// play opens so many flows a second, each at any balancer.
-func (f *coldFleet) play(perSecond int) {
+// run opens so many flows a second, each at any balancer.
+func (f *coldFleet) run(perSecond int) {
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for place, c := range f.controls {
 		evacuated := c.evacuatedZones()
 		tables[place] = tokenroute.NewTable(c.known, tokenroute.Options{Weigh: c.weightFunc(evacuated, f.now),
 			Evacuated: evacuated, Warm: c.newWarmupState(f.now).warmup, Now: f.now})
 	}
-	total := perSecond * int(coldLength/time.Second)
+	total := perSecond * int(coldPeriod/time.Second)
 	for number := range total {
-		at := f.now.Add(coldLength * time.Duration(number) / time.Duration(total))
-		place := f.chance.IntN(len(f.controls))
-		key := flow.Key{Source: [4]byte{100, 64, byte(number >> 8), byte(number)}, SourcePort: uint16(f.chance.Uint32()),
+		at := f.now.Add(coldPeriod * time.Duration(number) / time.Duration(total))
+		place := f.random.IntN(len(f.controls))
+		key := flow.Key{Source: [4]byte{100, 64, byte(number >> 8), byte(number)}, SourcePort: uint16(f.random.Uint32()),
 			Destination: [4]byte{0, 0, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
 		decision := f.flows[place].Decide(tables[place], tokenroute.Packet{Key: key, First: true}, at)
 		switch {
 		case decision.Verdict == tokenroute.Refuse:
 			f.refused++
-		case f.cold(decision.Backend):
-			f.sent[decision.Backend.Number] = append(f.sent[decision.Backend.Number], at)
+		case f.isCold(decision.Backend):
+			f.newFlows[decision.Backend.Number] = append(f.newFlows[decision.Backend.Number], at)
 		}
 	}
 }
 
-func (f *coldFleet) cold(backend *tokenroute.Backend) bool {
+func (f *coldFleet) isCold(backend *tokenroute.Backend) bool {
 	return backend.Zone == "giza" || backend.Warming.Until.After(f.now)
 }
 
-// most is how many new flows a cold back end got in any second.
-func (f *coldFleet) most() int {
+// maxFlowsPerSecond is how many new flows a cold back end got in any second.
+func (f *coldFleet) maxFlowsPerSecond() int {
 	most := 0
-	for _, times := range f.sent {
+	for _, times := range f.newFlows {
 		first := 0
 		for place, at := range times {
 			for at.Sub(times[first]) >= time.Second {
@@ -130,34 +130,34 @@
 // A zone comes back cold and empty at full demand: its balancers prefer it, and the
 // choice of the least used does. No cold back end may get more than 5 new flows in
 // a second from all balancers together, and no client is refused for it.
-func TestZoneThatComesBackColdIsNotFlooded(t *testing.T) {
+func TestReturningColdZoneIsNotOverloaded(t *testing.T) {
 	for _, size := range []int{8, 88, 300} {
-		ignoring := newColdFleet(size, wayIgnore, false)
-		ignoring.play(1500)
-		require.Greater(t, ignoring.most(), 5, "the danger is there, with %d balancers", size)
-		fleet := newColdFleet(size, wayBounded, false)
-		fleet.play(1500)
-		require.LessOrEqual(t, fleet.most(), 5, "%d balancers", size)
+		ignoring := newColdFleet(size, modeIgnore, false)
+		ignoring.run(1500)
+		require.Greater(t, ignoring.maxFlowsPerSecond(), 5, "the danger is there, with %d balancers", size)
+		fleet := newColdFleet(size, modeLimited, false)
+		fleet.run(1500)
+		require.LessOrEqual(t, fleet.maxFlowsPerSecond(), 5, "%d balancers", size)
 		require.Zero(t, fleet.refused)
 	}
 }
 
 // Where only cold back ends are left, they get what they bear, and who finds none
 // is told at once.
-func TestOnlyColdBackendsAreNotFlooded(t *testing.T) {
+func TestColdBackendsAloneAreNotOverloaded(t *testing.T) {
 	for _, size := range []int{8, 88, 300} {
-		fleet := newColdFleet(size, wayBounded, true)
-		fleet.play(1500)
-		require.LessOrEqual(t, fleet.most(), 5, "%d balancers", size)
-		require.NotEmpty(t, fleet.sent)
+		fleet := newColdFleet(size, modeLimited, true)
+		fleet.run(1500)
+		require.LessOrEqual(t, fleet.maxFlowsPerSecond(), 5, "%d balancers", size)
+		require.NotEmpty(t, fleet.newFlows)
 		require.Positive(t, fleet.refused)
 	}
 }
 
 // Back ends of a zone that was just taken back may have turned cold without having
 // told it yet.
-func TestZoneTakenBackCountsAsCold(t *testing.T) {
-	fleet := newColdFleet(1, wayBounded, false)
+func TestZoneWithRevokedEvacuationCountsAsCold(t *testing.T) {
+	fleet := newColdFleet(1, modeLimited, false)
 	c := fleet.controls[0]
 	order := func(revision uint64, gone bool) *apiv1.DirectoryBatch {
 		return &apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{{Revision: revision, Gone: gone,
@@ -178,13 +178,13 @@
 	c.known.Apply(order(11, true), fleet.now.Add(time.Second))
 	require.NotContains(t, c.evacuatedZones(), "maadi")
 	require.Equal(t, 40, coldOnes(fleet.now.Add(time.Second)))
-	require.Zero(t, coldOnes(fleet.now.Add(time.Second+coldLength)))
+	require.Zero(t, coldOnes(fleet.now.Add(time.Second+coldPeriod)))
 }
 
 // The slots of an evacuated zone are no room: its balancers spread over the others
 // at once.
-func TestEvacuatedZoneHasNoRoom(t *testing.T) {
-	c := newColdFleet(1, wayBounded, false).controls[0]
+func TestEvacuatedZoneHasNoCapacity(t *testing.T) {
+	c := newColdFleet(1, modeLimited, false).controls[0]
 	evacuated := map[string]uint64{"maadi": 10}
 	require.Equal(t, 40, c.newWeights(nil, time.Now()).pools[coldPool].localBackends)
 	require.Zero(t, c.newWeights(evacuated, time.Now()).pools[coldPool].localSlots)
