--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -30,13 +30,13 @@
 }
 
 // updateRoutes takes the routes that are in force.
-func (g *admissionState) updateRoutes(table *apiv1.RouteTable) {
-	g.priorities = make(map[string][]admission.Urgency)
+func (a *admissionState) updateRoutes(table *apiv1.RouteTable) {
+	a.priorities = make(map[string][]admission.Urgency)
 	for _, route := range table.GetRoutes() {
 		for _, share := range route.GetPools() {
-			known := g.priorities[share.GetPool()]
-			if urgency := admission.Urgency(route.GetPriority()); !slices.Contains(known, urgency) {
-				g.priorities[share.GetPool()] = append(known, urgency)
+			priorities := a.priorities[share.GetPool()]
+			if priority := admission.Urgency(route.GetPriority()); !slices.Contains(priorities, priority) {
+				a.priorities[share.GetPool()] = append(priorities, priority)
 			}
 		}
 	}
@@ -47,65 +47,65 @@
 const saturationHold = time.Second
 
 // saturatedPools are the pools that are saturated, or were a moment ago.
-func (g *admissionState) saturatedPools(zone demand.Zone, picture *demand.Picture, now time.Time) map[string]bool {
-	for pool := range picture.Pools() {
-		if g.pressures.saturated(pool, zone, picture) {
-			g.saturatedUntil[string(pool)] = now.Add(saturationHold)
+func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Picture, now time.Time) map[string]bool {
+	for pool := range aggregate.Pools() {
+		if a.pressures.saturated(pool, zone, aggregate) {
+			a.saturatedUntil[string(pool)] = now.Add(saturationHold)
 		}
 	}
-	found := make(map[string]bool)
-	for pool, until := range g.saturatedUntil {
+	saturated := make(map[string]bool)
+	for pool, until := range a.saturatedUntil {
 		if now.After(until) {
-			delete(g.saturatedUntil, pool)
+			delete(a.saturatedUntil, pool)
 			continue
 		}
-		found[pool] = true
+		saturated[pool] = true
 	}
-	return found
+	return saturated
 }
 
 // updateAdmission moves the gate by what was observed and hands its levels to traffic.
 func (c *control) updateAdmission(summary *observe.Summary, now time.Time) {
 	c.gate.pressures.addSummary(summary)
-	picture := c.demand.aggregate.Load()
+	aggregate := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	c.balancer.traffic.flows.Saturate(c.gate.saturatedPools(zone, picture, now))
+	c.balancer.traffic.flows.Saturate(c.gate.saturatedPools(zone, aggregate, now))
 	if c.balancer.off.Has(mechanism.Admission) {
 		return
 	}
 	var demands []admission.Demand
-	for pool := range picture.Pools() {
-		if urgencies := c.gate.priorities[string(pool)]; len(urgencies) > 0 {
-			pressure := c.gate.pressures.estimate(pool, zone, picture, c.listed)
-			demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: urgencies, Pressure: pressure})
+	for pool := range aggregate.Pools() {
+		if priorities := c.gate.priorities[string(pool)]; len(priorities) > 0 {
+			pressure := c.gate.pressures.estimate(pool, zone, aggregate, c.listed)
+			demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: priorities, Pressure: pressure})
 		}
 	}
-	levels := c.gate.controller.Step(demands, now)
-	c.logOverloadChanges(levels, picture, now)
-	c.balancer.traffic.flows.Admit(levels)
+	rejections := c.gate.controller.Step(demands, now)
+	c.logOverloadChanges(rejections, aggregate, now)
+	c.balancer.traffic.flows.Admit(rejections)
 }
 
 // logOverloadChanges tells which pools began or ceased to be short of room.
-func (c *control) logOverloadChanges(levels *admission.Levels, picture *demand.Picture, now time.Time) {
-	short := make(map[string]bool)
+func (c *control) logOverloadChanges(rejections *admission.Levels, aggregate *demand.Picture, now time.Time) {
+	overloaded := make(map[string]bool)
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	for _, level := range levels.All() {
-		if !short[level.Pool] && !c.gate.overloaded[level.Pool] {
-			waiting, room := picture.Whole(demand.Pool(level.Pool))
-			c.balancer.logger.Warn("Control: pool is short of room.", "pool", level.Pool, "urgency", uint64(level.Urgency),
-				"refused_part", rounded(level.Refused), "pressure", rounded(level.Pressure.Waiting),
-				"pressure_age", level.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(room),
-				"waiting_here", rounded(c.gate.pressures.waiting[level.Pool]),
-				"zone_part", rounded(zoneRequestFraction(demand.Pool(level.Pool), zone, picture)), "zone_balancers", picture.Zones[zone])
+	for _, rejection := range rejections.All() {
+		if !overloaded[rejection.Pool] && !c.gate.overloaded[rejection.Pool] {
+			waiting, slots := aggregate.Whole(demand.Pool(rejection.Pool))
+			c.balancer.logger.Warn("Control: pool is short of room.", "pool", rejection.Pool, "urgency", uint64(rejection.Urgency),
+				"refused_part", rounded(rejection.Refused), "pressure", rounded(rejection.Pressure.Waiting),
+				"pressure_age", rejection.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
+				"waiting_here", rounded(c.gate.pressures.waiting[rejection.Pool]),
+				"zone_part", rounded(zoneRequestFraction(demand.Pool(rejection.Pool), zone, aggregate)), "zone_balancers", aggregate.Zones[zone])
 		}
-		short[level.Pool] = true
+		overloaded[rejection.Pool] = true
 	}
 	for pool := range c.gate.overloaded {
-		if !short[pool] {
+		if !overloaded[pool] {
 			c.balancer.logger.Info("Control: pool has room again.", "pool", pool)
 		}
 	}
-	c.gate.overloaded = short
+	c.gate.overloaded = overloaded
 }
 
 // refusalCounters counts the flows that were refused for want of room, by pool and urgency. Any
@@ -121,13 +121,13 @@
 	priority admission.Urgency
 }
 
-func (r *refusalCounters) increment(level *admission.Level) {
+func (r *refusalCounters) increment(rejection *admission.Level) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.counts == nil {
 		r.counts = make(map[refusalKey]uint64)
 	}
-	r.counts[refusalKey{pool: level.Pool, priority: level.Urgency}]++
+	r.counts[refusalKey{pool: rejection.Pool, priority: rejection.Urgency}]++
 }
 
 func (r *refusalCounters) snapshot() map[refusalKey]uint64 {
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -11,39 +11,39 @@
 )
 
 func TestPrioritiesOfPoolComeFromItsRoutes(t *testing.T) {
-	made := newAdmissionState()
+	state := newAdmissionState()
 	share := func(pools ...string) (shares []*apiv1.PoolShare) {
 		for _, pool := range pools {
 			shares = append(shares, &apiv1.PoolShare{Pool: pool, Weight: 1})
 		}
 		return shares
 	}
-	made.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{
+	state.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{
 		{Priority: 2, Pools: share("lending", "covers")}, {Priority: 1, Pools: share("lending")}, {Priority: 2, Pools: share("lending")}}})
-	require.Equal(t, map[string][]admission.Urgency{"lending": {2, 1}, "covers": {2}}, made.priorities)
+	require.Equal(t, map[string][]admission.Urgency{"lending": {2, 1}, "covers": {2}}, state.priorities)
 }
 
 func TestRefusalsAreCountedByPoolAndPriority(t *testing.T) {
-	var counted refusalCounters
-	require.Empty(t, counted.snapshot())
-	for _, urgency := range []admission.Urgency{2, 2, 1} {
-		counted.increment(&admission.Level{Pool: "lending", Urgency: urgency})
+	var counters refusalCounters
+	require.Empty(t, counters.snapshot())
+	for _, priority := range []admission.Urgency{2, 2, 1} {
+		counters.increment(&admission.Level{Pool: "lending", Urgency: priority})
 	}
-	require.Equal(t, map[refusalKey]uint64{{"lending", 2}: 2, {"lending", 1}: 1}, counted.snapshot())
+	require.Equal(t, map[refusalKey]uint64{{"lending", 2}: 2, {"lending", 1}: 1}, counters.snapshot())
 }
 
 // A balancer that hears nothing of the others has no picture, whatever waits here.
 func TestNoFlowIsRefusedWithoutAggregate(t *testing.T) {
 	now := time.Now()
-	made := newAdmissionState()
-	made.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
+	state := newAdmissionState()
+	state.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
-	made.pressures = *newLoadedEstimator(1000, now)
-	var levels *admission.Levels
+	state.pressures = *newLoadedEstimator(1000, now)
+	var rejections *admission.Levels
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
-		levels = made.controller.Step([]admission.Demand{{Pool: "lending", Urgencies: made.priorities["lending"],
-			Pressure: made.pressures.estimate("lending", "maadi", nil, nil)}}, at)
+		rejections = state.controller.Step([]admission.Demand{{Pool: "lending", Urgencies: state.priorities["lending"],
+			Pressure: state.pressures.estimate("lending", "maadi", nil, nil)}}, at)
 	}
-	require.Nil(t, levels)
+	require.Nil(t, rejections)
 }
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -56,15 +56,15 @@
 // withdrawalZone is what is known of this zone by now.
 func (c *control) withdrawalZone(now time.Time) aside.Zone {
 	name := c.balancer.settings.Load().GetName()
-	place, listed := c.aside.ranks[name]
+	rank, listed := c.aside.ranks[name]
 	if !listed {
 		return aside.Zone{} // the others don't count on it
 	}
-	heard := now.Sub(c.aside.lastReportAt) < strugglingMaxAge && c.aside.reports.Whole()
-	zone := aside.Zone{Place: place, Size: len(c.aside.ranks), Heard: heard}
-	for _, statement := range c.aside.reports.Now(now) {
-		if other, here := c.aside.ranks[statement.Name]; here && statement.Name != name {
-			zone.Others = append(zone.Others, aside.Other{Place: other, Away: statement.Away})
+	reporting := now.Sub(c.aside.lastReportAt) < strugglingMaxAge && c.aside.reports.Whole()
+	zone := aside.Zone{Place: rank, Size: len(c.aside.ranks), Heard: reporting}
+	for _, report := range c.aside.reports.Now(now) {
+		if peerRank, inZone := c.aside.ranks[report.Name]; inZone && report.Name != name {
+			zone.Others = append(zone.Others, aside.Other{Place: peerRank, Away: report.Away})
 		}
 	}
 	return zone
@@ -79,37 +79,37 @@
 	} else {
 		c.aside.reports.Drop(name)
 	}
-	var told []*apiv1.Struggling
-	for _, statement := range c.aside.reports.Now(now) {
-		told = append(told, &apiv1.Struggling{Name: statement.Name, Away: statement.Away,
-			Milliseconds: uint32(now.Sub(statement.At).Milliseconds())})
+	var reports []*apiv1.Struggling
+	for _, report := range c.aside.reports.Now(now) {
+		reports = append(reports, &apiv1.Struggling{Name: report.Name, Away: report.Away,
+			Milliseconds: uint32(now.Sub(report.At).Milliseconds())})
 	}
-	return told
+	return reports
 }
 
 // handleStrugglingReports takes statements of another balancer. What is said of this one it
 // knows better. One that tells nothing of the kind, as an older program, is not heard: in a
 // rolling release all of a zone would take its silence for a zone that is well.
-func (c *control) handleStrugglingReports(told []*apiv1.Struggling, tells bool, now time.Time) {
-	if !tells {
+func (c *control) handleStrugglingReports(reports []*apiv1.Struggling, supported bool, now time.Time) {
+	if !supported {
 		return
 	}
 	c.aside.lastReportAt = now
-	for _, each := range told {
-		if each.GetName() == c.balancer.settings.Load().GetName() {
+	for _, report := range reports {
+		if report.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.aside.reports.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
-			At: now.Add(-time.Duration(each.GetMilliseconds()) * time.Millisecond)})
+		c.aside.reports.Take(aside.Statement{Name: report.GetName(), Away: report.GetAway(),
+			At: now.Add(-time.Duration(report.GetMilliseconds()) * time.Millisecond)})
 	}
 }
 
 // rankZoneBalancers puts the balancers of this zone in an order that all know. It goes by a
 // hash of the names, so that neither strength nor naming decides.
-func (c *control) rankZoneBalancers(known []*apiv1.Balancer) {
+func (c *control) rankZoneBalancers(balancers []*apiv1.Balancer) {
 	zone := c.balancer.settings.Load().GetZone()
 	var names []string
-	for _, b := range known {
+	for _, b := range balancers {
 		if b.GetZone() == zone {
 			names = append(names, b.GetName())
 		}
@@ -118,8 +118,8 @@
 		return cmp.Or(cmp.Compare(withdrawalHash(a), withdrawalHash(b)), cmp.Compare(a, b))
 	})
 	c.aside.ranks = make(map[string]int, len(names))
-	for place, name := range names {
-		c.aside.ranks[name] = place
+	for rank, name := range names {
+		c.aside.ranks[name] = rank
 	}
 }
 
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -61,16 +61,16 @@
 // All balancers of a zone agree on the places, whatever they know of other zones, and
 // one that is not listed has none.
 func TestRanksOfZoneBalancersAreConsistent(t *testing.T) {
-	var known []*apiv1.Balancer
+	var balancers []*apiv1.Balancer
 	for number := range 12 {
-		known = append(known, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", number), Zone: "maadi"})
-		known = append(known, &apiv1.Balancer{Name: fmt.Sprintf("far-%d", number), Zone: "nasr"})
+		balancers = append(balancers, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", number), Zone: "maadi"})
+		balancers = append(balancers, &apiv1.Balancer{Name: fmt.Sprintf("far-%d", number), Zone: "nasr"})
 	}
 	places := make(map[int]bool)
 	for number := range 12 {
 		control := newTestControl()
 		control.balancer.settings.Load().Name = fmt.Sprintf("edge-%d", number)
-		control.rankZoneBalancers(known)
+		control.rankZoneBalancers(balancers)
 		zone := control.withdrawalZone(time.Now())
 		require.Equal(t, 12, zone.Size)
 		places[zone.Place] = true
@@ -78,7 +78,7 @@
 	require.Len(t, places, 12)
 	control := newTestControl()
 	control.balancer.settings.Load().Name = "new"
-	control.rankZoneBalancers(known)
+	control.rankZoneBalancers(balancers)
 	require.Equal(t, aside.Zone{}, control.withdrawalZone(time.Now()))
 }
 
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -29,38 +29,38 @@
 }
 
 // addSummary takes what was asked since the last summary.
-func (a *requestRates) addSummary(summary *observe.Summary) {
-	if summary == nil || !summary.At.After(a.updatedAt) {
+func (r *requestRates) addSummary(summary *observe.Summary) {
+	if summary == nil || !summary.At.After(r.updatedAt) {
 		return
 	}
-	part := 1 - math.Exp(-summary.At.Sub(a.updatedAt).Seconds()/rateTimeConstant.Seconds())
-	a.updatedAt = summary.At
-	asked := make(map[demand.Pool]float64, len(a.current))
-	for pool, rate := range a.current {
-		asked[pool] = rate * (1 - part)
+	alpha := 1 - math.Exp(-summary.At.Sub(r.updatedAt).Seconds()/rateTimeConstant.Seconds())
+	r.updatedAt = summary.At
+	rates := make(map[demand.Pool]float64, len(r.current))
+	for pool, rate := range r.current {
+		rates[pool] = rate * (1 - alpha)
 	}
-	for place, load := range summary.Places {
-		asked[place.Pool] += part * load.Asks
+	for poolZone, load := range summary.Places {
+		rates[poolZone.Pool] += alpha * load.Asks
 	}
-	a.current = asked
-	a.history = append(a.history, rateSample{at: summary.At, rates: asked})
-	for len(a.history) > 0 && summary.At.Sub(a.history[0].at) > rateHistory {
-		a.history = a.history[1:]
+	r.current = rates
+	r.history = append(r.history, rateSample{at: summary.At, rates: rates})
+	for len(r.history) > 0 && summary.At.Sub(r.history[0].at) > rateHistory {
+		r.history = r.history[1:]
 	}
 }
 
 // growthSince is how many times what is asked of a pool here is what was asked at a time, 1 at least:
 // infinite where nothing was.
-func (a *requestRates) growthSince(pool demand.Pool, since time.Time) float64 {
-	now, then := a.current[pool], 0.0
-	for _, each := range a.history {
-		if each.at.After(since) {
+func (r *requestRates) growthSince(pool demand.Pool, since time.Time) float64 {
+	current, past := r.current[pool], 0.0
+	for _, sample := range r.history {
+		if sample.at.After(since) {
 			break
 		}
-		then = each.rates[pool]
+		past = sample.rates[pool]
 	}
-	if now <= then || now == 0 {
+	if current <= past || current == 0 {
 		return 1
 	}
-	return now / then
+	return current / past
 }
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -92,9 +92,9 @@
 
 var burstStart = time.Now()
 
-func newBurstFleet(seed uint64, served, shedding uint32) *burstFleet {
-	made := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, directory: directory.New(time.Minute),
-		servedLength: served, errorLength: shedding, shares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
+func newBurstFleet(seed uint64, servedLength, errorLength uint32) *burstFleet {
+	fleet := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, directory: directory.New(time.Minute),
+		servedLength: servedLength, errorLength: errorLength, shares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
 		shedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
 	batch := routesBatch(5)
 	pools := []*apiv1.PoolShare{{Pool: "desk", Weight: 1000}}
@@ -106,16 +106,16 @@
 			Backend: &apiv1.PoolBackend{Id: fmt.Sprint("i-", number+1), Number: number + 1, Pool: "desk", Zone: "maadi",
 				Address: uint32(number + 1), Port: 80, Capacity: burstSlots}}})
 	}
-	made.directory.Apply(batch, made.now)
-	for place := range made.nodes {
-		made.nodes[place] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), admission: newAdmissionState()}
-		made.nodes[place].admission.updateRoutes(made.directory.Routes())
+	fleet.directory.Apply(batch, fleet.now)
+	for index := range fleet.nodes {
+		fleet.nodes[index] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), admission: newAdmissionState()}
+		fleet.nodes[index].admission.updateRoutes(fleet.directory.Routes())
 	}
 	for range steadyClients {
-		made.clients = append(made.clients, &burstClient{nextAt: made.now})
+		fleet.clients = append(fleet.clients, &burstClient{nextAt: fleet.now})
 	}
-	made.renewTable()
-	return made
+	fleet.renewTable()
+	return fleet
 }
 
 // renewTable makes a table by the findings of now.
@@ -135,16 +135,16 @@
 
 func (b *burstFleet) run(length time.Duration) {
 	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(time.Millisecond) {
-		kept := b.clients[:0]
-		for _, caller := range b.clients {
-			if !caller.nextAt.After(b.now) {
-				b.advance(caller)
+		active := b.clients[:0]
+		for _, client := range b.clients {
+			if !client.nextAt.After(b.now) {
+				b.advance(client)
 			}
-			if caller.endsAt.IsZero() || caller.backend != nil || b.now.Before(caller.endsAt) {
-				kept = append(kept, caller)
+			if client.endsAt.IsZero() || client.backend != nil || b.now.Before(client.endsAt) {
+				active = append(active, client)
 			}
 		}
-		b.clients = kept
+		b.clients = active
 		if b.now.Sub(burstStart)%lookPause == 0 {
 			b.summarize()
 		}
@@ -152,53 +152,53 @@
 }
 
 // advance moves a caller on: it opens a flow, asks, or takes an answer.
-func (b *burstFleet) advance(caller *burstClient) {
+func (b *burstFleet) advance(client *burstClient) {
 	switch {
-	case caller.backend == nil:
-		b.open(caller)
-	case caller.responseAt.IsZero():
-		b.sendRequest(caller)
+	case client.backend == nil:
+		b.open(client)
+	case client.responseAt.IsZero():
+		b.sendRequest(client)
 	default:
-		b.receiveResponse(caller)
+		b.receiveResponse(client)
 	}
 }
 
-func (b *burstFleet) open(caller *burstClient) {
+func (b *burstFleet) open(client *burstClient) {
 	b.nextPort++
-	caller.node, caller.requests = b.random.IntN(burstBalancers), 0
-	caller.packet = tokenroute.Packet{First: true, Key: flow.Key{Source: [4]byte{100, 64, byte(b.nextPort >> 24), byte(b.nextPort >> 16)},
+	client.node, client.requests = b.random.IntN(burstBalancers), 0
+	client.packet = tokenroute.Packet{First: true, Key: flow.Key{Source: [4]byte{100, 64, byte(b.nextPort >> 24), byte(b.nextPort >> 16)},
 		SourcePort: uint16(b.nextPort), Destination: [4]byte{0, 0, 0, patientRouteAddress}, DestinationPort: 443, Protocol: flow.ProtocolTCP}}
 	if b.random.IntN(3) == 0 {
-		caller.packet.Key.Destination[3] = urgentRouteAddress
+		client.packet.Key.Destination[3] = urgentRouteAddress
 	}
-	decided := b.decide(caller)
-	caller.backend, caller.nextAt = decided.Backend, b.now.Add(2*time.Millisecond)
-	if decided.Verdict == tokenroute.Refuse {
+	decision := b.decide(client)
+	client.backend, client.nextAt = decision.Backend, b.now.Add(2*time.Millisecond)
+	if decision.Verdict == tokenroute.Refuse {
 		b.refusedFlows[b.second()]++
-		caller.nextAt = b.now.Add(50 * time.Millisecond)
+		client.nextAt = b.now.Add(50 * time.Millisecond)
 	}
 }
 
-func (b *burstFleet) decide(caller *burstClient) tokenroute.Decision {
-	return b.nodes[caller.node].flows.Decide(b.table, caller.packet, b.now)
+func (b *burstFleet) decide(client *burstClient) tokenroute.Decision {
+	return b.nodes[client.node].flows.Decide(b.table, client.packet, b.now)
 }
 
 // sendRequest sends the next request of a flow to its back end.
-func (b *burstFleet) sendRequest(caller *burstClient) {
-	packet := &caller.packet
-	packet.First, packet.Token, packet.Sequence, packet.Length = false, caller.backend.Token, packet.Sequence+20, 20
+func (b *burstFleet) sendRequest(client *burstClient) {
+	packet := &client.packet
+	packet.First, packet.Token, packet.Sequence, packet.Length = false, client.backend.Token, packet.Sequence+20, 20
 	packet.Acknowledged = max(packet.Acknowledged, 1)
-	b.decide(caller)
-	caller.requests++
-	b.startRequest(caller, &b.backends[caller.backend.Number-1])
-	caller.nextAt = caller.responseAt
+	b.decide(client)
+	client.requests++
+	b.startRequest(client, &b.backends[client.backend.Number-1])
+	client.nextAt = client.responseAt
 }
 
 // startRequest runs a request at a back end, or sheds it.
-func (b *burstFleet) startRequest(caller *burstClient, backend *queueingBackend) {
-	caller.shed = backend.inFlight >= burstSlots+burstQueue
-	if caller.shed || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
-		caller.responseLength, caller.responseAt = b.errorLength, b.now.Add(time.Millisecond)
+func (b *burstFleet) startRequest(client *burstClient, backend *queueingBackend) {
+	client.shed = backend.inFlight >= burstSlots+burstQueue
+	if client.shed || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
+		client.responseLength, client.responseAt = b.errorLength, b.now.Add(time.Millisecond)
 		backend.inFlight++
 		return
 	}
@@ -213,27 +213,27 @@
 	}
 	backend.slotFreeAt[first] = backend.slotFreeAt[first].Add(burstServiceTime)
 	backend.inFlight++
-	caller.responseLength, caller.responseAt = b.servedLength, backend.slotFreeAt[first].Add(time.Millisecond)
+	client.responseLength, client.responseAt = b.servedLength, backend.slotFreeAt[first].Add(time.Millisecond)
 }
 
 // receiveResponse acknowledges an answer. Callers of a burst open another flow at once.
-func (b *burstFleet) receiveResponse(caller *burstClient) {
-	b.backends[caller.backend.Number-1].inFlight--
-	caller.packet.Acknowledged += caller.responseLength
-	caller.packet.Length, caller.responseAt = 0, time.Time{}
-	b.decide(caller)
-	caller.nextAt = b.now.Add(60 * time.Millisecond)
-	if caller.shed {
+func (b *burstFleet) receiveResponse(client *burstClient) {
+	b.backends[client.backend.Number-1].inFlight--
+	client.packet.Acknowledged += client.responseLength
+	client.packet.Length, client.responseAt = 0, time.Time{}
+	b.decide(client)
+	client.nextAt = b.now.Add(60 * time.Millisecond)
+	if client.shed {
 		b.shedRequests[b.second()]++
 	}
-	if caller.endsAt.IsZero() && caller.requests < 12 && !caller.shed {
+	if client.endsAt.IsZero() && client.requests < 12 && !client.shed {
 		return
 	}
-	caller.packet.Closing = true
-	b.decide(caller)
-	caller.packet.Closing, caller.backend = false, nil
-	if !caller.endsAt.IsZero() && !caller.shed {
-		caller.nextAt = b.now
+	client.packet.Closing = true
+	b.decide(client)
+	client.packet.Closing, client.backend = false, nil
+	if !client.endsAt.IsZero() && !client.shed {
+		client.nextAt = b.now
 	}
 }
 
@@ -242,8 +242,8 @@
 	joined := make(map[incarnation.ID]observe.Finding)
 	all := demand.Picture{At: b.now, Balancers: burstBalancers, Zones: map[demand.Zone]int{"maadi": burstBalancers},
 		Places: make(map[demand.Place]demand.Load)}
-	for place := range b.nodes {
-		node := &b.nodes[place]
+	for index := range b.nodes {
+		node := &b.nodes[index]
 		if summary := node.flows.Summarize(b.now); summary != nil {
 			node.admission.pressures.addSummary(summary)
 			node.local.Take(summary.Places, summary.At)
@@ -252,34 +252,34 @@
 		for id, finding := range node.findings {
 			joined[id] = joined[id].Plus(finding)
 		}
-		for at, load := range node.local.Picture("maadi", b.now).Places {
-			all.Places[at] = all.Places[at].Plus(load)
+		for poolZone, load := range node.local.Picture("maadi", b.now).Places {
+			all.Places[poolZone] = all.Places[poolZone].Plus(load)
 		}
 	}
 	b.aggregates = append(b.aggregates, all.WithRoom(map[demand.Place]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
-	if late := len(b.aggregates) - 1 - int(b.aggregateDelay/lookPause); late >= 0 {
-		for place := range b.nodes {
-			b.nodes[place].update(b.aggregates[late], b.now)
+	if delayed := len(b.aggregates) - 1 - int(b.aggregateDelay/lookPause); delayed >= 0 {
+		for index := range b.nodes {
+			b.nodes[index].update(b.aggregates[delayed], b.now)
 		}
 	}
-	judged := make(map[incarnation.ID]observe.Health)
+	unhealthy := make(map[incarnation.ID]observe.Health)
 	for id, finding := range joined {
 		if health := finding.Health(burstBalancers, b.unhealthy[id]); !health.Well() {
-			judged[id] = health
+			unhealthy[id] = health
 			b.unhealthyCounts[id.Number]++
 		}
 	}
-	b.unhealthy = judged
+	b.unhealthy = unhealthy
 	b.renewTable()
 }
 
 // update takes the picture of all.
-func (n *burstNode) update(picture *demand.Picture, now time.Time) {
-	n.flows.Saturate(n.admission.saturatedPools("maadi", picture, now))
+func (n *burstNode) update(aggregate *demand.Picture, now time.Time) {
+	n.flows.Saturate(n.admission.saturatedPools("maadi", aggregate, now))
 	var demands []admission.Demand
-	for pool := range picture.Pools() {
+	for pool := range aggregate.Pools() {
 		demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: n.admission.priorities[string(pool)],
-			Pressure: n.admission.pressures.estimate(pool, "maadi", picture, listing{"maadi": burstBalancers})})
+			Pressure: n.admission.pressures.estimate(pool, "maadi", aggregate, listing{"maadi": burstBalancers})})
 	}
 	n.flows.Admit(n.admission.controller.Step(demands, now))
 }
@@ -290,8 +290,8 @@
 // sumBetween sums up what was counted from one second up to another.
 func sumBetween(counts map[int]int, from, until int) int {
 	sum := 0
-	for at, count := range counts {
-		if at >= from && at < until {
+	for second, count := range counts {
+		if second >= from && second < until {
 			sum += count
 		}
 	}
@@ -307,7 +307,7 @@
 func TestBurstCausesNoHealthFindings(t *testing.T) {
 	for name, lengths := range map[string][2]uint32{"a shed answer is shorter": {600, 140}, "it is as long": {600, 600}} {
 		t.Run(name, func(t *testing.T) {
-			for place, share := range unevenShares {
+			for index, share := range unevenShares {
 				for seed := range uint64(4) {
 					fleet := newBurstFleet(seed, lengths[0], lengths[1])
 					fleet.shares = share
@@ -315,7 +315,7 @@
 					fleet.run(8 * time.Second)
 					fleet.burst(2 * time.Second)
 					fleet.run(22 * time.Second)
-					require.Empty(t, fleet.unhealthyCounts, "shares %d, seed %d", place, seed)
+					require.Empty(t, fleet.unhealthyCounts, "shares %d, seed %d", index, seed)
 					require.Positive(t, sumBetween(fleet.shedRequests, 8, 10))
 					require.Zero(t, sumBetween(fleet.shedRequests, 12, 30), "2 s after the burst all are served as before")
 				}
@@ -353,8 +353,8 @@
 		fleet := newBurstFleet(seed, 600, 140)
 		fleet.backends[2].errorFraction = 1
 		fleet.run(10 * time.Second)
-		for _, well := range []uint64{1, 2} {
-			require.Zero(t, fleet.unhealthyFraction(well, 20*time.Second), "seed %d", seed)
+		for _, healthy := range []uint64{1, 2} {
+			require.Zero(t, fleet.unhealthyFraction(healthy, 20*time.Second), "seed %d", seed)
 		}
 		require.Greater(t, fleet.unhealthyFraction(3, 20*time.Second), 0.75)
 	}
@@ -377,16 +377,16 @@
 // Story: 2 to 8 s after a burst flows were refused by pictures 1.5 to 2.5 s old. An old picture
 // shows that no slot is free, and what waits here now lets go.
 func TestStaleAggregateRefusesNoFlowsAfterBurst(t *testing.T) {
-	for _, lag := range []time.Duration{1500 * time.Millisecond, 2500 * time.Millisecond, 3500 * time.Millisecond} {
+	for _, delay := range []time.Duration{1500 * time.Millisecond, 2500 * time.Millisecond, 3500 * time.Millisecond} {
 		for seed := range uint64(4) {
 			fleet := newBurstFleet(seed, 600, 140)
-			fleet.aggregateDelay = lag
+			fleet.aggregateDelay = delay
 			fleet.run(8 * time.Second)
 			fleet.burst(5 * time.Second)
 			fleet.run(15 * time.Second)
-			require.Zero(t, sumBetween(fleet.refusedFlows, 0, 8), "before, lag %s, seed %d", lag, seed)
+			require.Zero(t, sumBetween(fleet.refusedFlows, 0, 8), "before, lag %s, seed %d", delay, seed)
 			require.Positive(t, sumBetween(fleet.refusedFlows, 8, 13), "in the burst")
-			require.Zero(t, sumBetween(fleet.refusedFlows, 14, 30), "a second after it, lag %s, seed %d: %v", lag, seed, fleet.refusedFlows)
+			require.Zero(t, sumBetween(fleet.refusedFlows, 14, 30), "a second after it, lag %s, seed %d: %v", delay, seed, fleet.refusedFlows)
 		}
 	}
 }
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -47,24 +47,24 @@
 		d.capacity.updateFailed(summary, c.balancer.table.Load(), now)
 	}
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	above, all := c.core.Levels()
-	d.tree.See(d.local.Picture(zone, now), demand.Levels{Above: above, All: all})
+	depth, height := c.core.Levels()
+	d.tree.See(d.local.Picture(zone, now), demand.Levels{Above: depth, All: height})
 	d.capacity.addWarmed(now)
-	picture := d.tree.Picture(now)
-	d.aggregate.Store(picture.WithRoom(d.capacity.liveSlots(now)))
-	c.logCompleteness(picture, now)
+	aggregate := d.tree.Picture(now)
+	d.aggregate.Store(aggregate.WithRoom(d.capacity.liveSlots(now)))
+	c.logCompleteness(aggregate, now)
 }
 
 // completeFraction is the part of all balancers that a picture counts that is told to be whole.
 const completeFraction = 0.9
 
 // logCompleteness logs when the demand of all becomes known, or is known no longer.
-func (c *control) logCompleteness(picture demand.Picture, now time.Time) {
+func (c *control) logCompleteness(aggregate demand.Picture, now time.Time) {
 	listed := c.listed.all()
 	if listed == 0 {
 		return
 	}
-	whole := picture.Fresh(now) && float64(picture.Balancers) >= completeFraction*float64(listed)
+	whole := aggregate.Fresh(now) && float64(aggregate.Balancers) >= completeFraction*float64(listed)
 	if whole == c.demand.complete {
 		return
 	}
@@ -73,8 +73,8 @@
 	if !whole {
 		message = "Control: demand of all is not known, a part must do."
 	}
-	c.balancer.logger.Info(message, "balancers", picture.Balancers, "listed", listed,
-		"age", picture.Age(now).Round(time.Millisecond))
+	c.balancer.logger.Info(message, "balancers", aggregate.Balancers, "listed", listed,
+		"age", aggregate.Age(now).Round(time.Millisecond))
 }
 
 // handleDemandReport takes the report of a follower. One in another clock means nothing.
@@ -96,26 +96,26 @@
 	if news.GetDemand() == nil {
 		return
 	}
-	left := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
-	c.demand.tree.TakeParent(decodeAggregate(news.GetDemand(), left), now)
+	sentAt := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
+	c.demand.tree.TakeParent(decodeAggregate(news.GetDemand(), sentAt), now)
 	c.demand.tree.TakeLevel(int(news.GetDemand().GetAbove()), now)
 }
 
 // demandReportFor returns the report for the balancer that is followed, or nil while it must not
 // be told. It goes alone or with another call.
 func (c *control) demandReportFor(parent string, alone bool, now time.Time) *apiv1.DemandReport {
-	theirs := c.testimony.parentClock
-	if parent != c.testimony.parent || !theirs.Known() || !c.core.Leads(parent) {
+	parentClock := c.testimony.parentClock
+	if parent != c.testimony.parent || !parentClock.Known() || !c.core.Leads(parent) {
 		return nil
 	}
-	report, may := c.demand.tree.Hand(demand.Address(parent), now)
-	if !may {
+	report, ok := c.demand.tree.Hand(demand.Address(parent), now)
+	if !ok {
 		return nil
 	}
 	c.demand.schedule.Told(alone, now)
 	encoded := encodeAggregate(report.Picture, now)
-	encoded.Clock = theirs.ID
-	encoded.UntilMilliseconds = uint64(max(0, theirs.Earliest(report.Until)).Milliseconds())
+	encoded.Clock = parentClock.ID
+	encoded.UntilMilliseconds = uint64(max(0, parentClock.Earliest(report.Until)).Milliseconds())
 	encoded.Height = uint32(report.Height)
 	return encoded
 }
@@ -152,17 +152,17 @@
 // encodeAggregate returns a picture for a message. Where there are too many places, pools are
 // left out whole, the last by name: all balancers leave out the same, so that what is told of
 // the others is the sum of all, and is told at each level.
-func encodeAggregate(picture demand.Picture, now time.Time) *apiv1.DemandReport {
+func encodeAggregate(aggregate demand.Picture, now time.Time) *apiv1.DemandReport {
 	encoded := &apiv1.DemandReport{
-		Balancers:       uint32(picture.Balancers),
-		AgeMilliseconds: uint32(max(0, picture.Age(now)).Milliseconds()),
+		Balancers:       uint32(aggregate.Balancers),
+		AgeMilliseconds: uint32(max(0, aggregate.Age(now)).Milliseconds()),
 	}
-	for _, zone := range slices.Sorted(maps.Keys(picture.Zones)) {
-		encoded.Zones = append(encoded.Zones, &apiv1.ZoneCount{Zone: string(zone), Balancers: uint32(picture.Zones[zone])})
+	for _, zone := range slices.Sorted(maps.Keys(aggregate.Zones)) {
+		encoded.Zones = append(encoded.Zones, &apiv1.ZoneCount{Zone: string(zone), Balancers: uint32(aggregate.Zones[zone])})
 	}
 	pools := make(map[demand.Pool][]*apiv1.PlaceLoad)
-	for place, load := range picture.Places {
-		pools[place.Pool] = append(pools[place.Pool], encodeLoad(place, load))
+	for poolZone, load := range aggregate.Places {
+		pools[poolZone.Pool] = append(pools[poolZone.Pool], encodeLoad(poolZone, load))
 	}
 	for _, pool := range slices.Sorted(maps.Keys(pools)) {
 		if len(encoded.Places)+len(pools[pool]) > maxReportPoolZones {
@@ -173,10 +173,10 @@
 	return encoded
 }
 
-func encodeLoad(place demand.Place, load demand.Load) *apiv1.PlaceLoad {
+func encodeLoad(poolZone demand.Place, load demand.Load) *apiv1.PlaceLoad {
 	return &apiv1.PlaceLoad{
-		Pool:     string(place.Pool),
-		Zone:     string(place.Zone),
+		Pool:     string(poolZone.Pool),
+		Zone:     string(poolZone.Zone),
 		Waiting:  float32(load.Waiting),
 		Openings: float32(load.Openings),
 		Answers:  float32(load.Answers),
@@ -187,34 +187,34 @@
 
 // decodeAggregate reads a picture from a message that left, or came, at a time.
 func decodeAggregate(encoded *apiv1.DemandReport, at time.Time) demand.Picture {
-	made := demand.Picture{
+	aggregate := demand.Picture{
 		At:        at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
 		Balancers: int(encoded.GetBalancers()),
 		Zones:     make(map[demand.Zone]int, len(encoded.GetZones())),
 		Places:    make(map[demand.Place]demand.Load, len(encoded.GetPlaces())),
 	}
 	for _, zone := range encoded.GetZones() {
-		made.Zones[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
-	}
-	for _, each := range encoded.GetPlaces() {
-		place := demand.Place{Pool: demand.Pool(each.GetPool()), Zone: demand.Zone(each.GetZone())}
-		made.Places[place] = demand.Load{
-			Waiting:  decodeNumber(each.GetWaiting()),
-			Openings: decodeNumber(each.GetOpenings()),
-			Answers:  decodeNumber(each.GetAnswers()),
-			Refusals: decodeNumber(each.GetRefusals()),
-			Asks:     decodeNumber(each.GetAsks()),
+		aggregate.Zones[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
+	}
+	for _, load := range encoded.GetPlaces() {
+		poolZone := demand.Place{Pool: demand.Pool(load.GetPool()), Zone: demand.Zone(load.GetZone())}
+		aggregate.Places[poolZone] = demand.Load{
+			Waiting:  decodeNumber(load.GetWaiting()),
+			Openings: decodeNumber(load.GetOpenings()),
+			Answers:  decodeNumber(load.GetAnswers()),
+			Refusals: decodeNumber(load.GetRefusals()),
+			Asks:     decodeNumber(load.GetAsks()),
 		}
 	}
-	return made
+	return aggregate
 }
 
 // decodeNumber reads a number of requests. What is none counts as 0: one balancer that tells
 // it would spoil the sum of all.
-func decodeNumber(told float32) float64 {
-	load := float64(told)
-	if math.IsNaN(load) || math.IsInf(load, 0) || load < 0 {
+func decodeNumber(value float32) float64 {
+	number := float64(value)
+	if math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
 		return 0
 	}
-	return load
+	return number
 }
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -25,26 +25,26 @@
 }
 
 // demandOf is the part of a balancer whose clients ask so much a second of lending.
-func demandOf(zone string, asks, waiting float64, at time.Time) demand.Picture {
+func demandOf(zone string, rate, waiting float64, at time.Time) demand.Picture {
 	return demand.Picture{At: at, Balancers: 1, Zones: map[demand.Zone]int{demand.Zone(zone): 1},
-		Places: map[demand.Place]demand.Load{lendingPoolZone(zone): {Asks: asks, Waiting: waiting}}}
+		Places: map[demand.Place]demand.Load{lendingPoolZone(zone): {Asks: rate, Waiting: waiting}}}
 }
 
 // newParentAndFollower are a balancer that leads and one that follows it, with its clock known there.
-func newParentAndFollower(t *testing.T, now time.Time) (leads, follows *control) {
-	leads, follows = newTestControl(), newTestControl()
-	leads.balancer.started = now.Add(-3 * time.Minute)
-	first := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
-	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.entry(), first}, now)
-	require.True(t, follows.core.Leads("10.0.0.2:1"))
-	follows.testimony.parent = "10.0.0.2:1"
-	follows.testimony.parentClock = evidence.NewClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
-	for _, each := range []*control{leads, follows} {
+func newParentAndFollower(t *testing.T, now time.Time) (parent, child *control) {
+	parent, child = newTestControl(), newTestControl()
+	parent.balancer.started = now.Add(-3 * time.Minute)
+	parentEntry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
+	child.core.SetBalancers([]*apiv1.Balancer{child.balancer.entry(), parentEntry}, now)
+	require.True(t, child.core.Leads("10.0.0.2:1"))
+	child.testimony.parent = "10.0.0.2:1"
+	child.testimony.parentClock = evidence.NewClock(parent.testimony.clock, parent.clockNow(now), now.Add(-30*time.Millisecond), now)
+	for _, each := range []*control{parent, child} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
-	leads.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{All: 1})
-	follows.demand.tree.See(demandOf("giza", 30, 2, now), demand.Levels{Above: 1, All: 1})
-	return leads, follows
+	parent.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{All: 1})
+	child.demand.tree.See(demandOf("giza", 30, 2, now), demand.Levels{Above: 1, All: 1})
+	return parent, child
 }
 
 // A report goes up with the call that follows, or in one of its own; the sum comes back with
@@ -52,24 +52,24 @@
 func TestDemandReportIsSentUpAndTotalReturned(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Now()
-		leads, follows := newParentAndFollower(t, now)
+		parent, child := newParentAndFollower(t, now)
 		peer := replication.Peer{Address: "10.0.0.2:1", Purpose: replication.PurposeFollow}
-		request := follows.requestTo(peer, 0, now)
+		request := child.requestTo(peer, 0, now)
 		require.NotNil(t, request.GetDemand())
-		require.Nil(t, follows.requestTo(replication.Peer{Address: "10.0.0.3:1", Purpose: replication.PurposeFollow}, 0, now).GetDemand(),
+		require.Nil(t, child.requestTo(replication.Peer{Address: "10.0.0.3:1", Purpose: replication.PurposeFollow}, 0, now).GetDemand(),
 			"another one is told nothing while the first may count it")
-		asking := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
+		call := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
-			leads.handleTestifyRequest(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
+			parent.handleTestifyRequest(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
 		} else {
-			asking.demand = request.GetDemand()
+			call.demand = request.GetDemand()
 		}
-		leads.take(asking)
-		leads.answerWaiting(now)
-		reply := <-asking.reply
-		follows.handleTotalDemand(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: follows.nanoseconds(now)}, now)
-		all := follows.demand.tree.Picture(now)
+		parent.take(call)
+		parent.answerWaiting(now)
+		reply := <-call.reply
+		child.handleTotalDemand(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: child.nanoseconds(now)}, now)
+		all := child.demand.tree.Picture(now)
 		require.Equal(t, 2, all.Balancers)
 		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.Zones)
 		require.Equal(t, 30.0, all.Places[lendingPoolZone("giza")].Asks)
@@ -80,30 +80,30 @@
 // A balancer that starts anew has another clock, in which an old report means nothing.
 func TestReportWithAnotherClockIsIgnored(t *testing.T) {
 	now := time.Now()
-	leads, follows := newParentAndFollower(t, now)
-	report := follows.demandReportFor("10.0.0.2:1", false, now)
+	parent, child := newParentAndFollower(t, now)
+	report := child.demandReportFor("10.0.0.2:1", false, now)
 	report.Clock++
-	leads.handleDemandReport("10.0.0.1:1", report, now)
-	require.Equal(t, 1, leads.demand.tree.Picture(now).Balancers)
+	parent.handleDemandReport("10.0.0.1:1", report, now)
+	require.Equal(t, 1, parent.demand.tree.Picture(now).Balancers)
 }
 
 // A message has a bound, and pools are in it whole or not at all.
 func TestReportSizeIsBounded(t *testing.T) {
-	made := demandOf("maadi", 1, 1, time.Now())
-	clear(made.Places)
+	aggregate := demandOf("maadi", 1, 1, time.Now())
+	clear(aggregate.Places)
 	for pool := range 100 {
 		for _, zone := range []demand.Zone{"zone-a", "zone-b", "zone-c"} {
-			made.Places[demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
+			aggregate.Places[demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
 				Waiting: 1, Openings: 2, Answers: 3, Refusals: 4, Asks: float64(pool)}
 		}
 	}
-	encoded := encodeAggregate(made, made.At)
+	encoded := encodeAggregate(aggregate, aggregate.At)
 	require.LessOrEqual(t, len(encoded.GetPlaces()), maxReportPoolZones)
 	require.LessOrEqual(t, proto.Size(encoded), 50*maxReportPoolZones)
 	counts := make(map[string]int)
-	for _, each := range encoded.GetPlaces() {
-		counts[each.GetPool()]++
-		require.Less(t, each.GetPool(), fmt.Sprintf("pool-%04d", maxReportPoolZones/3), "the last by name are left out, whatever they ask")
+	for _, load := range encoded.GetPlaces() {
+		counts[load.GetPool()]++
+		require.Less(t, load.GetPool(), fmt.Sprintf("pool-%04d", maxReportPoolZones/3), "the last by name are left out, whatever they ask")
 	}
 	require.Len(t, counts, maxReportPoolZones/3)
 	for pool, count := range counts {
@@ -116,34 +116,34 @@
 func TestReportedPoolsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
-		all := make(map[demand.Place]float64)
+		rates := make(map[demand.Place]float64)
 		sum := demand.Picture{At: now, Balancers: 2, Places: make(map[demand.Place]demand.Load)}
 		for range 2 {
-			part := demand.Picture{At: now, Balancers: 1, Places: make(map[demand.Place]demand.Load)}
+			aggregate := demand.Picture{At: now, Balancers: 1, Places: make(map[demand.Place]demand.Load)}
 			for pool := range 90 {
 				for zone := range rapid.IntRange(0, 3).Draw(t, "zones") {
-					place := demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
-					part.Places[place] = demand.Load{Asks: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
-					all[place] += part.Places[place].Asks
+					poolZone := demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
+					aggregate.Places[poolZone] = demand.Load{Asks: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
+					rates[poolZone] += aggregate.Places[poolZone].Asks
 				}
 			}
-			for place, load := range decodeAggregate(encodeAggregate(part, now), now).Places {
-				sum.Places[place] = sum.Places[place].Plus(load)
+			for poolZone, load := range decodeAggregate(encodeAggregate(aggregate, now), now).Places {
+				sum.Places[poolZone] = sum.Places[poolZone].Plus(load)
 			}
 		}
-		for place, load := range decodeAggregate(encodeAggregate(sum, now), now).Places {
-			require.InDelta(t, all[place], load.Asks, 1e-6, place)
+		for poolZone, load := range decodeAggregate(encodeAggregate(sum, now), now).Places {
+			require.InDelta(t, rates[poolZone], load.Asks, 1e-6, poolZone)
 		}
 	})
 }
 
 // What is no number of requests, told by one balancer, would spoil the sum of all.
 func TestInvalidLoadsAreDecodedAsZero(t *testing.T) {
-	for _, told := range []float32{float32(math.NaN()), float32(math.Inf(1)), float32(math.Inf(-1)), -3} {
+	for _, value := range []float32{float32(math.NaN()), float32(math.Inf(1)), float32(math.Inf(-1)), -3} {
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
-			Waiting: told, Openings: told, Answers: told, Refusals: told, Asks: 5}}}
-		read := decodeAggregate(encoded, time.Now())
-		require.Equal(t, demand.Load{Asks: 5}, read.Places[lendingPoolZone("maadi")])
+			Waiting: value, Openings: value, Answers: value, Refusals: value, Asks: 5}}}
+		decoded := decodeAggregate(encoded, time.Now())
+		require.Equal(t, demand.Load{Asks: 5}, decoded.Places[lendingPoolZone("maadi")])
 	}
 }
 
@@ -151,56 +151,56 @@
 // took 13.4 of the 22 kB a second that control may take.
 func TestTotalDemandIsSentOncePerSecond(t *testing.T) {
 	now := time.Now()
-	leads, _ := newParentAndFollower(t, now)
-	place := lendingPoolZone("maadi")
-	leads.demand.capacity.slots = map[demand.Place]float64{place: 10}
-	tell := func(waiting float64) (told int) {
+	parent, _ := newParentAndFollower(t, now)
+	poolZone := lendingPoolZone("maadi")
+	parent.demand.capacity.slots = map[demand.Place]float64{poolZone: 10}
+	tell := func(waiting float64) (sent int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
-			leads.demand.tree.See(demandOf("maadi", 10, waiting, now), demand.Levels{})
-			asking := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
+			parent.demand.tree.See(demandOf("maadi", 10, waiting, now), demand.Levels{})
+			call := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
-			leads.take(asking)
-			leads.answerWaiting(now)
-			if (<-asking.reply).GetDemand() != nil {
-				told++
+			parent.take(call)
+			parent.answerWaiting(now)
+			if (<-call.reply).GetDemand() != nil {
+				sent++
 			}
 		}
-		return told
+		return sent
 	}
 	require.InDelta(t, 10, tell(1), 1)
 	require.InDelta(t, 11, tell(8), 1, "one more, since pressure has moved")
 
-	asked := func(address string) *apiv1.DemandReport { return leads.totalDemandFor(address, now) }
-	one, other := asked("10.0.0.8:1"), asked("10.0.0.9:1")
+	send := func(address string) *apiv1.DemandReport { return parent.totalDemandFor(address, now) }
+	one, other := send("10.0.0.8:1"), send("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
-	require.Nil(t, asked("10.0.0.9:1"))
+	require.Nil(t, send("10.0.0.9:1"))
 	now = now.Add(lookPause + time.Millisecond)
-	leads.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
-	require.Nil(t, asked("10.0.0.9:1"), "nor sooner than soonPause")
+	parent.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
+	require.Nil(t, send("10.0.0.9:1"), "nor sooner than soonPause")
 	now = now.Add(urgentFeedInterval - lookPause)
-	require.NotNil(t, asked("10.0.0.9:1"), "its pressure has moved")
+	require.NotNil(t, send("10.0.0.9:1"), "its pressure has moved")
 	for range 3 {
 		now = now.Add(feedTTL)
-		asked("10.0.0.7:1")
+		send("10.0.0.7:1")
 	}
-	require.Len(t, leads.demand.feed.sent, 1, "who does not call is forgotten")
+	require.Len(t, parent.demand.feed.sent, 1, "who does not call is forgotten")
 }
 
 // Calls that are answered a little sooner than each second bring the picture nearly all.
 func TestTotalDemandIsSentWithRepliesNearlyASecondApart(t *testing.T) {
 	now := time.Now()
-	leads, _ := newParentAndFollower(t, now)
-	told, last, longest := 0, now, time.Duration(0)
+	parent, _ := newParentAndFollower(t, now)
+	sent, last, longest := 0, now, time.Duration(0)
 	for range 100 {
 		now = now.Add(920 * time.Millisecond)
-		leads.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
-		if leads.totalDemandFor("10.0.0.1:1", now) != nil {
-			told++
+		parent.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
+		if parent.totalDemandFor("10.0.0.1:1", now) != nil {
+			sent++
 			longest, last = max(longest, now.Sub(last)), now
 		}
 	}
-	require.GreaterOrEqual(t, told, 75)
-	require.LessOrEqual(t, told, 93, "one a second")
+	require.GreaterOrEqual(t, sent, 75)
+	require.LessOrEqual(t, sent, 93, "one a second")
 	require.LessOrEqual(t, longest, 2*920*time.Millisecond)
 }
 
@@ -214,31 +214,31 @@
 	control.addBackends("lending", "fayum", 4, now)
 	control.listed = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureCapacity(nil, now)
-	picture := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
+	aggregate := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
 		Places: map[demand.Place]demand.Load{lendingPoolZone("maadi"): {Asks: maadi, Waiting: waiting}, lendingPoolZone("giza"): {Asks: giza},
 			lendingPoolZone("fayum"): {Asks: fayum}}}
-	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
+	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
 	return control, now
 }
 
 func (control *control) zoneWeights(now time.Time) map[string]uint32 {
 	weigh := control.weightFunc(nil, now)
-	made := make(map[string]uint32)
+	weights := make(map[string]uint32)
 	for _, zone := range []string{"maadi", "giza", "fayum"} {
-		made[zone] = weigh(directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: zone}})
+		weights[zone] = weigh(directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: zone}})
 	}
-	return made
+	return weights
 }
 
 // A zone in more demand than it has room for sends its surplus to the one that has room, and
 // none to the one that is as full. All others alike got it before, by what one zone saw.
 func TestSurplusGoesToZonesWithFreeCapacity(t *testing.T) {
-	slots := newTestControl()
+	reference := newTestControl()
 	now := time.Now()
-	slots.addBackends("lending", "maadi", 4, now)
-	slots.measureCapacity(nil, now)
-	each := slots.demand.capacity.slots[lendingPoolZone("maadi")] / 4
-	control, now := newThreeZoneControl(200, 100, 200, 20*each)
+	reference.addBackends("lending", "maadi", 4, now)
+	reference.measureCapacity(nil, now)
+	slotsPerBackend := reference.demand.capacity.slots[lendingPoolZone("maadi")] / 4
+	control, now := newThreeZoneControl(200, 100, 200, 20*slotsPerBackend)
 	require.True(t, control.planZoneShares(now))
 	weights := control.zoneWeights(now)
 	require.Equal(t, uint32(rule.MaximumWeight), weights["maadi"])
@@ -256,8 +256,8 @@
 func TestZoneWithoutBackendsUsesLeastUsedOfAllZones(t *testing.T) {
 	control, now := newThreeZoneControl(200, 100, 200, 50)
 	control.measureCapacity(map[string]uint64{"maadi": 7}, now)
-	picture := *control.demand.aggregate.Load()
-	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
+	aggregate := *control.demand.aggregate.Load()
+	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
 	require.True(t, control.planZoneShares(now))
 	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
@@ -281,9 +281,9 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.measureCapacity(nil, now)
-	whole := control.demand.capacity.slots[lendingPoolZone("giza")]
-	require.Positive(t, whole)
-	require.InDelta(t, 2, whole/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
+	slots := control.demand.capacity.slots[lendingPoolZone("giza")]
+	require.Positive(t, slots)
+	require.InDelta(t, 2, slots/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
 	control.measureCapacity(map[string]uint64{"giza": 7}, now)
 	require.NotContains(t, control.demand.capacity.slots, lendingPoolZone("giza"), "an evacuated zone has none")
 }
@@ -291,16 +291,16 @@
 // Where there is no room at all, that is told, and not left out.
 func TestPressureMetricIsInfiniteWithoutCapacity(t *testing.T) {
 	now := time.Now()
-	picture := demandOf("maadi", 10, 2, now)
-	picture.Places[lendingPoolZone("giza")] = demand.Load{Asks: 5, Refusals: 5}
-	picture.Places[lendingPoolZone("fayum")] = demand.Load{Asks: 5}
-	told := make(map[string]float64)
-	collectDemand(picture.WithRoom(map[demand.Place]float64{lendingPoolZone("maadi"): 4}),
+	aggregate := demandOf("maadi", 10, 2, now)
+	aggregate.Places[lendingPoolZone("giza")] = demand.Load{Asks: 5, Refusals: 5}
+	aggregate.Places[lendingPoolZone("fayum")] = demand.Load{Asks: 5}
+	pressures := make(map[string]float64)
+	collectDemand(aggregate.WithRoom(map[demand.Place]float64{lendingPoolZone("maadi"): 4}),
 		func(description *prometheus.Desc, value float64, labels ...string) {
 			if description == pressureDescription {
-				told[labels[1]] = value
+				pressures[labels[1]] = value
 			}
 		})
-	require.Equal(t, map[string]float64{"maadi": 0.5, "giza": math.Inf(1), "fayum": 0}, told,
+	require.Equal(t, map[string]float64{"maadi": 0.5, "giza": math.Inf(1), "fayum": 0}, pressures,
 		"clients of fayum are served elsewhere")
 }
--- a/internal/balancer/divide.go
+++ b/internal/balancer/divide.go
@@ -16,16 +16,16 @@
 // planZoneShares plans the parts of new flows for each zone by the latest picture, and tells
 // whether the table should be made anew.
 func (c *control) planZoneShares(now time.Time) bool {
-	picture := c.demand.aggregate.Load()
+	aggregate := c.demand.aggregate.Load()
 	off := c.balancer.off
-	if !c.aggregateUsable(picture, now) || off.Has(mechanism.DemandShares) || off.Has(mechanism.ZoneSharing) {
+	if !c.aggregateUsable(aggregate, now) || off.Has(mechanism.DemandShares) || off.Has(mechanism.ZoneSharing) {
 		return c.observed.setPlannedShares(nil)
 	}
-	own := demand.Zone(c.balancer.settings.Load().GetZone())
+	localZone := demand.Zone(c.balancer.settings.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
-	for pool := range picture.Pools() {
-		if parts := shares.Among(shares.Zones(picture, pool, own, c.listed), own); parts != nil {
-			planned[pool] = parts
+	for pool := range aggregate.Pools() {
+		if zoneShares := shares.Among(shares.Zones(aggregate, pool, localZone, c.listed), localZone); zoneShares != nil {
+			planned[pool] = zoneShares
 		}
 	}
 	return c.observed.setPlannedShares(planned)
@@ -40,8 +40,8 @@
 // than 3 s now and then without a fault; zones that then went by what they see alone sent
 // their surplus to one that still kept its own: one of four zones was served 0.69 where the
 // others had 0.83 to 0.85. So they rest on it for all of demand.FreshFor.
-func (c *control) aggregateUsable(picture *demand.Picture, now time.Time) bool {
-	if !picture.Fresh(now) {
+func (c *control) aggregateUsable(aggregate *demand.Picture, now time.Time) bool {
+	if !aggregate.Fresh(now) {
 		if c.observed.plannedShares != nil || !c.demand.staleAt.IsZero() {
 			c.demand.staleAt = now
 		}
@@ -56,14 +56,14 @@
 
 // shareWeight is the weight of a pool's back ends in a zone that together take their part
 // of the new flows; the greatest weight is 1.
-func (c *control) shareWeight(parts map[demand.Zone]float64, place demand.Place) float64 {
-	each := func(zone demand.Zone) float64 {
-		backends := c.demand.capacity.backends[demand.Place{Pool: place.Pool, Zone: zone}]
-		return math.Max(parts[zone], minZoneShare) / math.Max(1, float64(backends))
+func (c *control) shareWeight(zoneShares map[demand.Zone]float64, poolZone demand.Place) float64 {
+	weight := func(zone demand.Zone) float64 {
+		backends := c.demand.capacity.backends[demand.Place{Pool: poolZone.Pool, Zone: zone}]
+		return math.Max(zoneShares[zone], minZoneShare) / math.Max(1, float64(backends))
 	}
-	greatest := each(place.Zone)
-	for zone := range parts {
-		greatest = math.Max(greatest, each(zone))
+	greatest := weight(poolZone.Zone)
+	for zone := range zoneShares {
+		greatest = math.Max(greatest, weight(zone))
 	}
-	return each(place.Zone) / greatest
+	return weight(poolZone.Zone) / greatest
 }
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -41,8 +41,8 @@
 // planWithDemand gives a balancer a picture in which clients of its zone ask, and plans by it.
 func (control *control) planWithDemand(now time.Time) bool {
 	control.demand.tree.See(demandOf("maadi", 5, 5, now), demand.Levels{})
-	picture := control.demand.tree.Picture(now)
-	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
+	aggregate := control.demand.tree.Picture(now)
+	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
 	return control.planZoneShares(now)
 }
 
@@ -54,9 +54,9 @@
 	require.True(t, control.planWithDemand(now))
 	control.renewTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
-	for _, each := range control.known.Backends() {
+	for _, backend := range control.known.Backends() {
 		gone.Changes = append(gone.Changes, &apiv1.DirectoryChange{Revision: 6, Gone: true,
-			Entry: &apiv1.DirectoryChange_Backend{Backend: each.PoolBackend}})
+			Entry: &apiv1.DirectoryChange_Backend{Backend: backend.PoolBackend}})
 	}
 	now = now.Add(100 * time.Millisecond)
 	control.learn(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.nanoseconds(now)}, now)
@@ -70,7 +70,7 @@
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
 	require.NotNil(t, route)
-	kept := 0
+	local := 0
 	const flows = 500
 	for hash := range uint64(flows) {
 		chosen := route.Choose(hash*0x9e3779b97f4a7c15, func(*tokenroute.Backend) tokenroute.Preference { return tokenroute.Preferred },
@@ -81,10 +81,10 @@
 				return 0
 			})
 		if chosen.Zone == "maadi" {
-			kept++
+			local++
 		}
 	}
-	return float64(kept) / flows
+	return float64(local) / flows
 }
 
 // The weights choose the zone only where they were made by a plan: elsewhere the least used
@@ -111,11 +111,11 @@
 		require.Less(t, localFraction(t, own), 0.1)
 	})
 	t.Run("spread after a start", func(t *testing.T) {
-		young := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
-		young.firstAt = now
-		young.planWithDemand(now)
-		young.renewTable(now)
-		require.Less(t, localFraction(t, young), 0.1)
+		started := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+		started.firstAt = now
+		started.planWithDemand(now)
+		started.renewTable(now)
+		require.Less(t, localFraction(t, started), 0.1)
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
 		other := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -128,31 +128,31 @@
 // What is planned away is what goes away, also where a zone has a few back ends and the
 // others a hundred times as many.
 func TestShareWeightsArePreciseForManyBackends(t *testing.T) {
-	for _, elsewhere := range []int{14, 1400, 14_000} {
-		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
+	for _, remoteBackends := range []int{14, 1400, 14_000} {
+		for _, share := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.capacity.backends = map[demand.Place]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): elsewhere}
-			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
+			control.demand.capacity.backends = map[demand.Place]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): remoteBackends}
+			shares := map[demand.Zone]float64{"maadi": 1 - share, "giza": share}
 			taken := func(zone string, backends int) float64 {
-				weight := math.Ceil(control.shareWeight(parts, lendingPoolZone(zone)) * rule.MaximumWeight)
+				weight := math.Ceil(control.shareWeight(shares, lendingPoolZone(zone)) * rule.MaximumWeight)
 				return weight * float64(backends)
 			}
-			home, away := taken("maadi", 14), taken("giza", elsewhere)
-			require.InDelta(t, part, away/(home+away), 0.002, "%d elsewhere", elsewhere)
+			local, remote := taken("maadi", 14), taken("giza", remoteBackends)
+			require.InDelta(t, share, remote/(local+remote), 0.002, "%d elsewhere", remoteBackends)
 		}
 	}
 }
 
 // A zone that the new plan no longer names had a part before, too.
 func TestZonesDroppedFromPlanAreCompared(t *testing.T) {
-	var o weightInputs
-	parts := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
+	var w weightInputs
+	shares := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
 		return map[demand.Pool]map[demand.Zone]float64{"lending": zones}
 	}
-	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
-	require.False(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
-	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
-	require.True(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	w.appliedShares = shares(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
+	require.False(t, w.setPlannedShares(shares(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	w.appliedShares = shares(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
+	require.True(t, w.setPlannedShares(shares(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
 }
 
 // Pools that are divided by the picture take no new table for what one zone sees alone.
@@ -177,12 +177,12 @@
 	tables := 0
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
-		picture := *control.demand.aggregate.Load()
-		picture.At = now
+		aggregate := *control.demand.aggregate.Load()
+		aggregate.At = now
 		if step%4 == 0 {
-			picture.At = now.Add(-demand.FreshFor - time.Second)
+			aggregate.At = now.Add(-demand.FreshFor - time.Second)
 		}
-		control.demand.aggregate.Store(&picture)
+		control.demand.aggregate.Store(&aggregate)
 		if control.planZoneShares(now) {
 			tables++
 			control.renewTable(now)
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -40,24 +40,24 @@
 }
 
 // updateFollower takes the findings of a follower and of those behind it.
-func (f *findings) updateFollower(address string, found []*apiv1.BackendFinding, now time.Time) {
+func (f *findings) updateFollower(address string, encoded []*apiv1.BackendFinding, now time.Time) {
 	if address == "" {
 		return
 	}
 	if f.followers == nil {
 		f.followers = make(map[string]findingsReport)
 	}
-	for known, each := range f.followers {
-		if !each.fresh(now) {
-			delete(f.followers, known)
+	for follower, report := range f.followers {
+		if !report.fresh(now) {
+			delete(f.followers, follower)
 		}
 	}
-	f.followers[address] = findingsReport{at: now, findings: decodeFindings(found)}
+	f.followers[address] = findingsReport{at: now, findings: decodeFindings(encoded)}
 }
 
 // updateParent takes the findings of all.
-func (f *findings) updateParent(found []*apiv1.BackendFinding, now time.Time) {
-	f.parent = findingsReport{at: now, findings: decodeFindings(found)}
+func (f *findings) updateParent(encoded []*apiv1.BackendFinding, now time.Time) {
+	f.parent = findingsReport{at: now, findings: decodeFindings(encoded)}
 }
 
 // subtree are the findings of this balancer and of those that follow it.
@@ -66,11 +66,11 @@
 	for backend, finding := range f.own {
 		joined[backend] = finding
 	}
-	for _, each := range f.followers {
-		if !each.fresh(now) {
+	for _, report := range f.followers {
+		if !report.fresh(now) {
 			continue
 		}
-		for backend, finding := range each.findings {
+		for backend, finding := range report.findings {
 			joined[backend] = joined[backend].Plus(finding)
 		}
 	}
@@ -89,9 +89,9 @@
 }
 
 // encodeFindings returns the findings with the most evidence for a message.
-func encodeFindings(found map[incarnation.ID]observe.Finding) []*apiv1.BackendFinding {
-	encoded := make([]*apiv1.BackendFinding, 0, len(found))
-	for backend, finding := range found {
+func encodeFindings(findings map[incarnation.ID]observe.Finding) []*apiv1.BackendFinding {
+	encoded := make([]*apiv1.BackendFinding, 0, len(findings))
+	for backend, finding := range findings {
 		encoded = append(encoded, &apiv1.BackendFinding{
 			Number:          backend.Number,
 			Failing:         float32(finding.Failing.Part),
@@ -109,13 +109,13 @@
 }
 
 func decodeFindings(encoded []*apiv1.BackendFinding) map[incarnation.ID]observe.Finding {
-	found := make(map[incarnation.ID]observe.Finding, len(encoded))
-	for _, each := range encoded {
-		backend := incarnation.ID{Number: each.GetNumber(), Start: incarnation.Start(each.GetStartedMilliseconds())}
-		found[backend] = observe.Finding{
-			Failing: observe.Excess{Part: float64(each.GetFailing()), Evidence: float64(each.GetFailingEvidence())},
-			Slow:    observe.Excess{Part: float64(each.GetSlow()), Evidence: float64(each.GetSlowEvidence())},
+	decoded := make(map[incarnation.ID]observe.Finding, len(encoded))
+	for _, finding := range encoded {
+		backend := incarnation.ID{Number: finding.GetNumber(), Start: incarnation.Start(finding.GetStartedMilliseconds())}
+		decoded[backend] = observe.Finding{
+			Failing: observe.Excess{Part: float64(finding.GetFailing()), Evidence: float64(finding.GetFailingEvidence())},
+			Slow:    observe.Excess{Part: float64(finding.GetSlow()), Evidence: float64(finding.GetSlowEvidence())},
 		}
 	}
-	return found
+	return decoded
 }
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -41,11 +41,11 @@
 }
 
 func TestFindingsPerMessageAreBounded(t *testing.T) {
-	found := make(map[incarnation.ID]observe.Finding)
+	findings := make(map[incarnation.ID]observe.Finding)
 	for number := range uint64(1000) {
-		found[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Part: 0.5, Evidence: float64(number)}}
+		findings[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Part: 0.5, Evidence: float64(number)}}
 	}
-	encoded := encodeFindings(found)
+	encoded := encodeFindings(findings)
 	require.Len(t, encoded, maxFindings)
 	require.InDelta(t, 999, encoded[0].GetSlowEvidence(), 1e-6, "those with the most evidence")
 }
@@ -89,8 +89,8 @@
 	control.take(&follower{caller: caller, takenAt: now, until: now.Add(time.Second), withoutChanges: true,
 		reply: make(chan *apiv1.FollowReply, 1)})
 	require.InDelta(t, 9, control.findings.all(now)[backendSeven].Failing.Evidence, 1e-6)
-	well := &follower{caller: caller, takenAt: now, until: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
-	control.take(well)
+	healthy := &follower{caller: caller, takenAt: now, until: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
+	control.take(healthy)
 	require.Empty(t, control.findings.all(now), "a follower that finds nothing any more says so")
 }
 
@@ -99,25 +99,25 @@
 func TestFindingsStayWithinFollowOrder(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	var known []*apiv1.Balancer
-	for place := range 40 {
-		known = append(known, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", place+1), PeerAddress: fmt.Sprintf("10.0.0.%d:1", place+1),
-			Zone: []string{"maadi", "giza"}[place%2]})
+	var balancers []*apiv1.Balancer
+	for index := range 40 {
+		balancers = append(balancers, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", index+1), PeerAddress: fmt.Sprintf("10.0.0.%d:1", index+1),
+			Zone: []string{"maadi", "giza"}[index%2]})
 	}
-	control.core.SetBalancers(known, now)
+	control.core.SetBalancers(balancers, now)
 	control.findings.own = failingFinding(9)
-	follow := func(address string) *apiv1.FollowRequest {
+	followRequest := func(address string) *apiv1.FollowRequest {
 		return control.requestTo(replication.Peer{Address: address, Purpose: replication.PurposeFollow}, 0, now)
 	}
 	require.Equal(t, 20, control.core.OrderSize())
-	require.True(t, follow("10.0.0.3:1").GetTakesFindings())
-	require.Len(t, follow("10.0.0.3:1").GetFindings(), 1)
-	require.False(t, follow("10.0.0.2:1").GetTakesFindings())
-	require.Empty(t, follow("10.0.0.2:1").GetFindings())
+	require.True(t, followRequest("10.0.0.3:1").GetTakesFindings())
+	require.Len(t, followRequest("10.0.0.3:1").GetFindings(), 1)
+	require.False(t, followRequest("10.0.0.2:1").GetTakesFindings())
+	require.Empty(t, followRequest("10.0.0.2:1").GetFindings())
 	for _, takes := range []bool{true, false} {
-		asking := &follower{takesFindings: takes, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)}
-		control.take(asking)
+		call := &follower{takesFindings: takes, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)}
+		control.take(call)
 		control.answerWaiting(now)
-		require.Equal(t, takes, len((<-asking.reply).GetFindings()) > 0)
+		require.Equal(t, takes, len((<-call.reply).GetFindings()) > 0)
 	}
 }
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -10,31 +10,31 @@
 // updateHealth judges back ends by what all balancers found of them, and tells whether the
 // table should be made anew.
 func (c *control) updateHealth(now time.Time) bool {
-	before, found := c.observed.unhealthy, c.findings.all(now)
+	before, findings := c.observed.unhealthy, c.findings.all(now)
 	c.observed.limits.update(c.demand.aggregate.Load(), now)
-	changed := c.observed.updateHealth(found, c.core.OrderSize())
+	changed := c.observed.updateHealth(findings, c.core.OrderSize())
 	for backend, health := range c.observed.unhealthy {
 		if before[backend].Well() {
-			c.logHealthChange("Control: back end counts as unwell.", backend, health, found[backend])
+			c.logHealthChange("Control: back end counts as unwell.", backend, health, findings[backend])
 		}
 	}
 	for backend := range before {
 		if c.observed.unhealthy[backend].Well() {
-			c.logHealthChange("Control: back end counts as well again.", backend, observe.Health{}, found[backend])
+			c.logHealthChange("Control: back end counts as well again.", backend, observe.Health{}, findings[backend])
 		}
 	}
 	return changed
 }
 
 // logHealthChange writes to the log by what evidence the health of a back end changed.
-func (c *control) logHealthChange(message string, backend incarnation.ID, health observe.Health, found observe.Finding) {
+func (c *control) logHealthChange(message string, backend incarnation.ID, health observe.Health, finding observe.Finding) {
 	name, pool := "", ""
 	if table := c.balancer.table.Load(); table != nil {
-		if known := table.Backend(backend); known != nil {
-			name, pool = known.ID, known.Pool
+		if entry := table.Backend(backend); entry != nil {
+			name, pool = entry.ID, entry.Pool
 		}
 	}
 	c.balancer.logger.Info(message, "backend", name, "pool", pool, "failing", rounded(health.Failing), "slow", rounded(health.Slow),
-		"failing_part", rounded(found.Failing.Part), "failing_evidence", rounded(found.Failing.Evidence),
-		"slow_part", rounded(found.Slow.Part), "slow_evidence", rounded(found.Slow.Evidence))
+		"failing_part", rounded(finding.Failing.Part), "failing_evidence", rounded(finding.Failing.Evidence),
+		"slow_part", rounded(finding.Slow.Part), "slow_evidence", rounded(finding.Slow.Evidence))
 }
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -36,66 +36,66 @@
 
 // computeHealthLimits sums up the back ends that take new flows, with each new table.
 func (c *control) computeHealthLimits(evacuated map[string]uint64, warming *warmupState, now time.Time) {
-	made := healthLimits{
+	limits := healthLimits{
 		poolZones:      make(map[incarnation.ID]demand.Place, len(c.observed.unhealthy)),
 		poolZoneTotals: make(map[demand.Place]slotTotals),
 		poolTotals:     make(map[demand.Pool]slotTotals),
 	}
 	if len(c.observed.unhealthy) > 0 {
 		for _, group := range c.known.Groups() {
-			if _, empty := evacuated[group.Zone]; !empty {
-				made.addGroup(group, &c.observed, warming, now)
+			if _, isEvacuated := evacuated[group.Zone]; !isEvacuated {
+				limits.addGroup(group, &c.observed, warming, now)
 			}
 		}
 	}
-	made.update(c.demand.aggregate.Load(), now)
-	c.observed.limits = made
+	limits.update(c.demand.aggregate.Load(), now)
+	c.observed.limits = limits
 }
 
 // addGroup sums up a group. Cold back ends bear little, and are no room.
-func (l *healthLimits) addGroup(group *directory.Group, seen *weightInputs, warming *warmupState, now time.Time) {
-	place, sum, unwell := poolZoneOf(group.Place), slotTotals{}, false
+func (l *healthLimits) addGroup(group *directory.Group, inputs *weightInputs, warming *warmupState, now time.Time) {
+	poolZone, sum, unhealthy := poolZoneOf(group.Place), slotTotals{}, false
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() || warming.limited() && now.Before(warming.warmAt(backend)) {
 			continue
 		}
 		slots := backendSlots(backend)
 		sum = sum.plus(slotTotals{backends: 1, slots: slots, healthySlots: slots})
-		if health := seen.unhealthy[backend.Incarnation()]; !health.Well() {
-			unwell = true
-			l.poolZones[backend.Incarnation()] = place
+		if health := inputs.unhealthy[backend.Incarnation()]; !health.Well() {
+			unhealthy = true
+			l.poolZones[backend.Incarnation()] = poolZone
 			sum.healthySlots -= slots * (1 - shares.HealthWeight(health))
 		}
 	}
-	l.poolTotals[place.Pool] = l.poolTotals[place.Pool].plus(sum)
-	if unwell {
-		l.poolZoneTotals[place] = sum
+	l.poolTotals[poolZone.Pool] = l.poolTotals[poolZone.Pool].plus(sum)
+	if unhealthy {
+		l.poolZoneTotals[poolZone] = sum
 	}
 }
 
 // update plans the parts by the demand of now, where a picture tells it.
-func (l *healthLimits) update(picture *demand.Picture, now time.Time) {
+func (l *healthLimits) update(aggregate *demand.Picture, now time.Time) {
 	l.allowed = make(map[demand.Place]float64, len(l.poolZoneTotals))
-	for place, sum := range l.poolZoneTotals {
+	for poolZone, sum := range l.poolZoneTotals {
 		waiting := 0.0
-		if picture.Fresh(now) {
-			waiting = picture.Places[place].Waiting
+		if aggregate.Fresh(now) {
+			waiting = aggregate.Places[poolZone].Waiting
 		}
 		if sum.backends < minLocalBackends {
-			sum = l.poolTotals[place.Pool]
-			if picture.Fresh(now) {
-				waiting, _ = picture.Whole(place.Pool)
+			sum = l.poolTotals[poolZone.Pool]
+			if aggregate.Fresh(now) {
+				waiting, _ = aggregate.Whole(poolZone.Pool)
 			}
 		}
-		l.allowed[place] = shares.HealthLimit(sum.slots, sum.healthySlots, waiting)
+		l.allowed[poolZone] = shares.HealthLimit(sum.slots, sum.healthySlots, waiting)
 	}
 }
 
 // allowedFraction is the part of what health takes off a back end that may be taken off.
 func (l *healthLimits) allowedFraction(backend incarnation.ID) float64 {
-	part, bounded := l.allowed[l.poolZones[backend]]
-	if !bounded {
+	fraction, limited := l.allowed[l.poolZones[backend]]
+	if !limited {
 		return 1
 	}
-	return part
+	return fraction
 }
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -16,11 +16,11 @@
 
 // slowFindings are findings by which back ends 1 to count are slow beyond doubt.
 func slowFindings(count int) map[incarnation.ID]observe.Finding {
-	found := make(map[incarnation.ID]observe.Finding)
+	findings := make(map[incarnation.ID]observe.Finding)
 	for number := range count {
-		found[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Part: 0.9, Evidence: 1000}}
+		findings[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Part: 0.9, Evidence: 1000}}
 	}
-	return found
+	return findings
 }
 
 // maxBackendFraction is the greatest part of many open flows that one back end gets.
@@ -30,39 +30,39 @@
 	require.NotNil(t, route)
 	const flows = 20_000
 	counts := make(map[uint64]int)
-	most := 0
+	highest := 0
 	for hash := range uint64(flows) {
 		chosen := route.Choose(hash*0x9e3779b97f4a7c15, func(*tokenroute.Backend) tokenroute.Preference { return tokenroute.Preferred },
 			func(backend *tokenroute.Backend) int { return counts[backend.Number] })
 		require.NotNil(t, chosen)
 		counts[chosen.Number]++
-		most = max(most, counts[chosen.Number])
+		highest = max(highest, counts[chosen.Number])
 	}
-	return float64(most) / flows
+	return float64(highest) / flows
 }
 
 // Story: after a burst two of three back ends counted as unwell. The third got 0.84 to 0.94 of
 // all new flows and shed them, and the pool seemed short of room, so that others were refused.
 func TestLoadOnHealthyMinorityIsBounded(t *testing.T) {
 	now := time.Now()
-	for name, each := range map[string]struct {
-		zones  map[string]int
-		unwell int
+	for name, test := range map[string]struct {
+		zones     map[string]int
+		unhealthy int
 	}{
-		"a back end in each of three zones": {zones: map[string]int{"giza": 1, "maadi": 1, "nasr": 1}, unwell: 2},
-		"three in one zone":                 {zones: map[string]int{"maadi": 3}, unwell: 2},
-		"most of a hundred":                 {zones: map[string]int{"maadi": 100}, unwell: 80},
+		"a back end in each of three zones": {zones: map[string]int{"giza": 1, "maadi": 1, "nasr": 1}, unhealthy: 2},
+		"three in one zone":                 {zones: map[string]int{"maadi": 3}, unhealthy: 2},
+		"most of a hundred":                 {zones: map[string]int{"maadi": 100}, unhealthy: 80},
 	} {
 		t.Run(name, func(t *testing.T) {
-			control := newServingControl(now, each.zones)
+			control := newServingControl(now, test.zones)
 			all := 0
-			for _, count := range each.zones {
+			for _, count := range test.zones {
 				all += count
 			}
-			even := maxBackendFraction(t, control)
-			require.True(t, control.observed.updateHealth(slowFindings(each.unwell), 1))
+			healthyFraction := maxBackendFraction(t, control)
+			require.True(t, control.observed.updateHealth(slowFindings(test.unhealthy), 1))
 			control.renewTable(now)
-			require.LessOrEqual(t, maxBackendFraction(t, control), 2*even+0.02, "twice what it has while all are well")
+			require.LessOrEqual(t, maxBackendFraction(t, control), 2*healthyFraction+0.02, "twice what it has while all are well")
 			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the room is still room")
 		})
 	}
@@ -79,8 +79,8 @@
 	require.Less(t, idle, 0.05)
 	control.demand.tree.See(demand.Picture{At: now, Balancers: 1, Zones: map[demand.Zone]int{"maadi": 1},
 		Places: map[demand.Place]demand.Load{lendingPoolZone("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
-	picture := control.demand.tree.Picture(now)
-	control.demand.aggregate.Store(picture.WithRoom(control.demand.capacity.slots))
+	aggregate := control.demand.tree.Picture(now)
+	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
 	control.findings.own = slowFindings(5)
 	require.True(t, control.updateHealth(now), "another table")
 	control.renewTable(now)
@@ -90,11 +90,11 @@
 // BenchmarkCapacityWithUnhealthyBackends counts the room of a large fleet, with each new table, while some of
 // its back ends are unwell.
 func BenchmarkCapacityWithUnhealthyBackends(b *testing.B) {
-	for _, unwell := range []int{0, 100} {
-		b.Run(fmt.Sprint(unwell), func(b *testing.B) {
+	for _, unhealthy := range []int{0, 100} {
+		b.Run(fmt.Sprint(unhealthy), func(b *testing.B) {
 			now := time.Now()
 			control := newSizedControl(140_000, 100, 0, now)
-			control.observed.updateHealth(slowFindings(unwell), 1)
+			control.observed.updateHealth(slowFindings(unhealthy), 1)
 			for b.Loop() {
 				control.measureCapacity(nil, now)
 			}
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -55,36 +55,36 @@
 }
 
 // beginTable takes the back ends that a new table is made with.
-func (o *weightInputs) beginTable(zones map[string]*poolCapacity) {
-	o.pools = zones
-	o.appliedShares = o.plannedShares
-	clear(o.appliedHealthWeights)
-	for backend := range o.unhealthy {
-		o.appliedHealthWeights[backend] = o.healthWeight(backend)
+func (w *weightInputs) beginTable(pools map[string]*poolCapacity) {
+	w.pools = pools
+	w.appliedShares = w.plannedShares
+	clear(w.appliedHealthWeights)
+	for backend := range w.unhealthy {
+		w.appliedHealthWeights[backend] = w.healthWeight(backend)
 	}
-	clear(o.remoteShares)
-	for name, zone := range zones {
-		o.remoteShares[name] = o.remoteShare(name, zone)
+	clear(w.remoteShares)
+	for name, pool := range pools {
+		w.remoteShares[name] = w.remoteShare(name, pool)
 	}
 }
 
-func (o *weightInputs) remoteShare(pool string, zone *poolCapacity) float64 {
-	return shares.Remote(o.waiting[pool]*float64(o.zoneBalancers), zone.localSlots, zone.remoteSlots)
+func (w *weightInputs) remoteShare(name string, capacity *poolCapacity) float64 {
+	return shares.Remote(w.waiting[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
 }
 
 // applySummary follows a summary and tells whether the table should be made anew.
-func (o *weightInputs) applySummary(summary *observe.Summary, now time.Time) bool {
+func (w *weightInputs) applySummary(summary *observe.Summary, now time.Time) bool {
 	if summary == nil || now.Sub(summary.At) > summaryMaxAge {
-		clear(o.waiting)
+		clear(w.waiting)
 		return false
 	}
-	if !o.followed.take(summary, demandTimeConstant) {
+	if !w.followed.take(summary, demandTimeConstant) {
 		return false
 	}
 	changed := false
-	for pool := range summary.Waiting {
-		if zone := o.pools[pool]; zone != nil && !o.weightedByShares[pool] {
-			changed = changed || math.Abs(o.remoteShare(pool, zone)-o.remoteShares[pool]) > minShareChange
+	for name := range summary.Waiting {
+		if pool := w.pools[name]; pool != nil && !w.weightedByShares[name] {
+			changed = changed || math.Abs(w.remoteShare(name, pool)-w.remoteShares[name]) > minShareChange
 		}
 	}
 	return changed
@@ -92,44 +92,44 @@
 
 // updateHealth takes what so many balancers found of back ends, and tells whether the table
 // should be made anew.
-func (o *weightInputs) updateHealth(found map[incarnation.ID]observe.Finding, observers int) bool {
-	unwell := make(map[incarnation.ID]observe.Health, len(o.unhealthy))
-	for backend, finding := range found {
-		if health := finding.Health(observers, o.unhealthy[backend]); !health.Well() {
-			unwell[backend] = health
+func (w *weightInputs) updateHealth(findings map[incarnation.ID]observe.Finding, observers int) bool {
+	unhealthy := make(map[incarnation.ID]observe.Health, len(w.unhealthy))
+	for backend, finding := range findings {
+		if health := finding.Health(observers, w.unhealthy[backend]); !health.Well() {
+			unhealthy[backend] = health
 		}
 	}
-	o.unhealthy = unwell
-	return o.healthChanged()
+	w.unhealthy = unhealthy
+	return w.healthChanged()
 }
 
 // healthWeight is the factor for the weight of a back end.
-func (o *weightInputs) healthWeight(backend incarnation.ID) float64 {
-	health, unwell := o.unhealthy[backend]
-	if !unwell {
+func (w *weightInputs) healthWeight(backend incarnation.ID) float64 {
+	health, unhealthy := w.unhealthy[backend]
+	if !unhealthy {
 		return 1
 	}
-	return shares.LimitedWeight(shares.HealthWeight(health), o.limits.allowedFraction(backend))
+	return shares.LimitedWeight(shares.HealthWeight(health), w.limits.allowedFraction(backend))
 }
 
 // utilization is the part of the slots of a pool in this zone that are in use.
-func (o *weightInputs) utilization(pool string) float64 {
-	zone := o.pools[pool]
-	if zone == nil || zone.localSlots == 0 {
+func (w *weightInputs) utilization(name string) float64 {
+	pool := w.pools[name]
+	if pool == nil || pool.localSlots == 0 {
 		return 0
 	}
-	return o.waiting[pool] * float64(o.zoneBalancers) / zone.localSlots
+	return w.waiting[name] * float64(w.zoneBalancers) / pool.localSlots
 }
 
 // healthChanged tells whether the weight of a back end moves by enough.
-func (o *weightInputs) healthChanged() bool {
-	for backend := range o.unhealthy {
-		if applied, found := o.appliedHealthWeights[backend]; !found || math.Abs(o.healthWeight(backend)-applied) > minHealthWeightChange {
+func (w *weightInputs) healthChanged() bool {
+	for backend := range w.unhealthy {
+		if applied, found := w.appliedHealthWeights[backend]; !found || math.Abs(w.healthWeight(backend)-applied) > minHealthWeightChange {
 			return true
 		}
 	}
-	for backend := range o.appliedHealthWeights {
-		if o.unhealthy[backend].Well() {
+	for backend := range w.appliedHealthWeights {
+		if w.unhealthy[backend].Well() {
 			return true
 		}
 	}
@@ -137,13 +137,13 @@
 }
 
 // setPlannedShares takes the parts of new flows for each zone, and tells whether some move by enough.
-func (o *weightInputs) setPlannedShares(parts map[demand.Pool]map[demand.Zone]float64) bool {
-	o.plannedShares = parts
-	if len(parts) != len(o.appliedShares) {
+func (w *weightInputs) setPlannedShares(planned map[demand.Pool]map[demand.Zone]float64) bool {
+	w.plannedShares = planned
+	if len(planned) != len(w.appliedShares) {
 		return true
 	}
-	for pool, zones := range parts {
-		applied, found := o.appliedShares[pool]
+	for pool, zones := range planned {
+		applied, found := w.appliedShares[pool]
 		if !found || sharesDiffer(zones, applied) || sharesDiffer(applied, zones) {
 			return true
 		}
@@ -153,9 +153,9 @@
 
 // sharesDiffer tells whether the part of a zone differs by enough from another one's. Zones that
 // only the other one names are not looked at.
-func sharesDiffer(parts, other map[demand.Zone]float64) bool {
-	for zone, part := range parts {
-		if math.Abs(part-other[zone]) > minShareChange {
+func sharesDiffer(shares, other map[demand.Zone]float64) bool {
+	for zone, share := range shares {
+		if math.Abs(share-other[zone]) > minShareChange {
 			return true
 		}
 	}
@@ -163,10 +163,10 @@
 }
 
 // inFlightByPool is the demand by pool, for the log.
-func (o *weightInputs) inFlightByPool() map[string]float64 {
-	described := make(map[string]float64, len(o.waiting))
-	for pool, waiting := range o.waiting {
-		described[pool] = math.Round(waiting*float64(o.zoneBalancers)*10) / 10
+func (w *weightInputs) inFlightByPool() map[string]float64 {
+	inFlight := make(map[string]float64, len(w.waiting))
+	for pool, waiting := range w.waiting {
+		inFlight[pool] = math.Round(waiting*float64(w.zoneBalancers)*10) / 10
 	}
-	return described
+	return inFlight
 }
--- a/internal/balancer/observed_test.go
+++ b/internal/balancer/observed_test.go
@@ -15,12 +15,12 @@
 // observeWaiting feeds summaries with the same number of waiting requests for
 // two seconds and tells whether any of them asked for a new table.
 func (control *control) observeWaiting(pool string, waiting float64, from time.Time) bool {
-	asked := false
+	changed := false
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 250 * time.Millisecond {
 		summary := &observe.Summary{At: from.Add(elapsed), Waiting: map[string]float64{pool: waiting}}
-		asked = control.observed.applySummary(summary, from.Add(elapsed)) || asked
+		changed = control.observed.applySummary(summary, from.Add(elapsed)) || changed
 	}
-	return asked
+	return changed
 }
 
 // With demand lopsided between zones, the back ends of the smallest zone shed
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -48,27 +48,27 @@
 // clients ask. It is unknown while the picture is one of less than half of the balancers
 // listed, or while nothing was seen here: those left out may be short of room, or not. It is
 // none while the picture shows room.
-func (p *pressureEstimator) estimate(pool demand.Pool, own demand.Zone, picture *demand.Picture, listed listing) admission.Pressure {
-	if picture == nil || 2*picture.Balancers < listed.all() {
+func (p *pressureEstimator) estimate(pool demand.Pool, localZone demand.Zone, aggregate *demand.Picture, listed listing) admission.Pressure {
+	if aggregate == nil || 2*aggregate.Balancers < listed.all() {
 		return admission.Pressure{}
 	}
-	waiting, room := picture.Whole(pool)
-	part := zoneRequestFraction(pool, own, picture)
-	if room == 0 || part == 0 {
+	waiting, slots := aggregate.Whole(pool)
+	fraction := zoneRequestFraction(pool, localZone, aggregate)
+	if slots == 0 || fraction == 0 {
 		return admission.Pressure{}
 	}
-	seenAt := picture.At
+	seenAt := aggregate.At
 	if p.seenAt.Before(seenAt) {
 		seenAt = p.seenAt
 	}
-	if waiting < minAggregatePressure*room {
+	if waiting < minAggregatePressure*slots {
 		return admission.Pressure{SeenAt: seenAt}
 	}
-	scale := float64(picture.Zones[own]) / part
+	scale := float64(aggregate.Zones[localZone]) / fraction
 	if waiting >= minLocalInFlight*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.rates.growthSince(pool, picture.At), maxGrowth(picture.Zones[own]))
+		waiting = p.waiting[string(pool)] * scale / min(p.rates.growthSince(pool, aggregate.At), maxGrowth(aggregate.Zones[localZone]))
 	}
-	return admission.Pressure{Waiting: waiting / room, SeenAt: seenAt}
+	return admission.Pressure{Waiting: waiting / slots, SeenAt: seenAt}
 }
 
 const (
@@ -92,35 +92,35 @@
 
 // saturated tells whether a pool has no free slot, as far as is known. It errs towards
 // saturation, by which answers count for nothing for a while.
-func (p *pressureEstimator) saturated(pool demand.Pool, own demand.Zone, picture *demand.Picture) bool {
-	if picture == nil {
+func (p *pressureEstimator) saturated(pool demand.Pool, localZone demand.Zone, aggregate *demand.Picture) bool {
+	if aggregate == nil {
 		return false
 	}
-	waiting, room := picture.Whole(pool)
-	if room == 0 {
+	waiting, slots := aggregate.Whole(pool)
+	if slots == 0 {
 		return false
 	}
-	if waiting >= saturationPressure*room {
+	if waiting >= saturationPressure*slots {
 		return true
 	}
-	part, here := zoneRequestFraction(pool, own, picture), p.waiting[string(pool)]
-	return part > 0 && here >= minSaturationInFlight && here*float64(picture.Zones[own])/part >= localSaturationPressure*room
+	fraction, local := zoneRequestFraction(pool, localZone, aggregate), p.waiting[string(pool)]
+	return fraction > 0 && local >= minSaturationInFlight && local*float64(aggregate.Zones[localZone])/fraction >= localSaturationPressure*slots
 }
 
 // zoneRequestFraction is the part of what is asked of a pool that the clients of a zone ask, by the
 // balancers that the picture has. Others may be gone, and what they carried passes those
 // that are left: to take them for as busy made pressure of a roll of half the machines.
-func zoneRequestFraction(pool demand.Pool, own demand.Zone, picture *demand.Picture) float64 {
-	mine, all := 0.0, 0.0
-	for zone := range picture.Zones {
-		asks := picture.Places[demand.Place{Pool: pool, Zone: zone}].Asks
-		all += asks
-		if zone == own {
-			mine = asks
+func zoneRequestFraction(pool demand.Pool, localZone demand.Zone, aggregate *demand.Picture) float64 {
+	localRate, totalRate := 0.0, 0.0
+	for zone := range aggregate.Zones {
+		rate := aggregate.Places[demand.Place{Pool: pool, Zone: zone}].Asks
+		totalRate += rate
+		if zone == localZone {
+			localRate = rate
 		}
 	}
-	if mine == 0 {
+	if localRate == 0 {
 		return 0
 	}
-	return mine / all
+	return localRate / totalRate
 }
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -12,21 +12,21 @@
 
 // newLoadedEstimator feeds summaries with the same number of waiting requests.
 func newLoadedEstimator(waiting float64, from time.Time) *pressureEstimator {
-	made := &pressureEstimator{followed: newFollowed()}
+	estimator := &pressureEstimator{followed: newFollowed()}
 	for step := range 20 {
-		made.addSummary(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
+		estimator.addSummary(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
 			Waiting: map[string]float64{"lending": waiting}})
 	}
-	return made
+	return estimator
 }
 
 // unevenAggregate is a picture of two zones: three balancers whose clients ask for a quarter, and
 // one whose clients ask for the rest.
 func unevenAggregate(at time.Time) *demand.Picture {
 	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
-	made := demand.Picture{At: at, Balancers: 4, Zones: map[demand.Zone]int{"maadi": 3, "giza": 1},
+	estimator := demand.Picture{At: at, Balancers: 4, Zones: map[demand.Zone]int{"maadi": 3, "giza": 1},
 		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 40}, giza: {Asks: 300, Waiting: 40}}}
-	return made.WithRoom(map[demand.Place]float64{maadi: 10, giza: 10})
+	return estimator.WithRoom(map[demand.Place]float64{maadi: 10, giza: 10})
 }
 
 // Balancers of zones in uneven demand see different parts of it, and must come to the
@@ -43,20 +43,20 @@
 
 func TestPressureIsUnknownWithoutMajorityAggregate(t *testing.T) {
 	now := time.Now()
-	known := newLoadedEstimator(20, now)
-	require.Zero(t, known.estimate("lending", "maadi", nil, map[demand.Zone]int{"maadi": 3}))
+	estimator := newLoadedEstimator(20, now)
+	require.Zero(t, estimator.estimate("lending", "maadi", nil, map[demand.Zone]int{"maadi": 3}))
 	few := map[demand.Zone]int{"maadi": 3, "giza": 6}
-	require.Zero(t, known.estimate("lending", "maadi", unevenAggregate(now), few), "four of nine")
+	require.Zero(t, estimator.estimate("lending", "maadi", unevenAggregate(now), few), "four of nine")
 	all := map[demand.Zone]int{"maadi": 3, "giza": 1}
-	require.Zero(t, known.estimate("covers", "maadi", unevenAggregate(now), all), "no room is known")
-	require.Zero(t, known.estimate("lending", "elsewhere", unevenAggregate(now), all), "a zone that it does not have")
+	require.Zero(t, estimator.estimate("covers", "maadi", unevenAggregate(now), all), "no room is known")
+	require.Zero(t, estimator.estimate("lending", "elsewhere", unevenAggregate(now), all), "a zone that it does not have")
 }
 
 // A balancer that sees no packets any more does not go on with what it saw.
 func TestPressureAges(t *testing.T) {
 	now := time.Now()
-	known := newLoadedEstimator(20, now.Add(-time.Minute))
-	pressure := known.estimate("lending", "maadi", unevenAggregate(now), map[demand.Zone]int{"maadi": 3, "giza": 1})
+	estimator := newLoadedEstimator(20, now.Add(-time.Minute))
+	pressure := estimator.estimate("lending", "maadi", unevenAggregate(now), map[demand.Zone]int{"maadi": 3, "giza": 1})
 	require.Greater(t, pressure.Age(now), 50*time.Second)
 }
 
@@ -108,39 +108,39 @@
 	require.True(t, newLoadedEstimator(0, now).saturated("lending", "maadi", unevenAggregate(now)), "the picture shows it")
 	require.True(t, newLoadedEstimator(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
 	require.False(t, newLoadedEstimator(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
-	lone := unevenAggregate(now)
-	lone.Places = map[demand.Place]demand.Load{{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0.1},
+	single := unevenAggregate(now)
+	single.Places = map[demand.Place]demand.Load{{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0.1},
 		{Pool: "lending", Zone: "giza"}: {Asks: 300, Waiting: 5}}
-	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", lone), "one request here tells nothing of all")
+	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", single), "one request here tells nothing of all")
 	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "no room is known")
-	made := newAdmissionState()
-	made.pressures = *newLoadedEstimator(3, now)
-	require.True(t, made.saturatedPools("maadi", idle, now)["lending"])
-	made.pressures = *newLoadedEstimator(0, now)
-	require.True(t, made.saturatedPools("maadi", idle, now.Add(saturationHold))["lending"])
-	require.False(t, made.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
+	state := newAdmissionState()
+	state.pressures = *newLoadedEstimator(3, now)
+	require.True(t, state.saturatedPools("maadi", idle, now)["lending"])
+	state.pressures = *newLoadedEstimator(0, now)
+	require.True(t, state.saturatedPools("maadi", idle, now.Add(saturationHold))["lending"])
+	require.False(t, state.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
 }
 
 // Story: 2 to 10 s after bursts flows were refused at pressures of 4 and of 16, by pictures 2.4 and
 // 3.3 s old. The other balancer of the zone had just stopped, so all that the zone's clients
 // ask passed this one, where the picture had a half of it; or this one had just started.
 func TestPressureCorrectsForGrownLocalFraction(t *testing.T) {
-	begun, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
+	start, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
 	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
 		t.Run(name, func(t *testing.T) {
-			made := &pressureEstimator{followed: newFollowed()}
+			estimator := &pressureEstimator{followed: newFollowed()}
 			for step := first; step < 30; step++ {
-				asked, waiting := 15.0, 1.0
+				rate, waiting := 15.0, 1.0
 				if step >= 20 {
-					asked, waiting = 30, 2
+					rate, waiting = 30, 2
 				}
-				made.addSummary(&observe.Summary{At: begun.Add(time.Duration(step) * 250 * time.Millisecond),
-					Waiting: map[string]float64{"lending": waiting}, Places: map[demand.Place]demand.Load{maadi: {Asks: asked}}})
+				estimator.addSummary(&observe.Summary{At: start.Add(time.Duration(step) * 250 * time.Millisecond),
+					Waiting: map[string]float64{"lending": waiting}, Places: map[demand.Place]demand.Load{maadi: {Asks: rate}}})
 			}
-			picture := demand.Picture{At: begun.Add(19 * 250 * time.Millisecond), Balancers: 3, Zones: map[demand.Zone]int{"maadi": 2, "giza": 1},
+			aggregate := demand.Picture{At: start.Add(19 * 250 * time.Millisecond), Balancers: 3, Zones: map[demand.Zone]int{"maadi": 2, "giza": 1},
 				Places: map[demand.Place]demand.Load{maadi: {Asks: 30, Waiting: 4}, giza: {Asks: 90, Waiting: 4}}}
-			pressure := made.estimate("lending", "maadi", picture.WithRoom(map[demand.Place]float64{maadi: 3, giza: 3}), listed)
+			pressure := estimator.estimate("lending", "maadi", aggregate.WithRoom(map[demand.Place]float64{maadi: 3, giza: 3}), listed)
 			require.LessOrEqual(t, pressure.Waiting, 8/6.0*1.1, "not 16 of 6 slots")
 		})
 	}
@@ -154,7 +154,7 @@
 	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
 	burst := demand.Picture{At: now.Add(-2500 * time.Millisecond), Balancers: 60, Zones: map[demand.Zone]int{"maadi": 20, "giza": 40},
 		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 8}, giza: {Asks: 200, Waiting: 16}}}
-	picture := burst.WithRoom(map[demand.Place]float64{maadi: 2, giza: 4})
-	here := newLoadedEstimator(0.1, now.Add(-5*time.Second))
-	require.Less(t, here.estimate("lending", "maadi", picture, listed).Waiting, 3.0, "the least urgent give way from 3 on")
+	aggregate := burst.WithRoom(map[demand.Place]float64{maadi: 2, giza: 4})
+	estimator := newLoadedEstimator(0.1, now.Add(-5*time.Second))
+	require.Less(t, estimator.estimate("lending", "maadi", aggregate, listed).Waiting, 3.0, "the least urgent give way from 3 on")
 }
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -63,7 +63,7 @@
 // each of 1,400 cold ones, a count of 140,000 took 484 ms of processor in place of 226.
 func (c *control) measureCapacity(evacuated map[string]uint64, now time.Time) {
 	counts := c.demand.capacity.counts
-	made := capacity{
+	result := capacity{
 		failed:   c.demand.capacity.failed,
 		slots:    make(map[demand.Place]float64),
 		backends: make(map[demand.Place]int),
@@ -72,26 +72,26 @@
 	}
 	warming := c.newWarmupState(now)
 	c.computeHealthLimits(evacuated, warming, now)
-	own := c.balancer.settings.Load().GetZone()
+	localZone := c.balancer.settings.Load().GetZone()
 	for _, group := range c.known.Groups() {
-		if _, empty := evacuated[group.Zone]; empty {
+		if _, isEvacuated := evacuated[group.Zone]; isEvacuated {
 			continue
 		}
-		counted := counts[group.Place]
-		if counted.version != group.Version {
-			counted = countGroup(group)
+		count := counts[group.Place]
+		if count.version != group.Version {
+			count = countGroup(group)
 		}
-		made.counts[group.Place] = counted
-		made.addCount(group.Place, counted, own)
-		place := poolZoneOf(group.Place)
+		result.counts[group.Place] = count
+		result.addCount(group.Place, count, localZone)
+		poolZone := poolZoneOf(group.Place)
 		if warming.limited() || len(c.observed.unhealthy) > 0 {
-			made.addBackends(group, place, warming, &c.observed, now)
-		} else if counted.backends > 0 {
-			made.slots[place] += counted.slots
+			result.addBackends(group, poolZone, warming, &c.observed, now)
+		} else if count.backends > 0 {
+			result.slots[poolZone] += count.slots
 		}
 	}
-	made.scheduleCheck(now)
-	c.demand.capacity = made
+	result.scheduleCheck(now)
+	c.demand.capacity = result
 }
 
 // groupCount is what the back ends of a group that may take new flows have, as of a version
@@ -103,28 +103,28 @@
 }
 
 func countGroup(group *directory.Group) groupCount {
-	counted := groupCount{version: group.Version}
+	count := groupCount{version: group.Version}
 	for _, backend := range group.Entries {
 		if !backend.Gone && !backend.GetDraining() {
-			counted.backends++
-			counted.slots += backendSlots(backend)
+			count.backends++
+			count.slots += backendSlots(backend)
 		}
 	}
-	return counted
+	return count
 }
 
 // addBackends adds the slots of a group, where back ends differ by their warmth or health.
-func (r *capacity) addBackends(group *directory.Group, place demand.Place, warming *warmupState, seen *weightInputs, now time.Time) {
+func (c *capacity) addBackends(group *directory.Group, poolZone demand.Place, warming *warmupState, inputs *weightInputs, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
 		}
-		slots := backendSlots(backend) * seen.healthWeight(backend.Incarnation())
+		slots := backendSlots(backend) * inputs.healthWeight(backend.Incarnation())
 		if until := warming.warmAt(backend); now.Before(until) {
-			r.cold = append(r.cold, coldBackend{poolZone: place, slots: slots, warmAt: until})
+			c.cold = append(c.cold, coldBackend{poolZone: poolZone, slots: slots, warmAt: until})
 			continue
 		}
-		r.slots[place] += slots
+		c.slots[poolZone] += slots
 	}
 }
 
@@ -134,62 +134,62 @@
 }
 
 // addCount counts the back ends of a group that may take new flows.
-func (r *capacity) addCount(place directory.Place, counted groupCount, own string) {
-	if counted.backends == 0 {
+func (c *capacity) addCount(poolZone directory.Place, count groupCount, localZone string) {
+	if count.backends == 0 {
 		return
 	}
-	r.backends[poolZoneOf(place)] += counted.backends
-	pool := r.pools[place.Pool]
+	c.backends[poolZoneOf(poolZone)] += count.backends
+	pool := c.pools[poolZone.Pool]
 	if pool == nil {
 		pool = &poolCapacity{}
-		r.pools[place.Pool] = pool
+		c.pools[poolZone.Pool] = pool
 	}
-	if place.Zone == own {
-		pool.localBackends += counted.backends
-		pool.localSlots += counted.slots
+	if poolZone.Zone == localZone {
+		pool.localBackends += count.backends
+		pool.localSlots += count.slots
 		return
 	}
-	pool.remoteBackends += counted.backends
-	pool.remoteSlots += counted.slots
+	pool.remoteBackends += count.backends
+	pool.remoteSlots += count.slots
 }
 
 // addWarmed adds the back ends that have turned warm since the room was counted.
-func (r *capacity) addWarmed(now time.Time) {
-	if r.nextCheckAt.IsZero() || now.Before(r.nextCheckAt) {
+func (c *capacity) addWarmed(now time.Time) {
+	if c.nextCheckAt.IsZero() || now.Before(c.nextCheckAt) {
 		return
 	}
-	r.slots = maps.Clone(r.slots)
-	kept := r.cold[:0]
-	for _, each := range r.cold {
-		if now.Before(each.warmAt) {
-			kept = append(kept, each)
+	c.slots = maps.Clone(c.slots)
+	cold := c.cold[:0]
+	for _, backend := range c.cold {
+		if now.Before(backend.warmAt) {
+			cold = append(cold, backend)
 			continue
 		}
-		r.slots[each.poolZone] += each.slots
+		c.slots[backend.poolZone] += backend.slots
 	}
-	r.cold = kept
-	r.scheduleCheck(now)
+	c.cold = cold
+	c.scheduleCheck(now)
 }
 
 // scheduleCheck sets when to look again.
-func (r *capacity) scheduleCheck(now time.Time) {
-	r.nextCheckAt = time.Time{}
-	for _, each := range r.cold {
-		if r.nextCheckAt.IsZero() || each.warmAt.Before(r.nextCheckAt) {
-			r.nextCheckAt = each.warmAt
+func (c *capacity) scheduleCheck(now time.Time) {
+	c.nextCheckAt = time.Time{}
+	for _, backend := range c.cold {
+		if c.nextCheckAt.IsZero() || backend.warmAt.Before(c.nextCheckAt) {
+			c.nextCheckAt = backend.warmAt
 		}
 	}
-	if soonest := now.Add(warmCheckInterval); !r.nextCheckAt.IsZero() && r.nextCheckAt.Before(soonest) {
-		r.nextCheckAt = soonest
+	if soonest := now.Add(warmCheckInterval); !c.nextCheckAt.IsZero() && c.nextCheckAt.Before(soonest) {
+		c.nextCheckAt = soonest
 	}
 }
 
 // updateFailed takes which back ends are judged dead. Those that the table has no longer are none
 // of the room anyway.
-func (r *capacity) updateFailed(summary *observe.Summary, table *tokenroute.Table, now time.Time) {
-	for id, each := range r.failed {
-		if !now.Before(each.until) {
-			delete(r.failed, id)
+func (c *capacity) updateFailed(summary *observe.Summary, table *tokenroute.Table, now time.Time) {
+	for id, failed := range c.failed {
+		if !now.Before(failed.until) {
+			delete(c.failed, id)
 		}
 	}
 	if table == nil || now.Sub(summary.At) > summaryMaxAge {
@@ -200,24 +200,24 @@
 		if backend == nil || backend.Gone {
 			continue
 		}
-		if r.failed == nil {
-			r.failed = make(map[incarnation.ID]failedBackend)
+		if c.failed == nil {
+			c.failed = make(map[incarnation.ID]failedBackend)
 		}
-		place := demand.Place{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
-		r.failed[id] = failedBackend{poolZone: place, until: now.Add(failedHold)}
+		poolZone := demand.Place{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
+		c.failed[id] = failedBackend{poolZone: poolZone, until: now.Add(failedHold)}
 	}
 }
 
 // liveSlots are the slots without those of dead back ends, each of which had as many as the
 // others of its place.
-func (r *capacity) liveSlots(now time.Time) map[demand.Place]float64 {
-	if len(r.failed) == 0 {
-		return r.slots
-	}
-	slots := maps.Clone(r.slots)
-	for _, each := range r.failed {
-		if backends := r.backends[each.poolZone]; backends > 0 && now.Before(each.until) {
-			slots[each.poolZone] = math.Max(0, slots[each.poolZone]-r.slots[each.poolZone]/float64(backends))
+func (c *capacity) liveSlots(now time.Time) map[demand.Place]float64 {
+	if len(c.failed) == 0 {
+		return c.slots
+	}
+	slots := maps.Clone(c.slots)
+	for _, failed := range c.failed {
+		if backends := c.backends[failed.poolZone]; backends > 0 && now.Before(failed.until) {
+			slots[failed.poolZone] = math.Max(0, slots[failed.poolZone]-c.slots[failed.poolZone]/float64(backends))
 		}
 	}
 	return slots
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -68,21 +68,21 @@
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	control.balancer.traffic = &traffic{}
-	judged := func(dead ...uint64) float64 {
-		ids := make([]incarnation.ID, len(dead))
-		for place, number := range dead {
-			ids[place].Number = number
+	slotsWithFailed := func(failed ...uint64) float64 {
+		ids := make([]incarnation.ID, len(failed))
+		for index, number := range failed {
+			ids[index].Number = number
 		}
 		control.balancer.traffic.observed.Store(&observe.Summary{At: now, Dead: ids})
 		control.updateDemand(now)
 		return control.balancer.DemandAggregate().Room[lendingPoolZone("giza")]
 	}
-	require.Equal(t, 8.0, judged())
-	require.Equal(t, 4.0, judged(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
+	require.Equal(t, 8.0, slotsWithFailed())
+	require.Equal(t, 4.0, slotsWithFailed(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
 	control.renewTable(now)
-	require.Equal(t, 4.0, judged(), "verdicts end before entries do")
+	require.Equal(t, 4.0, slotsWithFailed(), "verdicts end before entries do")
 	now = now.Add(failedHold)
-	require.Equal(t, 8.0, judged())
+	require.Equal(t, 8.0, slotsWithFailed())
 }
 
 func BenchmarkCapacity(b *testing.B) {
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -42,52 +42,52 @@
 }
 
 // next is what follows a telling at a time, or none if it must wait.
-func (t feedState) next(pressures map[demand.Place]float64, now time.Time) (feedState, bool) {
-	made := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
-	if now.Before(t.dueAt.Add(-feedTolerance)) {
-		return made, now.Sub(t.sentAt) >= urgentFeedInterval && pressureChanged(t.pressures, pressures)
+func (s feedState) next(pressures map[demand.Place]float64, now time.Time) (feedState, bool) {
+	next := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
+	if now.Before(s.dueAt.Add(-feedTolerance)) {
+		return next, now.Sub(s.sentAt) >= urgentFeedInterval && pressureChanged(s.pressures, pressures)
 	}
-	if now.Before(t.dueAt) {
-		made.dueAt = t.dueAt.Add(feedInterval)
+	if now.Before(s.dueAt) {
+		next.dueAt = s.dueAt.Add(feedInterval)
 	}
-	return made, true
+	return next, true
 }
 
 // totalDemandFor returns what a follower is told of all, or nil while it was told of late. The
 // picture is encoded once a look for all of them.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
-	t := &c.demand.feed
-	if t.encoded == nil || now.Sub(t.encodedAt) >= lookPause {
-		t.refresh(c.demand.tree.Picture(now), c.demand.capacity.slots, now)
+	f := &c.demand.feed
+	if f.encoded == nil || now.Sub(f.encodedAt) >= lookPause {
+		f.refresh(c.demand.tree.Picture(now), c.demand.capacity.slots, now)
 	}
-	next, may := t.sent[follower].next(t.pressures, now)
-	if !may {
+	next, due := f.sent[follower].next(f.pressures, now)
+	if !due {
 		return nil
 	}
-	t.sent[follower] = next
+	f.sent[follower] = next
 	return &apiv1.DemandReport{
-		Balancers:       t.encoded.GetBalancers(),
-		AgeMilliseconds: uint32(max(0, t.aggregate.Age(now)).Milliseconds()),
-		Zones:           t.encoded.GetZones(),
-		Places:          t.encoded.GetPlaces(),
+		Balancers:       f.encoded.GetBalancers(),
+		AgeMilliseconds: uint32(max(0, f.aggregate.Age(now)).Milliseconds()),
+		Zones:           f.encoded.GetZones(),
+		Places:          f.encoded.GetPlaces(),
 		Above:           uint32(c.demand.tree.Above(now)),
 	}
 }
 
 // refresh encodes a picture, and forgets the followers that no longer call.
-func (t *demandFeed) refresh(picture demand.Picture, room map[demand.Place]float64, now time.Time) {
-	t.encoded, t.aggregate, t.encodedAt = encodeAggregate(picture, now), picture, now
-	t.pressures = make(map[demand.Place]float64, len(picture.Places))
-	withRoom := picture.WithRoom(room)
-	for place := range picture.Places {
-		t.pressures[place] = withRoom.Pressure(place)
+func (f *demandFeed) refresh(aggregate demand.Picture, slots map[demand.Place]float64, now time.Time) {
+	f.encoded, f.aggregate, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
+	f.pressures = make(map[demand.Place]float64, len(aggregate.Places))
+	withRoom := aggregate.WithRoom(slots)
+	for poolZone := range aggregate.Places {
+		f.pressures[poolZone] = withRoom.Pressure(poolZone)
 	}
-	if t.sent == nil {
-		t.sent = make(map[string]feedState)
+	if f.sent == nil {
+		f.sent = make(map[string]feedState)
 	}
-	for follower, last := range t.sent {
+	for follower, last := range f.sent {
 		if now.Sub(last.sentAt) > feedTTL {
-			delete(t.sent, follower)
+			delete(f.sent, follower)
 		}
 	}
 }
@@ -96,13 +96,13 @@
 // without room are beyond all pressure before and after.
 func pressureChanged(before, after map[demand.Place]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > minPressureChange }
-	for place, pressure := range after {
-		if differs(before[place], pressure) {
+	for poolZone, pressure := range after {
+		if differs(before[poolZone], pressure) {
 			return true
 		}
 	}
-	for place, pressure := range before {
-		if _, found := after[place]; !found && differs(pressure, 0) {
+	for poolZone, pressure := range before {
+		if _, found := after[poolZone]; !found && differs(pressure, 0) {
 			return true
 		}
 	}
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -48,21 +48,21 @@
 	if c.balancer.traffic == nil {
 		return
 	}
-	for _, statement := range c.balancer.traffic.statements.take() {
-		c.testimony.buffer.Add(statement, "", now)
+	for _, observation := range c.balancer.traffic.statements.take() {
+		c.testimony.buffer.Add(observation, "", now)
 	}
 }
 
 // receiveObservations takes statements of another balancer: what is new is passed on, and judged by.
-func (c *control) receiveObservations(statements []evidence.Statement, from string, now time.Time) {
-	var news []evidence.Statement
-	for _, statement := range statements {
-		if c.testimony.buffer.Add(statement, from, now) {
-			news = append(news, statement)
+func (c *control) receiveObservations(observations []evidence.Statement, from string, now time.Time) {
+	var added []evidence.Statement
+	for _, observation := range observations {
+		if c.testimony.buffer.Add(observation, from, now) {
+			added = append(added, observation)
 		}
 	}
-	if len(news) > 0 && c.balancer.traffic != nil {
-		c.balancer.traffic.tell(news)
+	if len(added) > 0 && c.balancer.traffic != nil {
+		c.balancer.traffic.tell(added)
 	}
 }
 
@@ -74,18 +74,18 @@
 	}
 	leftAfter := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
 	leftBefore := c.balancer.started.Add(time.Duration(news.GetLeftBeforeNanoseconds()))
-	shown := time.Duration(news.GetClockMilliseconds()) * time.Millisecond
-	t.parentClock = evidence.NewClock(news.GetClock(), shown, leftAfter, leftBefore)
+	clock := time.Duration(news.GetClockMilliseconds()) * time.Millisecond
+	t.parentClock = evidence.NewClock(news.GetClock(), clock, leftAfter, leftBefore)
 	t.receivedSequence = max(t.receivedSequence, news.GetTestimonyLatest())
-	statements := make([]evidence.Statement, 0, len(news.GetTestimony()))
-	for _, each := range news.GetTestimony() {
+	observations := make([]evidence.Statement, 0, len(news.GetTestimony()))
+	for _, encoded := range news.GetTestimony() {
 		left := leftAfter
-		if each.GetAlive() {
+		if encoded.GetAlive() {
 			left = leftBefore
 		}
-		statements = append(statements, decodeObservation(each, left.Add(-time.Duration(each.GetMilliseconds())*time.Millisecond)))
+		observations = append(observations, decodeObservation(encoded, left.Add(-time.Duration(encoded.GetMilliseconds())*time.Millisecond)))
 	}
-	c.receiveObservations(statements, t.parent, now)
+	c.receiveObservations(observations, t.parent, now)
 }
 
 // sendObservations tells the balancer that is followed what it does not know yet.
@@ -94,15 +94,15 @@
 	if t.sending || now.Before(t.nextSendAt) || !t.parentClock.Known() || t.sentSequence == t.buffer.Latest() {
 		return
 	}
-	statements := t.buffer.Since(t.sentSequence, t.parent, now)
-	told := t.sentSequence
+	observations := t.buffer.Since(t.sentSequence, t.parent, now)
+	previous := t.sentSequence
 	t.sentSequence = t.buffer.Latest()
-	if len(statements) == 0 {
+	if len(observations) == 0 {
 		return
 	}
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Clock: t.parentClock.ID}
-	for _, statement := range selectObservations(statements) {
-		request.Testimony = append(request.Testimony, encodeObservation(statement, t.parentClock.There(statement)))
+	for _, observation := range selectObservations(observations) {
+		request.Testimony = append(request.Testimony, encodeObservation(observation, t.parentClock.There(observation)))
 	}
 	t.sending = true
 	t.nextSendAt = now.Add(batchDelay)
@@ -110,7 +110,7 @@
 	go func() {
 		err := client.Testify(ctx, parent, request)
 		c.balancer.peerCalls.count(err)
-		c.publish(ctx, &apiv1.DirectoryNews{Peer: parent, Testified: true, TestimonyLatest: told}, err)
+		c.publish(ctx, &apiv1.DirectoryNews{Peer: parent, Testified: true, TestimonyLatest: previous}, err)
 	}()
 }
 
@@ -145,12 +145,12 @@
 		c.balancer.logger.Debug("Control: statements in another clock are left out.", "peer", request.GetFromAddress())
 		return
 	}
-	statements := make([]evidence.Statement, 0, len(request.GetTestimony()))
-	for _, each := range request.GetTestimony() {
-		at := c.balancer.started.Add(time.Duration(each.GetMilliseconds()) * time.Millisecond)
-		statements = append(statements, decodeObservation(each, at))
+	observations := make([]evidence.Statement, 0, len(request.GetTestimony()))
+	for _, encoded := range request.GetTestimony() {
+		at := c.balancer.started.Add(time.Duration(encoded.GetMilliseconds()) * time.Millisecond)
+		observations = append(observations, decodeObservation(encoded, at))
 	}
-	c.receiveObservations(statements, request.GetFromAddress(), now)
+	c.receiveObservations(observations, request.GetFromAddress(), now)
 }
 
 // pendingObservations returns the statements that a follower was not told yet, once its call
@@ -171,25 +171,25 @@
 
 // addObservations adds statements to the answer of a follower, and the clock by which it
 // can tell its own.
-func (c *control) addObservations(reply *apiv1.FollowReply, statements []evidence.Statement, now time.Time) {
+func (c *control) addObservations(reply *apiv1.FollowReply, observations []evidence.Statement, now time.Time) {
 	reply.Clock = c.testimony.clock
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
 	reply.TestimonyLatest = c.testimony.buffer.Latest()
-	for _, statement := range selectObservations(statements) {
-		reply.Testimony = append(reply.Testimony, encodeObservation(statement, now.Sub(statement.When())))
+	for _, observation := range selectObservations(observations) {
+		reply.Testimony = append(reply.Testimony, encodeObservation(observation, now.Sub(observation.When())))
 	}
 }
 
 // selectObservations returns the statements for which one message has room: signs of life before
 // witnesses, since who misses one would judge a back end that lives.
-func selectObservations(statements []evidence.Statement) []evidence.Statement {
-	ordered := slices.Clone(statements)
-	slices.SortStableFunc(ordered, func(one, other evidence.Statement) int { return observationRank(one) - observationRank(other) })
+func selectObservations(observations []evidence.Statement) []evidence.Statement {
+	ordered := slices.Clone(observations)
+	slices.SortStableFunc(ordered, func(a, b evidence.Statement) int { return observationRank(a) - observationRank(b) })
 	return ordered[:min(len(ordered), maxObservations)]
 }
 
-func observationRank(statement evidence.Statement) int {
-	if _, is := statement.(evidence.SignOfLife); is {
+func observationRank(observation evidence.Statement) int {
+	if _, ok := observation.(evidence.SignOfLife); ok {
 		return 0
 	}
 	return 1
@@ -197,8 +197,8 @@
 
 // encodeObservation returns a statement for a message, with the time in the form that the
 // message takes.
-func encodeObservation(statement evidence.Statement, at time.Duration) *apiv1.Testimony {
-	switch s := statement.(type) {
+func encodeObservation(observation evidence.Statement, at time.Duration) *apiv1.Testimony {
+	switch s := observation.(type) {
 	case evidence.Witness:
 		// Rounded down it is older, or its age greater by the answer's own rounding.
 		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Client: uint32(s.Client),
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -29,10 +29,10 @@
 		defer close(done)
 		for ctx.Err() == nil {
 			select {
-			case asking := <-c.followers:
-				c.take(asking)
-			case told := <-c.testimonies:
-				c.handleTestifyRequest(told, time.Now())
+			case call := <-c.followers:
+				c.take(call)
+			case request := <-c.testimonies:
+				c.handleTestifyRequest(request, time.Now())
 			case <-time.After(time.Millisecond):
 			}
 			c.answerWaiting(time.Now())
@@ -83,13 +83,13 @@
 	require.False(t, child.testimony.sending)
 
 	other.followOnce(t, address)
-	heard := other.testimony.buffer.Since(0, "", time.Now())
-	require.Len(t, heard, 1)
-	witness := heard[0].(evidence.Witness)
-	require.Equal(t, evidence.Backend{Number: 7}, witness.Backend)
-	require.Equal(t, "maadi", witness.Zone)
-	require.False(t, witness.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
-	require.WithinDuration(t, now.Add(-700*time.Millisecond), witness.SentAt, 5*time.Second)
+	received := other.testimony.buffer.Since(0, "", time.Now())
+	require.Len(t, received, 1)
+	unanswered := received[0].(evidence.Witness)
+	require.Equal(t, evidence.Backend{Number: 7}, unanswered.Backend)
+	require.Equal(t, "maadi", unanswered.Zone)
+	require.False(t, unanswered.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
+	require.WithinDuration(t, now.Add(-700*time.Millisecond), unanswered.SentAt, 5*time.Second)
 	require.Equal(t, uint64(1), other.testimony.receivedSequence)
 	require.Empty(t, other.testimony.buffer.Since(0, address, time.Now()), "who told it is not told")
 }
@@ -137,13 +137,13 @@
 
 // One message has room for so many statements; signs of life are among them.
 func TestActivityIsSentFirst(t *testing.T) {
-	var statements []evidence.Statement
+	var observations []evidence.Statement
 	for number := range uint64(2 * maxObservations) {
-		statements = append(statements, evidence.Witness{Backend: evidence.Backend{Number: number}})
+		observations = append(observations, evidence.Witness{Backend: evidence.Backend{Number: number}})
 	}
-	statements = append(statements, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}})
-	told := selectObservations(statements)
-	require.Len(t, told, maxObservations)
-	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}}, told[0])
-	require.Equal(t, evidence.Witness{Backend: evidence.Backend{Number: 0}}, told[1], "the others in their order")
+	observations = append(observations, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}})
+	selected := selectObservations(observations)
+	require.Len(t, selected, maxObservations)
+	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}}, selected[0])
+	require.Equal(t, evidence.Witness{Backend: evidence.Backend{Number: 0}}, selected[1], "the others in their order")
 }
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -36,7 +36,7 @@
 // newWarmupState collects what the coldness of back ends depends on.
 func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
-	made := &warmupState{
+	state := &warmupState{
 		directory: c.known,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
@@ -47,14 +47,14 @@
 		now:       now,
 	}
 	for _, pool := range c.known.Routes().GetWarmups() {
-		made.pools[pool.GetPool()] = pool
+		state.pools[pool.GetPool()] = pool
 	}
 	for _, order := range c.known.Evacuations() {
 		if !order.Holds() {
-			made.revokedAt[order.Zone] = order.GoneAt
+			state.revokedAt[order.Zone] = order.GoneAt
 		}
 	}
-	return made
+	return state
 }
 
 // otherBalancers are the hashes of the names of the other balancers.
@@ -116,12 +116,12 @@
 // that was taken back may have turned cold just before, and have told it or not.
 func (w *warmupState) coldUntil(backend directory.BackendEntry) time.Time {
 	var until time.Time
-	if left := backend.GetWarmupMilliseconds(); left > 0 {
-		until = backend.LearnedAt.Add(time.Duration(left) * time.Millisecond)
+	if remaining := backend.GetWarmupMilliseconds(); remaining > 0 {
+		until = backend.LearnedAt.Add(time.Duration(remaining) * time.Millisecond)
 	}
-	if back, found := w.revokedAt[backend.GetZone()]; found {
-		length := time.Duration(w.pools[backend.GetPool()].GetMilliseconds()) * time.Millisecond
-		if end := back.Add(length); end.After(until) {
+	if revoked, found := w.revokedAt[backend.GetZone()]; found {
+		period := time.Duration(w.pools[backend.GetPool()].GetMilliseconds()) * time.Millisecond
+		if end := revoked.Add(period); end.After(until) {
 			until = end
 		}
 	}
@@ -130,11 +130,11 @@
 
 // allowance is how many new flows this balancer may send to a cold back end within
 // a second, of what all may.
-func (w *warmupState) allowance(number uint64, bears float64) int {
-	if bears < 1 {
+func (w *warmupState) allowance(number uint64, limit float64) int {
+	if limit < 1 {
 		return 0
 	}
-	budget := max(1, int(bears*budgetFraction))
+	budget := max(1, int(limit*budgetFraction))
 	users := min(budget, len(w.otherBalancers())+1)
 	if w.rank(number) >= users {
 		return 0
@@ -176,14 +176,14 @@
 
 // logEvacuations logs the orders that have come into force or ended with a table.
 func (c *control) logEvacuations(before, after map[string]uint64) {
-	for zone, ordered := range after {
-		if before[zone] != ordered {
-			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Text(ordered))
+	for zone, orderRevision := range after {
+		if before[zone] != orderRevision {
+			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Text(orderRevision))
 		}
 	}
-	for zone, ordered := range before {
-		if _, holds := after[zone]; !holds {
-			c.balancer.logger.Info("Control: zone is taken back.", "zone", zone, "ordered_at_revision", revision.Text(ordered))
+	for zone, orderRevision := range before {
+		if _, active := after[zone]; !active {
+			c.balancer.logger.Info("Control: zone is taken back.", "zone", zone, "ordered_at_revision", revision.Text(orderRevision))
 		}
 	}
 }
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -40,23 +40,23 @@
 
 // newColdFleet makes a fleet of which some balancers do not know a part of the
 // others.
-func newColdFleet(size int, way string, allCold bool) *coldFleet {
-	made := &coldFleet{random: rand.New(rand.NewPCG(1, uint64(size))), now: time.Now(), newFlows: make(map[uint64][]time.Time)}
+func newColdFleet(size int, mode string, allCold bool) *coldFleet {
+	fleet := &coldFleet{random: rand.New(rand.NewPCG(1, uint64(size))), now: time.Now(), newFlows: make(map[uint64][]time.Time)}
 	zones := []string{"maadi", "nasr", "giza"}
-	for place := range size {
+	for index := range size {
 		c := newTestControl()
-		loaded := testSettings()
-		loaded.Name, loaded.Zone = fmt.Sprintf("edge-%d", place), zones[place%len(zones)]
-		if way == modeLimited {
-			loaded.WarmupOvershoot, loaded.WarmupSlack = 1.5, 5
+		settings := testSettings()
+		settings.Name, settings.Zone = fmt.Sprintf("edge-%d", index), zones[index%len(zones)]
+		if mode == modeLimited {
+			settings.WarmupOvershoot, settings.WarmupSlack = 1.5, 5
 		}
-		c.balancer.settings.Store(loaded)
-		c.firstAt = made.now.Add(-time.Hour)
-		c.known.Apply(made.entries(size, place, zones, allCold), made.now)
-		made.controls = append(made.controls, c)
-		made.flows = append(made.flows, tokenroute.NewFlows(mechanism.Set{}))
+		c.balancer.settings.Store(settings)
+		c.firstAt = fleet.now.Add(-time.Hour)
+		c.known.Apply(fleet.entries(size, index, zones, allCold), fleet.now)
+		fleet.controls = append(fleet.controls, c)
+		fleet.flows = append(fleet.flows, tokenroute.NewFlows(mechanism.Set{}))
 	}
-	return made
+	return fleet
 }
 
 // entries are what a balancer knows: 40 back ends in each zone, those of the last
@@ -74,12 +74,12 @@
 		}
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 2, Entry: &apiv1.DirectoryChange_Backend{Backend: entry}})
 	}
-	for place := range size {
-		if (place+self)%7 == 0 {
+	for index := range size {
+		if (index+self)%7 == 0 {
 			continue // not known to this balancer yet
 		}
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
-			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", place), Zone: zones[place%len(zones)], PeerAddress: "10.0.0.1:1"}}})
+			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", index), Zone: zones[index%len(zones)], PeerAddress: "10.0.0.1:1"}}})
 	}
 	return batch
 }
@@ -87,18 +87,18 @@
 // run opens so many flows a second, each at any balancer.
 func (f *coldFleet) run(perSecond int) {
 	tables := make([]*tokenroute.Table, len(f.controls))
-	for place, c := range f.controls {
+	for index, c := range f.controls {
 		evacuated := c.evacuatedZones()
-		tables[place] = tokenroute.NewTable(c.known, tokenroute.Options{Weigh: c.weightFunc(evacuated, f.now),
+		tables[index] = tokenroute.NewTable(c.known, tokenroute.Options{Weigh: c.weightFunc(evacuated, f.now),
 			Evacuated: evacuated, Warm: c.newWarmupState(f.now).warmup, Now: f.now})
 	}
 	total := perSecond * int(coldPeriod/time.Second)
 	for number := range total {
 		at := f.now.Add(coldPeriod * time.Duration(number) / time.Duration(total))
-		place := f.random.IntN(len(f.controls))
+		index := f.random.IntN(len(f.controls))
 		key := flow.Key{Source: [4]byte{100, 64, byte(number >> 8), byte(number)}, SourcePort: uint16(f.random.Uint32()),
 			Destination: [4]byte{0, 0, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
-		decision := f.flows[place].Decide(tables[place], tokenroute.Packet{Key: key, First: true}, at)
+		decision := f.flows[index].Decide(tables[index], tokenroute.Packet{Key: key, First: true}, at)
 		switch {
 		case decision.Verdict == tokenroute.Refuse:
 			f.refused++
@@ -114,17 +114,17 @@
 
 // maxFlowsPerSecond is how many new flows a cold back end got in any second.
 func (f *coldFleet) maxFlowsPerSecond() int {
-	most := 0
+	highest := 0
 	for _, times := range f.newFlows {
 		first := 0
-		for place, at := range times {
+		for index, at := range times {
 			for at.Sub(times[first]) >= time.Second {
 				first++
 			}
-			most = max(most, place-first+1)
+			highest = max(highest, index-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
 // A zone comes back cold and empty at full demand: its balancers prefer it, and the
@@ -132,9 +132,9 @@
 // a second from all balancers together, and no client is refused for it.
 func TestReturningColdZoneIsNotOverloaded(t *testing.T) {
 	for _, size := range []int{8, 88, 300} {
-		ignoring := newColdFleet(size, modeIgnore, false)
-		ignoring.run(1500)
-		require.Greater(t, ignoring.maxFlowsPerSecond(), 5, "the danger is there, with %d balancers", size)
+		unlimited := newColdFleet(size, modeIgnore, false)
+		unlimited.run(1500)
+		require.Greater(t, unlimited.maxFlowsPerSecond(), 5, "the danger is there, with %d balancers", size)
 		fleet := newColdFleet(size, modeLimited, false)
 		fleet.run(1500)
 		require.LessOrEqual(t, fleet.maxFlowsPerSecond(), 5, "%d balancers", size)
@@ -159,11 +159,11 @@
 func TestZoneWithRevokedEvacuationCountsAsCold(t *testing.T) {
 	fleet := newColdFleet(1, modeLimited, false)
 	c := fleet.controls[0]
-	order := func(revision uint64, gone bool) *apiv1.DirectoryBatch {
-		return &apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{{Revision: revision, Gone: gone,
+	order := func(revision uint64, revoked bool) *apiv1.DirectoryBatch {
+		return &apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{{Revision: revision, Gone: revoked,
 			Entry: &apiv1.DirectoryChange_Evacuation{Evacuation: &apiv1.Evacuation{Zone: "maadi"}}}}}
 	}
-	coldOnes := func(now time.Time) int {
+	countCold := func(now time.Time) int {
 		warming, count := c.newWarmupState(now), 0
 		for _, backend := range c.known.Backends() {
 			if backend.GetZone() == "maadi" && !warming.warmup(backend).Until.IsZero() {
@@ -174,11 +174,11 @@
 	}
 	c.known.Apply(order(10, false), fleet.now)
 	require.Contains(t, c.evacuatedZones(), "maadi")
-	require.Zero(t, coldOnes(fleet.now))
+	require.Zero(t, countCold(fleet.now))
 	c.known.Apply(order(11, true), fleet.now.Add(time.Second))
 	require.NotContains(t, c.evacuatedZones(), "maadi")
-	require.Equal(t, 40, coldOnes(fleet.now.Add(time.Second)))
-	require.Zero(t, coldOnes(fleet.now.Add(time.Second+coldPeriod)))
+	require.Equal(t, 40, countCold(fleet.now.Add(time.Second)))
+	require.Zero(t, countCold(fleet.now.Add(time.Second+coldPeriod)))
 }
 
 // The slots of an evacuated zone are no room: its balancers spread over the others
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -51,20 +51,20 @@
 func (c *control) newWeights(evacuated map[string]uint64, now time.Time) *weights {
 	zone := c.balancer.settings.Load().GetZone()
 	off := c.balancer.off
-	made := &weights{
+	result := &weights{
 		control:        c,
 		zone:           zone,
 		programs:       make(map[string]*policy.Program),
 		spreadAllZones: now.Sub(c.firstAt) < startupSpreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
 	}
 	c.measureCapacity(evacuated, now)
-	made.pools = c.demand.capacity.pools
-	c.observed.beginTable(made.pools)
-	c.observed.weightedByShares = make(map[string]bool, len(made.pools))
-	for pool := range made.pools {
-		c.observed.weightedByShares[pool] = made.usesPlannedShares(pool)
+	result.pools = c.demand.capacity.pools
+	c.observed.beginTable(result.pools)
+	c.observed.weightedByShares = make(map[string]bool, len(result.pools))
+	for pool := range result.pools {
+		c.observed.weightedByShares[pool] = result.usesPlannedShares(pool)
 	}
-	return made
+	return result
 }
 
 // weightFunc gives the weight of a back end.
@@ -88,19 +88,19 @@
 }
 
 // uniformWeight is the weight of each back end of a place, where all have the same.
-func (w *weights) uniformWeight(place directory.Place) (weight uint32, uniform bool) {
-	if w.program(place.Pool) != nil || len(w.control.observed.unhealthy) > 0 {
+func (w *weights) uniformWeight(poolZone directory.Place) (weight uint32, uniform bool) {
+	if w.program(poolZone.Pool) != nil || len(w.control.observed.unhealthy) > 0 {
 		return 0, false
 	}
-	return uint32(math.Ceil(w.poolZoneWeight(place) * rule.MaximumWeight)), true
+	return uint32(math.Ceil(w.poolZoneWeight(poolZone) * rule.MaximumWeight)), true
 }
 
 // poolZoneWeight is the weight, 0 to 1, of a place's back ends that are well.
-func (w *weights) poolZoneWeight(place directory.Place) float64 {
+func (w *weights) poolZoneWeight(poolZone directory.Place) float64 {
 	if w.spreadAllZones {
 		return 1
 	}
-	return w.zoneWeight(place)
+	return w.zoneWeight(poolZone)
 }
 
 // zoneChosenByWeights tells whether the weights alone choose the zone of a pool's new flows: where they
@@ -120,8 +120,8 @@
 
 // program is the policy of a pool, or nil when the zones decide.
 func (w *weights) program(pool string) *policy.Program {
-	program, known := w.programs[pool]
-	if !known {
+	program, cached := w.programs[pool]
+	if !cached {
 		program = w.control.programs.lookup(w.control.known, pool)
 		w.programs[pool] = program
 	}
@@ -140,19 +140,19 @@
 }
 
 // zoneWeight is the weight, 0 to 1, of a pool's back ends in a zone.
-func (w *weights) zoneWeight(place directory.Place) float64 {
-	if parts := w.plannedShares(place.Pool); parts != nil {
-		return w.control.shareWeight(parts, poolZoneOf(place))
+func (w *weights) zoneWeight(poolZone directory.Place) float64 {
+	if zoneShares := w.plannedShares(poolZone.Pool); zoneShares != nil {
+		return w.control.shareWeight(zoneShares, poolZoneOf(poolZone))
 	}
-	if place.Zone == w.zone {
+	if poolZone.Zone == w.zone {
 		return 1
 	}
-	return w.control.remoteWeight(place.Pool, w.pools[place.Pool])
+	return w.control.remoteWeight(poolZone.Pool, w.pools[poolZone.Pool])
 }
 
 // poolZoneOf is a place of the directory as demand knows it.
-func poolZoneOf(place directory.Place) demand.Place {
-	return demand.Place{Pool: demand.Pool(place.Pool), Zone: demand.Zone(place.Zone)}
+func poolZoneOf(poolZone directory.Place) demand.Place {
+	return demand.Place{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
 }
 
 // remoteWeight is the weight, 0 to 1, of a pool's back ends in other zones.
@@ -210,22 +210,22 @@
 }
 
 // lookup returns the program for a pool, or nil when the zones decide.
-func (p *policyCache) lookup(known *directory.Directory, pool string) *policy.Program {
-	found := known.Policy(pool)
-	if found == nil {
-		found = known.Policy(defaultPolicy)
+func (p *policyCache) lookup(dir *directory.Directory, pool string) *policy.Program {
+	source := dir.Policy(pool)
+	if source == nil {
+		source = dir.Policy(defaultPolicy)
 	}
-	if found == nil {
+	if source == nil {
 		return nil
 	}
-	kept := p.compiled[found.GetName()]
-	if kept == nil || kept.policy != found {
-		program, err := policy.Compile(found)
+	cached := p.compiled[source.GetName()]
+	if cached == nil || cached.policy != source {
+		program, err := policy.Compile(source)
 		if err != nil {
 			program = nil
 		}
-		kept = &compiledPolicy{policy: found, program: program}
-		p.compiled[found.GetName()] = kept
+		cached = &compiledPolicy{policy: source, program: program}
+		p.compiled[source.GetName()] = cached
 	}
-	return kept.program
+	return cached.program
 }
