--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -89,7 +89,7 @@
 		Level: loaded.GetLogLevel(), Format: loaded.GetLogFormat(), Node: loaded.GetName(),
 	})
 	needs := outside(loaded, logger)
-	needs.PeerListen = peerListen
+	needs.PeerListenAddress = peerListen
 	made, err := balancer.New(loaded, needs, logger)
 	if err != nil {
 		return err
@@ -109,13 +109,13 @@
 	return group.Wait()
 }
 
-func outside(loaded *apiv1.BalancerSettings, logger *slog.Logger) balancer.Outside {
+func outside(loaded *apiv1.BalancerSettings, logger *slog.Logger) balancer.Dependencies {
 	clientPort := netip.MustParseAddrPort(loaded.GetDataAddress()).Port()
 	faulty := &entryLog{logger: logger}
-	return balancer.Outside{
-		Codec:     platform.Codec{ClientPort: clientPort},
-		Store:     platform.NewStore(loaded.GetStoreAddress(), faulty.tell),
-		Readiness: platform.ReadinessHandler,
+	return balancer.Dependencies{
+		Codec:               platform.Codec{ClientPort: clientPort},
+		Store:               platform.NewStore(loaded.GetStoreAddress(), faulty.tell),
+		NewReadinessHandler: platform.ReadinessHandler,
 	}
 }
 
--- a/internal/admission/burst_test.go
+++ b/internal/admission/burst_test.go
@@ -24,7 +24,7 @@
 )
 
 type try struct {
-	urgency Urgency
+	urgency Priority
 	begun   time.Duration
 	number  int
 	// open is set for requests on flows that are open, which nobody refuses.
@@ -38,8 +38,8 @@
 
 type fleet struct {
 	chance   *rand.Rand
-	gates    []*Gate
-	levels   []*Levels
+	gates    []*Controller
+	levels   []*Refusals
 	waiting  []int
 	followed []float64
 	backends [fleetBackends][]try
@@ -51,10 +51,10 @@
 func newFleet(seed uint64, gated bool) *fleet {
 	made := &fleet{chance: rand.New(rand.NewPCG(seed, 1)), later: make(map[time.Duration][]func(time.Duration)),
 		tallies: make(map[string]*account), waiting: make([]int, fleetBalancers), followed: make([]float64, fleetBalancers),
-		levels: make([]*Levels, fleetBalancers)}
+		levels: make([]*Refusals, fleetBalancers)}
 	for range fleetBalancers {
 		if gated {
-			made.gates = append(made.gates, NewGate())
+			made.gates = append(made.gates, NewController())
 		}
 	}
 	return made
@@ -85,7 +85,7 @@
 
 func (f *fleet) begin(t try, now time.Duration) {
 	t.balancer = f.chance.IntN(fleetBalancers)
-	if !t.open && f.levels[t.balancer].Refusing("pool", t.urgency, f.chance.Uint64()) != nil {
+	if !t.open && f.levels[t.balancer].Match("pool", t.urgency, f.chance.Uint64()) != nil {
 		f.tally(t).refused++
 		f.again(t, now)
 		return
@@ -132,8 +132,8 @@
 	for place, gate := range f.gates {
 		f.followed[place] += 0.5 * (float64(f.waiting[place]) - f.followed[place])
 		pressure := f.followed[place] * fleetBalancers / (fleetBackends * fleetSlots)
-		f.levels[place] = gate.Step([]Demand{{Pool: "pool", Urgencies: []Urgency{1, 2},
-			Pressure: Pressure{Waiting: pressure, SeenAt: clock.Add(-time.Second)}}}, clock)
+		f.levels[place] = gate.Update([]PoolState{{Pool: "pool", Priorities: []Priority{1, 2},
+			Pressure: Pressure{RequestsPerSlot: pressure, SeenAt: clock.Add(-time.Second)}}}, clock)
 	}
 }
 
@@ -151,7 +151,7 @@
 		}
 		for range 4 {
 			if f.chance.Float64() < rate/4 {
-				t := try{urgency: Urgency(1 + min(f.chance.IntN(3), 1)), begun: now}
+				t := try{urgency: Priority(1 + min(f.chance.IntN(3), 1)), begun: now}
 				t.open = t.urgency == 2 && f.chance.IntN(2) == 0
 				f.tally(t).asked++
 				f.begin(t, now)
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -19,7 +19,7 @@
 //
 // # Usage
 //
-//	gate := admission.NewGate()
+//	gate := admission.NewController()
 //	levels := gate.Step(pools, now)
 //	if level := levels.Refusing(pool, urgency, draw); level != nil { ... }
 package admission
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -7,78 +7,78 @@
 )
 
 const (
-	// yieldAt is the pressure at which the less urgent give way. Flows fall on back ends
+	// lowestPriorityTarget is the pressure at which the less urgent give way. Flows fall on back ends
 	// by chance, so that with three requests for each slot none idles, some back ends
 	// have queues near their end, and an answer takes three times its work. At 4 urgent
 	// requests met full queues a fifth more often.
-	yieldAt = 3.0
-	// shedAt is the pressure from which on the more urgent are refused too: a refusal
+	lowestPriorityTarget = 3.0
+	// otherPrioritiesTarget is the pressure from which on the more urgent are refused too: a refusal
 	// costs its client one of three tries, and only where most back ends shed is that
 	// dearer. At 5 one urgent request of twenty was refused for good, at 8 one of 300.
-	shedAt = 8.0
-	// freeBelow is the pressure below which slots may be free, and nobody is refused:
+	otherPrioritiesTarget = 8.0
+	// idlePressure is the pressure below which slots may be free, and nobody is refused:
 	// what is seen of it is uncertain by a third.
-	freeBelow = 1.5
-	// oldAfter is the age from which on a pressure is unknown. Pictures are one to two
+	idlePressure = 1.5
+	// maximumPressureAge is the age from which on a pressure is unknown. Pictures are one to two
 	// seconds old, and of one it is only taken which part of all a balancer sees.
-	oldAfter = 4 * time.Second
-	// startTime is how long a gate only looks on.
-	startTime = 2 * time.Second
-	// riseTime is the time in which the part refused goes from nothing to all at twice
+	maximumPressureAge = 4 * time.Second
+	// startupDelay is how long a gate only looks on.
+	startupDelay = 2 * time.Second
+	// rampTime is the time in which the part refused goes from nothing to all at twice
 	// the pressure that is aimed at. A burst fills all queues within a second; much
 	// faster, it follows what is chance in the pressure.
-	riseTime = 500 * time.Millisecond
-	// swing is the part that is refused at once at twice that pressure.
-	swing = 0.3
-	// leastAdmitted is the part of the most urgent that passes in any case: what is
+	rampTime = 500 * time.Millisecond
+	// proportionalGain is the part that is refused at once at twice that pressure.
+	proportionalGain = 0.3
+	// minimumAdmitted is the part of the most urgent that passes in any case: what is
 	// served tells when there is room again.
-	leastAdmitted = 0.1
+	minimumAdmitted = 0.1
 )
 
-// Demand is what a gate decides on a pool by.
-type Demand struct {
+// PoolState is what a gate decides on a pool by.
+type PoolState struct {
 	Pool string
-	// Urgencies are those of the pool's routes, each once.
-	Urgencies []Urgency
-	Pressure  Pressure
+	// Priorities are those of the pool's routes, each once.
+	Priorities []Priority
+	Pressure   Pressure
 }
 
-// held is what a gate holds on a pool: yielding is the part of the least urgent that is
+// integrals is what a gate holds on a pool: yielding is the part of the least urgent that is
 // refused, and shedding how many ranks of the others, from the less urgent on.
-type held struct {
-	yielding, shedding float64
+type integrals struct {
+	lowestPriority, otherPriorities float64
 }
 
-// Gate moves the levels of pools. It belongs to one goroutine.
-type Gate struct {
+// Controller moves the levels of pools. It belongs to one goroutine.
+type Controller struct {
 	startedAt time.Time
-	steppedAt time.Time
-	pools     map[string]*held
+	updatedAt time.Time
+	pools     map[string]*integrals
 }
 
-// NewGate makes a gate that refuses nobody.
-func NewGate() *Gate { return &Gate{pools: make(map[string]*held)} }
+// NewController makes a gate that refuses nobody.
+func NewController() *Controller { return &Controller{pools: make(map[string]*integrals)} }
 
-// Step follows the demand on all pools and returns the levels in force, nil when
+// Update follows the demand on all pools and returns the levels in force, nil when
 // nobody is refused.
-func (g *Gate) Step(demands []Demand, now time.Time) *Levels {
+func (g *Controller) Update(demands []PoolState, now time.Time) *Refusals {
 	if g.startedAt.IsZero() {
-		g.startedAt, g.steppedAt = now, now
+		g.startedAt, g.updatedAt = now, now
 	}
-	passed := min(now.Sub(g.steppedAt), riseTime)
-	g.steppedAt = now
-	made := &Levels{pools: make(map[string][]Level)}
-	known := make(map[string]*held, len(demands))
+	passed := min(now.Sub(g.updatedAt), rampTime)
+	g.updatedAt = now
+	made := &Refusals{pools: make(map[string][]Refusal)}
+	known := make(map[string]*integrals, len(demands))
 	for _, demand := range demands {
-		if now.Sub(g.startedAt) < startTime || !demand.Pressure.known(now) {
+		if now.Sub(g.startedAt) < startupDelay || !demand.Pressure.usable(now) {
 			continue
 		}
 		pool := g.pools[demand.Pool]
 		if pool == nil {
-			pool = &held{}
+			pool = &integrals{}
 		}
 		known[demand.Pool] = pool
-		if levels := demand.move(pool, passed); len(levels) > 0 {
+		if levels := demand.update(pool, passed); len(levels) > 0 {
 			made.pools[demand.Pool] = levels
 		}
 	}
@@ -89,67 +89,67 @@
 	return made
 }
 
-func (p Pressure) known(now time.Time) bool {
-	return !p.SeenAt.IsZero() && p.Age(now) < oldAfter
+func (p Pressure) usable(now time.Time) bool {
+	return !p.SeenAt.IsZero() && p.Age(now) < maximumPressureAge
 }
 
-// move moves what is refused and returns the levels above nothing. Others follow the
+// update moves what is refused and returns the levels above nothing. Others follow the
 // least urgent only when all of those give way and it is not enough; where requests are
 // of one urgency, nobody gives way to another.
-func (d *Demand) move(held *held, passed time.Duration) []Level {
-	if d.Pressure.Waiting < freeBelow {
-		held.yielding, held.shedding = 0, 0
+func (d *PoolState) update(held *integrals, passed time.Duration) []Refusal {
+	if d.Pressure.RequestsPerSlot < idlePressure {
+		held.lowestPriority, held.otherPriorities = 0, 0
 		return nil
 	}
-	step := passed.Seconds() / riseTime.Seconds()
-	ranks := float64(len(d.Urgencies))
+	step := passed.Seconds() / rampTime.Seconds()
+	ranks := float64(len(d.Priorities))
 	if ranks > 1 {
-		held.yielding = min(max(held.yielding+step*d.excess(yieldAt), 0), 1)
+		held.lowestPriority = min(max(held.lowestPriority+step*d.relativeError(lowestPriorityTarget), 0), 1)
 		ranks--
 	}
-	shedding := held.shedding + step*d.excess(shedAt)
-	if len(d.Urgencies) > 1 && held.yielding < 1 {
-		shedding = min(shedding, held.shedding)
+	shedding := held.otherPriorities + step*d.relativeError(otherPrioritiesTarget)
+	if len(d.Priorities) > 1 && held.lowestPriority < 1 {
+		shedding = min(shedding, held.otherPriorities)
 	}
-	held.shedding = min(max(shedding, 0), ranks)
-	return d.levels(held)
+	held.otherPriorities = min(max(shedding, 0), ranks)
+	return d.refusals(held)
 }
 
-// excess is by how much the pressure is above a target, as a part of it, -1 to 1.
-func (d *Demand) excess(target float64) float64 {
-	return max(min((d.Pressure.Waiting-target)/target, 1), -1)
+// relativeError is by how much the pressure is above a target, as a part of it, -1 to 1.
+func (d *PoolState) relativeError(target float64) float64 {
+	return max(min((d.Pressure.RequestsPerSlot-target)/target, 1), -1)
 }
 
-// levels are those that refuse anybody, the least urgent first.
-func (d *Demand) levels(held *held) []Level {
-	ordered := slices.Clone(d.Urgencies)
-	slices.SortFunc(ordered, func(a, b Urgency) int { return cmp.Compare(b, a) })
+// refusals are those that refuse anybody, the least urgent first.
+func (d *PoolState) refusals(held *integrals) []Refusal {
+	ordered := slices.Clone(d.Priorities)
+	slices.SortFunc(ordered, func(a, b Priority) int { return cmp.Compare(b, a) })
 	refused := make([]float64, 0, len(ordered))
 	if len(ordered) > 1 {
-		refused = append(refused, swung(held.yielding, d.excess(yieldAt), 0))
+		refused = append(refused, refusedFraction(held.lowestPriority, d.relativeError(lowestPriorityTarget), 0))
 	}
 	for rank := range len(ordered) - len(refused) {
-		refused = append(refused, swung(held.shedding, d.excess(shedAt), rank))
+		refused = append(refused, refusedFraction(held.otherPriorities, d.relativeError(otherPrioritiesTarget), rank))
 	}
 	last := len(refused) - 1
-	refused[last] = min(refused[last], 1-leastAdmitted)
-	var levels []Level
+	refused[last] = min(refused[last], 1-minimumAdmitted)
+	var levels []Refusal
 	for place, part := range refused {
 		if place > 0 {
 			// The routes may have changed since what is held rose.
 			part = min(part, refused[place-1])
 		}
 		if part > 0 {
-			levels = append(levels, Level{Pool: d.Pool, Urgency: ordered[place], Refused: part, Pressure: d.Pressure})
+			levels = append(levels, Refusal{Pool: d.Pool, Priority: ordered[place], Fraction: part, Pressure: d.Pressure})
 		}
 	}
 	return levels
 }
 
-// swung is the part refused of a rank. Nothing is refused before what is held rises.
-func swung(held, excess float64, rank int) float64 {
+// refusedFraction is the part refused of a rank. Nothing is refused before what is held rises.
+func refusedFraction(held, excess float64, rank int) float64 {
 	if held == 0 {
 		return 0
 	}
-	return min(max(held+swing*excess-float64(rank), 0), 1)
+	return min(max(held+proportionalGain*excess-float64(rank), 0), 1)
 }
--- a/internal/admission/levels.go
+++ b/internal/admission/levels.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Urgency orders requests, 0 first.
-type Urgency uint32
+// Priority orders requests, 0 first.
+type Priority uint32
 
-// Level is the part of a pool's new flows of one urgency that is refused. It is
+// Refusal is the part of a pool's new flows of one urgency that is refused. It is
 // immutable.
-type Level struct {
-	Pool    string
-	Urgency Urgency
-	// Refused is that part, 0 to 1.
-	Refused float64
+type Refusal struct {
+	Pool     string
+	Priority Priority
+	// Fraction is that part, 0 to 1.
+	Fraction float64
 	// Pressure is what it was decided by.
 	Pressure Pressure
 }
 
-// Levels are those in force. They are immutable; nil refuses nobody.
-type Levels struct {
-	pools map[string][]Level
+// Refusals are those in force. They are immutable; nil refuses nobody.
+type Refusals struct {
+	pools map[string][]Refusal
 }
 
-// Refusing returns the level by which a new flow is refused, or nil when it may
+// Match returns the level by which a new flow is refused, or nil when it may
 // pass. Draw is a number that is even over flows.
-func (l *Levels) Refusing(pool string, urgency Urgency, draw uint64) *Level {
+func (l *Refusals) Match(pool string, urgency Priority, draw uint64) *Refusal {
 	if l == nil {
 		return nil
 	}
 	levels := l.pools[pool]
 	for place := range levels {
 		level := &levels[place]
-		if level.Urgency == urgency && level.covers(draw) {
+		if level.Priority == urgency && level.matches(draw) {
 			return level
 		}
 	}
@@ -41,8 +41,8 @@
 }
 
 // All are the levels that refuse anybody.
-func (l *Levels) All() []Level {
-	var all []Level
+func (l *Refusals) All() []Refusal {
+	var all []Refusal
 	if l == nil {
 		return nil
 	}
@@ -52,13 +52,13 @@
 	return all
 }
 
-func (l *Level) covers(draw uint64) bool {
-	return float64(Draw(draw)>>32) < l.Refused*(math.MaxUint32+1)
+func (l *Refusal) matches(draw uint64) bool {
+	return float64(IndependentHash(draw)>>32) < l.Fraction*(math.MaxUint32+1)
 }
 
-// Draw makes of the hash of a flow a number that is independent of the one that
+// IndependentHash makes of the hash of a flow a number that is independent of the one that
 // orders back ends (the finalizer of splitmix64).
-func Draw(hash uint64) uint64 {
+func IndependentHash(hash uint64) uint64 {
 	hash += 0x9e3779b97f4a7c15
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
@@ -67,7 +67,7 @@
 
 // Pressure is how many requests wait for each slot that takes new flows.
 type Pressure struct {
-	Waiting float64
+	RequestsPerSlot float64
 	// SeenAt is when the oldest part of it was seen; zero is never.
 	SeenAt time.Time
 }
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -15,9 +15,9 @@
 
 // admissionState is what the control goroutine knows of admission.
 type admissionState struct {
-	controller *admission.Gate
+	controller *admission.Controller
 	// priorities are those of the routes in force, by pool.
-	priorities map[string][]admission.Urgency
+	priorities map[string][]admission.Priority
 	pressures  pressureEstimator
 	// overloaded are the pools that some flows are refused of.
 	overloaded map[string]bool
@@ -26,16 +26,16 @@
 }
 
 func newAdmissionState() admissionState {
-	return admissionState{controller: admission.NewGate(), pressures: pressureEstimator{followed: newFollowed()}, saturatedUntil: make(map[string]time.Time)}
+	return admissionState{controller: admission.NewController(), pressures: pressureEstimator{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // updateRoutes takes the routes that are in force.
 func (a *admissionState) updateRoutes(table *apiv1.RouteTable) {
-	a.priorities = make(map[string][]admission.Urgency)
+	a.priorities = make(map[string][]admission.Priority)
 	for _, route := range table.GetRoutes() {
 		for _, share := range route.GetPools() {
 			priorities := a.priorities[share.GetPool()]
-			if priority := admission.Urgency(route.GetPriority()); !slices.Contains(priorities, priority) {
+			if priority := admission.Priority(route.GetPriority()); !slices.Contains(priorities, priority) {
 				a.priorities[share.GetPool()] = append(priorities, priority)
 			}
 		}
@@ -47,8 +47,8 @@
 const saturationHold = time.Second
 
 // saturatedPools are the pools that are saturated, or were a moment ago.
-func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Picture, now time.Time) map[string]bool {
-	for pool := range aggregate.Pools() {
+func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Aggregate, now time.Time) map[string]bool {
+	for pool := range aggregate.ZonePools() {
 		if a.pressures.saturated(pool, zone, aggregate) {
 			a.saturatedUntil[string(pool)] = now.Add(saturationHold)
 		}
@@ -70,33 +70,33 @@
 	aggregate := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	c.balancer.traffic.flows.Saturate(c.gate.saturatedPools(zone, aggregate, now))
-	if c.balancer.off.Has(mechanism.Admission) {
+	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
 	}
-	var demands []admission.Demand
-	for pool := range aggregate.Pools() {
+	var demands []admission.PoolState
+	for pool := range aggregate.ZonePools() {
 		if priorities := c.gate.priorities[string(pool)]; len(priorities) > 0 {
-			pressure := c.gate.pressures.estimate(pool, zone, aggregate, c.listed)
-			demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: priorities, Pressure: pressure})
+			pressure := c.gate.pressures.estimate(pool, zone, aggregate, c.balancersByZone)
+			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: priorities, Pressure: pressure})
 		}
 	}
-	rejections := c.gate.controller.Step(demands, now)
+	rejections := c.gate.controller.Update(demands, now)
 	c.logOverloadChanges(rejections, aggregate, now)
 	c.balancer.traffic.flows.Admit(rejections)
 }
 
 // logOverloadChanges tells which pools began or ceased to be short of room.
-func (c *control) logOverloadChanges(rejections *admission.Levels, aggregate *demand.Picture, now time.Time) {
+func (c *control) logOverloadChanges(rejections *admission.Refusals, aggregate *demand.Aggregate, now time.Time) {
 	overloaded := make(map[string]bool)
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	for _, rejection := range rejections.All() {
 		if !overloaded[rejection.Pool] && !c.gate.overloaded[rejection.Pool] {
-			waiting, slots := aggregate.Whole(demand.Pool(rejection.Pool))
-			c.balancer.logger.Warn("Control: pool is short of room.", "pool", rejection.Pool, "urgency", uint64(rejection.Urgency),
-				"refused_part", rounded(rejection.Refused), "pressure", rounded(rejection.Pressure.Waiting),
+			waiting, slots := aggregate.PoolTotals(demand.Pool(rejection.Pool))
+			c.balancer.logger.Warn("Control: pool is short of room.", "pool", rejection.Pool, "urgency", uint64(rejection.Priority),
+				"refused_part", rounded(rejection.Fraction), "pressure", rounded(rejection.Pressure.RequestsPerSlot),
 				"pressure_age", rejection.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
 				"waiting_here", rounded(c.gate.pressures.waiting[rejection.Pool]),
-				"zone_part", rounded(zoneRequestFraction(demand.Pool(rejection.Pool), zone, aggregate)), "zone_balancers", aggregate.Zones[zone])
+				"zone_part", rounded(zoneRequestFraction(demand.Pool(rejection.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
 		}
 		overloaded[rejection.Pool] = true
 	}
@@ -118,16 +118,16 @@
 // refusalKey is a pool and an urgency.
 type refusalKey struct {
 	pool     string
-	priority admission.Urgency
+	priority admission.Priority
 }
 
-func (r *refusalCounters) increment(rejection *admission.Level) {
+func (r *refusalCounters) increment(rejection *admission.Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.counts == nil {
 		r.counts = make(map[refusalKey]uint64)
 	}
-	r.counts[refusalKey{pool: rejection.Pool, priority: rejection.Urgency}]++
+	r.counts[refusalKey{pool: rejection.Pool, priority: rejection.Priority}]++
 }
 
 func (r *refusalCounters) snapshot() map[refusalKey]uint64 {
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -20,14 +20,14 @@
 	}
 	state.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{
 		{Priority: 2, Pools: share("lending", "covers")}, {Priority: 1, Pools: share("lending")}, {Priority: 2, Pools: share("lending")}}})
-	require.Equal(t, map[string][]admission.Urgency{"lending": {2, 1}, "covers": {2}}, state.priorities)
+	require.Equal(t, map[string][]admission.Priority{"lending": {2, 1}, "covers": {2}}, state.priorities)
 }
 
 func TestRefusalsAreCountedByPoolAndPriority(t *testing.T) {
 	var counters refusalCounters
 	require.Empty(t, counters.snapshot())
-	for _, priority := range []admission.Urgency{2, 2, 1} {
-		counters.increment(&admission.Level{Pool: "lending", Urgency: priority})
+	for _, priority := range []admission.Priority{2, 2, 1} {
+		counters.increment(&admission.Refusal{Pool: "lending", Priority: priority})
 	}
 	require.Equal(t, map[refusalKey]uint64{{"lending", 2}: 2, {"lending", 1}: 1}, counters.snapshot())
 }
@@ -39,10 +39,10 @@
 	state.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
 	state.pressures = *newLoadedEstimator(1000, now)
-	var rejections *admission.Levels
+	var rejections *admission.Refusals
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
-		rejections = state.controller.Step([]admission.Demand{{Pool: "lending", Urgencies: state.priorities["lending"],
+		rejections = state.controller.Update([]admission.PoolState{{Pool: "lending", Priorities: state.priorities["lending"],
 			Pressure: state.pressures.estimate("lending", "maadi", nil, nil)}}, at)
 	}
 	require.Nil(t, rejections)
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -30,7 +30,7 @@
 // back by it. Routers ask for readiness twice a second and turn away after two
 // refusals; open flows then pass other balancers, which resolve their tokens as well.
 func (c *control) updateWithdrawal(now time.Time) {
-	if c.balancer.traffic == nil || c.balancer.off.Has(mechanism.StepAside) {
+	if c.balancer.traffic == nil || c.balancer.disabled.Has(mechanism.StepAside) {
 		return
 	}
 	flows := c.balancer.traffic.flows
@@ -38,16 +38,16 @@
 	for step := range flows.Opened {
 		counts.Opened[step] = flows.Opened[step].Load()
 	}
-	core := c.aside.core
+	core := c.withdrawal.core
 	if !core.Look(counts, c.withdrawalZone(now), now) {
 		return
 	}
-	c.balancer.aside.Store(core.Aside())
+	c.balancer.withdrawn.Store(core.Aside())
 	if !core.Aside() {
 		c.balancer.logger.Info("Control: back from aside.")
 		return
 	}
-	c.balancer.asides.Add(1)
+	c.balancer.withdrawals.Add(1)
 	seen := core.Seen()
 	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.Stay(),
 		"opened_promptly", seen.Prompt, "slowly", seen.Slow, "not_in_time", seen.Missed)
@@ -56,14 +56,14 @@
 // withdrawalZone is what is known of this zone by now.
 func (c *control) withdrawalZone(now time.Time) aside.Zone {
 	name := c.balancer.settings.Load().GetName()
-	rank, listed := c.aside.ranks[name]
+	rank, listed := c.withdrawal.ranks[name]
 	if !listed {
 		return aside.Zone{} // the others don't count on it
 	}
-	reporting := now.Sub(c.aside.lastReportAt) < strugglingMaxAge && c.aside.reports.Whole()
-	zone := aside.Zone{Place: rank, Size: len(c.aside.ranks), Heard: reporting}
-	for _, report := range c.aside.reports.Now(now) {
-		if peerRank, inZone := c.aside.ranks[report.Name]; inZone && report.Name != name {
+	reporting := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Whole()
+	zone := aside.Zone{Place: rank, Size: len(c.withdrawal.ranks), Heard: reporting}
+	for _, report := range c.withdrawal.reports.Now(now) {
+		if peerRank, inZone := c.withdrawal.ranks[report.Name]; inZone && report.Name != name {
 			zone.Others = append(zone.Others, aside.Other{Place: peerRank, Away: report.Away})
 		}
 	}
@@ -74,13 +74,13 @@
 // among them.
 func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
-	if c.aside.core.Struggles() {
-		c.aside.reports.Take(aside.Statement{Name: name, Away: c.aside.core.Aside(), At: now})
+	if c.withdrawal.core.Struggles() {
+		c.withdrawal.reports.Take(aside.Statement{Name: name, Away: c.withdrawal.core.Aside(), At: now})
 	} else {
-		c.aside.reports.Drop(name)
+		c.withdrawal.reports.Drop(name)
 	}
 	var reports []*apiv1.Struggling
-	for _, report := range c.aside.reports.Now(now) {
+	for _, report := range c.withdrawal.reports.Now(now) {
 		reports = append(reports, &apiv1.Struggling{Name: report.Name, Away: report.Away,
 			Milliseconds: uint32(now.Sub(report.At).Milliseconds())})
 	}
@@ -94,12 +94,12 @@
 	if !supported {
 		return
 	}
-	c.aside.lastReportAt = now
+	c.withdrawal.lastReportAt = now
 	for _, report := range reports {
 		if report.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.aside.reports.Take(aside.Statement{Name: report.GetName(), Away: report.GetAway(),
+		c.withdrawal.reports.Take(aside.Statement{Name: report.GetName(), Away: report.GetAway(),
 			At: now.Add(-time.Duration(report.GetMilliseconds()) * time.Millisecond)})
 	}
 }
@@ -117,9 +117,9 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(withdrawalHash(a), withdrawalHash(b)), cmp.Compare(a, b))
 	})
-	c.aside.ranks = make(map[string]int, len(names))
+	c.withdrawal.ranks = make(map[string]int, len(names))
 	for rank, name := range names {
-		c.aside.ranks[name] = rank
+		c.withdrawal.ranks[name] = rank
 	}
 }
 
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -19,7 +19,7 @@
 	control := newTestControl()
 	control.balancer.traffic = &traffic{flows: tokenroute.NewFlows(mechanism.Set{})}
 	control.balancer.table.Store(&tokenroute.Table{})
-	control.aside.ranks = map[string]int{"edge-1": 0, "edge-2": 1, "edge-3": 2, "edge-4": 3, "edge-5": 4}
+	control.withdrawal.ranks = map[string]int{"edge-1": 0, "edge-2": 1, "edge-3": 2, "edge-4": 3, "edge-5": 4}
 	return control
 }
 
@@ -43,7 +43,7 @@
 	require.True(t, control.balancer.Ready())
 	now = control.openFlows(80*time.Millisecond, 2*time.Second, now)
 	require.False(t, control.balancer.Ready())
-	require.Equal(t, uint64(1), control.balancer.asides.Load())
+	require.Equal(t, uint64(1), control.balancer.withdrawals.Load())
 	control.openFlows(2*time.Millisecond, 10*time.Second, now)
 	require.True(t, control.balancer.Ready())
 }
@@ -52,7 +52,7 @@
 	control := newWithdrawalControl()
 	off, err := mechanism.Parse([]string{"step_aside"})
 	require.NoError(t, err)
-	control.balancer.off = off
+	control.balancer.disabled = off
 	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
 	control.openFlows(80*time.Millisecond, 5*time.Second, now)
 	require.True(t, control.balancer.Ready())
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -12,7 +12,7 @@
 	// rateTimeConstant is how fast the asks that pass here are followed, as they are for the picture.
 	rateTimeConstant = 500 * time.Millisecond
 	// rateHistory is for how long they are remembered: as long as a picture may be used.
-	rateHistory = demand.FreshFor
+	rateHistory = demand.MaximumAge
 )
 
 // requestRates is what this balancer was asked of each pool a second, now and in the last rateHistory.
@@ -39,8 +39,8 @@
 	for pool, rate := range r.current {
 		rates[pool] = rate * (1 - alpha)
 	}
-	for poolZone, load := range summary.Places {
-		rates[poolZone.Pool] += alpha * load.Asks
+	for poolZone, load := range summary.Loads {
+		rates[poolZone.Pool] += alpha * load.Offered
 	}
 	r.current = rates
 	r.history = append(r.history, rateSample{at: summary.At, rates: rates})
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -30,8 +30,8 @@
 	Forward(output, datagram []byte, backend *tokenroute.Backend) []byte
 	// Refuse appends the packet that refuses a new flow.
 	Refuse(output []byte, packet tokenroute.Packet) []byte
-	// Client is where packets for the sender of a packet go.
-	Client(packet tokenroute.Packet) netip.AddrPort
+	// ClientAddress is where packets for the sender of a packet go.
+	ClientAddress(packet tokenroute.Packet) netip.AddrPort
 	// RequestID returns the id of the request that a packet starts, a part of
 	// the datagram, or nil.
 	RequestID(datagram []byte) []byte
@@ -42,15 +42,15 @@
 	// Snapshot reads entries, at most the given number of pages. The batch is
 	// complete when that was all.
 	Snapshot(ctx context.Context, pageLimit int) (*apiv1.DirectoryBatch, error)
-	// OldSnapshot reads all entries as they were some seconds ago, which costs
+	// StaleSnapshot reads all entries as they were some seconds ago, which costs
 	// the store less. It confirms nothing.
-	OldSnapshot(ctx context.Context) (*apiv1.DirectoryBatch, error)
+	StaleSnapshot(ctx context.Context) (*apiv1.DirectoryBatch, error)
 	// Changes waits for the changes after a revision. It returns
 	// ErrHistoryLost when the store no longer has them.
 	Changes(ctx context.Context, after uint64, wait time.Duration) (*apiv1.DirectoryBatch, error)
-	// Orders reads what operators have written alone: the table of routes and the
+	// OperatorEntries reads what operators have written alone: the table of routes and the
 	// evacuations. The batch claims no revision but that of the orders.
-	Orders(ctx context.Context) (*apiv1.DirectoryBatch, error)
+	OperatorEntries(ctx context.Context) (*apiv1.DirectoryBatch, error)
 	// Members reads the entries of a zone's balancers alone, as they were some
 	// seconds ago, the first ones only where they are many; the batch claims no
 	// revision.
@@ -79,59 +79,59 @@
 // changes that were asked for.
 var ErrHistoryLost = errors.New("the store no longer has these changes")
 
-// Outside is what a balancer needs of the world that it runs in.
-type Outside struct {
+// Dependencies is what a balancer needs of the world that it runs in.
+type Dependencies struct {
 	Codec Codec
 	Store Store
-	// Readiness makes the handler that tells routers whether to send packets.
-	Readiness func(ready func() bool) http.Handler
-	// PeerListen is the IP:port to listen at for other balancers if that is not the
+	// NewReadinessHandler makes the handler that tells routers whether to send packets.
+	NewReadinessHandler func(ready func() bool) http.Handler
+	// PeerListenAddress is the IP:port to listen at for other balancers if that is not the
 	// peer address itself, as where addresses are translated; empty if it is.
-	PeerListen string
+	PeerListenAddress string
 }
 
 // Balancer is one running balancer.
 type Balancer struct {
-	settings atomic.Pointer[apiv1.BalancerSettings]
-	outside  Outside
-	logger   *slog.Logger
-	// off are the mechanisms that are switched off.
-	off      mechanism.Set
+	settings     atomic.Pointer[apiv1.BalancerSettings]
+	dependencies Dependencies
+	logger       *slog.Logger
+	// disabled are the mechanisms that are switched off.
+	disabled mechanism.Set
 	started  time.Time
 	bus      *events.Bus
 	table    atomic.Pointer[tokenroute.Table]
 	stopping atomic.Bool
-	// aside is set while this balancer can't carry its share, and asides counts how
+	// withdrawn is set while this balancer can't carry its share, and asides counts how
 	// often that began.
-	aside  atomic.Bool
-	asides atomic.Uint64
+	withdrawn   atomic.Bool
+	withdrawals atomic.Uint64
 	// minAggregatePressure is when the store confirmed what is known, in nanoseconds
 	// since the start; 0 is never.
 	confirmedAt atomic.Int64
 	// era is how often the store came back from a copy, as far as is known.
 	era atomic.Uint64
-	// unreadable counts the entries of the store that could not be read.
-	unreadable atomic.Uint64
-	storeCalls storeCalls
-	peerCalls  callCounts
-	control    *control
-	traffic    *traffic
-	peers      net.Listener
-	probes     net.Listener
+	// unreadableEntries counts the entries of the store that could not be read.
+	unreadableEntries atomic.Uint64
+	storeCalls        storeCalls
+	peerCalls         callCounts
+	control           *control
+	traffic           *traffic
+	peerListener      net.Listener
+	readinessListener net.Listener
 }
 
 // New opens the sockets of a balancer.
-func New(settings *apiv1.BalancerSettings, outside Outside, logger *slog.Logger) (*Balancer, error) {
+func New(settings *apiv1.BalancerSettings, outside Dependencies, logger *slog.Logger) (*Balancer, error) {
 	off, err := mechanism.Parse(settings.GetWithout())
 	if err != nil {
 		return nil, errors.Wrap(err, "settings: without")
 	}
 	made := &Balancer{
-		outside: outside,
-		logger:  logger,
-		off:     off,
-		started: time.Now(),
-		bus:     events.NewBus(),
+		dependencies: outside,
+		logger:       logger,
+		disabled:     off,
+		started:      time.Now(),
+		bus:          events.NewBus(),
 	}
 	made.settings.Store(settings)
 	if err := made.listen(); err != nil {
@@ -151,18 +151,18 @@
 		return errors.Wrapf(err, "traffic: listen on %s", address)
 	}
 	b.traffic = newTraffic(b, socket)
-	peers := cmp.Or(b.outside.PeerListen, b.settings.Load().GetPeerAddress())
-	b.peers, err = net.Listen("tcp4", peers)
+	peers := cmp.Or(b.dependencies.PeerListenAddress, b.settings.Load().GetPeerAddress())
+	b.peerListener, err = net.Listen("tcp4", peers)
 	if err != nil {
 		return errors.Wrapf(err, "peers: listen on %s", peers)
 	}
-	b.probes, err = net.Listen("tcp4", b.settings.Load().GetReadinessAddress())
+	b.readinessListener, err = net.Listen("tcp4", b.settings.Load().GetReadinessAddress())
 	return errors.Wrapf(err, "readiness: listen on %s", b.settings.Load().GetReadinessAddress())
 }
 
 // Ready tells whether the balancer takes new flows.
 func (b *Balancer) Ready() bool {
-	return b.table.Load() != nil && !b.stopping.Load() && !b.aside.Load()
+	return b.table.Load() != nil && !b.stopping.Load() && !b.withdrawn.Load()
 }
 
 // Run serves until the context ends.
@@ -173,7 +173,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return b.traffic.run(ctx) })
 	group.Go(func() error { return b.control.run(ctx) })
-	group.Go(func() error { return replication.Serve(ctx, b.peers, b.control) })
+	group.Go(func() error { return replication.Serve(ctx, b.peerListener, b.control) })
 	group.Go(func() error { return b.serveReadiness(ctx) })
 	group.Go(func() error { return b.logStoreCalls(ctx) })
 	group.Go(func() error { return b.serveMetrics(ctx) })
@@ -185,24 +185,24 @@
 	// take to arrive, and writeTimeout how long its answer to leave.
 	headerTimeout = 5 * time.Second
 	writeTimeout  = 10 * time.Second
-	// restTimeout is for how long the connection of one that asks may rest. Routers
+	// idleTimeout is for how long the connection of one that asks may rest. Routers
 	// ask each half second and collectors of metrics each minute at most; one that
 	// has gone silent must not stay for good.
-	restTimeout = 90 * time.Second
+	idleTimeout = 90 * time.Second
 )
 
 // newServer makes a server whose connections are given up when they fall silent.
 func newServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: restTimeout}
+	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout}
 }
 
 func (b *Balancer) serveReadiness(ctx context.Context) error {
-	server := newServer(b.outside.Readiness(b.Ready))
+	server := newServer(b.dependencies.NewReadinessHandler(b.Ready))
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
 	}()
-	err := server.Serve(b.probes)
+	err := server.Serve(b.readinessListener)
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -210,12 +210,12 @@
 }
 
 const (
-	// stopQuiet is how long no packet must have come before a planned stop
+	// stopQuietPeriod is how long no packet must have come before a planned stop
 	// ends.
-	stopQuiet = 600 * time.Millisecond
-	// stopShare is the part of the time for a stop after which it ends in any
+	stopQuietPeriod = 600 * time.Millisecond
+	// stopWaitShare is the part of the time for a stop after which it ends in any
 	// case; what remains is for the end itself.
-	stopShare = 0.4
+	stopWaitShare = 0.4
 )
 
 // Stop tells the routers to send elsewhere and returns when they do, or when
@@ -224,8 +224,8 @@
 	b.logger.Info("Stopping as planned.")
 	b.stopping.Store(true)
 	began := time.Now()
-	limit := seconds(stopShare * b.settings.Load().GetStopSeconds())
-	ticker := time.NewTicker(stopQuiet / 4)
+	limit := seconds(stopWaitShare * b.settings.Load().GetStopSeconds())
+	ticker := time.NewTicker(stopQuietPeriod / 4)
 	defer ticker.Stop()
 	for time.Since(began) < limit {
 		select {
@@ -233,7 +233,7 @@
 			return
 		case <-ticker.C:
 		}
-		if time.Since(began) >= 2*stopQuiet && b.traffic.idle() >= stopQuiet {
+		if time.Since(began) >= 2*stopQuietPeriod && b.traffic.idle() >= stopQuietPeriod {
 			break
 		}
 	}
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -68,7 +68,7 @@
 	nodes      [burstBalancers]burstNode
 	backends   [burstBackends]queueingBackend
 	clients    []*burstClient
-	aggregates []*demand.Picture
+	aggregates []*demand.Aggregate
 	unhealthy  map[incarnation.ID]observe.Health
 	// shares is what each back end takes of new flows while it is well, as a policy may say.
 	shares   [burstBackends]float64
@@ -86,7 +86,7 @@
 type burstNode struct {
 	flows     *tokenroute.Flows
 	admission admissionState
-	local     demand.Own
+	local     demand.LocalLoad
 	findings  map[incarnation.ID]observe.Finding
 }
 
@@ -118,10 +118,10 @@
 	return fleet
 }
 
-// renewTable makes a table by the findings of now.
+// rebuildTable makes a table by the findings of now.
 func (b *burstFleet) renewTable() {
 	b.table = tokenroute.NewTable(b.directory, tokenroute.Options{Now: b.now, Previous: b.table,
-		Weigh: func(entry directory.BackendEntry) uint32 {
+		Weight: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.shares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
@@ -145,7 +145,7 @@
 			}
 		}
 		b.clients = active
-		if b.now.Sub(burstStart)%lookPause == 0 {
+		if b.now.Sub(burstStart)%observationInterval == 0 {
 			b.summarize()
 		}
 	}
@@ -240,31 +240,31 @@
 // summarize takes what the balancers observed, as their control goroutines do.
 func (b *burstFleet) summarize() {
 	joined := make(map[incarnation.ID]observe.Finding)
-	all := demand.Picture{At: b.now, Balancers: burstBalancers, Zones: map[demand.Zone]int{"maadi": burstBalancers},
-		Places: make(map[demand.Place]demand.Load)}
+	all := demand.Aggregate{OldestAt: b.now, Balancers: burstBalancers, ZoneBalancers: map[demand.Zone]int{"maadi": burstBalancers},
+		Loads: make(map[demand.ZonePool]demand.Load)}
 	for index := range b.nodes {
 		node := &b.nodes[index]
 		if summary := node.flows.Summarize(b.now); summary != nil {
 			node.admission.pressures.addSummary(summary)
-			node.local.Take(summary.Places, summary.At)
+			node.local.Observe(summary.Loads, summary.At)
 			node.findings = summary.Findings
 		}
 		for id, finding := range node.findings {
-			joined[id] = joined[id].Plus(finding)
+			joined[id] = joined[id].Merge(finding)
 		}
-		for poolZone, load := range node.local.Picture("maadi", b.now).Places {
-			all.Places[poolZone] = all.Places[poolZone].Plus(load)
+		for poolZone, load := range node.local.Aggregate("maadi", b.now).Loads {
+			all.Loads[poolZone] = all.Loads[poolZone].Plus(load)
 		}
 	}
-	b.aggregates = append(b.aggregates, all.WithRoom(map[demand.Place]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
-	if delayed := len(b.aggregates) - 1 - int(b.aggregateDelay/lookPause); delayed >= 0 {
+	b.aggregates = append(b.aggregates, all.WithSlots(map[demand.ZonePool]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
+	if delayed := len(b.aggregates) - 1 - int(b.aggregateDelay/observationInterval); delayed >= 0 {
 		for index := range b.nodes {
 			b.nodes[index].update(b.aggregates[delayed], b.now)
 		}
 	}
 	unhealthy := make(map[incarnation.ID]observe.Health)
 	for id, finding := range joined {
-		if health := finding.Health(burstBalancers, b.unhealthy[id]); !health.Well() {
+		if health := finding.Health(burstBalancers, b.unhealthy[id]); !health.Healthy() {
 			unhealthy[id] = health
 			b.unhealthyCounts[id.Number]++
 		}
@@ -274,14 +274,14 @@
 }
 
 // update takes the picture of all.
-func (n *burstNode) update(aggregate *demand.Picture, now time.Time) {
+func (n *burstNode) update(aggregate *demand.Aggregate, now time.Time) {
 	n.flows.Saturate(n.admission.saturatedPools("maadi", aggregate, now))
-	var demands []admission.Demand
-	for pool := range aggregate.Pools() {
-		demands = append(demands, admission.Demand{Pool: string(pool), Urgencies: n.admission.priorities[string(pool)],
-			Pressure: n.admission.pressures.estimate(pool, "maadi", aggregate, listing{"maadi": burstBalancers})})
+	var demands []admission.PoolState
+	for pool := range aggregate.ZonePools() {
+		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.admission.priorities[string(pool)],
+			Pressure: n.admission.pressures.estimate(pool, "maadi", aggregate, zoneCounts{"maadi": burstBalancers})})
 	}
-	n.flows.Admit(n.admission.controller.Step(demands, now))
+	n.flows.Admit(n.admission.controller.Update(demands, now))
 }
 
 // second is the second of now.
@@ -328,7 +328,7 @@
 func (b *burstFleet) unhealthyFraction(number uint64, length time.Duration) float64 {
 	before := b.unhealthyCounts[number]
 	b.run(length)
-	return float64(b.unhealthyCounts[number]-before) / float64(length/lookPause)
+	return float64(b.unhealthyCounts[number]-before) / float64(length/observationInterval)
 }
 
 // A back end that answers half of its requests with an error is found before a burst, and counts
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -34,7 +34,7 @@
 }
 
 func (c *control) read(ctx context.Context, kind replication.Poll, after uint64) (*apiv1.DirectoryBatch, error) {
-	store := c.balancer.outside.Store
+	store := c.balancer.dependencies.Store
 	switch kind {
 	case replication.PollSnapshot:
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
@@ -43,7 +43,7 @@
 	case replication.PollOld:
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
-		return store.OldSnapshot(ctx)
+		return store.StaleSnapshot(ctx)
 	case replication.PollChanges:
 		wait := paceOf(c.balancer.settings.Load()).Wait
 		ctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
@@ -64,18 +64,18 @@
 	return store.Snapshot(ctx, 1)
 }
 
-// checkOrders reads alone what operators have written. A large store is followed by
+// checkOperatorEntries reads alone what operators have written. A large store is followed by
 // its changes, and those that must not be missed are checked besides.
-func (c *control) checkOrders(ctx context.Context) {
+func (c *control) checkOperatorEntries(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	batch, err := c.balancer.outside.Store.Orders(bounded)
+	batch, err := c.balancer.dependencies.Store.OperatorEntries(bounded)
 	c.balancer.storeCalls[storeAudit].count(err)
 	c.publish(ctx, &apiv1.DirectoryNews{Batch: batch, Check: true}, err)
 }
 
-// startCalls starts the calls to other balancers that are due.
-func (c *control) startCalls(ctx context.Context, now time.Time) {
+// startPeerCalls starts the calls to other balancers that are due.
+func (c *control) startPeerCalls(ctx context.Context, now time.Time) {
 	c.core.SetSeeds(c.balancer.settings.Load().GetSeeds())
 	for {
 		peer, found := c.core.NextPeer(now)
@@ -86,7 +86,7 @@
 		if !known {
 			age = unknownAge
 		}
-		go c.call(ctx, c.clientFor(peer), peer, c.requestTo(peer, age, now))
+		go c.callPeer(ctx, c.clientFor(peer), peer, c.requestTo(peer, age, now))
 	}
 }
 
@@ -96,7 +96,7 @@
 	request := &apiv1.FollowRequest{
 		From:            settings.GetName(),
 		FromAddress:     settings.GetPeerAddress(),
-		After:           c.known.Revision(),
+		After:           c.directory.Revision(),
 		AgeMilliseconds: uint32(age.Milliseconds()),
 	}
 	request.Everything = peer.Everything
@@ -123,10 +123,10 @@
 	return request
 }
 
-// call asks a peer for news once. What the peer knew was confirmed no later than
+// callPeer asks a peer for news once. What the peer knew was confirmed no later than
 // its age before the answer left, and the answer left no earlier than the call
 // did plus the time that it waited there.
-func (c *control) call(ctx context.Context, client *replication.Client, peer replication.Peer, request *apiv1.FollowRequest) {
+func (c *control) callPeer(ctx context.Context, client *replication.Client, peer replication.Peer, request *apiv1.FollowRequest) {
 	if client != c.client {
 		defer client.Close()
 	}
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -40,7 +40,7 @@
 	return made.control
 }
 
-func (control *control) nanoseconds(at time.Time) int64 {
+func (control *control) sinceStart(at time.Time) int64 {
 	return int64(at.Sub(control.balancer.started))
 }
 
@@ -54,9 +54,9 @@
 func TestPeerThatKnowsNothingConfirmsNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.learn(&apiv1.DirectoryNews{
+	control.handleNews(&apiv1.DirectoryNews{
 		Peer: "10.0.0.2:8166", Batch: &apiv1.DirectoryBatch{Complete: true},
-		AsOfNanoseconds: control.nanoseconds(now.Add(-unknownAge)),
+		AsOfNanoseconds: control.sinceStart(now.Add(-unknownAge)),
 	}, now)
 	_, known := control.core.Age(now)
 	require.False(t, known)
@@ -67,10 +67,10 @@
 	now := time.Now()
 	part := routesBatch(5)
 	part.Revision, part.Complete = 0, false
-	control.learn(&apiv1.DirectoryNews{Batch: part, AsOfNanoseconds: control.nanoseconds(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: part, AsOfNanoseconds: control.sinceStart(now)}, now)
 	_, known := control.core.Age(now)
 	require.False(t, known)
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.Nil(t, control.balancer.table.Load(), "nor is it a ground to refuse flows on")
 }
 
@@ -79,17 +79,17 @@
 func TestOldCopyOfTheStoreConfirmsNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
-		AsOfNanoseconds: control.nanoseconds(now)}, now)
-	require.Equal(t, uint64(5), control.known.Revision())
-	control.renewTable(now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
+		AsOfNanoseconds: control.sinceStart(now)}, now)
+	require.Equal(t, uint64(5), control.directory.Revision())
+	control.rebuildTable(now)
 	require.Nil(t, control.balancer.table.Load())
-	reply := control.ask(0, now, now.Add(-time.Minute))
+	reply := control.followOnce(0, now, now.Add(-time.Minute))
 	require.Empty(t, reply.GetBatch().GetChanges(), "nor is it passed on")
 	require.Zero(t, reply.GetBatch().GetRevision())
-	control.learn(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: &apiv1.DirectoryBatch{Revision: 6},
-		AsOfNanoseconds: control.nanoseconds(now)}, now)
-	control.renewTable(now)
+	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: &apiv1.DirectoryBatch{Revision: 6},
+		AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.rebuildTable(now)
 	require.NotNil(t, control.balancer.table.Load())
 }
 
@@ -102,16 +102,16 @@
 func TestOldCopyOfWhatTheStoreHasLostHidesNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollOld),
-		AsOfNanoseconds: control.nanoseconds(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollOld),
+		AsOfNanoseconds: control.sinceStart(now)}, now)
 	holds := routesBatch(63)
 	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.learn(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: holds, AsOfNanoseconds: control.nanoseconds(now)}, now)
-	require.Equal(t, uint64(63), control.known.Revision())
-	require.Equal(t, uint64(63), control.known.Routes().GetVersion())
-	require.Len(t, control.known.Backends(), 1)
-	require.False(t, control.known.Backends()[0].Gone)
+	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: holds, AsOfNanoseconds: control.sinceStart(now)}, now)
+	require.Equal(t, uint64(63), control.directory.Revision())
+	require.Equal(t, uint64(63), control.directory.Routes().GetVersion())
+	require.Len(t, control.directory.Backends(), 1)
+	require.False(t, control.directory.Backends()[0].Gone)
 }
 
 // A back end that had gone when a balancer started is known to it from the old copy, so that open
@@ -122,10 +122,10 @@
 	old := routesBatch(5)
 	old.Changes = append(old.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.learn(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollOld), AsOfNanoseconds: control.nanoseconds(now)}, now)
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.nanoseconds(now)}, now)
-	require.Len(t, control.known.Backends(), 1)
-	require.True(t, control.known.Backends()[0].Gone)
+	control.handleNews(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollOld), AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(now)}, now)
+	require.Len(t, control.directory.Backends(), 1)
+	require.True(t, control.directory.Backends()[0].Gone)
 }
 
 // An answer of an era that the store has left confirms nothing, and a write that was under way as it
@@ -135,20 +135,20 @@
 	now := time.Now()
 	later, err := revision.Join(1, 3)
 	require.NoError(t, err)
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.nanoseconds(now.Add(-3 * time.Second))}, now)
-	control.writeEra = control.balancer.era.Load()
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now.Add(-3 * time.Second))}, now)
+	control.pendingWriteEra = control.balancer.era.Load()
 	restored := routesBatch(6)
 	restored.Revision, restored.Changes[0].Revision = later, later
-	control.learn(&apiv1.DirectoryNews{Batch: restored, AsOfNanoseconds: control.nanoseconds(now.Add(-2 * time.Second))}, now)
-	control.learn(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: routesBatch(7), AsOfNanoseconds: control.nanoseconds(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: restored, AsOfNanoseconds: control.sinceStart(now.Add(-2 * time.Second))}, now)
+	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: routesBatch(7), AsOfNanoseconds: control.sinceStart(now)}, now)
 	age, known := control.core.Age(now)
 	require.True(t, known)
 	require.Equal(t, 2*time.Second, age)
-	require.Equal(t, uint64(6), control.known.Routes().GetVersion())
+	require.Equal(t, uint64(6), control.directory.Routes().GetVersion())
 
 	entry := &apiv1.Balancer{Name: "edge-9", Zone: "maadi", PeerAddress: "10.0.0.9:8166"}
-	control.write = replication.Write{Put: []*apiv1.Balancer{entry}}
-	control.learn(&apiv1.DirectoryNews{Write: true}, now)
+	control.pendingWrite = replication.Write{Put: []*apiv1.Balancer{entry}}
+	control.handleNews(&apiv1.DirectoryNews{Write: true}, now)
 	control.core.TakeShown([]*apiv1.Balancer{entry}, now)
 	require.Contains(t, control.core.Shown(now), entry, "it may be lost, and is still to be written")
 }
@@ -161,7 +161,7 @@
 	batch := routesBatch(5)
 	batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 4,
 		Entry: &apiv1.DirectoryChange_Balancer{Balancer: entry}})
-	control.learn(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: control.nanoseconds(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.Equal(t, []BalancerRevision{{Balancer: entry, Revision: 4}}, control.revisionsOf([]string{"edge-2", "edge-3"}))
 }
 
@@ -175,19 +175,19 @@
 func TestFailedCallsLeaveWhatIsKnown(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.nanoseconds(now)}, now)
-	control.learn(&apiv1.DirectoryNews{Error: "status 503"}, now)
-	control.learn(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Error: "connection refused"}, now)
-	control.learn(&apiv1.DirectoryNews{HistoryLost: true, Error: "gone"}, now)
-	require.Equal(t, uint64(5), control.known.Routes().GetVersion())
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Error: "status 503"}, now)
+	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Error: "connection refused"}, now)
+	control.handleNews(&apiv1.DirectoryNews{HistoryLost: true, Error: "gone"}, now)
+	require.Equal(t, uint64(5), control.directory.Routes().GetVersion())
 }
 
-// ask puts a follower's call to the control state and returns its answer, or
+// followOnce puts a follower's call to the control state and returns its answer, or
 // nil while it waits.
-func (control *control) ask(after uint64, confirmedAt, now time.Time) *apiv1.FollowReply {
-	asking := &follower{after: after, takenAt: now, confirmedAt: confirmedAt, until: now.Add(time.Second),
+func (control *control) followOnce(after uint64, confirmedAt, now time.Time) *apiv1.FollowReply {
+	asking := &followCall{afterRevision: after, receivedAt: now, confirmedAt: confirmedAt, deadline: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
-	control.take(asking)
+	control.enqueueFollow(asking)
 	control.answerWaiting(now)
 	select {
 	case reply := <-asking.reply:
@@ -200,20 +200,20 @@
 func TestFollowersAreAnsweredAtOnceWhenThereIsNews(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	require.Nil(t, control.ask(0, now, now), "nothing is known yet")
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.nanoseconds(now)}, now)
-	require.NotNil(t, control.ask(0, now, now), "entries")
-	require.NotNil(t, control.ask(5, now.Add(-time.Second), now), "a younger confirmation")
-	require.Nil(t, control.ask(5, now, now), "nothing new")
+	require.Nil(t, control.followOnce(0, now, now), "nothing is known yet")
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
+	require.NotNil(t, control.followOnce(0, now, now), "entries")
+	require.NotNil(t, control.followOnce(5, now.Add(-time.Second), now), "a younger confirmation")
+	require.Nil(t, control.followOnce(5, now, now), "nothing new")
 }
 
 func TestFollowersWaitInBoundedNumber(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	for range followersLimit + 10 {
-		control.ask(0, now, now)
+	for range maxWaitingFollowers + 10 {
+		control.followOnce(0, now, now)
 	}
-	require.LessOrEqual(t, len(control.waiting), followersLimit)
+	require.LessOrEqual(t, len(control.waitingCalls), maxWaitingFollowers)
 }
 
 // At a start of everything, all that is known goes out to as many at a time as a
@@ -221,21 +221,21 @@
 func TestCompleteAnswersGoOutInTurn(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.nanoseconds(now)}, now)
-	var asking []*follower
-	for range 3*completeLimit - 10 {
-		asking = append(asking, &follower{takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)})
-		control.take(asking[len(asking)-1])
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
+	var asking []*followCall
+	for range 3*fullReplyLimit - 10 {
+		asking = append(asking, &followCall{receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)})
+		control.enqueueFollow(asking[len(asking)-1])
 	}
 	answered := func(at time.Time) int {
 		control.answerWaiting(at)
-		return len(asking) - len(control.waiting)
+		return len(asking) - len(control.waitingCalls)
 	}
-	require.Equal(t, completeLimit, answered(now))
-	require.Equal(t, completeLimit, answered(now.Add(completePause/2)))
-	require.NotNil(t, control.ask(4, now.Add(-time.Minute), now.Add(completePause/2)), "changes only")
-	require.Equal(t, 2*completeLimit, answered(now.Add(completePause)))
-	require.Equal(t, 3*completeLimit-10, answered(now.Add(2*completePause)))
+	require.Equal(t, fullReplyLimit, answered(now))
+	require.Equal(t, fullReplyLimit, answered(now.Add(fullReplyWindow/2)))
+	require.NotNil(t, control.followOnce(4, now.Add(-time.Minute), now.Add(fullReplyWindow/2)), "changes only")
+	require.Equal(t, 2*fullReplyLimit, answered(now.Add(fullReplyWindow)))
+	require.Equal(t, 3*fullReplyLimit-10, answered(now.Add(2*fullReplyWindow)))
 	for _, each := range asking {
 		require.Len(t, each.reply, 1)
 	}
@@ -244,7 +244,7 @@
 func TestNewFlowsStayInTheirZoneAfterTheSpreadTime(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.firstAt = now
+	control.firstRoutesAt = now
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
 	local := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "maadi"}}
 	control.addBackends("lending", "maadi", minLocalBackends, now)
@@ -262,14 +262,14 @@
 			Entry: &apiv1.DirectoryChange_Backend{Backend: &apiv1.PoolBackend{
 				Id: fmt.Sprintf("%s-%s-%d", pool, zone, place), Pool: pool, Zone: zone, Address: 1, Port: 80}}})
 	}
-	control.known.Apply(batch, now)
+	control.directory.Apply(batch, now)
 }
 
 // With one back end in the zone, every retry would meet it again after it died.
 func TestFewBackendsInTheZoneShareWithTheOthers(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.firstAt = now.Add(-time.Hour)
+	control.firstRoutesAt = now.Add(-time.Hour)
 	control.addBackends("covers", "maadi", minLocalBackends-1, now)
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "covers", Zone: "giza"}}
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(remote))
@@ -280,12 +280,12 @@
 func TestTableTurnsWithoutNews(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.nanoseconds(now)}, now)
-	control.renewTable(now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.rebuildTable(now)
 	require.NotNil(t, control.balancer.table.Load())
-	require.Equal(t, now.Add(startupSpreadTime), control.nextTurn)
-	control.renewTable(now.Add(startupSpreadTime))
-	require.True(t, control.nextTurn.IsZero())
+	require.Equal(t, now.Add(startupSpreadTime), control.nextTableChange)
+	control.rebuildTable(now.Add(startupSpreadTime))
+	require.True(t, control.nextTableChange.IsZero())
 }
 
 // A back end that vanished gets no new flow later than the time for a leaving
@@ -298,7 +298,7 @@
 	control.balancer.settings.Store(loaded)
 	stale := time.Duration(loaded.GetStaleMilliseconds()) * time.Millisecond
 	const readTime = 300 * time.Millisecond
-	require.Less(t, stale+tickInterval+readTime+control.emptyGrace(), time.Duration(loaded.GetDrainMilliseconds())*time.Millisecond)
+	require.Less(t, stale+tickInterval+readTime+control.emptyPoolGrace(), time.Duration(loaded.GetDrainMilliseconds())*time.Millisecond)
 }
 
 // A machine that stood still while it built a table builds the next one soon all the
@@ -311,7 +311,7 @@
 		require.NoError(t, err)
 		pace := paceOf(loaded)
 		inForce := time.Duration(loaded.GetConfigurationMilliseconds()) * time.Millisecond
-		require.Equal(t, buildShare*time.Millisecond, buildPause(time.Millisecond, pace))
+		require.Equal(t, buildPauseFactor*time.Millisecond, buildPause(time.Millisecond, pace))
 		for _, took := range []time.Duration{0, 10 * time.Millisecond, 600 * time.Millisecond, time.Minute} {
 			require.Less(t, 2*pace.Poll+buildPause(took, pace), inForce)
 		}
@@ -346,14 +346,14 @@
 	now := time.Now()
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
 	covers := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-2", Pool: "covers", Zone: "maadi", Draining: true}}
-	control.known.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
+	control.directory.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
 	require.Equal(t, uint32(rule.MaximumWeight/2), control.weightFunc(nil, now)(lending))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(covers), "no policy of its own")
-	control.known.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
+	control.directory.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
 	require.Zero(t, control.weightFunc(nil, now)(covers), "the default policy's leaving")
-	control.known.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
+	control.directory.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending), "a program that fails is passed over")
-	control.known.Apply(policyBatch(4, "lending", "not a program"), now)
+	control.directory.Apply(policyBatch(4, "lending", "not a program"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending))
 }
 
@@ -362,7 +362,7 @@
 func TestOrdersChangedUnseenAreReadWhole(t *testing.T) {
 	c := newTestControl()
 	now := time.Now()
-	c.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.nanoseconds(now)}, now)
+	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
 	order := &apiv1.DirectoryChange{Revision: 7, Entry: &apiv1.DirectoryChange_Evacuation{Evacuation: &apiv1.Evacuation{Zone: "maadi"}}}
 	c.core.PollSucceeded(replication.PollPage, false, now)
 	c.core.PollStarted(replication.PollSnapshot, now)
@@ -372,9 +372,9 @@
 	check := routesBatch(6)
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
 	check.Changes = append(check.Changes, order)
-	c.learn(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
-	require.Equal(t, uint64(6), c.known.Routes().GetVersion())
+	c.handleNews(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
+	require.Equal(t, uint64(6), c.directory.Routes().GetVersion())
 	require.Empty(t, c.evacuatedZones())
 	require.Equal(t, replication.PollSnapshot, c.core.NextPoll(now))
-	c.learn(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
+	c.handleNews(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
 }
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -36,8 +36,8 @@
 // lineLimits are the lines a second of each kind.
 var lineLimits = [lineKindCount]int{lineFailure: 60, lineOpening: 50, lineSampled: 30, linePassing: 40, lineNoRoom: 20}
 
-// sampleShare is that one request in so many is of the sample.
-const sampleShare = 16
+// sampleDivisor is that one request in so many is of the sample.
+const sampleDivisor = 16
 
 // decisionLog writes one line for each decision that touches a request: a flow
 // that opens, a request that passes, a packet that goes nowhere. It belongs to
@@ -46,13 +46,13 @@
 	logger  *slog.Logger
 	second  int64
 	written [lineKindCount]int
-	leftOut [lineKindCount]int
+	omitted [lineKindCount]int
 }
 
-// note writes the line of a decision, if it has one and there is room for it.
-func (d *decisionLog) note(packet tokenroute.Packet, request []byte, decision tokenroute.Decision, table *tokenroute.Table, now time.Time) {
+// record writes the line of a decision, if it has one and there is room for it.
+func (d *decisionLog) record(packet tokenroute.Packet, request []byte, decision tokenroute.Decision, table *tokenroute.Table, now time.Time) {
 	message, kind := describe(packet, request, decision)
-	if !d.room(kind, now) {
+	if !d.allow(kind, now) {
 		return
 	}
 	attributes := []slog.Attr{
@@ -75,8 +75,8 @@
 		attributes = append(attributes, slog.Any("evacuated", table.Evacuated))
 	}
 	if refused := decision.Level; refused != nil {
-		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Urgency)),
-			slog.Float64("refused_part", rounded(refused.Refused)), slog.Float64("pressure", rounded(refused.Pressure.Waiting)),
+		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Priority)),
+			slog.Float64("refused_part", rounded(refused.Fraction)), slog.Float64("pressure", rounded(refused.Pressure.RequestsPerSlot)),
 			slog.Duration("pressure_age", refused.Pressure.Age(now).Round(time.Millisecond)))
 	}
 	level := slog.LevelInfo
@@ -113,33 +113,33 @@
 func sampled(request []byte) bool {
 	hash := fnv.New32a()
 	_, _ = hash.Write(request)
-	return hash.Sum32()%sampleShare == 0
+	return hash.Sum32()%sampleDivisor == 0
 }
 
-// room tells whether this second has a line of the kind left. What was left out
+// allow tells whether this second has a line of the kind left. What was left out
 // is told by kind once the second is over.
-func (d *decisionLog) room(kind lineKind, now time.Time) bool {
+func (d *decisionLog) allow(kind lineKind, now time.Time) bool {
 	if kind == lineNone {
 		return false
 	}
 	if second := now.Unix(); second != d.second {
-		d.tellLeftOut()
+		d.logOmitted()
 		d.second = second
-		d.written, d.leftOut = [lineKindCount]int{}, [lineKindCount]int{}
+		d.written, d.omitted = [lineKindCount]int{}, [lineKindCount]int{}
 	}
 	if d.written[kind] >= lineLimits[kind] {
-		d.leftOut[kind]++
+		d.omitted[kind]++
 		return false
 	}
 	d.written[kind]++
 	return true
 }
 
-func (d *decisionLog) tellLeftOut() {
-	if d.leftOut == [lineKindCount]int{} {
+func (d *decisionLog) logOmitted() {
+	if d.omitted == [lineKindCount]int{} {
 		return
 	}
-	d.logger.Warn("Traffic: lines left out.", "failures", d.leftOut[lineFailure], "openings", d.leftOut[lineOpening],
-		"sampled", d.leftOut[lineSampled], "passing", d.leftOut[linePassing],
-		"no_room", d.leftOut[lineNoRoom])
+	d.logger.Warn("Traffic: lines left out.", "failures", d.omitted[lineFailure], "openings", d.omitted[lineOpening],
+		"sampled", d.omitted[lineSampled], "passing", d.omitted[linePassing],
+		"no_room", d.omitted[lineNoRoom])
 }
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -23,14 +23,14 @@
 	backend := &tokenroute.Backend{ID: "i-1"}
 	passes := tokenroute.Decision{Verdict: tokenroute.Forward, Reason: tokenroute.ReasonToken, Backend: backend}
 	for number := range 1000 {
-		log.note(tokenroute.Packet{Length: 100}, fmt.Appendf(nil, "request-%d", number), passes, nil, now)
+		log.record(tokenroute.Packet{Length: 100}, fmt.Appendf(nil, "request-%d", number), passes, nil, now)
 	}
-	log.note(tokenroute.Packet{First: true}, nil, tokenroute.Decision{Verdict: tokenroute.Forward, Backend: backend}, nil, now)
-	log.note(tokenroute.Packet{}, nil, tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoute}, nil, now)
+	log.record(tokenroute.Packet{First: true}, nil, tokenroute.Decision{Verdict: tokenroute.Forward, Backend: backend}, nil, now)
+	log.record(tokenroute.Packet{}, nil, tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoute}, nil, now)
 	require.Contains(t, written.String(), "flow sent to a back end")
 	require.Contains(t, written.String(), "flow refused")
 	require.Equal(t, lineLimits[linePassing]+lineLimits[lineSampled], strings.Count(written.String(), "request passes"))
-	log.note(tokenroute.Packet{First: true}, nil, passes, nil, now.Add(time.Second))
+	log.record(tokenroute.Packet{First: true}, nil, passes, nil, now.Add(time.Second))
 	require.Regexp(t, "lines left out.*failures=0 openings=0 sampled=[0-9]+ passing=9", written.String())
 }
 
@@ -51,13 +51,13 @@
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
-	level := &admission.Level{Pool: "lending", Urgency: 2, Refused: 0.75,
-		Pressure: admission.Pressure{Waiting: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
+	level := &admission.Refusal{Pool: "lending", Priority: 2, Fraction: 0.75,
+		Pressure: admission.Pressure{RequestsPerSlot: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
 	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Level: level}
 	for range 1000 {
-		log.note(tokenroute.Packet{First: true}, nil, refused, nil, now)
+		log.record(tokenroute.Packet{First: true}, nil, refused, nil, now)
 	}
-	log.note(tokenroute.Packet{}, nil, tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoute}, nil, now)
+	log.record(tokenroute.Packet{}, nil, tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoute}, nil, now)
 	require.Contains(t, written.String(), "reason=no_room token=0 pool=lending urgency=2 refused_part=0.75 pressure=4.26 pressure_age=1.5s")
 	require.Contains(t, written.String(), "reason=no_route")
 	require.Equal(t, lineLimits[lineNoRoom], strings.Count(written.String(), "reason=no_room"))
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -19,14 +19,14 @@
 
 // demandState is what the control goroutine knows of the demand on back ends.
 type demandState struct {
-	local    demand.Own
+	local    demand.LocalLoad
 	tree     *demand.Tree
 	capacity capacity
 	// aggregate is the latest one, for all goroutines; nil is none.
-	aggregate atomic.Pointer[demand.Picture]
+	aggregate atomic.Pointer[demand.Aggregate]
 	// schedule is that of reports, and telling is set while one is under way that does not go
 	// with another call.
-	schedule  demand.Pace
+	schedule  demand.ReportSchedule
 	reporting bool
 	feed      demandFeed
 	// staleAt is when a picture that was planned by was last found too old; zero is since
@@ -37,21 +37,21 @@
 }
 
 // DemandAggregate is the latest picture of demand and room, or nil. Any goroutine may ask.
-func (b *Balancer) DemandAggregate() *demand.Picture { return b.control.demand.aggregate.Load() }
+func (b *Balancer) DemandAggregate() *demand.Aggregate { return b.control.demand.aggregate.Load() }
 
 // updateDemand takes what the traffic goroutine has observed and makes a new picture.
 func (c *control) updateDemand(now time.Time) {
 	d := &c.demand
-	if summary := c.balancer.traffic.observed.Load(); summary != nil {
-		d.local.Take(summary.Places, summary.At)
+	if summary := c.balancer.traffic.latestSummary.Load(); summary != nil {
+		d.local.Observe(summary.Loads, summary.At)
 		d.capacity.updateFailed(summary, c.balancer.table.Load(), now)
 	}
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	depth, height := c.core.Levels()
-	d.tree.See(d.local.Picture(zone, now), demand.Levels{Above: depth, All: height})
+	d.tree.SetOwn(d.local.Aggregate(zone, now), demand.Position{Depth: depth, TreeHeight: height})
 	d.capacity.addWarmed(now)
-	aggregate := d.tree.Picture(now)
-	d.aggregate.Store(aggregate.WithRoom(d.capacity.liveSlots(now)))
+	aggregate := d.tree.Aggregate(now)
+	d.aggregate.Store(aggregate.WithSlots(d.capacity.liveSlots(now)))
 	c.logCompleteness(aggregate, now)
 }
 
@@ -59,8 +59,8 @@
 const completeFraction = 0.9
 
 // logCompleteness logs when the demand of all becomes known, or is known no longer.
-func (c *control) logCompleteness(aggregate demand.Picture, now time.Time) {
-	listed := c.listed.all()
+func (c *control) logCompleteness(aggregate demand.Aggregate, now time.Time) {
+	listed := c.balancersByZone.total()
 	if listed == 0 {
 		return
 	}
@@ -83,12 +83,12 @@
 		return
 	}
 	report := demand.Report{
-		Picture: decodeAggregate(encoded, now),
-		Until:   c.balancer.started.Add(time.Duration(encoded.GetUntilMilliseconds()) * time.Millisecond),
-		Height:  int(encoded.GetHeight()),
+		Aggregate: decodeAggregate(encoded, now),
+		ExpiresAt: c.balancer.started.Add(time.Duration(encoded.GetUntilMilliseconds()) * time.Millisecond),
+		Height:    int(encoded.GetHeight()),
 	}
-	c.demand.tree.TakeFollower(demand.Address(from), report, now)
-	c.demand.schedule.Taken(now)
+	c.demand.tree.SetFollowerReport(demand.Address(from), report, now)
+	c.demand.schedule.FollowerReported(now)
 }
 
 // handleTotalDemand takes what the balancer that is followed says of all.
@@ -97,8 +97,8 @@
 		return
 	}
 	sentAt := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
-	c.demand.tree.TakeParent(decodeAggregate(news.GetDemand(), sentAt), now)
-	c.demand.tree.TakeLevel(int(news.GetDemand().GetAbove()), now)
+	c.demand.tree.SetParentAggregate(decodeAggregate(news.GetDemand(), sentAt), now)
+	c.demand.tree.SetParentDepth(int(news.GetDemand().GetAbove()), now)
 }
 
 // demandReportFor returns the report for the balancer that is followed, or nil while it must not
@@ -108,14 +108,14 @@
 	if parent != c.testimony.parent || !parentClock.Known() || !c.core.Leads(parent) {
 		return nil
 	}
-	report, ok := c.demand.tree.Hand(demand.Address(parent), now)
+	report, ok := c.demand.tree.ReportTo(demand.Address(parent), now)
 	if !ok {
 		return nil
 	}
-	c.demand.schedule.Told(alone, now)
-	encoded := encodeAggregate(report.Picture, now)
+	c.demand.schedule.Reported(alone, now)
+	encoded := encodeAggregate(report.Aggregate, now)
 	encoded.Clock = parentClock.ID
-	encoded.UntilMilliseconds = uint64(max(0, parentClock.Earliest(report.Until)).Milliseconds())
+	encoded.UntilMilliseconds = uint64(max(0, parentClock.LowerBound(report.ExpiresAt)).Milliseconds())
 	encoded.Height = uint32(report.Height)
 	return encoded
 }
@@ -152,16 +152,16 @@
 // encodeAggregate returns a picture for a message. Where there are too many places, pools are
 // left out whole, the last by name: all balancers leave out the same, so that what is told of
 // the others is the sum of all, and is told at each level.
-func encodeAggregate(aggregate demand.Picture, now time.Time) *apiv1.DemandReport {
+func encodeAggregate(aggregate demand.Aggregate, now time.Time) *apiv1.DemandReport {
 	encoded := &apiv1.DemandReport{
 		Balancers:       uint32(aggregate.Balancers),
 		AgeMilliseconds: uint32(max(0, aggregate.Age(now)).Milliseconds()),
 	}
-	for _, zone := range slices.Sorted(maps.Keys(aggregate.Zones)) {
-		encoded.Zones = append(encoded.Zones, &apiv1.ZoneCount{Zone: string(zone), Balancers: uint32(aggregate.Zones[zone])})
+	for _, zone := range slices.Sorted(maps.Keys(aggregate.ZoneBalancers)) {
+		encoded.Zones = append(encoded.Zones, &apiv1.ZoneCount{Zone: string(zone), Balancers: uint32(aggregate.ZoneBalancers[zone])})
 	}
 	pools := make(map[demand.Pool][]*apiv1.PlaceLoad)
-	for poolZone, load := range aggregate.Places {
+	for poolZone, load := range aggregate.Loads {
 		pools[poolZone.Pool] = append(pools[poolZone.Pool], encodeLoad(poolZone, load))
 	}
 	for _, pool := range slices.Sorted(maps.Keys(pools)) {
@@ -173,37 +173,37 @@
 	return encoded
 }
 
-func encodeLoad(poolZone demand.Place, load demand.Load) *apiv1.PlaceLoad {
+func encodeLoad(poolZone demand.ZonePool, load demand.Load) *apiv1.PlaceLoad {
 	return &apiv1.PlaceLoad{
 		Pool:     string(poolZone.Pool),
 		Zone:     string(poolZone.Zone),
-		Waiting:  float32(load.Waiting),
-		Openings: float32(load.Openings),
-		Answers:  float32(load.Answers),
+		Waiting:  float32(load.InFlight),
+		Openings: float32(load.NewFlows),
+		Answers:  float32(load.Responses),
 		Refusals: float32(load.Refusals),
-		Asks:     float32(load.Asks),
+		Asks:     float32(load.Offered),
 	}
 }
 
 // decodeAggregate reads a picture from a message that left, or came, at a time.
-func decodeAggregate(encoded *apiv1.DemandReport, at time.Time) demand.Picture {
-	aggregate := demand.Picture{
-		At:        at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
-		Balancers: int(encoded.GetBalancers()),
-		Zones:     make(map[demand.Zone]int, len(encoded.GetZones())),
-		Places:    make(map[demand.Place]demand.Load, len(encoded.GetPlaces())),
+func decodeAggregate(encoded *apiv1.DemandReport, at time.Time) demand.Aggregate {
+	aggregate := demand.Aggregate{
+		OldestAt:      at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
+		Balancers:     int(encoded.GetBalancers()),
+		ZoneBalancers: make(map[demand.Zone]int, len(encoded.GetZones())),
+		Loads:         make(map[demand.ZonePool]demand.Load, len(encoded.GetPlaces())),
 	}
 	for _, zone := range encoded.GetZones() {
-		aggregate.Zones[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
+		aggregate.ZoneBalancers[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
 	}
 	for _, load := range encoded.GetPlaces() {
-		poolZone := demand.Place{Pool: demand.Pool(load.GetPool()), Zone: demand.Zone(load.GetZone())}
-		aggregate.Places[poolZone] = demand.Load{
-			Waiting:  decodeNumber(load.GetWaiting()),
-			Openings: decodeNumber(load.GetOpenings()),
-			Answers:  decodeNumber(load.GetAnswers()),
-			Refusals: decodeNumber(load.GetRefusals()),
-			Asks:     decodeNumber(load.GetAsks()),
+		poolZone := demand.ZonePool{Pool: demand.Pool(load.GetPool()), Zone: demand.Zone(load.GetZone())}
+		aggregate.Loads[poolZone] = demand.Load{
+			InFlight:  decodeNumber(load.GetWaiting()),
+			NewFlows:  decodeNumber(load.GetOpenings()),
+			Responses: decodeNumber(load.GetAnswers()),
+			Refusals:  decodeNumber(load.GetRefusals()),
+			Offered:   decodeNumber(load.GetAsks()),
 		}
 	}
 	return aggregate
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -20,14 +20,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-func lendingPoolZone(zone string) demand.Place {
-	return demand.Place{Pool: "lending", Zone: demand.Zone(zone)}
+func lendingPoolZone(zone string) demand.ZonePool {
+	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
 // demandOf is the part of a balancer whose clients ask so much a second of lending.
-func demandOf(zone string, rate, waiting float64, at time.Time) demand.Picture {
-	return demand.Picture{At: at, Balancers: 1, Zones: map[demand.Zone]int{demand.Zone(zone): 1},
-		Places: map[demand.Place]demand.Load{lendingPoolZone(zone): {Asks: rate, Waiting: waiting}}}
+func demandOf(zone string, rate, waiting float64, at time.Time) demand.Aggregate {
+	return demand.Aggregate{OldestAt: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingPoolZone(zone): {Offered: rate, InFlight: waiting}}}
 }
 
 // newParentAndFollower are a balancer that leads and one that follows it, with its clock known there.
@@ -35,15 +35,15 @@
 	parent, child = newTestControl(), newTestControl()
 	parent.balancer.started = now.Add(-3 * time.Minute)
 	parentEntry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
-	child.core.SetBalancers([]*apiv1.Balancer{child.balancer.entry(), parentEntry}, now)
+	child.core.SetBalancers([]*apiv1.Balancer{child.balancer.ownEntry(), parentEntry}, now)
 	require.True(t, child.core.Leads("10.0.0.2:1"))
 	child.testimony.parent = "10.0.0.2:1"
-	child.testimony.parentClock = evidence.NewClock(parent.testimony.clock, parent.clockNow(now), now.Add(-30*time.Millisecond), now)
+	child.testimony.parentClock = evidence.NewRemoteClock(parent.testimony.clock, parent.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{parent, child} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
-	parent.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{All: 1})
-	child.demand.tree.See(demandOf("giza", 30, 2, now), demand.Levels{Above: 1, All: 1})
+	parent.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{TreeHeight: 1})
+	child.demand.tree.SetOwn(demandOf("giza", 30, 2, now), demand.Position{Depth: 1, TreeHeight: 1})
 	return parent, child
 }
 
@@ -58,22 +58,22 @@
 		require.NotNil(t, request.GetDemand())
 		require.Nil(t, child.requestTo(replication.Peer{Address: "10.0.0.3:1", Purpose: replication.PurposeFollow}, 0, now).GetDemand(),
 			"another one is told nothing while the first may count it")
-		call := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
+		call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
 			parent.handleTestifyRequest(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
 		} else {
 			call.demand = request.GetDemand()
 		}
-		parent.take(call)
+		parent.enqueueFollow(call)
 		parent.answerWaiting(now)
 		reply := <-call.reply
-		child.handleTotalDemand(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: child.nanoseconds(now)}, now)
-		all := child.demand.tree.Picture(now)
+		child.handleTotalDemand(&apiv1.DirectoryNews{Demand: reply.GetDemand(), LeftAfterNanoseconds: child.sinceStart(now)}, now)
+		all := child.demand.tree.Aggregate(now)
 		require.Equal(t, 2, all.Balancers)
-		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.Zones)
-		require.Equal(t, 30.0, all.Places[lendingPoolZone("giza")].Asks)
-		require.Equal(t, 10.0, all.Places[lendingPoolZone("maadi")].Asks)
+		require.Equal(t, map[demand.Zone]int{"maadi": 1, "giza": 1}, all.ZoneBalancers)
+		require.Equal(t, 30.0, all.Loads[lendingPoolZone("giza")].Offered)
+		require.Equal(t, 10.0, all.Loads[lendingPoolZone("maadi")].Offered)
 	}
 }
 
@@ -84,20 +84,20 @@
 	report := child.demandReportFor("10.0.0.2:1", false, now)
 	report.Clock++
 	parent.handleDemandReport("10.0.0.1:1", report, now)
-	require.Equal(t, 1, parent.demand.tree.Picture(now).Balancers)
+	require.Equal(t, 1, parent.demand.tree.Aggregate(now).Balancers)
 }
 
 // A message has a bound, and pools are in it whole or not at all.
 func TestReportSizeIsBounded(t *testing.T) {
 	aggregate := demandOf("maadi", 1, 1, time.Now())
-	clear(aggregate.Places)
+	clear(aggregate.Loads)
 	for pool := range 100 {
 		for _, zone := range []demand.Zone{"zone-a", "zone-b", "zone-c"} {
-			aggregate.Places[demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
-				Waiting: 1, Openings: 2, Answers: 3, Refusals: 4, Asks: float64(pool)}
+			aggregate.Loads[demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%04d", pool)), Zone: zone}] = demand.Load{
+				InFlight: 1, NewFlows: 2, Responses: 3, Refusals: 4, Offered: float64(pool)}
 		}
 	}
-	encoded := encodeAggregate(aggregate, aggregate.At)
+	encoded := encodeAggregate(aggregate, aggregate.OldestAt)
 	require.LessOrEqual(t, len(encoded.GetPlaces()), maxReportPoolZones)
 	require.LessOrEqual(t, proto.Size(encoded), 50*maxReportPoolZones)
 	counts := make(map[string]int)
@@ -116,23 +116,23 @@
 func TestReportedPoolsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
-		rates := make(map[demand.Place]float64)
-		sum := demand.Picture{At: now, Balancers: 2, Places: make(map[demand.Place]demand.Load)}
+		rates := make(map[demand.ZonePool]float64)
+		sum := demand.Aggregate{OldestAt: now, Balancers: 2, Loads: make(map[demand.ZonePool]demand.Load)}
 		for range 2 {
-			aggregate := demand.Picture{At: now, Balancers: 1, Places: make(map[demand.Place]demand.Load)}
+			aggregate := demand.Aggregate{OldestAt: now, Balancers: 1, Loads: make(map[demand.ZonePool]demand.Load)}
 			for pool := range 90 {
 				for zone := range rapid.IntRange(0, 3).Draw(t, "zones") {
-					poolZone := demand.Place{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
-					aggregate.Places[poolZone] = demand.Load{Asks: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
-					rates[poolZone] += aggregate.Places[poolZone].Asks
+					poolZone := demand.ZonePool{Pool: demand.Pool(fmt.Sprintf("pool-%02d", pool)), Zone: demand.Zone(fmt.Sprint(zone))}
+					aggregate.Loads[poolZone] = demand.Load{Offered: float64(rapid.IntRange(1, 9).Draw(t, "asks"))}
+					rates[poolZone] += aggregate.Loads[poolZone].Offered
 				}
 			}
-			for poolZone, load := range decodeAggregate(encodeAggregate(aggregate, now), now).Places {
-				sum.Places[poolZone] = sum.Places[poolZone].Plus(load)
+			for poolZone, load := range decodeAggregate(encodeAggregate(aggregate, now), now).Loads {
+				sum.Loads[poolZone] = sum.Loads[poolZone].Plus(load)
 			}
 		}
-		for poolZone, load := range decodeAggregate(encodeAggregate(sum, now), now).Places {
-			require.InDelta(t, rates[poolZone], load.Asks, 1e-6, poolZone)
+		for poolZone, load := range decodeAggregate(encodeAggregate(sum, now), now).Loads {
+			require.InDelta(t, rates[poolZone], load.Offered, 1e-6, poolZone)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
 			Waiting: value, Openings: value, Answers: value, Refusals: value, Asks: 5}}}
 		decoded := decodeAggregate(encoded, time.Now())
-		require.Equal(t, demand.Load{Asks: 5}, decoded.Places[lendingPoolZone("maadi")])
+		require.Equal(t, demand.Load{Offered: 5}, decoded.Loads[lendingPoolZone("maadi")])
 	}
 }
 
@@ -153,13 +153,13 @@
 	now := time.Now()
 	parent, _ := newParentAndFollower(t, now)
 	poolZone := lendingPoolZone("maadi")
-	parent.demand.capacity.slots = map[demand.Place]float64{poolZone: 10}
+	parent.demand.capacity.slots = map[demand.ZonePool]float64{poolZone: 10}
 	tell := func(waiting float64) (sent int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
-			parent.demand.tree.See(demandOf("maadi", 10, waiting, now), demand.Levels{})
-			call := &follower{caller: replication.Caller{Address: "10.0.0.1:1"}, takenAt: now, until: now, takesTestimony: true,
+			parent.demand.tree.SetOwn(demandOf("maadi", 10, waiting, now), demand.Position{})
+			call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
-			parent.take(call)
+			parent.enqueueFollow(call)
 			parent.answerWaiting(now)
 			if (<-call.reply).GetDemand() != nil {
 				sent++
@@ -174,10 +174,10 @@
 	one, other := send("10.0.0.8:1"), send("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
 	require.Nil(t, send("10.0.0.9:1"))
-	now = now.Add(lookPause + time.Millisecond)
-	parent.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
+	now = now.Add(observationInterval + time.Millisecond)
+	parent.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{})
 	require.Nil(t, send("10.0.0.9:1"), "nor sooner than soonPause")
-	now = now.Add(urgentFeedInterval - lookPause)
+	now = now.Add(urgentFeedInterval - observationInterval)
 	require.NotNil(t, send("10.0.0.9:1"), "its pressure has moved")
 	for range 3 {
 		now = now.Add(feedTTL)
@@ -193,7 +193,7 @@
 	sent, last, longest := 0, now, time.Duration(0)
 	for range 100 {
 		now = now.Add(920 * time.Millisecond)
-		parent.demand.tree.See(demandOf("maadi", 10, 1, now), demand.Levels{})
+		parent.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{})
 		if parent.totalDemandFor("10.0.0.1:1", now) != nil {
 			sent++
 			longest, last = max(longest, now.Sub(last)), now
@@ -212,12 +212,12 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.addBackends("lending", "fayum", 4, now)
-	control.listed = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
+	control.balancersByZone = map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1}
 	control.measureCapacity(nil, now)
-	aggregate := demand.Picture{At: now, Balancers: 3, Zones: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
-		Places: map[demand.Place]demand.Load{lendingPoolZone("maadi"): {Asks: maadi, Waiting: waiting}, lendingPoolZone("giza"): {Asks: giza},
-			lendingPoolZone("fayum"): {Asks: fayum}}}
-	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
+	aggregate := demand.Aggregate{OldestAt: now, Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 1, "giza": 1, "fayum": 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingPoolZone("maadi"): {Offered: maadi, InFlight: waiting}, lendingPoolZone("giza"): {Offered: giza},
+			lendingPoolZone("fayum"): {Offered: fayum}}}
+	control.demand.aggregate.Store(aggregate.WithSlots(control.demand.capacity.slots))
 	return control, now
 }
 
@@ -247,7 +247,7 @@
 	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(weights["giza"]), 2)
 	require.False(t, control.planZoneShares(now), "the table was made with it")
 	require.True(t, control.newWeights(nil, now).zoneChosenByWeights("lending"))
-	control.balancer.off, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
+	control.balancer.disabled, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
 	require.True(t, control.planZoneShares(now))
 	require.Equal(t, control.zoneWeights(now)["giza"], control.zoneWeights(now)["fayum"], "without it all others are alike")
 }
@@ -257,7 +257,7 @@
 	control, now := newThreeZoneControl(200, 100, 200, 50)
 	control.measureCapacity(map[string]uint64{"maadi": 7}, now)
 	aggregate := *control.demand.aggregate.Load()
-	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
+	control.demand.aggregate.Store(aggregate.WithSlots(control.demand.capacity.slots))
 	require.True(t, control.planZoneShares(now))
 	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
@@ -270,7 +270,7 @@
 	control, now := newThreeZoneControl(200, 100, 200, 50)
 	require.True(t, control.planZoneShares(now))
 	control.zoneWeights(now)
-	require.True(t, control.planZoneShares(now.Add(demand.FreshFor+time.Millisecond)))
+	require.True(t, control.planZoneShares(now.Add(demand.MaximumAge+time.Millisecond)))
 	require.Nil(t, control.observed.plannedShares)
 }
 
@@ -292,10 +292,10 @@
 func TestPressureMetricIsInfiniteWithoutCapacity(t *testing.T) {
 	now := time.Now()
 	aggregate := demandOf("maadi", 10, 2, now)
-	aggregate.Places[lendingPoolZone("giza")] = demand.Load{Asks: 5, Refusals: 5}
-	aggregate.Places[lendingPoolZone("fayum")] = demand.Load{Asks: 5}
+	aggregate.Loads[lendingPoolZone("giza")] = demand.Load{Offered: 5, Refusals: 5}
+	aggregate.Loads[lendingPoolZone("fayum")] = demand.Load{Offered: 5}
 	pressures := make(map[string]float64)
-	collectDemand(aggregate.WithRoom(map[demand.Place]float64{lendingPoolZone("maadi"): 4}),
+	collectDemand(aggregate.WithSlots(map[demand.ZonePool]float64{lendingPoolZone("maadi"): 4}),
 		func(description *prometheus.Desc, value float64, labels ...string) {
 			if description == pressureDescription {
 				pressures[labels[1]] = value
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -23,24 +23,24 @@
 )
 
 // collectDemand gives the picture of demand and room.
-func collectDemand(picture *demand.Picture, gauge func(*prometheus.Desc, float64, ...string)) {
-	if picture == nil || picture.At.IsZero() {
+func collectDemand(picture *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
+	if picture == nil || picture.OldestAt.IsZero() {
 		return
 	}
 	gauge(pictureAgeDescription, picture.Age(time.Now()).Seconds())
-	for zone, count := range picture.Zones {
+	for zone, count := range picture.ZoneBalancers {
 		gauge(pictureBalancersDescription, float64(count), string(zone))
 	}
-	tell := func(place demand.Place) {
-		gauge(roomDescription, picture.Room[place], string(place.Pool), string(place.Zone))
+	tell := func(place demand.ZonePool) {
+		gauge(roomDescription, picture.Slots[place], string(place.Pool), string(place.Zone))
 		gauge(pressureDescription, picture.Pressure(place), string(place.Pool), string(place.Zone))
 	}
-	for place := range picture.Room {
+	for place := range picture.Slots {
 		tell(place)
 	}
-	for place, load := range picture.Places {
-		gauge(asksDescription, load.Asks, string(place.Pool), string(place.Zone))
-		if _, found := picture.Room[place]; !found {
+	for place, load := range picture.Loads {
+		gauge(asksDescription, load.Offered, string(place.Pool), string(place.Zone))
+		if _, found := picture.Slots[place]; !found {
 			tell(place)
 		}
 	}
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -32,17 +32,17 @@
 					Address: uint32(number), Port: 80, Capacity: 2}}})
 		}
 	}
-	control.learn(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: control.nanoseconds(now)}, now)
-	control.firstAt = now.Add(-time.Hour)
-	control.renewTable(now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.firstRoutesAt = now.Add(-time.Hour)
+	control.rebuildTable(now)
 	return control
 }
 
 // planWithDemand gives a balancer a picture in which clients of its zone ask, and plans by it.
 func (control *control) planWithDemand(now time.Time) bool {
-	control.demand.tree.See(demandOf("maadi", 5, 5, now), demand.Levels{})
-	aggregate := control.demand.tree.Picture(now)
-	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
+	control.demand.tree.SetOwn(demandOf("maadi", 5, 5, now), demand.Position{})
+	aggregate := control.demand.tree.Aggregate(now)
+	control.demand.aggregate.Store(aggregate.WithSlots(control.demand.capacity.slots))
 	return control.planZoneShares(now)
 }
 
@@ -52,16 +52,16 @@
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.planWithDemand(now))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
-	for _, backend := range control.known.Backends() {
+	for _, backend := range control.directory.Backends() {
 		gone.Changes = append(gone.Changes, &apiv1.DirectoryChange{Revision: 6, Gone: true,
 			Entry: &apiv1.DirectoryChange_Backend{Backend: backend.PoolBackend}})
 	}
 	now = now.Add(100 * time.Millisecond)
-	control.learn(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.nanoseconds(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.NotNil(t, control.observed.plannedShares)
-	require.NotPanics(t, func() { control.renewTable(now) })
+	require.NotPanics(t, func() { control.rebuildTable(now) })
 }
 
 // localFraction is the part of new flows that stays in the zone while its back ends are in use
@@ -93,34 +93,34 @@
 	now := time.Now()
 	planned := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	planned.planWithDemand(now)
-	planned.renewTable(now)
+	planned.rebuildTable(now)
 	require.Greater(t, localFraction(t, planned), 0.9)
 
 	t.Run("few in the zone", func(t *testing.T) {
 		few := newServingControl(now, map[string]int{"maadi": minLocalBackends - 1, "giza": 6})
 		few.planWithDemand(now)
 		require.NotNil(t, few.observed.plannedShares)
-		few.renewTable(now)
+		few.rebuildTable(now)
 		require.Zero(t, localFraction(t, few))
 	})
 	t.Run("policy of its own", func(t *testing.T) {
 		own := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
-		own.known.Apply(policyBatch(6, "lending", "1.0"), now)
+		own.directory.Apply(policyBatch(6, "lending", "1.0"), now)
 		own.planWithDemand(now)
-		own.renewTable(now)
+		own.rebuildTable(now)
 		require.Less(t, localFraction(t, own), 0.1)
 	})
 	t.Run("spread after a start", func(t *testing.T) {
 		started := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
-		started.firstAt = now
+		started.firstRoutesAt = now
 		started.planWithDemand(now)
-		started.renewTable(now)
+		started.rebuildTable(now)
 		require.Less(t, localFraction(t, started), 0.1)
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
 		other := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 		other.observed.plannedShares = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
-		other.renewTable(now)
+		other.rebuildTable(now)
 		require.Zero(t, localFraction(t, other)-localFraction(t, newServingControl(now, map[string]int{"maadi": 4, "giza": 4})))
 	})
 }
@@ -131,7 +131,7 @@
 	for _, remoteBackends := range []int{14, 1400, 14_000} {
 		for _, share := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.capacity.backends = map[demand.Place]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): remoteBackends}
+			control.demand.capacity.backends = map[demand.ZonePool]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): remoteBackends}
 			shares := map[demand.Zone]float64{"maadi": 1 - share, "giza": share}
 			taken := func(zone string, backends int) float64 {
 				weight := math.Ceil(control.shareWeight(shares, lendingPoolZone(zone)) * rule.MaximumWeight)
@@ -160,10 +160,10 @@
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.planWithDemand(now))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.False(t, control.observeWaiting("lending", 12, now))
 	control.observed.plannedShares = nil
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without a plan they do")
 }
 
@@ -173,19 +173,19 @@
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.planWithDemand(now))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	tables := 0
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
 		aggregate := *control.demand.aggregate.Load()
-		aggregate.At = now
+		aggregate.OldestAt = now
 		if step%4 == 0 {
-			aggregate.At = now.Add(-demand.FreshFor - time.Second)
+			aggregate.OldestAt = now.Add(-demand.MaximumAge - time.Second)
 		}
 		control.demand.aggregate.Store(&aggregate)
 		if control.planZoneShares(now) {
 			tables++
-			control.renewTable(now)
+			control.rebuildTable(now)
 		}
 	}
 	require.Equal(t, 1, tables, "none but as it lapses")
--- a/internal/balancer/early.go
+++ b/internal/balancer/early.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// earlyAge is how long a packet of an open flow is kept that came before the first
+	// maxEarlyAge is how long a packet of an open flow is kept that came before the first
 	// table. Clients repeat a request after 200, 600 and 1400 ms: whoever sent it
 	// earlier has sent a copy since, or will soon.
-	earlyAge = 400 * time.Millisecond
-	// earlyFirstAge is the same for a packet that opens a flow. Its copy after 200 ms
+	maxEarlyAge = 400 * time.Millisecond
+	// maxEarlyOpenerAge is the same for a packet that opens a flow. Its copy after 200 ms
 	// may have opened the flow by another balancer, and a back end would take this one
 	// for one more flow.
-	earlyFirstAge = 200 * time.Millisecond
-	// earlyLimit bounds the packets kept, with their data 300 KB. The busiest of 35
+	maxEarlyOpenerAge = 200 * time.Millisecond
+	// maxEarlyPackets bounds the packets kept, with their data 300 KB. The busiest of 35
 	// balancers got 60 within 400 ms after all had lost power.
-	earlyLimit = 256
+	maxEarlyPackets = 256
 )
 
-// early keeps the packets that come before the first table: after a loss of power
+// earlyBuffer keeps the packets that come before the first table: after a loss of power
 // routers send to balancers that know nothing yet, and the client of a packet that is
 // dropped repeats it up to 1.6 s later. Its zero value is empty. It belongs to the
 // traffic goroutine.
-type early struct {
+type earlyBuffer struct {
 	packets []earlyPacket
 	// sent counts the packets that were decided by the first table, and lost those that
 	// were too old by then or for which there was no room.
@@ -35,13 +35,13 @@
 
 // earlyPacket is a packet that waits for the first table.
 type earlyPacket struct {
-	packet   tokenroute.Packet
-	datagram []byte
-	cameAt   time.Time
+	packet     tokenroute.Packet
+	datagram   []byte
+	receivedAt time.Time
 }
 
-// keep takes a copy of a packet, in the place of an earlier copy by its sender.
-func (e *early) keep(packet tokenroute.Packet, datagram []byte, now time.Time) {
+// add takes a copy of a packet, in the place of an earlier copy by its sender.
+func (e *earlyBuffer) add(packet tokenroute.Packet, datagram []byte, now time.Time) {
 	e.expire(now)
 	for place := range e.packets {
 		if e.packets[place].sameAs(packet) {
@@ -49,12 +49,12 @@
 			break
 		}
 	}
-	if len(e.packets) >= earlyLimit {
+	if len(e.packets) >= maxEarlyPackets {
 		// The client of the oldest repeats it first.
 		e.packets = slices.Delete(e.packets, 0, 1)
 		e.lost.Add(1)
 	}
-	e.packets = append(e.packets, earlyPacket{packet: packet, datagram: append([]byte(nil), datagram...), cameAt: now})
+	e.packets = append(e.packets, earlyPacket{packet: packet, datagram: append([]byte(nil), datagram...), receivedAt: now})
 }
 
 // sameAs tells whether a packet is a copy of the one kept.
@@ -66,16 +66,16 @@
 
 // take returns what is kept, the oldest first, and keeps nothing. Acknowledgements
 // come before the others: they are decided as of when they came.
-func (e *early) take(now time.Time) []earlyPacket {
+func (e *earlyBuffer) take(now time.Time) []earlyPacket {
 	e.expire(now)
 	taken := e.packets
 	e.packets = nil
-	slices.SortStableFunc(taken, func(a, b earlyPacket) int { return a.order() - b.order() })
+	slices.SortStableFunc(taken, func(a, b earlyPacket) int { return a.rank() - b.rank() })
 	e.sent.Add(uint64(len(taken)))
 	return taken
 }
 
-func (e earlyPacket) order() int {
+func (e earlyPacket) rank() int {
 	if e.acknowledges() {
 		return 0
 	}
@@ -88,19 +88,19 @@
 	return !e.packet.First && !e.packet.Closing && e.packet.Length == 0
 }
 
-// waits tells whether anything is kept.
-func (e *early) waits() bool { return len(e.packets) > 0 }
+// pending tells whether anything is kept.
+func (e *earlyBuffer) pending() bool { return len(e.packets) > 0 }
 
-func (e *early) expire(now time.Time) {
+func (e *earlyBuffer) expire(now time.Time) {
 	before := len(e.packets)
-	e.packets = slices.DeleteFunc(e.packets, func(p earlyPacket) bool { return now.Sub(p.cameAt) >= p.limit() })
+	e.packets = slices.DeleteFunc(e.packets, func(p earlyPacket) bool { return now.Sub(p.receivedAt) >= p.maxAge() })
 	e.lost.Add(uint64(before - len(e.packets)))
 }
 
-// limit is how long the packet may wait.
-func (e earlyPacket) limit() time.Duration {
+// maxAge is how long the packet may wait.
+func (e earlyPacket) maxAge() time.Duration {
 	if e.packet.First {
-		return earlyFirstAge
+		return maxEarlyOpenerAge
 	}
-	return earlyAge
+	return maxEarlyAge
 }
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -28,56 +28,56 @@
 }
 
 func TestEarlyPacketsAreBounded(t *testing.T) {
-	var kept early
+	var kept earlyBuffer
 	now := time.Now()
-	for sequence := range uint32(earlyLimit + 3) {
-		kept.keep(earlyRequest(1, sequence), []byte{1}, now)
+	for sequence := range uint32(maxEarlyPackets + 3) {
+		kept.add(earlyRequest(1, sequence), []byte{1}, now)
 	}
 	require.EqualValues(t, 3, kept.lost.Load())
-	taken := kept.take(now.Add(earlyAge - 1))
-	require.Len(t, taken, earlyLimit)
+	taken := kept.take(now.Add(maxEarlyAge - 1))
+	require.Len(t, taken, maxEarlyPackets)
 	require.EqualValues(t, 3, taken[0].packet.Sequence, "the oldest made room")
-	require.EqualValues(t, earlyLimit+2, taken[earlyLimit-1].packet.Sequence)
-	require.False(t, kept.waits())
+	require.EqualValues(t, maxEarlyPackets+2, taken[maxEarlyPackets-1].packet.Sequence)
+	require.False(t, kept.pending())
 }
 
 // The copy of a first packet comes after 200 ms, and may open the flow elsewhere.
 func TestEarlyFirstPacketsWaitForTheirCopyOnly(t *testing.T) {
-	var kept early
+	var kept earlyBuffer
 	now := time.Now()
 	first := earlyRequest(1, 1)
 	first.First, first.Length = true, 0
-	kept.keep(first, []byte{1}, now)
-	kept.keep(earlyRequest(2, 1), []byte{2}, now)
+	kept.add(first, []byte{1}, now)
+	kept.add(earlyRequest(2, 1), []byte{2}, now)
 	taken := kept.take(now.Add(200 * time.Millisecond))
 	require.Len(t, taken, 1)
 	require.Equal(t, []byte{2}, taken[0].datagram)
 	require.EqualValues(t, 1, kept.lost.Load())
 }
 
-// earlyTraffic is a traffic without a goroutine of its own.
-func earlyTraffic(t *testing.T, codec Codec) *traffic {
+// newTestTraffic is a traffic without a goroutine of its own.
+func newTestTraffic(t *testing.T, codec Codec) *traffic {
 	made := &Balancer{
 		logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-		started: time.Now(), outside: Outside{Codec: codec},
+		started: time.Now(), dependencies: Dependencies{Codec: codec},
 	}
 	made.settings.Store(testSettings())
 	made.traffic = newTraffic(made, listenLoopback(t))
 	return made.traffic
 }
 
-// refusingCodec counts what is refused.
-type refusingCodec struct {
-	plainCodec
+// refusalCountingCodec counts what is refused.
+type refusalCountingCodec struct {
+	testCodec
 	refused *int
 }
 
-func (c refusingCodec) Refuse(output []byte, _ tokenroute.Packet) []byte {
+func (c refusalCountingCodec) Refuse(output []byte, _ tokenroute.Packet) []byte {
 	*c.refused++
 	return output
 }
 
-func (c refusingCodec) Client(tokenroute.Packet) netip.AddrPort {
+func (c refusalCountingCodec) ClientAddress(tokenroute.Packet) netip.AddrPort {
 	return netip.MustParseAddrPort("127.0.0.1:9")
 }
 
@@ -85,28 +85,28 @@
 // another balancer meanwhile, and the refusal would end it.
 func TestNoEarlyPacketIsRefused(t *testing.T) {
 	refused := 0
-	traffic := earlyTraffic(t, refusingCodec{refused: &refused})
+	traffic := newTestTraffic(t, refusalCountingCodec{refused: &refused})
 	now := time.Now()
 	table := earlyTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	nowhere := tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1},
 		DestinationPort: 444, Protocol: flow.ProtocolTCP}, First: true}
-	traffic.early.keep(nowhere, []byte{1}, now)
-	traffic.sendEarly(table, now.Add(time.Millisecond))
+	traffic.early.add(nowhere, []byte{1}, now)
+	traffic.routeEarlyPackets(table, now.Add(time.Millisecond))
 	require.Zero(t, refused)
-	require.EqualValues(t, 1, traffic.counts[tokenroute.ReasonNoRoute].Load())
-	traffic.pass(nowhere, []byte{1}, table, now.Add(2*time.Millisecond))
+	require.EqualValues(t, 1, traffic.decisionCounts[tokenroute.ReasonNoRoute].Load())
+	traffic.route(nowhere, []byte{1}, table, now.Add(2*time.Millisecond))
 	require.Equal(t, 1, refused, "one that comes now is")
 }
 
 // They are decided as of when they came, and time must not run back after that.
 func TestEarlyAcknowledgementsComeFirst(t *testing.T) {
-	var kept early
+	var kept earlyBuffer
 	now := time.Now()
 	acknowledgement := earlyRequest(2, 1)
 	acknowledgement.Length = 0
-	kept.keep(earlyRequest(1, 1), []byte{1}, now)
-	kept.keep(acknowledgement, []byte{2}, now)
-	kept.keep(earlyRequest(3, 1), []byte{3}, now)
+	kept.add(earlyRequest(1, 1), []byte{1}, now)
+	kept.add(acknowledgement, []byte{2}, now)
+	kept.add(earlyRequest(3, 1), []byte{3}, now)
 	var order []byte
 	for _, each := range kept.take(now) {
 		order = append(order, each.datagram...)
@@ -116,18 +116,18 @@
 
 // An acknowledgement that has waited does not answer a witness of what came after it.
 func TestEarlyAcknowledgementProvesItsOwnTimeOnly(t *testing.T) {
-	traffic := earlyTraffic(t, plainCodec{})
+	traffic := newTestTraffic(t, testCodec{})
 	came := time.Now()
 	table := earlyTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	key := flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
 	request := tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Sequence: 1, Length: 1}
-	traffic.early.keep(request, []byte{1}, came)
-	traffic.early.keep(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
+	traffic.early.add(request, []byte{1}, came)
+	traffic.early.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
 	now := came.Add(300 * time.Millisecond)
-	traffic.sendEarly(table, now)
-	require.EqualValues(t, 2, traffic.counts[tokenroute.ReasonToken].Load())
-	hear := func(sentAt time.Time) []evidence.Statement {
-		traffic.flows.Hear(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
+	traffic.routeEarlyPackets(table, now)
+	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
+	hear := func(sentAt time.Time) []evidence.Observation {
+		traffic.flows.Receive(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: sentAt}, table, now)
 		return traffic.flows.TakeStatements()
 	}
 	require.Empty(t, hear(came.Add(100*time.Millisecond)))
@@ -135,11 +135,11 @@
 }
 
 func TestEarlyPacketsGrowOld(t *testing.T) {
-	var kept early
+	var kept earlyBuffer
 	now := time.Now()
-	kept.keep(earlyRequest(1, 1), []byte{1}, now)
-	kept.keep(earlyRequest(2, 1), []byte{2}, now.Add(earlyAge/2))
-	taken := kept.take(now.Add(earlyAge))
+	kept.add(earlyRequest(1, 1), []byte{1}, now)
+	kept.add(earlyRequest(2, 1), []byte{2}, now.Add(maxEarlyAge/2))
+	taken := kept.take(now.Add(maxEarlyAge))
 	require.Len(t, taken, 1)
 	require.Equal(t, []byte{2}, taken[0].datagram)
 	require.EqualValues(t, 1, kept.lost.Load())
@@ -148,13 +148,13 @@
 
 // A back end would take the second copy of a first packet for one more flow.
 func TestOnlyTheLastCopyIsKept(t *testing.T) {
-	var kept early
+	var kept earlyBuffer
 	now := time.Now()
 	datagram := []byte{1}
-	kept.keep(earlyRequest(1, 1), datagram, now)
-	kept.keep(earlyRequest(2, 1), []byte{2}, now)
+	kept.add(earlyRequest(1, 1), datagram, now)
+	kept.add(earlyRequest(2, 1), []byte{2}, now)
 	datagram[0] = 3
-	kept.keep(earlyRequest(1, 1), datagram, now.Add(time.Millisecond))
+	kept.add(earlyRequest(1, 1), datagram, now.Add(time.Millisecond))
 	datagram[0] = 4
 	taken := kept.take(now.Add(time.Millisecond))
 	require.Len(t, taken, 2)
@@ -162,13 +162,13 @@
 	require.Equal(t, []byte{3}, taken[1].datagram, "what came, not what was read since")
 }
 
-// plainCodec reads datagrams whose first byte is that of the client; all are first
+// testCodec reads datagrams whose first byte is that of the client; all are first
 // packets.
-type plainCodec struct{ Codec }
+type testCodec struct{ Codec }
 
-func (plainCodec) MaximumSize() int { return 16 }
+func (testCodec) MaximumSize() int { return 16 }
 
-func (plainCodec) Decode(datagram []byte) (tokenroute.Packet, error) {
+func (testCodec) Decode(datagram []byte) (tokenroute.Packet, error) {
 	if len(datagram) == 0 {
 		return tokenroute.Packet{}, errors.New("empty")
 	}
@@ -176,18 +176,18 @@
 	return tokenroute.Packet{Key: key, First: true}, nil
 }
 
-func (plainCodec) Forward(output, datagram []byte, _ *tokenroute.Backend) []byte {
+func (testCodec) Forward(output, datagram []byte, _ *tokenroute.Backend) []byte {
 	return append(output, datagram...)
 }
 
-func (plainCodec) RequestID([]byte) []byte { return nil }
+func (testCodec) RequestID([]byte) []byte { return nil }
 
 // earlyTable routes everything to one back end.
 func earlyTable(target netip.AddrPort) *tokenroute.Table {
 	known := directory.New(time.Minute)
 	known.Apply(earlyBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
-		Weigh: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
+		Weight: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
 // earlyBatch is a directory with one back end.
@@ -218,7 +218,7 @@
 			require.NoError(t, err)
 			made := &Balancer{
 				logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-				started: time.Now(), off: off, outside: Outside{Codec: plainCodec{}},
+				started: time.Now(), disabled: off, dependencies: Dependencies{Codec: testCodec{}},
 			}
 			made.settings.Store(testSettings())
 			socket, backend, client := listenLoopback(t), listenLoopback(t), listenLoopback(t)
@@ -230,12 +230,12 @@
 			t.Cleanup(func() { cancel(); require.NoError(t, <-ended) })
 			_, err = client.WriteToUDPAddrPort([]byte{9}, socket.LocalAddr().(*net.UDPAddr).AddrPort())
 			require.NoError(t, err)
-			require.Eventually(t, func() bool { return made.traffic.counts[tokenroute.ReasonNoTable].Load() == 1 },
+			require.Eventually(t, func() bool { return made.traffic.decisionCounts[tokenroute.ReasonNoTable].Load() == 1 },
 				time.Second, time.Millisecond)
 			now := time.Now()
 			batch := earlyBatch(backend.LocalAddr().(*net.UDPAddr).AddrPort())
-			made.control.learn(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: made.control.nanoseconds(now)}, now)
-			made.control.renewTable(now)
+			made.control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: made.control.sinceStart(now)}, now)
+			made.control.rebuildTable(now)
 			require.NotNil(t, made.table.Load())
 			require.NoError(t, backend.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
 			size, _, err := backend.ReadFromUDPAddrPort(make([]byte, 16))
--- a/internal/balancer/export_test.go
+++ b/internal/balancer/export_test.go
@@ -5,11 +5,11 @@
 	"net"
 )
 
-// TakesPeersAt is where calls of other balancers are taken.
-func (b *Balancer) TakesPeersAt() net.Addr { return b.peers.Addr() }
+// PeerListenerAddress is where calls of other balancers are taken.
+func (b *Balancer) PeerListenerAddress() net.Addr { return b.peerListener.Addr() }
 
-// TellPeerAddress changes where others are told to call, before Run.
-func (b *Balancer) TellPeerAddress(address string) {
+// SetAdvertisedPeerAddress changes where others are told to call, before Run.
+func (b *Balancer) SetAdvertisedPeerAddress(address string) {
 	settings := b.settings.Load()
 	settings.PeerAddress = address
 	settings.Seeds = append(settings.Seeds, address)
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		for backend, finding := range report.findings {
-			joined[backend] = joined[backend].Plus(finding)
+			joined[backend] = joined[backend].Merge(finding)
 		}
 	}
 	return joined
@@ -82,7 +82,7 @@
 	joined := f.subtree(now)
 	if f.parent.fresh(now) {
 		for backend, finding := range f.parent.findings {
-			joined[backend] = joined[backend].Or(finding)
+			joined[backend] = joined[backend].Stronger(finding)
 		}
 	}
 	return joined
@@ -94,9 +94,9 @@
 	for backend, finding := range findings {
 		encoded = append(encoded, &apiv1.BackendFinding{
 			Number:          backend.Number,
-			Failing:         float32(finding.Failing.Part),
+			Failing:         float32(finding.Failing.Fraction),
 			FailingEvidence: float32(finding.Failing.Evidence),
-			Slow:            float32(finding.Slow.Part),
+			Slow:            float32(finding.Slow.Fraction),
 			SlowEvidence:    float32(finding.Slow.Evidence),
 
 			StartedMilliseconds: uint64(backend.Start),
@@ -113,8 +113,8 @@
 	for _, finding := range encoded {
 		backend := incarnation.ID{Number: finding.GetNumber(), Start: incarnation.Start(finding.GetStartedMilliseconds())}
 		decoded[backend] = observe.Finding{
-			Failing: observe.Excess{Part: float64(finding.GetFailing()), Evidence: float64(finding.GetFailingEvidence())},
-			Slow:    observe.Excess{Part: float64(finding.GetSlow()), Evidence: float64(finding.GetSlowEvidence())},
+			Failing: observe.Excess{Fraction: float64(finding.GetFailing()), Evidence: float64(finding.GetFailingEvidence())},
+			Slow:    observe.Excess{Fraction: float64(finding.GetSlow()), Evidence: float64(finding.GetSlowEvidence())},
 		}
 	}
 	return decoded
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -18,7 +18,7 @@
 var backendSeven = incarnation.ID{Number: 7}
 
 func failingFinding(evidence float64) map[incarnation.ID]observe.Finding {
-	return map[incarnation.ID]observe.Finding{{Number: 7}: {Failing: observe.Excess{Part: 0.5, Evidence: evidence}}}
+	return map[incarnation.ID]observe.Finding{{Number: 7}: {Failing: observe.Excess{Fraction: 0.5, Evidence: evidence}}}
 }
 
 // One balancer sees too few answers to be sure; a tree of them is.
@@ -43,7 +43,7 @@
 func TestFindingsPerMessageAreBounded(t *testing.T) {
 	findings := make(map[incarnation.ID]observe.Finding)
 	for number := range uint64(1000) {
-		findings[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Part: 0.5, Evidence: float64(number)}}
+		findings[incarnation.ID{Number: number}] = observe.Finding{Slow: observe.Excess{Fraction: 0.5, Evidence: float64(number)}}
 	}
 	encoded := encodeFindings(findings)
 	require.Len(t, encoded, maxFindings)
@@ -71,7 +71,7 @@
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
-	control.known.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
+	control.directory.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
 	require.True(t, control.observed.updateHealth(failingFinding(16), 1))
 	require.Equal(t, uint32(rule.MaximumWeight/4), control.weightFunc(nil, now)(entry))
 	require.False(t, control.observed.updateHealth(failingFinding(16), 1), "the table was made with it")
@@ -82,15 +82,15 @@
 	control := newTestControl()
 	now := time.Now()
 	caller := replication.Caller{Address: "10.0.0.2:8166"}
-	follow := &follower{caller: caller, findings: encodeFindings(failingFinding(9)), takenAt: now, until: now.Add(time.Second),
+	follow := &followCall{caller: caller, findings: encodeFindings(failingFinding(9)), receivedAt: now, deadline: now.Add(time.Second),
 		reply: make(chan *apiv1.FollowReply, 1)}
-	control.take(follow)
-	control.take(&follower{caller: caller, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)})
-	control.take(&follower{caller: caller, takenAt: now, until: now.Add(time.Second), withoutChanges: true,
+	control.enqueueFollow(follow)
+	control.enqueueFollow(&followCall{caller: caller, receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)})
+	control.enqueueFollow(&followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), revisionOnly: true,
 		reply: make(chan *apiv1.FollowReply, 1)})
 	require.InDelta(t, 9, control.findings.all(now)[backendSeven].Failing.Evidence, 1e-6)
-	healthy := &follower{caller: caller, takenAt: now, until: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
-	control.take(healthy)
+	healthy := &followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
+	control.enqueueFollow(healthy)
 	require.Empty(t, control.findings.all(now), "a follower that finds nothing any more says so")
 }
 
@@ -115,8 +115,8 @@
 	require.False(t, followRequest("10.0.0.2:1").GetTakesFindings())
 	require.Empty(t, followRequest("10.0.0.2:1").GetFindings())
 	for _, takes := range []bool{true, false} {
-		call := &follower{takesFindings: takes, takenAt: now, until: now, reply: make(chan *apiv1.FollowReply, 1)}
-		control.take(call)
+		call := &followCall{wantsFindings: takes, receivedAt: now, deadline: now, reply: make(chan *apiv1.FollowReply, 1)}
+		control.enqueueFollow(call)
 		control.answerWaiting(now)
 		require.Equal(t, takes, len((<-call.reply).GetFindings()) > 0)
 	}
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -14,12 +14,12 @@
 	c.observed.limits.update(c.demand.aggregate.Load(), now)
 	changed := c.observed.updateHealth(findings, c.core.OrderSize())
 	for backend, health := range c.observed.unhealthy {
-		if before[backend].Well() {
+		if before[backend].Healthy() {
 			c.logHealthChange("Control: back end counts as unwell.", backend, health, findings[backend])
 		}
 	}
 	for backend := range before {
-		if c.observed.unhealthy[backend].Well() {
+		if c.observed.unhealthy[backend].Healthy() {
 			c.logHealthChange("Control: back end counts as well again.", backend, observe.Health{}, findings[backend])
 		}
 	}
@@ -35,6 +35,6 @@
 		}
 	}
 	c.balancer.logger.Info(message, "backend", name, "pool", pool, "failing", rounded(health.Failing), "slow", rounded(health.Slow),
-		"failing_part", rounded(finding.Failing.Part), "failing_evidence", rounded(finding.Failing.Evidence),
-		"slow_part", rounded(finding.Slow.Part), "slow_evidence", rounded(finding.Slow.Evidence))
+		"failing_part", rounded(finding.Failing.Fraction), "failing_evidence", rounded(finding.Failing.Evidence),
+		"slow_part", rounded(finding.Slow.Fraction), "slow_evidence", rounded(finding.Slow.Evidence))
 }
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -14,13 +14,13 @@
 // flows; the others by their whole pool.
 type healthLimits struct {
 	// poolZones are those of the back ends that are unwell and listed.
-	poolZones map[incarnation.ID]demand.Place
+	poolZones map[incarnation.ID]demand.ZonePool
 	// poolZoneTotals are those of the places that have such back ends, and pools those of their pools.
-	poolZoneTotals map[demand.Place]slotTotals
+	poolZoneTotals map[demand.ZonePool]slotTotals
 	poolTotals     map[demand.Pool]slotTotals
 	// allowed are the parts of what health takes off that may be taken off. Places that are
 	// not listed have no bound.
-	allowed map[demand.Place]float64
+	allowed map[demand.ZonePool]float64
 }
 
 // slotTotals is what the back ends of a place or a pool that take new flows handle at once.
@@ -37,12 +37,12 @@
 // computeHealthLimits sums up the back ends that take new flows, with each new table.
 func (c *control) computeHealthLimits(evacuated map[string]uint64, warming *warmupState, now time.Time) {
 	limits := healthLimits{
-		poolZones:      make(map[incarnation.ID]demand.Place, len(c.observed.unhealthy)),
-		poolZoneTotals: make(map[demand.Place]slotTotals),
+		poolZones:      make(map[incarnation.ID]demand.ZonePool, len(c.observed.unhealthy)),
+		poolZoneTotals: make(map[demand.ZonePool]slotTotals),
 		poolTotals:     make(map[demand.Pool]slotTotals),
 	}
 	if len(c.observed.unhealthy) > 0 {
-		for _, group := range c.known.Groups() {
+		for _, group := range c.directory.Groups() {
 			if _, isEvacuated := evacuated[group.Zone]; !isEvacuated {
 				limits.addGroup(group, &c.observed, warming, now)
 			}
@@ -61,7 +61,7 @@
 		}
 		slots := backendSlots(backend)
 		sum = sum.plus(slotTotals{backends: 1, slots: slots, healthySlots: slots})
-		if health := inputs.unhealthy[backend.Incarnation()]; !health.Well() {
+		if health := inputs.unhealthy[backend.Incarnation()]; !health.Healthy() {
 			unhealthy = true
 			l.poolZones[backend.Incarnation()] = poolZone
 			sum.healthySlots -= slots * (1 - shares.HealthWeight(health))
@@ -74,17 +74,17 @@
 }
 
 // update plans the parts by the demand of now, where a picture tells it.
-func (l *healthLimits) update(aggregate *demand.Picture, now time.Time) {
-	l.allowed = make(map[demand.Place]float64, len(l.poolZoneTotals))
+func (l *healthLimits) update(aggregate *demand.Aggregate, now time.Time) {
+	l.allowed = make(map[demand.ZonePool]float64, len(l.poolZoneTotals))
 	for poolZone, sum := range l.poolZoneTotals {
 		waiting := 0.0
 		if aggregate.Fresh(now) {
-			waiting = aggregate.Places[poolZone].Waiting
+			waiting = aggregate.Loads[poolZone].InFlight
 		}
 		if sum.backends < minLocalBackends {
 			sum = l.poolTotals[poolZone.Pool]
 			if aggregate.Fresh(now) {
-				waiting, _ = aggregate.Whole(poolZone.Pool)
+				waiting, _ = aggregate.PoolTotals(poolZone.Pool)
 			}
 		}
 		l.allowed[poolZone] = shares.HealthLimit(sum.slots, sum.healthySlots, waiting)
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -18,7 +18,7 @@
 func slowFindings(count int) map[incarnation.ID]observe.Finding {
 	findings := make(map[incarnation.ID]observe.Finding)
 	for number := range count {
-		findings[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Part: 0.9, Evidence: 1000}}
+		findings[incarnation.ID{Number: uint64(number + 1)}] = observe.Finding{Slow: observe.Excess{Fraction: 0.9, Evidence: 1000}}
 	}
 	return findings
 }
@@ -61,7 +61,7 @@
 			}
 			healthyFraction := maxBackendFraction(t, control)
 			require.True(t, control.observed.updateHealth(slowFindings(test.unhealthy), 1))
-			control.renewTable(now)
+			control.rebuildTable(now)
 			require.LessOrEqual(t, maxBackendFraction(t, control), 2*healthyFraction+0.02, "twice what it has while all are well")
 			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the room is still room")
 		})
@@ -73,17 +73,17 @@
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 10})
 	require.True(t, control.observed.updateHealth(slowFindings(5), 1))
-	control.renewTable(now)
+	control.rebuildTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
 	require.Less(t, idle, 0.05)
-	control.demand.tree.See(demand.Picture{At: now, Balancers: 1, Zones: map[demand.Zone]int{"maadi": 1},
-		Places: map[demand.Place]demand.Load{lendingPoolZone("maadi"): {Waiting: 40, Asks: 100}}}, demand.Levels{})
-	aggregate := control.demand.tree.Picture(now)
-	control.demand.aggregate.Store(aggregate.WithRoom(control.demand.capacity.slots))
+	control.demand.tree.SetOwn(demand.Aggregate{OldestAt: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
+		Loads: map[demand.ZonePool]demand.Load{lendingPoolZone("maadi"): {InFlight: 40, Offered: 100}}}, demand.Position{})
+	aggregate := control.demand.tree.Aggregate(now)
+	control.demand.aggregate.Store(aggregate.WithSlots(control.demand.capacity.slots))
 	control.findings.own = slowFindings(5)
 	require.True(t, control.updateHealth(now), "another table")
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
 }
 
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -24,10 +24,10 @@
 	holds := routesBatch(5)
 	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.learn(&apiv1.DirectoryNews{Batch: holds, AsOfNanoseconds: control.nanoseconds(told)}, told)
+	control.handleNews(&apiv1.DirectoryNews{Batch: holds, AsOfNanoseconds: control.sinceStart(told)}, told)
 	read := told.Add(1650 * time.Millisecond)
-	control.learn(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.nanoseconds(read)}, read)
-	require.True(t, control.known.Backends()[0].Gone)
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
+	require.True(t, control.directory.Backends()[0].Gone)
 	lapse := control.lapse()
 	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows until %s after it may have gone", lapse.Until.Sub(told))
 }
@@ -47,7 +47,7 @@
 		loaded.DrainMilliseconds, loaded.HeartbeatMilliseconds, loaded.LapseMilliseconds = 3000, 1200, 2000
 		told := time.Now()
 		for revision, at := range []time.Time{told, told.Add(each.gap)} {
-			control.learn(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.nanoseconds(at)}, at)
+			control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.sinceStart(at)}, at)
 		}
 		lapse := control.lapse()
 		if each.until == 0 {
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -21,16 +21,16 @@
 		return
 	}
 	if news, isNews := event.Body.(*apiv1.DirectoryNews); isNews {
-		c.learn(news, time.Now())
+		c.handleNews(news, time.Now())
 	}
 }
 
-// learn takes the answer of the store or of a peer.
-func (c *control) learn(news *apiv1.DirectoryNews, now time.Time) {
+// handleNews takes the answer of the store or of a peer.
+func (c *control) handleNews(news *apiv1.DirectoryNews, now time.Time) {
 	asOf := c.balancer.started.Add(time.Duration(news.GetAsOfNanoseconds()))
 	switch {
 	case news.GetCheck():
-		c.checkEnded(news, now)
+		c.operatorCheckEnded(news, now)
 	case news.GetTestified():
 		c.handleTestifyResult(news, now)
 	case news.GetReported():
@@ -41,7 +41,7 @@
 		c.polling = false
 		c.pollEnded(news, now)
 	default:
-		c.callEnded(news, asOf, now)
+		c.peerCallEnded(news, asOf, now)
 	}
 	if news.GetError() != "" {
 		c.balancer.logger.Debug("Control: call failed.", "peer", news.GetPeer(), "error", news.GetError())
@@ -49,8 +49,8 @@
 	}
 	c.countUnreadable(news)
 	confirms := c.confirms(news)
-	if _, knows := c.core.Age(now); !knows && confirms && precedes(news.GetBatch(), c.known) {
-		c.known.Clear()
+	if _, knows := c.core.Age(now); !knows && confirms && isOlder(news.GetBatch(), c.directory) {
+		c.directory.Clear()
 	}
 	c.apply(news.GetBatch(), now)
 	if confirms {
@@ -59,10 +59,10 @@
 	}
 }
 
-// precedes tells whether all that holds is older than what was read. What a balancer reads at its
+// isOlder tells whether all that holds is older than what was read. What a balancer reads at its
 // start may be some seconds old, and if the store came back from a copy meanwhile, it is of what
 // the store has lost.
-func precedes(batch *apiv1.DirectoryBatch, known *directory.Directory) bool {
+func isOlder(batch *apiv1.DirectoryBatch, known *directory.Directory) bool {
 	return batch.GetComplete() && batch.GetRevision() < known.Revision()
 }
 
@@ -74,25 +74,25 @@
 	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollOld {
 		return false
 	}
-	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.known.Revision())
+	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.directory.Revision())
 }
 
 // apply takes entries, and that the store came back from a copy if they show that.
 func (c *control) apply(batch *apiv1.DirectoryBatch, now time.Time) {
-	before := c.known.Revision()
-	if c.known.Apply(batch, now) {
+	before := c.directory.Revision()
+	if c.directory.Apply(batch, now) {
 		c.rebuild = true
-		c.takeBalancers(now)
+		c.updateBalancers(now)
 	}
-	after := c.known.Revision()
+	after := c.directory.Revision()
 	c.balancer.era.Store(uint64(revision.EraOf(after)))
 	if before == 0 || revision.EraOf(after) == revision.EraOf(before) {
 		return
 	}
 	c.rebuild = true
-	c.core.StoreRestored(c.known.Balancers(), now)
+	c.core.StoreRestored(c.directory.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.known.Held())
+		"known_to", revision.Text(before), "held", c.directory.Held())
 }
 
 // countUnreadable counts the entries of the store that could not be read.
@@ -102,29 +102,29 @@
 	}
 	for _, change := range news.GetBatch().GetChanges() {
 		if change.GetUnreadable() {
-			c.balancer.unreadable.Add(1)
+			c.balancer.unreadableEntries.Add(1)
 		}
 	}
 }
 
-// takeBalancers takes the balancers that the directory lists, if they have changed.
-func (c *control) takeBalancers(now time.Time) {
-	if c.known.BalancerChanges() == c.balancersSeen {
+// updateBalancers takes the balancers that the directory lists, if they have changed.
+func (c *control) updateBalancers(now time.Time) {
+	if c.directory.BalancerChanges() == c.balancerChangesSeen {
 		return
 	}
-	c.balancersSeen = c.known.BalancerChanges()
-	balancers := c.known.Balancers()
+	c.balancerChangesSeen = c.directory.BalancerChanges()
+	balancers := c.directory.Balancers()
 	c.core.SetBalancers(balancers, now)
-	c.listed = c.countByZone(balancers)
-	c.observed.zoneBalancers = c.listed[demand.Zone(c.balancer.settings.Load().GetZone())]
+	c.balancersByZone = c.countByZone(balancers)
+	c.observed.zoneBalancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
 	c.rankZoneBalancers(balancers)
 }
 
-// listing is how many balancers the directory lists in each zone.
-type listing map[demand.Zone]int
+// zoneCounts is how many balancers the directory lists in each zone.
+type zoneCounts map[demand.Zone]int
 
-// all is how many there are in all zones.
-func (l listing) all() int {
+// total is how many there are in all zones.
+func (l zoneCounts) total() int {
 	sum := 0
 	for _, count := range l {
 		sum += count
@@ -133,9 +133,9 @@
 }
 
 // countByZone counts the balancers of each zone, this one included.
-func (c *control) countByZone(known []*apiv1.Balancer) listing {
+func (c *control) countByZone(known []*apiv1.Balancer) zoneCounts {
 	settings := c.balancer.settings.Load()
-	counted := listing{demand.Zone(settings.GetZone()): 1}
+	counted := zoneCounts{demand.Zone(settings.GetZone()): 1}
 	for _, balancer := range known {
 		if balancer.GetName() != settings.GetName() {
 			counted[demand.Zone(balancer.GetZone())]++
@@ -158,12 +158,12 @@
 	}
 }
 
-// checkEnded takes a read of what operators have written. The table of routes in it
+// operatorCheckEnded takes a read of what operators have written. The table of routes in it
 // may be taken as it is; other orders than are known mean that a change was missed,
 // and the store is read whole.
-func (c *control) checkEnded(news *apiv1.DirectoryNews, now time.Time) {
+func (c *control) operatorCheckEnded(news *apiv1.DirectoryNews, now time.Time) {
 	batch := news.GetBatch()
-	if c.known.Contradicts(batch) {
+	if c.directory.Contradicts(batch) {
 		c.balancer.logger.Info("Control: orders have changed unseen, the store is read whole.",
 			"revision", revision.Text(batch.GetOrdersRevision()))
 		c.core.HistoryLost(now)
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *control) callEnded(news *apiv1.DirectoryNews, asOf, now time.Time) {
+func (c *control) peerCallEnded(news *apiv1.DirectoryNews, asOf, now time.Time) {
 	peer := replication.Peer{
 		Address:    news.GetPeer(),
 		Purpose:    replication.Purpose(news.GetPurpose()),
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -13,33 +13,33 @@
 // mailbox carries statements between the control and the traffic goroutine, neither of
 // which waits for the other. Its zero value is empty.
 type mailbox struct {
-	// filled saves the traffic goroutine the lock at each packet.
-	filled     atomic.Bool
+	// nonEmpty saves the traffic goroutine the lock at each packet.
+	nonEmpty   atomic.Bool
 	mutex      sync.Mutex
-	statements []evidence.Statement
+	statements []evidence.Observation
 	// lost counts the statements for which there was no room.
 	lost atomic.Uint64
 }
 
 // put adds statements as far as there is room.
-func (m *mailbox) put(statements []evidence.Statement) {
+func (m *mailbox) put(statements []evidence.Observation) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	room := min(len(statements), mailboxLimit-len(m.statements))
 	m.statements = append(m.statements, statements[:room]...)
 	m.lost.Add(uint64(len(statements) - room))
-	m.filled.Store(len(m.statements) > 0)
+	m.nonEmpty.Store(len(m.statements) > 0)
 }
 
 // take empties the mailbox.
-func (m *mailbox) take() []evidence.Statement {
-	if !m.filled.Load() {
+func (m *mailbox) take() []evidence.Observation {
+	if !m.nonEmpty.Load() {
 		return nil
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	taken := m.statements
 	m.statements = nil
-	m.filled.Store(false)
+	m.nonEmpty.Store(false)
 	return taken
 }
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -11,25 +11,25 @@
 
 // startWrite writes what is due about balancers to the store.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
-	c.core.SetLost(c.known.LostPolicies())
+	c.core.SetLost(c.directory.LostPolicies())
 	write, found := c.core.NextWrite(now)
 	if !found {
 		return
 	}
-	c.write, c.writeEra = write, c.balancer.era.Load()
+	c.pendingWrite, c.pendingWriteEra = write, c.balancer.era.Load()
 	if write.Policy != nil {
 		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Gone)
 	}
 	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(write.Put), "remove", write.Remove,
 		"first_of_zones", len(write.Leads))
-	go c.writeMembers(ctx, write, c.revisionsOf(write.Remove))
+	go c.writeToStore(ctx, write, c.revisionsOf(write.Remove))
 }
 
-// writeMembers makes the call to the store for one write.
-func (c *control) writeMembers(ctx context.Context, write replication.Write, remove []BalancerRevision) {
+// writeToStore makes the call to the store for one write.
+func (c *control) writeToStore(ctx context.Context, write replication.Write, remove []BalancerRevision) {
 	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	store := c.balancer.outside.Store
+	store := c.balancer.dependencies.Store
 	var err error
 	switch {
 	case len(write.Put) > 0:
@@ -49,12 +49,12 @@
 // no longer has needs no removal.
 func (c *control) revisionsOf(names []string) []BalancerRevision {
 	entries := make(map[string]*apiv1.Balancer)
-	for _, b := range c.known.Balancers() {
+	for _, b := range c.directory.Balancers() {
 		entries[b.GetName()] = b
 	}
 	var found []BalancerRevision
 	for _, name := range names {
-		revision := c.known.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
+		revision := c.directory.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
 		if revision != 0 {
 			found = append(found, BalancerRevision{Balancer: entries[name], Revision: revision})
 		}
@@ -65,13 +65,13 @@
 // writeEnded takes the end of a write. One that was under way when the store came back from a
 // copy may be lost, and counts as failed: it is made again if it is still due.
 func (c *control) writeEnded(failure string, now time.Time) {
-	failed := failure != "" || c.writeEra != c.balancer.era.Load()
-	c.core.WriteEnded(c.write, failed, now)
-	c.write = replication.Write{}
+	failed := failure != "" || c.pendingWriteEra != c.balancer.era.Load()
+	c.core.WriteEnded(c.pendingWrite, failed, now)
+	c.pendingWrite = replication.Write{}
 }
 
-// entry is how this balancer shows itself to the others.
-func (b *Balancer) entry() *apiv1.Balancer {
+// ownEntry is how this balancer shows itself to the others.
+func (b *Balancer) ownEntry() *apiv1.Balancer {
 	settings := b.settings.Load()
 	return &apiv1.Balancer{
 		Name:           settings.GetName(),
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -88,19 +88,19 @@
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, labels...)
 	}
 	for reason := range tokenroute.ReasonCount {
-		counter(packetsDescription, traffic.counts[reason].Load(), tokenroute.Reason(reason).String())
+		counter(packetsDescription, traffic.decisionCounts[reason].Load(), tokenroute.Reason(reason).String())
 	}
 	counter(faultyDescription, traffic.malformed.Load(), "malformed")
-	counter(faultyDescription, traffic.failed.Load(), "not_sent")
-	counter(unreadableDescription, balancer.unreadable.Load())
+	counter(faultyDescription, traffic.sendErrors.Load(), "not_sent")
+	counter(unreadableDescription, balancer.unreadableEntries.Load())
 	counter(flowsDescription, traffic.flows.Retried.Load(), "retried")
 	counter(flowsDescription, traffic.flows.Missed.Load(), "not_answered")
 	counter(flowsDescription, traffic.flows.Verdicts(), "backend_dead")
 	counter(flowsDescription, traffic.flows.Silenced(), "zone_silent")
 	counter(earlyDescription, traffic.early.sent.Load(), "sent")
 	counter(earlyDescription, traffic.early.lost.Load(), "lost")
-	counter(statementsDescription, traffic.heard.lost.Load()+traffic.statements.lost.Load(), "mailbox")
-	counter(statementsDescription, balancer.control.testimony.buffer.Refused.Load(), "a_second")
+	counter(statementsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
+	counter(statementsDescription, balancer.control.testimony.buffer.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
@@ -112,7 +112,7 @@
 	counter(callsDescription, failed, "store", "failed")
 	counter(callsDescription, balancer.peerCalls.answered.Load(), "peer", "answered")
 	counter(callsDescription, balancer.peerCalls.failed.Load(), "peer", "failed")
-	counter(asideDescription, balancer.asides.Load())
+	counter(asideDescription, balancer.withdrawals.Load())
 	counter(silentDescription, balancer.control.client.GivenUp.Load()+balancer.control.testimony.client.GivenUp.Load())
 	if confirmed := balancer.confirmedAt.Load(); confirmed > 0 {
 		gauge(eraDescription, float64(balancer.era.Load()))
@@ -123,10 +123,10 @@
 	}
 	told := make(map[string]bool)
 	for _, level := range traffic.flows.Levels().All() {
-		gauge(refusedPartDescription, level.Refused, level.Pool, urgencyLabel(level.Urgency))
+		gauge(refusedPartDescription, level.Fraction, level.Pool, urgencyLabel(level.Priority))
 		if !told[level.Pool] {
 			told[level.Pool] = true
-			gauge(refusedByDescription, level.Pressure.Waiting, level.Pool)
+			gauge(refusedByDescription, level.Pressure.RequestsPerSlot, level.Pool)
 		}
 	}
 	if table := balancer.table.Load(); table != nil {
@@ -143,7 +143,7 @@
 	gauge(readyDescription, ready)
 }
 
-func urgencyLabel(urgency admission.Urgency) string { return strconv.FormatUint(uint64(urgency), 10) }
+func urgencyLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
 
 // serveMetrics serves the metrics if the settings give them an address.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -28,7 +28,7 @@
 // zone's clients wait at a time. Routers spread a zone's packets evenly over its
 // balancers, so each sees one part in as many.
 type weightInputs struct {
-	followed
+	smoothedWaiting
 	// pools and remote are what the table in force was made with, by pool: the
 	// back ends, and the share of new flows that goes to other zones.
 	pools        map[string]*poolCapacity
@@ -50,7 +50,7 @@
 }
 
 func newWeightInputs() weightInputs {
-	return weightInputs{followed: newFollowed(), remoteShares: make(map[string]float64),
+	return weightInputs{smoothedWaiting: newSmoothedWaiting(), remoteShares: make(map[string]float64),
 		appliedHealthWeights: make(map[incarnation.ID]float64), zoneBalancers: 1}
 }
 
@@ -69,7 +69,7 @@
 }
 
 func (w *weightInputs) remoteShare(name string, capacity *poolCapacity) float64 {
-	return shares.Remote(w.waiting[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
+	return shares.RemoteShare(w.waiting[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
 }
 
 // applySummary follows a summary and tells whether the table should be made anew.
@@ -78,11 +78,11 @@
 		clear(w.waiting)
 		return false
 	}
-	if !w.followed.take(summary, demandTimeConstant) {
+	if !w.smoothedWaiting.update(summary, demandTimeConstant) {
 		return false
 	}
 	changed := false
-	for name := range summary.Waiting {
+	for name := range summary.InFlight {
 		if pool := w.pools[name]; pool != nil && !w.weightedByShares[name] {
 			changed = changed || math.Abs(w.remoteShare(name, pool)-w.remoteShares[name]) > minShareChange
 		}
@@ -95,7 +95,7 @@
 func (w *weightInputs) updateHealth(findings map[incarnation.ID]observe.Finding, observers int) bool {
 	unhealthy := make(map[incarnation.ID]observe.Health, len(w.unhealthy))
 	for backend, finding := range findings {
-		if health := finding.Health(observers, w.unhealthy[backend]); !health.Well() {
+		if health := finding.Health(observers, w.unhealthy[backend]); !health.Healthy() {
 			unhealthy[backend] = health
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	for backend := range w.appliedHealthWeights {
-		if w.unhealthy[backend].Well() {
+		if w.unhealthy[backend].Healthy() {
 			return true
 		}
 	}
--- a/internal/balancer/observed_test.go
+++ b/internal/balancer/observed_test.go
@@ -17,7 +17,7 @@
 func (control *control) observeWaiting(pool string, waiting float64, from time.Time) bool {
 	changed := false
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 250 * time.Millisecond {
-		summary := &observe.Summary{At: from.Add(elapsed), Waiting: map[string]float64{pool: waiting}}
+		summary := &observe.Summary{At: from.Add(elapsed), InFlight: map[string]float64{pool: waiting}}
 		changed = control.observed.applySummary(summary, from.Add(elapsed)) || changed
 	}
 	return changed
@@ -64,7 +64,7 @@
 	control.addBackends("lending", "giza", 8, now)
 	control.observeWaiting("lending", 400, now)
 	require.NotEmpty(t, control.observed.waiting)
-	old := &observe.Summary{At: now.Add(2 * time.Second), Waiting: map[string]float64{"lending": 400}}
+	old := &observe.Summary{At: now.Add(2 * time.Second), InFlight: map[string]float64{"lending": 400}}
 	control.observed.applySummary(old, now.Add(10*time.Second))
 	require.Empty(t, control.observed.waiting)
 }
--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -10,32 +10,32 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// pagedFrom is from how many changes on a complete answer is told in pages.
-const pagedFrom = 512
+// pagingThreshold is from how many changes on a complete answer is told in pages.
+const pagingThreshold = 512
 
-// pages are what followers fetch page by page: made by the control goroutine, and read by
+// pageCache are what followers fetch page by page: made by the control goroutine, and read by
 // the goroutines of the followers' calls, so that a start of many does not go through the
 // control goroutine page by page.
-type pages struct {
-	kept atomic.Pointer[[]*replication.Pages]
+type pageCache struct {
+	entries atomic.Pointer[[]*replication.Pages]
 }
 
-// errPageGone is what a follower is answered that asks for a page too late. It asks for
+// errPageExpired is what a follower is answered that asks for a page too late. It asks for
 // everything again.
-var errPageGone = errors.New("the page is kept no more; ask for everything")
+var errPageExpired = errors.New("the page is kept no more; ask for everything")
 
-// page answers a follower that asks for one page.
-func (p *pages) page(request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
-	for _, each := range p.all() {
+// serve answers a follower that asks for one page.
+func (p *pageCache) serve(request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
+	for _, each := range p.load() {
 		if page := each.Page(request.GetPage()); each.ID == request.GetPageOf() && page != nil {
 			return &apiv1.FollowReply{Page: page}, nil
 		}
 	}
-	return nil, errPageGone
+	return nil, errPageExpired
 }
 
-func (p *pages) all() []*replication.Pages {
-	if kept := p.kept.Load(); kept != nil {
+func (p *pageCache) load() []*replication.Pages {
+	if kept := p.entries.Load(); kept != nil {
 		return *kept
 	}
 	return nil
@@ -43,8 +43,8 @@
 
 // reusable returns the pages that a further follower may be given who needs what is known up
 // to a revision, or nil.
-func (p *pages) reusable(revision uint64, now time.Time) *replication.Pages {
-	all := p.all()
+func (p *pageCache) reusable(revision uint64, now time.Time) *replication.Pages {
+	all := p.load()
 	if len(all) == 0 {
 		return nil
 	}
@@ -56,25 +56,25 @@
 }
 
 // add keeps pages, and drops those that are old.
-func (p *pages) add(made *replication.Pages, now time.Time) {
+func (p *pageCache) add(made *replication.Pages, now time.Time) {
 	var kept []*replication.Pages
-	for _, each := range p.all() {
+	for _, each := range p.load() {
 		if !each.Old(now) {
 			kept = append(kept, each)
 		}
 	}
 	kept = append(kept, made)
-	p.kept.Store(&kept)
+	p.entries.Store(&kept)
 }
 
 // pagesFor returns all that is known as pages, for one who knows everything up to a revision,
 // or nil where it is not too much for one answer.
 func (c *control) pagesFor(after uint64, now time.Time) *replication.Pages {
-	if known := c.pages.reusable(min(after, c.known.Revision()), now); known != nil {
+	if known := c.pageCache.reusable(min(after, c.directory.Revision()), now); known != nil {
 		return known
 	}
-	batch := c.known.Since(0)
-	if len(batch.GetChanges()) < pagedFrom {
+	batch := c.directory.Since(0)
+	if len(batch.GetChanges()) < pagingThreshold {
 		return nil
 	}
 	age, _ := c.core.Age(now)
@@ -83,6 +83,6 @@
 		c.balancer.logger.Error("Control: pages could not be made, all is told at once.", "error", err)
 		return nil
 	}
-	c.pages.add(made, now)
+	c.pageCache.add(made, now)
 	return made
 }
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -12,33 +12,33 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// narrow is a listener whose connections write so many bytes a second.
-type narrow struct {
+// throttledListener is a listener whose connections write so many bytes a second.
+type throttledListener struct {
 	net.Listener
-	bytes int
+	bytesPerSecond int
 	// written counts them.
 	written atomic.Int64
 }
 
-func (n *narrow) Accept() (net.Conn, error) {
+func (n *throttledListener) Accept() (net.Conn, error) {
 	accepted, err := n.Listener.Accept()
-	return &narrowConn{Conn: accepted, narrow: n}, err
+	return &throttledConn{Conn: accepted, listener: n}, err
 }
 
-type narrowConn struct {
+type throttledConn struct {
 	net.Conn
-	narrow *narrow
+	listener *throttledListener
 }
 
-func (c *narrowConn) Write(data []byte) (int, error) {
+func (c *throttledConn) Write(data []byte) (int, error) {
 	const piece = 2 << 10
 	written := 0
 	for written < len(data) {
 		part := data[written:min(written+piece, len(data))]
-		time.Sleep(time.Duration(len(part)) * time.Second / time.Duration(c.narrow.bytes))
+		time.Sleep(time.Duration(len(part)) * time.Second / time.Duration(c.listener.bytesPerSecond))
 		n, err := c.Conn.Write(part)
 		written += n
-		c.narrow.written.Add(int64(n))
+		c.listener.written.Add(int64(n))
 		if err != nil {
 			return written, err
 		}
@@ -46,10 +46,10 @@
 	return written, nil
 }
 
-func newNarrow(t *testing.T, bytes int) *narrow {
+func newThrottledListener(t *testing.T, bytes int) *throttledListener {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	return &narrow{Listener: listener, bytes: bytes}
+	return &throttledListener{Listener: listener, bytesPerSecond: bytes}
 }
 
 // A balancer that starts is told ten thousand back ends over a link that takes longer for
@@ -57,15 +57,15 @@
 // have each. In one answer they never came.
 func TestAllIsToldOverANarrowLink(t *testing.T) {
 	now := time.Now()
-	parent, child := fleet(1_000, 10_000, now), newTestControl()
+	parent, child := newFleetControl(1_000, 10_000, now), newTestControl()
 	t.Cleanup(child.testimony.client.Close)
-	link := newNarrow(t, 200<<10)
+	link := newThrottledListener(t, 200<<10)
 	address := serveControlOn(t, parent, link)
-	child.followOnce(t, address)
-	require.Equal(t, parent.known.Revision(), child.known.Revision())
-	require.Len(t, child.known.Backends(), 10_000)
-	require.Len(t, child.known.Balancers(), 1_000)
-	require.Equal(t, parent.known.Routes().GetVersion(), child.known.Routes().GetVersion())
+	child.followFrom(t, address)
+	require.Equal(t, parent.directory.Revision(), child.directory.Revision())
+	require.Len(t, child.directory.Backends(), 10_000)
+	require.Len(t, child.directory.Balancers(), 1_000)
+	require.Equal(t, parent.directory.Routes().GetVersion(), child.directory.Routes().GetVersion())
 	require.Less(t, int(link.written.Load()), 600_000, "packed")
 	require.False(t, child.core.ConfirmedAt().IsZero())
 	require.False(t, child.core.ConfirmedAt().After(parent.core.ConfirmedAt()), "never younger than it was when the first page was made")
@@ -74,26 +74,26 @@
 // Further followers are given the same pages, and are told next what is new since.
 func TestPagesAreMadeOnceForManyFollowers(t *testing.T) {
 	now := time.Now()
-	parent := fleet(100, 2_000, now)
+	parent := newFleetControl(100, 2_000, now)
 	one := parent.pagesFor(0, now)
 	require.NotNil(t, one)
-	parent.known.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
+	parent.directory.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
 	require.Same(t, one, parent.pagesFor(0, now.Add(500*time.Millisecond)))
 	require.NotSame(t, one, parent.pagesFor(10, now.Add(500*time.Millisecond)), "who knows more needs newer ones")
 	later := parent.pagesFor(0, now.Add(2*time.Second))
 	require.NotEqual(t, one.ID, later.ID)
-	_, err := parent.pages.page(&apiv1.FollowRequest{PageOf: one.ID, Page: 1})
+	_, err := parent.pageCache.serve(&apiv1.FollowRequest{PageOf: one.ID, Page: 1})
 	require.NoError(t, err, "a slow follower goes on with its pages")
-	parent.pages.add(later, now.Add(20*time.Second))
-	_, err = parent.pages.page(&apiv1.FollowRequest{PageOf: one.ID, Page: 1})
-	require.ErrorIs(t, err, errPageGone)
-	require.Nil(t, fleet(10, 100, now).pagesFor(0, now), "little goes in one answer")
+	parent.pageCache.add(later, now.Add(20*time.Second))
+	_, err = parent.pageCache.serve(&apiv1.FollowRequest{PageOf: one.ID, Page: 1})
+	require.ErrorIs(t, err, errPageExpired)
+	require.Nil(t, newFleetControl(10, 100, now).pagesFor(0, now), "little goes in one answer")
 }
 
 // Each page is within its bound, whatever there is to tell.
 func TestPagesAreBounded(t *testing.T) {
 	now := time.Now()
-	known := fleet(100, 5_000, now).known
+	known := newFleetControl(100, 5_000, now).directory
 	made, err := replication.NewPages(known.Since(0), now, now)
 	require.NoError(t, err)
 	count := 0
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -33,13 +33,13 @@
 // The part changes at once where another balancer of the zone stops: what is asked here grows
 // then, by the part that maxGrowth allows.
 type pressureEstimator struct {
-	followed
+	smoothedWaiting
 	rates requestRates
 }
 
 // addSummary follows the requests that wait here, and what is asked.
 func (p *pressureEstimator) addSummary(summary *observe.Summary) {
-	p.take(summary, pressureTimeConstant)
+	p.update(summary, pressureTimeConstant)
 	p.rates.addSummary(summary)
 }
 
@@ -48,27 +48,27 @@
 // clients ask. It is unknown while the picture is one of less than half of the balancers
 // listed, or while nothing was seen here: those left out may be short of room, or not. It is
 // none while the picture shows room.
-func (p *pressureEstimator) estimate(pool demand.Pool, localZone demand.Zone, aggregate *demand.Picture, listed listing) admission.Pressure {
-	if aggregate == nil || 2*aggregate.Balancers < listed.all() {
+func (p *pressureEstimator) estimate(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate, listed zoneCounts) admission.Pressure {
+	if aggregate == nil || 2*aggregate.Balancers < listed.total() {
 		return admission.Pressure{}
 	}
-	waiting, slots := aggregate.Whole(pool)
+	waiting, slots := aggregate.PoolTotals(pool)
 	fraction := zoneRequestFraction(pool, localZone, aggregate)
 	if slots == 0 || fraction == 0 {
 		return admission.Pressure{}
 	}
-	seenAt := aggregate.At
-	if p.seenAt.Before(seenAt) {
-		seenAt = p.seenAt
+	seenAt := aggregate.OldestAt
+	if p.lastSummaryAt.Before(seenAt) {
+		seenAt = p.lastSummaryAt
 	}
 	if waiting < minAggregatePressure*slots {
 		return admission.Pressure{SeenAt: seenAt}
 	}
-	scale := float64(aggregate.Zones[localZone]) / fraction
+	scale := float64(aggregate.ZoneBalancers[localZone]) / fraction
 	if waiting >= minLocalInFlight*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.rates.growthSince(pool, aggregate.At), maxGrowth(aggregate.Zones[localZone]))
+		waiting = p.waiting[string(pool)] * scale / min(p.rates.growthSince(pool, aggregate.OldestAt), maxGrowth(aggregate.ZoneBalancers[localZone]))
 	}
-	return admission.Pressure{Waiting: waiting / slots, SeenAt: seenAt}
+	return admission.Pressure{RequestsPerSlot: waiting / slots, SeenAt: seenAt}
 }
 
 const (
@@ -92,11 +92,11 @@
 
 // saturated tells whether a pool has no free slot, as far as is known. It errs towards
 // saturation, by which answers count for nothing for a while.
-func (p *pressureEstimator) saturated(pool demand.Pool, localZone demand.Zone, aggregate *demand.Picture) bool {
+func (p *pressureEstimator) saturated(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate) bool {
 	if aggregate == nil {
 		return false
 	}
-	waiting, slots := aggregate.Whole(pool)
+	waiting, slots := aggregate.PoolTotals(pool)
 	if slots == 0 {
 		return false
 	}
@@ -104,16 +104,16 @@
 		return true
 	}
 	fraction, local := zoneRequestFraction(pool, localZone, aggregate), p.waiting[string(pool)]
-	return fraction > 0 && local >= minSaturationInFlight && local*float64(aggregate.Zones[localZone])/fraction >= localSaturationPressure*slots
+	return fraction > 0 && local >= minSaturationInFlight && local*float64(aggregate.ZoneBalancers[localZone])/fraction >= localSaturationPressure*slots
 }
 
 // zoneRequestFraction is the part of what is asked of a pool that the clients of a zone ask, by the
 // balancers that the picture has. Others may be gone, and what they carried passes those
 // that are left: to take them for as busy made pressure of a roll of half the machines.
-func zoneRequestFraction(pool demand.Pool, localZone demand.Zone, aggregate *demand.Picture) float64 {
+func zoneRequestFraction(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate) float64 {
 	localRate, totalRate := 0.0, 0.0
-	for zone := range aggregate.Zones {
-		rate := aggregate.Places[demand.Place{Pool: pool, Zone: zone}].Asks
+	for zone := range aggregate.ZoneBalancers {
+		rate := aggregate.Loads[demand.ZonePool{Pool: pool, Zone: zone}].Offered
 		totalRate += rate
 		if zone == localZone {
 			localRate = rate
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -12,21 +12,21 @@
 
 // newLoadedEstimator feeds summaries with the same number of waiting requests.
 func newLoadedEstimator(waiting float64, from time.Time) *pressureEstimator {
-	estimator := &pressureEstimator{followed: newFollowed()}
+	estimator := &pressureEstimator{smoothedWaiting: newSmoothedWaiting()}
 	for step := range 20 {
 		estimator.addSummary(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
-			Waiting: map[string]float64{"lending": waiting}})
+			InFlight: map[string]float64{"lending": waiting}})
 	}
 	return estimator
 }
 
 // unevenAggregate is a picture of two zones: three balancers whose clients ask for a quarter, and
 // one whose clients ask for the rest.
-func unevenAggregate(at time.Time) *demand.Picture {
-	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
-	estimator := demand.Picture{At: at, Balancers: 4, Zones: map[demand.Zone]int{"maadi": 3, "giza": 1},
-		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 40}, giza: {Asks: 300, Waiting: 40}}}
-	return estimator.WithRoom(map[demand.Place]float64{maadi: 10, giza: 10})
+func unevenAggregate(at time.Time) *demand.Aggregate {
+	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	estimator := demand.Aggregate{OldestAt: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
+		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 40}, giza: {Offered: 300, InFlight: 40}}}
+	return estimator.WithSlots(map[demand.ZonePool]float64{maadi: 10, giza: 10})
 }
 
 // Balancers of zones in uneven demand see different parts of it, and must come to the
@@ -36,8 +36,8 @@
 	// Of 80 requests that wait, 20 come from maadi.
 	inMaadi := newLoadedEstimator(20.0/3, now).estimate("lending", "maadi", unevenAggregate(now), listed)
 	inGiza := newLoadedEstimator(60, now).estimate("lending", "giza", unevenAggregate(now), listed)
-	require.InDelta(t, 4, inMaadi.Waiting, 0.05)
-	require.InDelta(t, 4, inGiza.Waiting, 0.05)
+	require.InDelta(t, 4, inMaadi.RequestsPerSlot, 0.05)
+	require.InDelta(t, 4, inGiza.RequestsPerSlot, 0.05)
 	require.Equal(t, now, inMaadi.SeenAt)
 }
 
@@ -65,9 +65,9 @@
 func TestDepartedBalancersAreNotCounted(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	rolled := unevenAggregate(now)
-	rolled.Balancers, rolled.Zones = 3, map[demand.Zone]int{"maadi": 2, "giza": 1}
-	require.InDelta(t, 4, newLoadedEstimator(20.0/2, now).estimate("lending", "maadi", rolled, listed).Waiting, 0.05)
-	require.InDelta(t, 4, newLoadedEstimator(60, now).estimate("lending", "giza", rolled, listed).Waiting, 0.05)
+	rolled.Balancers, rolled.ZoneBalancers = 3, map[demand.Zone]int{"maadi": 2, "giza": 1}
+	require.InDelta(t, 4, newLoadedEstimator(20.0/2, now).estimate("lending", "maadi", rolled, listed).RequestsPerSlot, 0.05)
+	require.InDelta(t, 4, newLoadedEstimator(60, now).estimate("lending", "giza", rolled, listed).RequestsPerSlot, 0.05)
 }
 
 // What one balancer sees is multiplied by all, so chance, or a part of next to nothing in a
@@ -75,12 +75,12 @@
 func TestPressureIsZeroWhileAggregateShowsFreeSlots(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	quiet := unevenAggregate(now)
-	quiet.Places = map[demand.Place]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Asks: 1e-9, Waiting: 1e-9},
-		{Pool: "lending", Zone: "giza"}:  {Asks: 100, Waiting: 15},
+	quiet.Loads = map[demand.ZonePool]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {Offered: 1e-9, InFlight: 1e-9},
+		{Pool: "lending", Zone: "giza"}:  {Offered: 100, InFlight: 15},
 	}
 	pressure := newLoadedEstimator(20, now).estimate("lending", "maadi", quiet, listed)
-	require.Zero(t, pressure.Waiting)
+	require.Zero(t, pressure.RequestsPerSlot)
 	require.Equal(t, now, pressure.SeenAt)
 }
 
@@ -88,20 +88,20 @@
 func TestPressureOfFewLocalRequestsComesFromAggregate(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	few := unevenAggregate(now)
-	few.Places = map[demand.Place]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0},
-		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 40},
+	few.Loads = map[demand.ZonePool]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0},
+		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 40},
 	}
-	require.InDelta(t, 2, newLoadedEstimator(1, now).estimate("lending", "maadi", few, listed).Waiting, 1e-9, "not 45")
+	require.InDelta(t, 2, newLoadedEstimator(1, now).estimate("lending", "maadi", few, listed).RequestsPerSlot, 1e-9, "not 45")
 }
 
 // A burst is known here before the picture tells of it, and for a moment after it has ended.
 func TestPoolIsSaturatedWhileItHasNoFreeSlot(t *testing.T) {
 	now := time.Now()
 	idle := unevenAggregate(now)
-	idle.Places = map[demand.Place]demand.Load{
-		{Pool: "lending", Zone: "maadi"}: {Asks: 100, Waiting: 5},
-		{Pool: "lending", Zone: "giza"}:  {Asks: 300, Waiting: 5},
+	idle.Loads = map[demand.ZonePool]demand.Load{
+		{Pool: "lending", Zone: "maadi"}: {Offered: 100, InFlight: 5},
+		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 5},
 	}
 	require.False(t, newLoadedEstimator(0, now).saturated("lending", "maadi", nil), "no picture")
 	require.False(t, newLoadedEstimator(0.5, now).saturated("lending", "maadi", idle))
@@ -109,8 +109,8 @@
 	require.True(t, newLoadedEstimator(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
 	require.False(t, newLoadedEstimator(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
 	single := unevenAggregate(now)
-	single.Places = map[demand.Place]demand.Load{{Pool: "lending", Zone: "maadi"}: {Asks: 1, Waiting: 0.1},
-		{Pool: "lending", Zone: "giza"}: {Asks: 300, Waiting: 5}}
+	single.Loads = map[demand.ZonePool]demand.Load{{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0.1},
+		{Pool: "lending", Zone: "giza"}: {Offered: 300, InFlight: 5}}
 	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", single), "one request here tells nothing of all")
 	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "no room is known")
 	state := newAdmissionState()
@@ -126,22 +126,22 @@
 // ask passed this one, where the picture had a half of it; or this one had just started.
 func TestPressureCorrectsForGrownLocalFraction(t *testing.T) {
 	start, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
-	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
+	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
 		t.Run(name, func(t *testing.T) {
-			estimator := &pressureEstimator{followed: newFollowed()}
+			estimator := &pressureEstimator{smoothedWaiting: newSmoothedWaiting()}
 			for step := first; step < 30; step++ {
 				rate, waiting := 15.0, 1.0
 				if step >= 20 {
 					rate, waiting = 30, 2
 				}
 				estimator.addSummary(&observe.Summary{At: start.Add(time.Duration(step) * 250 * time.Millisecond),
-					Waiting: map[string]float64{"lending": waiting}, Places: map[demand.Place]demand.Load{maadi: {Asks: rate}}})
+					InFlight: map[string]float64{"lending": waiting}, Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: rate}}})
 			}
-			aggregate := demand.Picture{At: start.Add(19 * 250 * time.Millisecond), Balancers: 3, Zones: map[demand.Zone]int{"maadi": 2, "giza": 1},
-				Places: map[demand.Place]demand.Load{maadi: {Asks: 30, Waiting: 4}, giza: {Asks: 90, Waiting: 4}}}
-			pressure := estimator.estimate("lending", "maadi", aggregate.WithRoom(map[demand.Place]float64{maadi: 3, giza: 3}), listed)
-			require.LessOrEqual(t, pressure.Waiting, 8/6.0*1.1, "not 16 of 6 slots")
+			aggregate := demand.Aggregate{OldestAt: start.Add(19 * 250 * time.Millisecond), Balancers: 3, ZoneBalancers: map[demand.Zone]int{"maadi": 2, "giza": 1},
+				Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 30, InFlight: 4}, giza: {Offered: 90, InFlight: 4}}}
+			pressure := estimator.estimate("lending", "maadi", aggregate.WithSlots(map[demand.ZonePool]float64{maadi: 3, giza: 3}), listed)
+			require.LessOrEqual(t, pressure.RequestsPerSlot, 8/6.0*1.1, "not 16 of 6 slots")
 		})
 	}
 }
@@ -151,10 +151,10 @@
 // which few requests pass takes what waits from the picture.
 func TestFewRequestsHereRefuseNobodyTwoSecondsAfterABurst(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 20, "giza": 40}
-	maadi, giza := demand.Place{Pool: "lending", Zone: "maadi"}, demand.Place{Pool: "lending", Zone: "giza"}
-	burst := demand.Picture{At: now.Add(-2500 * time.Millisecond), Balancers: 60, Zones: map[demand.Zone]int{"maadi": 20, "giza": 40},
-		Places: map[demand.Place]demand.Load{maadi: {Asks: 100, Waiting: 8}, giza: {Asks: 200, Waiting: 16}}}
-	aggregate := burst.WithRoom(map[demand.Place]float64{maadi: 2, giza: 4})
+	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
+	burst := demand.Aggregate{OldestAt: now.Add(-2500 * time.Millisecond), Balancers: 60, ZoneBalancers: map[demand.Zone]int{"maadi": 20, "giza": 40},
+		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 8}, giza: {Offered: 200, InFlight: 16}}}
+	aggregate := burst.WithSlots(map[demand.ZonePool]float64{maadi: 2, giza: 4})
 	estimator := newLoadedEstimator(0.1, now.Add(-5*time.Second))
-	require.Less(t, estimator.estimate("lending", "maadi", aggregate, listed).Waiting, 3.0, "the least urgent give way from 3 on")
+	require.Less(t, estimator.estimate("lending", "maadi", aggregate, listed).RequestsPerSlot, 3.0, "the least urgent give way from 3 on")
 }
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -12,9 +12,9 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// lookInterval is how often the settings file is looked at. It may change
+// settingsPollInterval is how often the settings file is looked at. It may change
 // without a signal.
-const lookInterval = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // Reloader takes changed settings while the balancer runs: all of a file's
 // changes, or none of them.
@@ -29,31 +29,31 @@
 	Signals <-chan os.Signal
 }
 
-// changeable are the settings that a running balancer takes; the others need a
+// reloadable are the settings that a running balancer takes; the others need a
 // restart.
-var changeable = map[protoreflect.Name]bool{"log_level": true, "seeds": true}
+var reloadable = map[protoreflect.Name]bool{"log_level": true, "seeds": true}
 
 // Reload watches the settings file until the context ends.
 func (b *Balancer) Reload(ctx context.Context, reloader Reloader) error {
-	ticker := time.NewTicker(lookInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	modified := modifiedAt(reloader.Path)
+	modified := modificationTime(reloader.Path)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-reloader.Signals:
 		case <-ticker.C:
-			if modifiedAt(reloader.Path).Equal(modified) {
+			if modificationTime(reloader.Path).Equal(modified) {
 				continue
 			}
 		}
-		modified = modifiedAt(reloader.Path)
+		modified = modificationTime(reloader.Path)
 		b.reload(reloader)
 	}
 }
 
-func modifiedAt(path string) time.Time {
+func modificationTime(path string) time.Time {
 	information, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -90,7 +90,7 @@
 	fields := before.Descriptor().Fields()
 	for index := range fields.Len() {
 		field := fields.Get(index)
-		if !changeable[field.Name()] && !before.Get(field).Equal(after.Get(field)) {
+		if !reloadable[field.Name()] && !before.Get(field).Equal(after.Get(field)) {
 			return field.Name()
 		}
 	}
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -8,9 +8,9 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// fleet is a balancer that knows so many others, in five zones, and so many back ends, four
+// newFleetControl is a balancer that knows so many others, in five zones, and so many back ends, four
 // fifths of them of one pool, behind as many routes as a fortieth of the back ends.
-func fleet(balancers, backends int, now time.Time) *control {
+func newFleetControl(balancers, backends int, now time.Time) *control {
 	control := newTestControl()
 	settings := testSettings()
 	settings.Zone = "zone-0"
@@ -29,7 +29,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%5), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.known.Apply(batch, now)
+	control.directory.Apply(batch, now)
 	control.core.Confirm(now)
 	return control
 }
@@ -52,17 +52,17 @@
 	for _, size := range [][2]int{{100, 1_000}, {1_000, 10_000}, {2_000, 20_000}} {
 		b.Run(fmt.Sprintf("%d/%d", size[0], size[1]), func(b *testing.B) {
 			now := time.Now()
-			control := fleet(size[0], size[1], now)
-			control.renewTable(now)
+			control := newFleetControl(size[0], size[1], now)
+			control.rebuildTable(now)
 			now = now.Add(time.Minute)
 			control.core.Confirm(now)
 			revision := uint64(10)
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				control.known.Apply(&apiv1.DirectoryBatch{Revision: revision,
+				control.directory.Apply(&apiv1.DirectoryBatch{Revision: revision,
 					Changes: []*apiv1.DirectoryChange{fleetBackend(revision, 7, revision%2 == 0)}}, now)
-				control.renewTable(now)
+				control.rebuildTable(now)
 			}
 		})
 	}
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -19,8 +19,8 @@
 // once: live, not draining, in no evacuated zone, warm, and well as far as is known.
 type capacity struct {
 	// slots is never changed, but replaced.
-	slots    map[demand.Place]float64
-	backends map[demand.Place]int
+	slots    map[demand.ZonePool]float64
+	backends map[demand.ZonePool]int
 	// pools are what each pool has in the balancer's zone and in others, cold ones too.
 	pools map[string]*poolCapacity
 	// counts are what groups had when they were counted last; those that have not changed
@@ -41,13 +41,13 @@
 
 // failedBackend is a back end that is no room until a time, though the directory has it.
 type failedBackend struct {
-	poolZone demand.Place
+	poolZone demand.ZonePool
 	until    time.Time
 }
 
 // coldBackend is what a back end adds to its place from a time on.
 type coldBackend struct {
-	poolZone demand.Place
+	poolZone demand.ZonePool
 	slots    float64
 	warmAt   time.Time
 }
@@ -65,15 +65,15 @@
 	counts := c.demand.capacity.counts
 	result := capacity{
 		failed:   c.demand.capacity.failed,
-		slots:    make(map[demand.Place]float64),
-		backends: make(map[demand.Place]int),
+		slots:    make(map[demand.ZonePool]float64),
+		backends: make(map[demand.ZonePool]int),
 		pools:    make(map[string]*poolCapacity),
 		counts:   make(map[directory.Place]groupCount, len(counts)),
 	}
 	warming := c.newWarmupState(now)
 	c.computeHealthLimits(evacuated, warming, now)
 	localZone := c.balancer.settings.Load().GetZone()
-	for _, group := range c.known.Groups() {
+	for _, group := range c.directory.Groups() {
 		if _, isEvacuated := evacuated[group.Zone]; isEvacuated {
 			continue
 		}
@@ -114,7 +114,7 @@
 }
 
 // addBackends adds the slots of a group, where back ends differ by their warmth or health.
-func (c *capacity) addBackends(group *directory.Group, poolZone demand.Place, warming *warmupState, inputs *weightInputs, now time.Time) {
+func (c *capacity) addBackends(group *directory.Group, poolZone demand.ZonePool, warming *warmupState, inputs *weightInputs, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
@@ -203,14 +203,14 @@
 		if c.failed == nil {
 			c.failed = make(map[incarnation.ID]failedBackend)
 		}
-		poolZone := demand.Place{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
+		poolZone := demand.ZonePool{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
 		c.failed[id] = failedBackend{poolZone: poolZone, until: now.Add(failedHold)}
 	}
 }
 
 // liveSlots are the slots without those of dead back ends, each of which had as many as the
 // others of its place.
-func (c *capacity) liveSlots(now time.Time) map[demand.Place]float64 {
+func (c *capacity) liveSlots(now time.Time) map[demand.ZonePool]float64 {
 	if len(c.failed) == 0 {
 		return c.slots
 	}
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -32,7 +32,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%10), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.known.Apply(batch, now)
+	control.directory.Apply(batch, now)
 	return control
 }
 
@@ -73,13 +73,13 @@
 		for index, number := range failed {
 			ids[index].Number = number
 		}
-		control.balancer.traffic.observed.Store(&observe.Summary{At: now, Dead: ids})
+		control.balancer.traffic.latestSummary.Store(&observe.Summary{At: now, Dead: ids})
 		control.updateDemand(now)
-		return control.balancer.DemandAggregate().Room[lendingPoolZone("giza")]
+		return control.balancer.DemandAggregate().Slots[lendingPoolZone("giza")]
 	}
 	require.Equal(t, 8.0, slotsWithFailed())
 	require.Equal(t, 4.0, slotsWithFailed(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
-	control.renewTable(now)
+	control.rebuildTable(now)
 	require.Equal(t, 4.0, slotsWithFailed(), "verdicts end before entries do")
 	now = now.Add(failedHold)
 	require.Equal(t, 8.0, slotsWithFailed())
--- a/internal/balancer/silent_test.go
+++ b/internal/balancer/silent_test.go
@@ -65,15 +65,15 @@
 	loaded.DataAddress, loaded.ReadinessAddress, loaded.PeerAddress = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	loaded.StoreAddress = storePath.Address()
 	loaded.Seeds = seeds
-	made, err := balancer.New(loaded, balancer.Outside{
-		Codec:     platform.Codec{},
-		Store:     platform.NewStore(loaded.StoreAddress, func(error) {}),
-		Readiness: platform.ReadinessHandler,
+	made, err := balancer.New(loaded, balancer.Dependencies{
+		Codec:               platform.Codec{},
+		Store:               platform.NewStore(loaded.StoreAddress, func(error) {}),
+		NewReadinessHandler: platform.ReadinessHandler,
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(s.t, err)
-	peerPath, err := swallow.Start(made.TakesPeersAt().String())
+	peerPath, err := swallow.Start(made.PeerListenerAddress().String())
 	require.NoError(s.t, err)
-	made.TellPeerAddress(peerPath.Address())
+	made.SetAdvertisedPeerAddress(peerPath.Address())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- made.Run(ctx) }()
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -51,7 +51,7 @@
 		require.Equal(t, replication.PurposeFollow, peer.Purpose)
 		request := child.requestTo(peer, 0, time.Now())
 		request.WaitMilliseconds = uint32(replication.FollowWait.Milliseconds())
-		go child.call(ctx, child.client, peer, request)
+		go child.callPeer(ctx, child.client, peer, request)
 		child.handle(<-messages)
 		proxy.Silence(swallow.There, swallow.Back)
 	}
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -28,21 +28,21 @@
 type demandFeed struct {
 	// encoded is the picture encoded, as at a time, and seen the picture.
 	encoded   *apiv1.DemandReport
-	aggregate demand.Picture
+	aggregate demand.Aggregate
 	encodedAt time.Time
 	// pressures are those of seen, never changed but replaced.
-	pressures map[demand.Place]float64
+	pressures map[demand.ZonePool]float64
 	sent      map[string]feedState
 }
 
 // feedState is when a follower was told, and of which pressures, and when the next is due.
 type feedState struct {
 	sentAt, dueAt time.Time
-	pressures     map[demand.Place]float64
+	pressures     map[demand.ZonePool]float64
 }
 
 // next is what follows a telling at a time, or none if it must wait.
-func (s feedState) next(pressures map[demand.Place]float64, now time.Time) (feedState, bool) {
+func (s feedState) next(pressures map[demand.ZonePool]float64, now time.Time) (feedState, bool) {
 	next := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
 	if now.Before(s.dueAt.Add(-feedTolerance)) {
 		return next, now.Sub(s.sentAt) >= urgentFeedInterval && pressureChanged(s.pressures, pressures)
@@ -57,8 +57,8 @@
 // picture is encoded once a look for all of them.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
 	f := &c.demand.feed
-	if f.encoded == nil || now.Sub(f.encodedAt) >= lookPause {
-		f.refresh(c.demand.tree.Picture(now), c.demand.capacity.slots, now)
+	if f.encoded == nil || now.Sub(f.encodedAt) >= observationInterval {
+		f.refresh(c.demand.tree.Aggregate(now), c.demand.capacity.slots, now)
 	}
 	next, due := f.sent[follower].next(f.pressures, now)
 	if !due {
@@ -70,16 +70,16 @@
 		AgeMilliseconds: uint32(max(0, f.aggregate.Age(now)).Milliseconds()),
 		Zones:           f.encoded.GetZones(),
 		Places:          f.encoded.GetPlaces(),
-		Above:           uint32(c.demand.tree.Above(now)),
+		Above:           uint32(c.demand.tree.Depth(now)),
 	}
 }
 
 // refresh encodes a picture, and forgets the followers that no longer call.
-func (f *demandFeed) refresh(aggregate demand.Picture, slots map[demand.Place]float64, now time.Time) {
+func (f *demandFeed) refresh(aggregate demand.Aggregate, slots map[demand.ZonePool]float64, now time.Time) {
 	f.encoded, f.aggregate, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
-	f.pressures = make(map[demand.Place]float64, len(aggregate.Places))
-	withRoom := aggregate.WithRoom(slots)
-	for poolZone := range aggregate.Places {
+	f.pressures = make(map[demand.ZonePool]float64, len(aggregate.Loads))
+	withRoom := aggregate.WithSlots(slots)
+	for poolZone := range aggregate.Loads {
 		f.pressures[poolZone] = withRoom.Pressure(poolZone)
 	}
 	if f.sent == nil {
@@ -94,7 +94,7 @@
 
 // pressureChanged tells whether the pressure of a place has moved by enough to be told sooner. Places
 // without room are beyond all pressure before and after.
-func pressureChanged(before, after map[demand.Place]float64) bool {
+func pressureChanged(before, after map[demand.ZonePool]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > minPressureChange }
 	for poolZone, pressure := range after {
 		if differs(before[poolZone], pressure) {
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -24,13 +24,13 @@
 // observationExchange passes on what balancers see of back ends that may be dead: up the tree
 // in calls of their own, down it in the answers for which followers wait.
 type observationExchange struct {
-	buffer evidence.Board
+	buffer evidence.Buffer
 	// clock names the clock of this process.
 	clock uint64
 	// parent is the balancer that is followed, its clock, and the sequence up to which
 	// it has told its statements.
 	parent           string
-	parentClock      evidence.Clock
+	parentClock      evidence.RemoteClock
 	receivedSequence uint64
 	// sentSequence is the sequence up to which the parent was told, and telling is set while a
 	// call is under way.
@@ -48,21 +48,21 @@
 	if c.balancer.traffic == nil {
 		return
 	}
-	for _, observation := range c.balancer.traffic.statements.take() {
+	for _, observation := range c.balancer.traffic.outbox.take() {
 		c.testimony.buffer.Add(observation, "", now)
 	}
 }
 
 // receiveObservations takes statements of another balancer: what is new is passed on, and judged by.
-func (c *control) receiveObservations(observations []evidence.Statement, from string, now time.Time) {
-	var added []evidence.Statement
+func (c *control) receiveObservations(observations []evidence.Observation, from string, now time.Time) {
+	var added []evidence.Observation
 	for _, observation := range observations {
 		if c.testimony.buffer.Add(observation, from, now) {
 			added = append(added, observation)
 		}
 	}
 	if len(added) > 0 && c.balancer.traffic != nil {
-		c.balancer.traffic.tell(added)
+		c.balancer.traffic.deliver(added)
 	}
 }
 
@@ -75,9 +75,9 @@
 	leftAfter := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
 	leftBefore := c.balancer.started.Add(time.Duration(news.GetLeftBeforeNanoseconds()))
 	clock := time.Duration(news.GetClockMilliseconds()) * time.Millisecond
-	t.parentClock = evidence.NewClock(news.GetClock(), clock, leftAfter, leftBefore)
+	t.parentClock = evidence.NewRemoteClock(news.GetClock(), clock, leftAfter, leftBefore)
 	t.receivedSequence = max(t.receivedSequence, news.GetTestimonyLatest())
-	observations := make([]evidence.Statement, 0, len(news.GetTestimony()))
+	observations := make([]evidence.Observation, 0, len(news.GetTestimony()))
 	for _, encoded := range news.GetTestimony() {
 		left := leftAfter
 		if encoded.GetAlive() {
@@ -91,18 +91,18 @@
 // sendObservations tells the balancer that is followed what it does not know yet.
 func (c *control) sendObservations(ctx context.Context, now time.Time) {
 	t := &c.testimony
-	if t.sending || now.Before(t.nextSendAt) || !t.parentClock.Known() || t.sentSequence == t.buffer.Latest() {
+	if t.sending || now.Before(t.nextSendAt) || !t.parentClock.Known() || t.sentSequence == t.buffer.LastSequence() {
 		return
 	}
 	observations := t.buffer.Since(t.sentSequence, t.parent, now)
 	previous := t.sentSequence
-	t.sentSequence = t.buffer.Latest()
+	t.sentSequence = t.buffer.LastSequence()
 	if len(observations) == 0 {
 		return
 	}
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Clock: t.parentClock.ID}
 	for _, observation := range selectObservations(observations) {
-		request.Testimony = append(request.Testimony, encodeObservation(observation, t.parentClock.There(observation)))
+		request.Testimony = append(request.Testimony, encodeObservation(observation, t.parentClock.Translate(observation)))
 	}
 	t.sending = true
 	t.nextSendAt = now.Add(batchDelay)
@@ -127,7 +127,7 @@
 // Testify implements replication.Handler. It runs in the goroutine of the call.
 func (c *control) Testify(ctx context.Context, request *apiv1.TestifyRequest) (*apiv1.TestifyReply, error) {
 	select {
-	case c.testimonies <- request:
+	case c.testifyRequests <- request:
 		return &apiv1.TestifyReply{}, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -145,7 +145,7 @@
 		c.balancer.logger.Debug("Control: statements in another clock are left out.", "peer", request.GetFromAddress())
 		return
 	}
-	observations := make([]evidence.Statement, 0, len(request.GetTestimony()))
+	observations := make([]evidence.Observation, 0, len(request.GetTestimony()))
 	for _, encoded := range request.GetTestimony() {
 		at := c.balancer.started.Add(time.Duration(encoded.GetMilliseconds()) * time.Millisecond)
 		observations = append(observations, decodeObservation(encoded, at))
@@ -155,15 +155,15 @@
 
 // pendingObservations returns the statements that a follower was not told yet, once its call
 // has waited for some to gather.
-func (c *control) pendingObservations(asking *follower, now time.Time) []evidence.Statement {
-	if !asking.takesTestimony || now.Sub(asking.takenAt) < batchDelay {
+func (c *control) pendingObservations(asking *followCall, now time.Time) []evidence.Observation {
+	if !asking.wantsTestimony || now.Sub(asking.receivedAt) < batchDelay {
 		return nil
 	}
 	after := asking.testimonyAfter
 	if asking.testimonyClock != c.testimony.clock {
 		after = 0
 	}
-	if after == c.testimony.buffer.Latest() {
+	if after == c.testimony.buffer.LastSequence() {
 		return nil
 	}
 	return c.testimony.buffer.Since(after, asking.caller.Address, now)
@@ -171,25 +171,25 @@
 
 // addObservations adds statements to the answer of a follower, and the clock by which it
 // can tell its own.
-func (c *control) addObservations(reply *apiv1.FollowReply, observations []evidence.Statement, now time.Time) {
+func (c *control) addObservations(reply *apiv1.FollowReply, observations []evidence.Observation, now time.Time) {
 	reply.Clock = c.testimony.clock
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
-	reply.TestimonyLatest = c.testimony.buffer.Latest()
+	reply.TestimonyLatest = c.testimony.buffer.LastSequence()
 	for _, observation := range selectObservations(observations) {
-		reply.Testimony = append(reply.Testimony, encodeObservation(observation, now.Sub(observation.When())))
+		reply.Testimony = append(reply.Testimony, encodeObservation(observation, now.Sub(observation.Time())))
 	}
 }
 
 // selectObservations returns the statements for which one message has room: signs of life before
 // witnesses, since who misses one would judge a back end that lives.
-func selectObservations(observations []evidence.Statement) []evidence.Statement {
+func selectObservations(observations []evidence.Observation) []evidence.Observation {
 	ordered := slices.Clone(observations)
-	slices.SortStableFunc(ordered, func(a, b evidence.Statement) int { return observationRank(a) - observationRank(b) })
+	slices.SortStableFunc(ordered, func(a, b evidence.Observation) int { return observationRank(a) - observationRank(b) })
 	return ordered[:min(len(ordered), maxObservations)]
 }
 
-func observationRank(observation evidence.Statement) int {
-	if _, ok := observation.(evidence.SignOfLife); ok {
+func observationRank(observation evidence.Observation) int {
+	if _, ok := observation.(evidence.Activity); ok {
 		return 0
 	}
 	return 1
@@ -197,25 +197,25 @@
 
 // encodeObservation returns a statement for a message, with the time in the form that the
 // message takes.
-func encodeObservation(observation evidence.Statement, at time.Duration) *apiv1.Testimony {
+func encodeObservation(observation evidence.Observation, at time.Duration) *apiv1.Testimony {
 	switch s := observation.(type) {
-	case evidence.Witness:
+	case evidence.UnansweredRequest:
 		// Rounded down it is older, or its age greater by the answer's own rounding.
 		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Client: uint32(s.Client),
 			Zone: s.Zone, Milliseconds: at.Milliseconds()}
-	case evidence.SignOfLife:
+	case evidence.Activity:
 		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Alive: true,
 			Milliseconds: at.Milliseconds()}
 	}
 	return nil
 }
 
-func decodeObservation(encoded *apiv1.Testimony, at time.Time) evidence.Statement {
+func decodeObservation(encoded *apiv1.Testimony, at time.Time) evidence.Observation {
 	backend := evidence.Backend{Number: encoded.GetNumber(), Start: incarnation.Start(encoded.GetStartedMilliseconds())}
 	if encoded.GetAlive() {
-		return evidence.SignOfLife{Backend: backend, At: at}
+		return evidence.Activity{Backend: backend, At: at}
 	}
-	return evidence.Witness{
+	return evidence.UnansweredRequest{
 		Backend: backend,
 		Client:  evidence.Client(encoded.GetClient()),
 		Zone:    encoded.GetZone(),
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -29,9 +29,9 @@
 		defer close(done)
 		for ctx.Err() == nil {
 			select {
-			case call := <-c.followers:
-				c.take(call)
-			case request := <-c.testimonies:
+			case call := <-c.followCalls:
+				c.enqueueFollow(call)
+			case request := <-c.testifyRequests:
 				c.handleTestifyRequest(request, time.Now())
 			case <-time.After(time.Millisecond):
 			}
@@ -49,18 +49,18 @@
 func newControlWithRoutes(t *testing.T) *control {
 	c := newTestControl()
 	now := time.Now()
-	c.learn(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.nanoseconds(now)}, now)
+	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
 	t.Cleanup(c.testimony.client.Close)
 	return c
 }
 
-// followOnce makes one call to the balancer at an address and takes the answer.
-func (c *control) followOnce(t *testing.T, address string) {
+// followFrom makes one follow call to the balancer at an address and takes the answer.
+func (c *control) followFrom(t *testing.T, address string) {
 	ctx := context.Background()
 	messages, err := c.balancer.bus.Subscribe(ctx)
 	require.NoError(t, err)
 	peer := replication.Peer{Address: address, Purpose: replication.PurposeFollow}
-	go c.call(ctx, c.client, peer, c.requestTo(peer, 0, time.Now()))
+	go c.callPeer(ctx, c.client, peer, c.requestTo(peer, 0, time.Now()))
 	c.handle(<-messages)
 }
 
@@ -69,11 +69,11 @@
 	other.balancer.settings.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
-	child.testimony.buffer.Add(evidence.Witness{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
+	child.testimony.buffer.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
 	child.sendObservations(context.Background(), now)
 	require.False(t, child.testimony.sending, "the clock of the one that is followed is not known yet")
 
-	child.followOnce(t, address)
+	child.followFrom(t, address)
 	require.Equal(t, parent.testimony.clock, child.testimony.parentClock.ID)
 	messages, err := child.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
@@ -82,10 +82,10 @@
 	child.handle(<-messages)
 	require.False(t, child.testimony.sending)
 
-	other.followOnce(t, address)
+	other.followFrom(t, address)
 	received := other.testimony.buffer.Since(0, "", time.Now())
 	require.Len(t, received, 1)
-	unanswered := received[0].(evidence.Witness)
+	unanswered := received[0].(evidence.UnansweredRequest)
 	require.Equal(t, evidence.Backend{Number: 7}, unanswered.Backend)
 	require.Equal(t, "maadi", unanswered.Zone)
 	require.False(t, unanswered.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
@@ -99,18 +99,18 @@
 	c := newControlWithRoutes(t)
 	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
 	c.handleTestifyRequest(request, time.Now())
-	require.Zero(t, c.testimony.buffer.Latest())
+	require.Zero(t, c.testimony.buffer.LastSequence())
 	request.Clock = c.testimony.clock
 	c.handleTestifyRequest(request, time.Now())
-	require.Equal(t, uint64(1), c.testimony.buffer.Latest())
+	require.Equal(t, uint64(1), c.testimony.buffer.LastSequence())
 }
 
 // What could not be told is told again, while it is still of use.
 func TestUndeliveredObservationsAreSentAgain(t *testing.T) {
 	c := newControlWithRoutes(t)
 	now := time.Now()
-	c.testimony.parent, c.testimony.parentClock = "127.0.0.1:1", evidence.NewClock(3, 0, now, now)
-	c.testimony.buffer.Add(evidence.SignOfLife{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
+	c.testimony.parent, c.testimony.parentClock = "127.0.0.1:1", evidence.NewRemoteClock(3, 0, now, now)
+	c.testimony.buffer.Add(evidence.Activity{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
 	messages, err := c.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
 	c.sendObservations(context.Background(), now)
@@ -127,23 +127,23 @@
 func TestMailboxIsBounded(t *testing.T) {
 	var box mailbox
 	require.Empty(t, box.take())
-	box.put(make([]evidence.Statement, mailboxLimit-1))
-	box.put(make([]evidence.Statement, 3))
+	box.put(make([]evidence.Observation, mailboxLimit-1))
+	box.put(make([]evidence.Observation, 3))
 	require.Equal(t, uint64(2), box.lost.Load())
 	require.Len(t, box.take(), mailboxLimit)
-	require.False(t, box.filled.Load())
+	require.False(t, box.nonEmpty.Load())
 	require.Empty(t, box.take())
 }
 
 // One message has room for so many statements; signs of life are among them.
 func TestActivityIsSentFirst(t *testing.T) {
-	var observations []evidence.Statement
+	var observations []evidence.Observation
 	for number := range uint64(2 * maxObservations) {
-		observations = append(observations, evidence.Witness{Backend: evidence.Backend{Number: number}})
+		observations = append(observations, evidence.UnansweredRequest{Backend: evidence.Backend{Number: number}})
 	}
-	observations = append(observations, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}})
+	observations = append(observations, evidence.Activity{Backend: evidence.Backend{Number: 7}})
 	selected := selectObservations(observations)
 	require.Len(t, selected, maxObservations)
-	require.Equal(t, evidence.SignOfLife{Backend: evidence.Backend{Number: 7}}, selected[0])
-	require.Equal(t, evidence.Witness{Backend: evidence.Backend{Number: 0}}, selected[1], "the others in their order")
+	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 7}}, selected[0])
+	require.Equal(t, evidence.UnansweredRequest{Backend: evidence.Backend{Number: 0}}, selected[1], "the others in their order")
 }
