--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -13,15 +13,16 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// admissionState is what the control goroutine knows of admission.
+// admissionState is the control goroutine's state for admission control.
 type admissionState struct {
 	controller *admission.Controller
 	// priorities are those of the routes in force, by pool.
 	priorities map[string][]admission.Priority
 	pressures  pressureEstimator
-	// overloaded are the pools that some flows are refused of.
+	// overloaded is the set of pools for which some new flows are refused.
 	overloaded map[string]bool
-	// saturatedUntil is until when pools that had no free slot count as saturated.
+	// saturatedUntil is, for each pool that recently had no free slot, the time until which it
+	// counts as saturated.
 	saturatedUntil map[string]time.Time
 }
 
@@ -29,7 +30,7 @@
 	return admissionState{controller: admission.NewController(), pressures: pressureEstimator{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
 }
 
-// updateRoutes takes the routes that are in force.
+// updateRoutes collects each pool's priorities from the routes in force.
 func (a *admissionState) updateRoutes(table *apiv1.RouteTable) {
 	a.priorities = make(map[string][]admission.Priority)
 	for _, route := range table.GetRoutes() {
@@ -42,11 +43,11 @@
 	}
 }
 
-// saturationHold is for how long a pool that had no free slot counts as saturated: until the
-// answers of that time have been compared and forgotten.
+// saturationHold is how long a pool that had no free slot still counts as saturated: until the
+// responses of that time have been compared and discarded.
 const saturationHold = time.Second
 
-// saturatedPools are the pools that are saturated, or were a moment ago.
+// saturatedPools returns the pools that are saturated or were within saturationHold.
 func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Aggregate, now time.Time) map[string]bool {
 	for pool := range aggregate.ZonePools() {
 		if a.pressures.saturated(pool, zone, aggregate) {
@@ -64,7 +65,8 @@
 	return saturated
 }
 
-// updateAdmission moves the gate by what was observed and hands its levels to traffic.
+// updateAdmission updates the admission controller from the latest summary and passes the resulting
+// refusal fractions to the traffic goroutine.
 func (c *control) updateAdmission(summary *observe.Summary, now time.Time) {
 	c.gate.pressures.addSummary(summary)
 	aggregate := c.demand.aggregate.Load()
@@ -80,25 +82,25 @@
 			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: priorities, Pressure: pressure})
 		}
 	}
-	rejections := c.gate.controller.Update(demands, now)
-	c.logOverloadChanges(rejections, aggregate, now)
-	c.balancer.traffic.flows.Admit(rejections)
+	refusals := c.gate.controller.Update(demands, now)
+	c.logOverloadChanges(refusals, aggregate, now)
+	c.balancer.traffic.flows.Admit(refusals)
 }
 
-// logOverloadChanges tells which pools began or ceased to be short of room.
-func (c *control) logOverloadChanges(rejections *admission.Refusals, aggregate *demand.Aggregate, now time.Time) {
+// logOverloadChanges logs which pools have become overloaded and which have recovered.
+func (c *control) logOverloadChanges(refusals *admission.Refusals, aggregate *demand.Aggregate, now time.Time) {
 	overloaded := make(map[string]bool)
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	for _, rejection := range rejections.All() {
-		if !overloaded[rejection.Pool] && !c.gate.overloaded[rejection.Pool] {
-			waiting, slots := aggregate.PoolTotals(demand.Pool(rejection.Pool))
-			c.balancer.logger.Warn("Control: pool is short of room.", "pool", rejection.Pool, "urgency", uint64(rejection.Priority),
-				"refused_part", rounded(rejection.Fraction), "pressure", rounded(rejection.Pressure.RequestsPerSlot),
-				"pressure_age", rejection.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
-				"waiting_here", rounded(c.gate.pressures.waiting[rejection.Pool]),
-				"zone_part", rounded(zoneRequestFraction(demand.Pool(rejection.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
+	for _, refusal := range refusals.All() {
+		if !overloaded[refusal.Pool] && !c.gate.overloaded[refusal.Pool] {
+			waiting, slots := aggregate.PoolTotals(demand.Pool(refusal.Pool))
+			c.balancer.logger.Warn("Control: pool is short of room.", "pool", refusal.Pool, "urgency", uint64(refusal.Priority),
+				"refused_part", rounded(refusal.Fraction), "pressure", rounded(refusal.Pressure.RequestsPerSlot),
+				"pressure_age", refusal.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
+				"waiting_here", rounded(c.gate.pressures.waiting[refusal.Pool]),
+				"zone_part", rounded(zoneRequestFraction(demand.Pool(refusal.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
 		}
-		overloaded[rejection.Pool] = true
+		overloaded[refusal.Pool] = true
 	}
 	for pool := range c.gate.overloaded {
 		if !overloaded[pool] {
@@ -108,26 +110,26 @@
 	c.gate.overloaded = overloaded
 }
 
-// refusalCounters counts the flows that were refused for want of room, by pool and urgency. Any
-// goroutine may use it; a refused flow costs its lock and no more.
+// refusalCounters counts the flows refused for lack of capacity, by pool and priority. It is safe
+// for concurrent use; counting a refused flow costs no more than taking the lock.
 type refusalCounters struct {
 	mutex  sync.Mutex
 	counts map[refusalKey]uint64
 }
 
-// refusalKey is a pool and an urgency.
+// refusalKey identifies a counter by pool and priority.
 type refusalKey struct {
 	pool     string
 	priority admission.Priority
 }
 
-func (r *refusalCounters) increment(rejection *admission.Refusal) {
+func (r *refusalCounters) increment(refusal *admission.Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.counts == nil {
 		r.counts = make(map[refusalKey]uint64)
 	}
-	r.counts[refusalKey{pool: rejection.Pool, priority: rejection.Priority}]++
+	r.counts[refusalKey{pool: refusal.Pool, priority: refusal.Priority}]++
 }
 
 func (r *refusalCounters) snapshot() map[refusalKey]uint64 {
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -11,24 +11,27 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// strugglingMaxAge is the silence after which what others said of who struggles counts no
-// more. Followers call twice a second, or each second while there is no news.
+// strugglingMaxAge is the time without reports after which those received no longer count.
+// Followers call twice a second, or once a second while there are no changes.
 const strugglingMaxAge = replication.FollowWait + 500*time.Millisecond
 
-// withdrawalState is what control knows of who carries its share.
+// withdrawalState is what the control goroutine knows of the balancers of its zone that struggle,
+// that is, do not carry their share of the traffic.
 type withdrawalState struct {
 	core    *aside.Core
 	reports aside.Picture
-	// lastReportAt is when another balancer last told who struggles, or that nobody does.
+	// lastReportAt is when another balancer last reported which balancers struggle, or that none
+	// does.
 	lastReportAt time.Time
-	// ranks are the places of the balancers of this zone, by name, in an order that
-	// all know.
+	// ranks maps the balancers of this zone, by name, to their position in an order that is the
+	// same on all of them.
 	ranks map[string]int
 }
 
-// updateWithdrawal looks at how long new flows took to open here, and steps aside or comes
-// back by it. Routers ask for readiness twice a second and turn away after two
-// refusals; open flows then pass other balancers, which resolve their tokens as well.
+// updateWithdrawal checks how long new flows took to open through this balancer, and withdraws it
+// from traffic or puts it back accordingly. Routers check readiness twice a second and route
+// elsewhere after two failed checks; open flows then pass through other balancers, which can
+// resolve their tokens as well.
 func (c *control) updateWithdrawal(now time.Time) {
 	if c.balancer.traffic == nil || c.balancer.disabled.Has(mechanism.StepAside) {
 		return
@@ -53,12 +56,12 @@
 		"opened_promptly", seen.Prompt, "slowly", seen.Slow, "not_in_time", seen.Missed)
 }
 
-// withdrawalZone is what is known of this zone by now.
+// withdrawalZone returns what is known about the balancers of this zone at the given time.
 func (c *control) withdrawalZone(now time.Time) aside.Zone {
 	name := c.balancer.settings.Load().GetName()
 	rank, listed := c.withdrawal.ranks[name]
 	if !listed {
-		return aside.Zone{} // the others don't count on it
+		return aside.Zone{} // the others do not count this balancer
 	}
 	reporting := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Whole()
 	zone := aside.Zone{Place: rank, Size: len(c.withdrawal.ranks), Heard: reporting}
@@ -70,8 +73,8 @@
 	return zone
 }
 
-// strugglingReports are the statements on who struggles for a message, this balancer
-// among them.
+// strugglingReports returns the reports about struggling balancers to send to another balancer,
+// with this balancer's own report if it struggles.
 func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
 	if c.withdrawal.core.Struggles() {
@@ -87,9 +90,10 @@
 	return reports
 }
 
-// handleStrugglingReports takes statements of another balancer. What is said of this one it
-// knows better. One that tells nothing of the kind, as an older program, is not heard: in a
-// rolling release all of a zone would take its silence for a zone that is well.
+// handleStrugglingReports stores the reports of another balancer. Reports about this balancer are
+// ignored, since it knows its own state better. A peer that does not support such reports, like one
+// of an older version, does not count as having reported: in a rolling upgrade, a whole zone would
+// take its silence to mean that no balancer struggles.
 func (c *control) handleStrugglingReports(reports []*apiv1.Struggling, supported bool, now time.Time) {
 	if !supported {
 		return
@@ -104,8 +108,8 @@
 	}
 }
 
-// rankZoneBalancers puts the balancers of this zone in an order that all know. It goes by a
-// hash of the names, so that neither strength nor naming decides.
+// rankZoneBalancers puts the balancers of this zone into an order that is the same on all of them.
+// It sorts by a hash of the names, so that neither capacity nor naming decides.
 func (c *control) rankZoneBalancers(balancers []*apiv1.Balancer) {
 	zone := c.balancer.settings.Load().GetZone()
 	var names []string
@@ -123,5 +127,5 @@
 	}
 }
 
-// withdrawalHash is the place of a balancer in that order.
+// withdrawalHash returns the key by which rankZoneBalancers sorts.
 func withdrawalHash(name string) uint64 { return nameHash("aside/" + name) }
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// rateTimeConstant is how fast the asks that pass here are followed, as they are for the picture.
+	// rateTimeConstant is the time constant of the smoothed request rates of this balancer, the
+	// same as for the rates in a demand.Aggregate.
 	rateTimeConstant = 500 * time.Millisecond
-	// rateHistory is for how long they are remembered: as long as a picture may be used.
+	// rateHistory is how long past rates are kept: as long as an aggregate may be used.
 	rateHistory = demand.MaximumAge
 )
 
-// requestRates is what this balancer was asked of each pool a second, now and in the last rateHistory.
+// requestRates holds the request rate of each pool through this balancer, per second, now and over
+// the last rateHistory.
 type requestRates struct {
 	updatedAt time.Time
 	current   map[demand.Pool]float64
 	history   []rateSample
 }
 
-// rateSample is what was asked at a time.
+// rateSample holds the request rates at one time.
 type rateSample struct {
 	at    time.Time
 	rates map[demand.Pool]float64
 }
 
-// addSummary takes what was asked since the last summary.
+// addSummary updates the rates with the requests counted since the last summary.
 func (r *requestRates) addSummary(summary *observe.Summary) {
 	if summary == nil || !summary.At.After(r.updatedAt) {
 		return
@@ -49,8 +51,8 @@
 	}
 }
 
-// growthSince is how many times what is asked of a pool here is what was asked at a time, 1 at least:
-// infinite where nothing was.
+// growthSince returns the ratio of a pool's current request rate here to its rate at an earlier
+// time. It is at least 1, and infinite if the earlier rate was 0.
 func (r *requestRates) growthSince(pool demand.Pool, since time.Time) float64 {
 	current, past := r.current[pool], 0.0
 	for _, sample := range r.history {
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -12,9 +12,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/demand"
 )
 
-// maxReportPoolZones bounds the places in one message: some 50 bytes each, so 6 kB. A balancer tells
-// one a second up, three where others follow it, and one a second to each of those, more
-// while pressure moves (feedInterval, urgentFeedInterval).
+// maxReportPoolZones bounds the pool zones in one message: at about 50 bytes each, that is 6 kB. A
+// balancer sends one message a second to its parent, or three if it has followers itself, and one a
+// second to each follower, more often while pressure changes (feedInterval, urgentFeedInterval).
 const maxReportPoolZones = 128
 
 // demandState is what the control goroutine knows of the demand on back ends.
@@ -22,24 +22,25 @@
 	local    demand.LocalLoad
 	tree     *demand.Tree
 	capacity capacity
-	// aggregate is the latest one, for all goroutines; nil is none.
+	// aggregate is the latest one, readable from all goroutines; nil means none.
 	aggregate atomic.Pointer[demand.Aggregate]
-	// schedule is that of reports, and telling is set while one is under way that does not go
-	// with another call.
+	// schedule spaces the reports, and reporting is set while a report is being sent in a call of
+	// its own.
 	schedule  demand.ReportSchedule
 	reporting bool
 	feed      demandFeed
-	// staleAt is when a picture that was planned by was last found too old; zero is since
-	// it was fresh for long enough.
+	// staleAt is when an aggregate that shares were planned with was last found to be too old. It
+	// is zero once aggregates have been fresh for recoveryDelay again.
 	staleAt time.Time
-	// complete is set while the demand of all is known.
+	// complete is set while the demand seen by all balancers is known.
 	complete bool
 }
 
-// DemandAggregate is the latest picture of demand and room, or nil. Any goroutine may ask.
+// DemandAggregate returns the latest aggregate of demand and capacity, or nil if there is none. It
+// is safe for concurrent use.
 func (b *Balancer) DemandAggregate() *demand.Aggregate { return b.control.demand.aggregate.Load() }
 
-// updateDemand takes what the traffic goroutine has observed and makes a new picture.
+// updateDemand takes in what the traffic goroutine observed and builds a new aggregate.
 func (c *control) updateDemand(now time.Time) {
 	d := &c.demand
 	if summary := c.balancer.traffic.latestSummary.Load(); summary != nil {
@@ -55,29 +56,32 @@
 	c.logCompleteness(aggregate, now)
 }
 
-// completeFraction is the part of all balancers that a picture counts that is told to be whole.
+// completeFraction is the fraction of all balancers that an aggregate must cover to be logged as
+// complete.
 const completeFraction = 0.9
 
-// logCompleteness logs when the demand of all becomes known, or is known no longer.
+// logCompleteness logs when the demand of all balancers becomes known, and when it is no longer
+// known.
 func (c *control) logCompleteness(aggregate demand.Aggregate, now time.Time) {
 	listed := c.balancersByZone.total()
 	if listed == 0 {
 		return
 	}
-	whole := aggregate.Fresh(now) && float64(aggregate.Balancers) >= completeFraction*float64(listed)
-	if whole == c.demand.complete {
+	complete := aggregate.Fresh(now) && float64(aggregate.Balancers) >= completeFraction*float64(listed)
+	if complete == c.demand.complete {
 		return
 	}
-	c.demand.complete = whole
+	c.demand.complete = complete
 	message := "Control: demand of all is known."
-	if !whole {
-		message = "Control: demand of all is not known, a part must do."
+	if !complete {
+		message = "Control: demand of all is not known, a partial count is used."
 	}
 	c.balancer.logger.Info(message, "balancers", aggregate.Balancers, "listed", listed,
 		"age", aggregate.Age(now).Round(time.Millisecond))
 }
 
-// handleDemandReport takes the report of a follower. One in another clock means nothing.
+// handleDemandReport stores the report of a follower. A report whose times are in another clock is
+// ignored, since they cannot be converted.
 func (c *control) handleDemandReport(from string, encoded *apiv1.DemandReport, now time.Time) {
 	if from == "" || encoded == nil || encoded.GetClock() != c.testimony.clock {
 		return
@@ -91,7 +95,7 @@
 	c.demand.schedule.FollowerReported(now)
 }
 
-// handleTotalDemand takes what the balancer that is followed says of all.
+// handleTotalDemand stores what the parent reports about the demand of all balancers.
 func (c *control) handleTotalDemand(news *apiv1.DirectoryNews, now time.Time) {
 	if news.GetDemand() == nil {
 		return
@@ -101,8 +105,8 @@
 	c.demand.tree.SetParentDepth(int(news.GetDemand().GetAbove()), now)
 }
 
-// demandReportFor returns the report for the balancer that is followed, or nil while it must not
-// be told. It goes alone or with another call.
+// demandReportFor returns the report for the parent, or nil if the parent must not be sent one now.
+// The report is sent in a call of its own if alone is set, or else with another call.
 func (c *control) demandReportFor(parent string, alone bool, now time.Time) *apiv1.DemandReport {
 	parentClock := c.testimony.parentClock
 	if parent != c.testimony.parent || !parentClock.Known() || !c.core.Leads(parent) {
@@ -120,7 +124,7 @@
 	return encoded
 }
 
-// sendDemandReport tells a report that does not wait for the next call.
+// sendDemandReport sends a report that does not wait for the next call.
 func (c *control) sendDemandReport(ctx context.Context, now time.Time) {
 	d := &c.demand
 	if d.reporting || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
@@ -141,7 +145,7 @@
 	}()
 }
 
-// handleDemandReportResult takes the end of a call that told a report.
+// handleDemandReportResult handles the end of a call that sent a report.
 func (c *control) handleDemandReportResult(news *apiv1.DirectoryNews, now time.Time) {
 	c.demand.reporting = false
 	if news.GetError() != "" {
@@ -149,9 +153,9 @@
 	}
 }
 
-// encodeAggregate returns a picture for a message. Where there are too many places, pools are
-// left out whole, the last by name: all balancers leave out the same, so that what is told of
-// the others is the sum of all, and is told at each level.
+// encodeAggregate encodes an aggregate for a message. If it has too many pool zones, whole pools
+// are left out, the last by name first. All balancers leave out the same pools, so that what is
+// reported about the other pools is the sum over all balancers at every level of the tree.
 func encodeAggregate(aggregate demand.Aggregate, now time.Time) *apiv1.DemandReport {
 	encoded := &apiv1.DemandReport{
 		Balancers:       uint32(aggregate.Balancers),
@@ -185,7 +189,8 @@
 	}
 }
 
-// decodeAggregate reads a picture from a message that left, or came, at a time.
+// decodeAggregate decodes an aggregate from a message that was sent, or received, at the given
+// time.
 func decodeAggregate(encoded *apiv1.DemandReport, at time.Time) demand.Aggregate {
 	aggregate := demand.Aggregate{
 		OldestAt:      at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
@@ -209,8 +214,8 @@
 	return aggregate
 }
 
-// decodeNumber reads a number of requests. What is none counts as 0: one balancer that tells
-// it would spoil the sum of all.
+// decodeNumber reads a count or rate of requests. Invalid values count as 0: one balancer that
+// sends one would spoil the sum over all.
 func decodeNumber(value float32) float64 {
 	number := float64(value)
 	if math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
--- a/internal/balancer/divide.go
+++ b/internal/balancer/divide.go
@@ -9,16 +9,16 @@
 	"github.com/indigobarrow/indigobarrow/internal/shares"
 )
 
-// minZoneShare is the part of zones that get nothing, all back ends of each together. It only
-// counts where all others are avoided.
+// minZoneShare is the share that a zone with no planned share gets, for all its back ends together.
+// It only matters when the back ends of all other zones are avoided.
 const minZoneShare = 0.0005
 
-// planZoneShares plans the parts of new flows for each zone by the latest picture, and tells
-// whether the table should be made anew.
+// planZoneShares plans the shares of new flows for each zone from the latest aggregate, and reports
+// whether the table should be rebuilt.
 func (c *control) planZoneShares(now time.Time) bool {
 	aggregate := c.demand.aggregate.Load()
-	off := c.balancer.disabled
-	if !c.aggregateUsable(aggregate, now) || off.Has(mechanism.DemandShares) || off.Has(mechanism.ZoneSharing) {
+	disabled := c.balancer.disabled
+	if !c.aggregateUsable(aggregate, now) || disabled.Has(mechanism.DemandShares) || disabled.Has(mechanism.ZoneSharing) {
 		return c.observed.setPlannedShares(nil)
 	}
 	localZone := demand.Zone(c.balancer.settings.Load().GetZone())
@@ -31,15 +31,16 @@
 	return c.observed.setPlannedShares(planned)
 }
 
-// recoveryDelay is for how long a picture that had lapsed must be fresh to be planned by again.
-// Each going and coming is a table and other shares; reports that are late come a second
-// apart, so three in time are needed.
+// recoveryDelay is how long an aggregate must have been fresh again, after being stale, before it
+// is used for planning. Each switch between planning and not planning rebuilds the table with other
+// shares. Late reports arrive a second apart, so three must arrive in time.
 const recoveryDelay = 3 * time.Second
 
-// aggregateUsable tells whether plans may rest on the picture. Told once a second, pictures get older
-// than 3 s now and then without a fault; zones that then went by what they see alone sent
-// their surplus to one that still kept its own: one of four zones was served 0.69 where the
-// others had 0.83 to 0.85. So they rest on it for all of demand.MaximumAge.
+// aggregateUsable reports whether shares may be planned from the aggregate. With one report a
+// second, aggregates occasionally get older than 3 s without any fault. Zones that then fell back
+// to what they observed themselves sent their surplus to a zone that still kept its own flows: one
+// of four zones served 0.69 of its requests while the others served 0.83 to 0.85. An aggregate is
+// therefore used for all of demand.MaximumAge.
 func (c *control) aggregateUsable(aggregate *demand.Aggregate, now time.Time) bool {
 	if !aggregate.Fresh(now) {
 		if c.observed.plannedShares != nil || !c.demand.staleAt.IsZero() {
@@ -54,16 +55,16 @@
 	return true
 }
 
-// shareWeight is the weight of a pool's back ends in a zone that together take their part
-// of the new flows; the greatest weight is 1.
+// shareWeight returns the weight of each of a pool's back ends in a zone, so that together they
+// take their zone's share of new flows. The greatest weight of all zones is 1.
 func (c *control) shareWeight(zoneShares map[demand.Zone]float64, poolZone demand.ZonePool) float64 {
 	weight := func(zone demand.Zone) float64 {
 		backends := c.demand.capacity.backends[demand.ZonePool{Pool: poolZone.Pool, Zone: zone}]
 		return math.Max(zoneShares[zone], minZoneShare) / math.Max(1, float64(backends))
 	}
-	greatest := weight(poolZone.Zone)
+	maximum := weight(poolZone.Zone)
 	for zone := range zoneShares {
-		greatest = math.Max(greatest, weight(zone))
+		maximum = math.Max(maximum, weight(zone))
 	}
-	return weight(poolZone.Zone) / greatest
+	return weight(poolZone.Zone) / maximum
 }
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// findingsTTL is for how long findings of another balancer count. Followers call
-	// again within replication.FollowWait.
+	// findingsTTL is how long the findings of another balancer count. Followers call again within
+	// replication.FollowWait.
 	findingsTTL = 2*replication.FollowWait + time.Second
 	// maxFindings bounds the findings in one message.
 	maxFindings = 32
 )
 
-// findingsReport is what another balancer has found, by back end.
+// findingsReport holds the findings of another balancer, by back end.
 type findingsReport struct {
 	at       time.Time
 	findings map[incarnation.ID]observe.Finding
@@ -27,19 +27,19 @@
 
 func (r findingsReport) fresh(now time.Time) bool { return now.Sub(r.at) < findingsTTL }
 
-// findings joins what this balancer finds of back ends with what others find.
-// One balancer alone sees a few answers of each back end, or none. Findings go
-// up the tree of followers, each balancer adding its own to those of its
-// followers, and down again as those of all.
+// findings merges what this balancer finds about back ends with the findings of others. A single
+// balancer sees few responses of each back end, or none. Findings are passed up the tree of
+// followers, with each balancer adding its own to those of its followers, and the merged findings
+// of all are passed back down.
 type findings struct {
 	own       map[incarnation.ID]observe.Finding
 	followers map[string]findingsReport
-	// parent is what the balancer that this one follows says of all, this one
-	// included.
+	// parent holds the merged findings of all balancers as reported by the parent. They include
+	// those of this balancer.
 	parent findingsReport
 }
 
-// updateFollower takes the findings of a follower and of those behind it.
+// updateFollower stores the findings of a follower, which include those of its own followers.
 func (f *findings) updateFollower(address string, encoded []*apiv1.BackendFinding, now time.Time) {
 	if address == "" {
 		return
@@ -55,12 +55,12 @@
 	f.followers[address] = findingsReport{at: now, findings: decodeFindings(encoded)}
 }
 
-// updateParent takes the findings of all.
+// updateParent stores the merged findings of all balancers.
 func (f *findings) updateParent(encoded []*apiv1.BackendFinding, now time.Time) {
 	f.parent = findingsReport{at: now, findings: decodeFindings(encoded)}
 }
 
-// subtree are the findings of this balancer and of those that follow it.
+// subtree returns the merged findings of this balancer and its followers.
 func (f *findings) subtree(now time.Time) map[incarnation.ID]observe.Finding {
 	joined := make(map[incarnation.ID]observe.Finding, len(f.own))
 	for backend, finding := range f.own {
@@ -77,7 +77,7 @@
 	return joined
 }
 
-// all are the findings of all balancers, as far as they are known here.
+// all returns the merged findings of all balancers, as far as they are known here.
 func (f *findings) all(now time.Time) map[incarnation.ID]observe.Finding {
 	joined := f.subtree(now)
 	if f.parent.fresh(now) {
@@ -88,7 +88,7 @@
 	return joined
 }
 
-// encodeFindings returns the findings with the most evidence for a message.
+// encodeFindings encodes the findings for a message, limited to those with the most evidence.
 func encodeFindings(findings map[incarnation.ID]observe.Finding) []*apiv1.BackendFinding {
 	encoded := make([]*apiv1.BackendFinding, 0, len(findings))
 	for backend, finding := range findings {
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -7,8 +7,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// updateHealth judges back ends by what all balancers found of them, and tells whether the
-// table should be made anew.
+// updateHealth evaluates the health of back ends from the findings of all balancers, and reports
+// whether the table should be rebuilt.
 func (c *control) updateHealth(now time.Time) bool {
 	before, findings := c.observed.unhealthy, c.findings.all(now)
 	c.observed.limits.update(c.demand.aggregate.Load(), now)
@@ -20,13 +20,13 @@
 	}
 	for backend := range before {
 		if c.observed.unhealthy[backend].Healthy() {
-			c.logHealthChange("Control: back end counts as well again.", backend, observe.Health{}, findings[backend])
+			c.logHealthChange("Control: back end counts as healthy again.", backend, observe.Health{}, findings[backend])
 		}
 	}
 	return changed
 }
 
-// logHealthChange writes to the log by what evidence the health of a back end changed.
+// logHealthChange logs a change of a back end's health with the evidence for it.
 func (c *control) logHealthChange(message string, backend incarnation.ID, health observe.Health, finding observe.Finding) {
 	name, pool := "", ""
 	if table := c.balancer.table.Load(); table != nil {
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -9,24 +9,27 @@
 	"github.com/indigobarrow/indigobarrow/internal/shares"
 )
 
-// healthLimits bound what health takes off the weights of back ends by what the others can bear.
-// A place with minLocalBackends back ends or more is bounded by itself, since zones keep their new
-// flows; the others by their whole pool.
+// healthLimits bounds how much the weights of unhealthy back ends are reduced, by the load that the
+// other back ends can take. A pool zone with at least minLocalBackends back ends has a limit of its
+// own, since zones keep their new flows; the others share the limit of their whole pool.
 type healthLimits struct {
-	// poolZones are those of the back ends that are unwell and listed.
+	// poolZones maps each unhealthy back end in the directory to its pool zone.
 	poolZones map[incarnation.ID]demand.ZonePool
-	// poolZoneTotals are those of the places that have such back ends, and pools those of their pools.
+	// poolZoneTotals covers the pool zones that have unhealthy back ends, and poolTotals their
+	// pools.
 	poolZoneTotals map[demand.ZonePool]slotTotals
 	poolTotals     map[demand.Pool]slotTotals
-	// allowed are the parts of what health takes off that may be taken off. Places that are
-	// not listed have no bound.
+	// allowed is the fraction of the weight reduction for health that may be applied, by pool zone.
+	// Pool zones that are not in the map have no limit.
 	allowed map[demand.ZonePool]float64
 }
 
-// slotTotals is what the back ends of a place or a pool that take new flows handle at once.
+// slotTotals is the number of requests that a group of back ends that take new flows, those of a
+// pool zone or a pool, can handle at once.
 type slotTotals struct {
 	backends int
-	// slots are those of all, and well those that remain by their health.
+	// slots counts the slots of all back ends, and healthySlots those that remain after the
+	// reduction for health.
 	slots, healthySlots float64
 }
 
@@ -34,8 +37,8 @@
 	return slotTotals{backends: s.backends + other.backends, slots: s.slots + other.slots, healthySlots: s.healthySlots + other.healthySlots}
 }
 
-// computeHealthLimits sums up the back ends that take new flows, with each new table.
-func (c *control) computeHealthLimits(evacuated map[string]uint64, warming *warmupState, now time.Time) {
+// computeHealthLimits sums up the back ends that take new flows, for each new table.
+func (c *control) computeHealthLimits(evacuated map[string]uint64, warmup *warmupState, now time.Time) {
 	limits := healthLimits{
 		poolZones:      make(map[incarnation.ID]demand.ZonePool, len(c.observed.unhealthy)),
 		poolZoneTotals: make(map[demand.ZonePool]slotTotals),
@@ -44,7 +47,7 @@
 	if len(c.observed.unhealthy) > 0 {
 		for _, group := range c.directory.Groups() {
 			if _, isEvacuated := evacuated[group.Zone]; !isEvacuated {
-				limits.addGroup(group, &c.observed, warming, now)
+				limits.addGroup(group, &c.observed, warmup, now)
 			}
 		}
 	}
@@ -52,11 +55,12 @@
 	c.observed.limits = limits
 }
 
-// addGroup sums up a group. Cold back ends bear little, and are no room.
-func (l *healthLimits) addGroup(group *directory.Group, inputs *weightInputs, warming *warmupState, now time.Time) {
+// addGroup adds the back ends of a group. Cold back ends can handle little load and do not count as
+// capacity.
+func (l *healthLimits) addGroup(group *directory.Group, inputs *weightInputs, warmup *warmupState, now time.Time) {
 	poolZone, sum, unhealthy := poolZoneOf(group.Place), slotTotals{}, false
 	for _, backend := range group.Entries {
-		if backend.Gone || backend.GetDraining() || warming.limited() && now.Before(warming.warmAt(backend)) {
+		if backend.Gone || backend.GetDraining() || warmup.limited() && now.Before(warmup.warmAt(backend)) {
 			continue
 		}
 		slots := backendSlots(backend)
@@ -73,7 +77,7 @@
 	}
 }
 
-// update plans the parts by the demand of now, where a picture tells it.
+// update computes the allowed fractions for the current demand, if an aggregate tells it.
 func (l *healthLimits) update(aggregate *demand.Aggregate, now time.Time) {
 	l.allowed = make(map[demand.ZonePool]float64, len(l.poolZoneTotals))
 	for poolZone, sum := range l.poolZoneTotals {
@@ -91,7 +95,8 @@
 	}
 }
 
-// allowedFraction is the part of what health takes off a back end that may be taken off.
+// allowedFraction returns the fraction of a back end's weight reduction for health that may be
+// applied.
 func (l *healthLimits) allowedFraction(backend incarnation.ID) float64 {
 	fraction, limited := l.allowed[l.poolZones[backend]]
 	if !limited {
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -11,41 +11,39 @@
 )
 
 const (
-	// demandTimeConstant is how fast the estimate of demand follows what is observed.
+	// demandTimeConstant is the time constant of the smoothed estimate of demand.
 	demandTimeConstant = time.Second
-	// minShareChange is by how much the remote share of a pool must have changed for a
-	// new table.
+	// minShareChange is the change of a pool's remote share that requires a new table.
 	minShareChange = 0.05
 	// minHealthWeightChange is the same for the weight of a back end.
 	minHealthWeightChange = 0.1
-	// summaryMaxAge is how old a summary may be. A balancer without packets makes
-	// none.
+	// summaryMaxAge is how old a summary may be. A balancer that handles no packets produces none.
 	summaryMaxAge = 2 * time.Second
 )
 
-// weightInputs is what was observed, as tables are made with it: the demand on each
-// pool, and the back ends that are unwell. Demand is how many requests of this
-// zone's clients wait at a time. Routers spread a zone's packets evenly over its
-// balancers, so each sees one part in as many.
+// weightInputs holds the observations that tables are built from: the demand on each pool, and the
+// unhealthy back ends. Demand is the number of requests from this zone's clients that are waiting
+// for a response at a time. Routers spread a zone's packets evenly over its balancers, so each of n
+// balancers sees one n-th of them.
 type weightInputs struct {
 	smoothedWaiting
-	// pools and remote are what the table in force was made with, by pool: the
-	// back ends, and the share of new flows that goes to other zones.
+	// pools and remoteShares are what the table in force was built with, by pool: the back ends,
+	// and the share of new flows that goes to other zones.
 	pools        map[string]*poolCapacity
 	remoteShares map[string]float64
-	// plannedShares are the parts of a pool's new flows for each zone by the latest picture, and
-	// parts those that the table in force was made with; pools of which no picture tells
+	// plannedShares are the shares of a pool's new flows for each zone by the latest aggregate, and
+	// appliedShares those that the table in force was built with. Pools that are in no aggregate
 	// have none.
 	plannedShares, appliedShares map[demand.Pool]map[demand.Zone]float64
-	// weightedByShares are the pools whose weights in the table in force are by parts.
+	// weightedByShares holds the pools whose weights in the table in force follow planned shares.
 	weightedByShares map[string]bool
-	// unhealthy are the back ends whose answers differ from the others', and
-	// appliedHealthWeights the factors below 1 that the table in force was made with.
+	// unhealthy holds the back ends whose responses differ from those of the others, and
+	// appliedHealthWeights the factors below 1 that the table in force was built with.
 	unhealthy            map[incarnation.ID]observe.Health
 	appliedHealthWeights map[incarnation.ID]float64
-	// limits bound what is taken off by health.
+	// limits bounds the weight reduction for health.
 	limits healthLimits
-	// zoneBalancers is how many there are in the zone, this one included.
+	// zoneBalancers is the number of balancers in the zone, this one included.
 	zoneBalancers int
 }
 
@@ -54,7 +52,7 @@
 		appliedHealthWeights: make(map[incarnation.ID]float64), zoneBalancers: 1}
 }
 
-// beginTable takes the back ends that a new table is made with.
+// beginTable records the back ends and shares that a new table is built with.
 func (w *weightInputs) beginTable(pools map[string]*poolCapacity) {
 	w.pools = pools
 	w.appliedShares = w.plannedShares
@@ -72,7 +70,7 @@
 	return shares.RemoteShare(w.waiting[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
 }
 
-// applySummary follows a summary and tells whether the table should be made anew.
+// applySummary updates the demand from a summary and reports whether the table should be rebuilt.
 func (w *weightInputs) applySummary(summary *observe.Summary, now time.Time) bool {
 	if summary == nil || now.Sub(summary.At) > summaryMaxAge {
 		clear(w.waiting)
@@ -90,8 +88,8 @@
 	return changed
 }
 
-// updateHealth takes what so many balancers found of back ends, and tells whether the table
-// should be made anew.
+// updateHealth evaluates the findings of the given number of balancers about back ends, and reports
+// whether the table should be rebuilt.
 func (w *weightInputs) updateHealth(findings map[incarnation.ID]observe.Finding, observers int) bool {
 	unhealthy := make(map[incarnation.ID]observe.Health, len(w.unhealthy))
 	for backend, finding := range findings {
@@ -103,7 +101,7 @@
 	return w.healthChanged()
 }
 
-// healthWeight is the factor for the weight of a back end.
+// healthWeight returns the factor that health applies to the weight of a back end.
 func (w *weightInputs) healthWeight(backend incarnation.ID) float64 {
 	health, unhealthy := w.unhealthy[backend]
 	if !unhealthy {
@@ -112,7 +110,7 @@
 	return shares.LimitedWeight(shares.HealthWeight(health), w.limits.allowedFraction(backend))
 }
 
-// utilization is the part of the slots of a pool in this zone that are in use.
+// utilization returns the fraction of a pool's slots in this zone that are in use.
 func (w *weightInputs) utilization(name string) float64 {
 	pool := w.pools[name]
 	if pool == nil || pool.localSlots == 0 {
@@ -121,7 +119,7 @@
 	return w.waiting[name] * float64(w.zoneBalancers) / pool.localSlots
 }
 
-// healthChanged tells whether the weight of a back end moves by enough.
+// healthChanged reports whether the weight of a back end has changed enough for a new table.
 func (w *weightInputs) healthChanged() bool {
 	for backend := range w.unhealthy {
 		if applied, found := w.appliedHealthWeights[backend]; !found || math.Abs(w.healthWeight(backend)-applied) > minHealthWeightChange {
@@ -136,7 +134,8 @@
 	return false
 }
 
-// setPlannedShares takes the parts of new flows for each zone, and tells whether some move by enough.
+// setPlannedShares sets the shares of new flows for each zone, and reports whether any differs
+// enough from those in force.
 func (w *weightInputs) setPlannedShares(planned map[demand.Pool]map[demand.Zone]float64) bool {
 	w.plannedShares = planned
 	if len(planned) != len(w.appliedShares) {
@@ -151,8 +150,8 @@
 	return false
 }
 
-// sharesDiffer tells whether the part of a zone differs by enough from another one's. Zones that
-// only the other one names are not looked at.
+// sharesDiffer reports whether the share of a zone differs by more than minShareChange from that in
+// other. Zones that only other has are not compared.
 func sharesDiffer(shares, other map[demand.Zone]float64) bool {
 	for zone, share := range shares {
 		if math.Abs(share-other[zone]) > minShareChange {
@@ -162,7 +161,7 @@
 	return false
 }
 
-// inFlightByPool is the demand by pool, for the log.
+// inFlightByPool returns the demand by pool, for the log.
 func (w *weightInputs) inFlightByPool() map[string]float64 {
 	inFlight := make(map[string]float64, len(w.waiting))
 	for pool, waiting := range w.waiting {
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -8,46 +8,48 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// pressureTimeConstant is how fast what waits here is followed. One balancer sees some requests
-// at a time, so a single look is mostly chance.
+// pressureTimeConstant is the time constant of the smoothed number of requests waiting here. One
+// balancer sees only some requests at a time, so a single sample is mostly noise.
 const pressureTimeConstant = 300 * time.Millisecond
 
 const (
-	// minAggregatePressure is the pressure that the picture must show before anybody is refused:
-	// below it the fleet itself counts fewer requests than slots, so some are free. What one
-	// balancer sees, multiplied, is no ground: before the first traffic a zone's part of next
-	// to nothing made pressures of billions of a quiet start, and 409 flows were refused.
+	// minAggregatePressure is the pressure that the aggregate must show before any flow is refused.
+	// Below it the balancers together count fewer requests than slots, so some slots are free.
+	// Scaling up what one balancer sees is not enough: before the first traffic, a zone's request
+	// fraction close to 0 gave an idle start pressures of billions, and 409 flows were refused.
 	minAggregatePressure = 1.0
-	// minLocalInFlight is how many requests must wait here on average for what waits here to be
-	// taken at the scale of all. With fewer, one more is as much as the whole pool can do;
-	// the picture itself is taken, a second or two late.
+	// minLocalInFlight is the average number of requests that must wait here before the local count
+	// is scaled up to the whole pool. With fewer, a single additional request would scale to as
+	// much as the whole pool can handle; the count in the aggregate is used instead, which is a
+	// second or two old.
 	minLocalInFlight = 1.0
 )
 
-// pressureEstimator follow what waits at this balancer for each pool. A picture is a second or
-// two old, and in that time a burst fills the queues of all back ends; what waits here is
-// known at once. Of the picture is taken which part of all passes here, which changes
-// slowly: with the pressure of the picture itself a burst was refused half a second
-// later, and for a second after its end.
+// pressureEstimator estimates the pressure on each pool from the requests waiting at this balancer.
+// An aggregate is a second or two old, and within that time a burst fills the queues of all back
+// ends, whereas the number of requests waiting here is known at once. The aggregate only gives the
+// fraction of all requests that passes through this balancer, which changes slowly: with the
+// pressure of the aggregate itself, flows were first refused half a second into a burst, and for a
+// second after its end.
 //
-// The part changes at once where another balancer of the zone stops: what is asked here grows
-// then, by the part that maxGrowth allows.
+// That fraction changes at once when another balancer of the zone stops. The request rate here then
+// grows, which is corrected for up to the factor maxGrowth.
 type pressureEstimator struct {
 	smoothedWaiting
 	rates requestRates
 }
 
-// addSummary follows the requests that wait here, and what is asked.
+// addSummary updates the waiting requests and the request rates.
 func (p *pressureEstimator) addSummary(summary *observe.Summary) {
 	p.update(summary, pressureTimeConstant)
 	p.rates.addSummary(summary)
 }
 
-// estimate is the pressure on a pool. Routers spread a zone's packets evenly over its
-// balancers, and the picture tells which part of what is asked of the pool the zone's
-// clients ask. It is unknown while the picture is one of less than half of the balancers
-// listed, or while nothing was seen here: those left out may be short of room, or not. It is
-// none while the picture shows room.
+// estimate returns the pressure on a pool. Routers spread a zone's packets evenly over its
+// balancers, and the aggregate gives the fraction of the pool's requests that come from the zone's
+// clients. The pressure is unknown if the aggregate covers less than half of the balancers in the
+// directory, or if nothing was observed here: the balancers left out may see a lack of capacity or
+// not. It is zero while the aggregate shows free slots.
 func (p *pressureEstimator) estimate(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate, listed zoneCounts) admission.Pressure {
 	if aggregate == nil || 2*aggregate.Balancers < listed.total() {
 		return admission.Pressure{}
@@ -72,17 +74,18 @@
 }
 
 const (
-	// saturationPressure is the pressure that a picture shows of a pool without a free slot.
+	// saturationPressure is the pressure at which an aggregate shows that a pool has no free slot.
 	saturationPressure = 1.0
-	// localSaturationPressure is the pressure from which on what waits here is taken to show the same
-	// before the picture does, if minSaturationInFlight requests wait at least: what is seen of it
-	// here is uncertain by a third.
+	// localSaturationPressure is the pressure, estimated from the requests waiting here, from which
+	// a pool counts as saturated before the aggregate shows it, if at least minSaturationInFlight
+	// requests wait. The local estimate is uncertain by a third.
 	localSaturationPressure = 1.5
 	minSaturationInFlight   = 1.0
 )
 
-// maxGrowth is how many times the part of a balancer grows when another one of its zone stops.
-// What is asked grows in a burst too, so no more of it is put down to that.
+// maxGrowth returns the factor by which a balancer's fraction of its zone's requests grows when
+// another balancer of the zone stops. The request rate grows in a burst too, so growth beyond this
+// factor is not attributed to a stopped balancer.
 func maxGrowth(balancers int) float64 {
 	if balancers < 2 {
 		return 2
@@ -90,8 +93,8 @@
 	return float64(balancers) / float64(balancers-1)
 }
 
-// saturated tells whether a pool has no free slot, as far as is known. It errs towards
-// saturation, by which answers count for nothing for a while.
+// saturated reports whether a pool has no free slot, as far as is known. It errs towards
+// saturation, the cost of which is that responses are ignored for a while.
 func (p *pressureEstimator) saturated(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate) bool {
 	if aggregate == nil {
 		return false
@@ -107,9 +110,10 @@
 	return fraction > 0 && local >= minSaturationInFlight && local*float64(aggregate.ZoneBalancers[localZone])/fraction >= localSaturationPressure*slots
 }
 
-// zoneRequestFraction is the part of what is asked of a pool that the clients of a zone ask, by the
-// balancers that the picture has. Others may be gone, and what they carried passes those
-// that are left: to take them for as busy made pressure of a roll of half the machines.
+// zoneRequestFraction returns the fraction of a pool's request rate that comes from the clients of
+// a zone, by the balancers in the aggregate. Other balancers may have stopped, with their traffic
+// now passing through the remaining ones: counting them as equally busy produced pressure when half
+// of the machines were being restarted.
 func zoneRequestFraction(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate) float64 {
 	localRate, totalRate := 0.0, 0.0
 	for zone := range aggregate.ZoneBalancers {
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -12,55 +12,60 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// warmCheckInterval spaces the looks for back ends that have turned warm.
+// warmCheckInterval is the minimum time between checks for back ends that have warmed up.
 const warmCheckInterval = time.Second
 
-// capacity is how many requests the back ends of each place that take new flows handle at
-// once: live, not draining, in no evacuated zone, warm, and well as far as is known.
+// capacity is the number of requests that the back ends that take new flows can handle at once, by
+// pool zone. Such back ends are live, not draining, not in an evacuated zone, warm, and healthy as
+// far as is known.
 type capacity struct {
-	// slots is never changed, but replaced.
+	// slots is replaced and never modified.
 	slots    map[demand.ZonePool]float64
 	backends map[demand.ZonePool]int
-	// pools are what each pool has in the balancer's zone and in others, cold ones too.
+	// pools counts the back ends and slots of each pool in the balancer's zone and in the others,
+	// including cold back ends.
 	pools map[string]*poolCapacity
-	// counts are what groups had when they were counted last; those that have not changed
-	// are not counted again.
+	// counts holds the last counts of each group. Groups that have not changed are not counted
+	// again.
 	counts map[directory.Place]groupCount
-	// cold are the back ends that are no room yet, and nextCheckAt is when some may be; zero is
-	// never.
+	// cold holds the back ends that do not count as capacity yet, and nextCheckAt is when the first
+	// of them may; zero means never.
 	cold        []coldBackend
 	nextCheckAt time.Time
-	// failed are the back ends that were judged dead of late.
+	// failed holds the back ends recently detected as failed.
 	failed map[incarnation.ID]failedBackend
 }
 
-// failedHold is for how long a back end that was judged dead is no room, unless it is judged
-// so again. Verdicts last for 2 s after the last witness, and one that gets no new flows has
-// a witness less often. Without more than a verdict, plans would turn with each.
+// failedHold is how long a back end detected as failed does not count as capacity, unless it is
+// detected again. A detection lasts for 2 s after the last unanswered request, and a back end that
+// gets no new flows has fewer requests to leave unanswered. If only current detections counted,
+// plans would change with each of them.
 const failedHold = 5 * time.Second
 
-// failedBackend is a back end that is no room until a time, though the directory has it.
+// failedBackend is a back end that does not count as capacity until a time, although the directory
+// lists it.
 type failedBackend struct {
 	poolZone demand.ZonePool
 	until    time.Time
 }
 
-// coldBackend is what a back end adds to its place from a time on.
+// coldBackend holds the slots that a back end adds to its pool zone from a time on.
 type coldBackend struct {
 	poolZone demand.ZonePool
 	slots    float64
 	warmAt   time.Time
 }
 
-// poolCapacity is what a pool has in the balancer's zone and in the others.
+// poolCapacity counts a pool's back ends and slots in the balancer's zone and in the others.
 type poolCapacity struct {
 	localBackends, remoteBackends int
 	localSlots, remoteSlots       float64
 }
 
-// measureCapacity counts the back ends that may take new flows, with each new table. Which
-// balancers may use a cold one is of no matter here: with a rank among 12,000 balancers for
-// each of 1,400 cold ones, a count of 140,000 took 484 ms of processor in place of 226.
+// measureCapacity counts the back ends that may take new flows, for each new table. It ignores
+// which balancers may use a cold back end: computing a rank among 12,000 balancers for each of
+// 1,400 cold back ends raised the processor time of counting 140,000 back ends from 226 ms to 484
+// ms.
 func (c *control) measureCapacity(evacuated map[string]uint64, now time.Time) {
 	counts := c.demand.capacity.counts
 	result := capacity{
@@ -70,8 +75,8 @@
 		pools:    make(map[string]*poolCapacity),
 		counts:   make(map[directory.Place]groupCount, len(counts)),
 	}
-	warming := c.newWarmupState(now)
-	c.computeHealthLimits(evacuated, warming, now)
+	warmup := c.newWarmupState(now)
+	c.computeHealthLimits(evacuated, warmup, now)
 	localZone := c.balancer.settings.Load().GetZone()
 	for _, group := range c.directory.Groups() {
 		if _, isEvacuated := evacuated[group.Zone]; isEvacuated {
@@ -84,8 +89,8 @@
 		result.counts[group.Place] = count
 		result.addCount(group.Place, count, localZone)
 		poolZone := poolZoneOf(group.Place)
-		if warming.limited() || len(c.observed.unhealthy) > 0 {
-			result.addBackends(group, poolZone, warming, &c.observed, now)
+		if warmup.limited() || len(c.observed.unhealthy) > 0 {
+			result.addBackends(group, poolZone, warmup, &c.observed, now)
 		} else if count.backends > 0 {
 			result.slots[poolZone] += count.slots
 		}
@@ -94,8 +99,7 @@
 	c.demand.capacity = result
 }
 
-// groupCount is what the back ends of a group that may take new flows have, as of a version
-// of it.
+// groupCount counts the back ends of a group that may take new flows, as of a version of the group.
 type groupCount struct {
 	version  uint64
 	backends int
@@ -113,14 +117,14 @@
 	return count
 }
 
-// addBackends adds the slots of a group, where back ends differ by their warmth or health.
-func (c *capacity) addBackends(group *directory.Group, poolZone demand.ZonePool, warming *warmupState, inputs *weightInputs, now time.Time) {
+// addBackends adds the slots of a group whose back ends differ in warm-up or health.
+func (c *capacity) addBackends(group *directory.Group, poolZone demand.ZonePool, warmup *warmupState, inputs *weightInputs, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
 		}
 		slots := backendSlots(backend) * inputs.healthWeight(backend.Incarnation())
-		if until := warming.warmAt(backend); now.Before(until) {
+		if until := warmup.warmAt(backend); now.Before(until) {
 			c.cold = append(c.cold, coldBackend{poolZone: poolZone, slots: slots, warmAt: until})
 			continue
 		}
@@ -128,12 +132,12 @@
 	}
 }
 
-// backendSlots is how many requests a back end handles at once.
+// backendSlots returns the number of requests that a back end can handle at once.
 func backendSlots(backend directory.BackendEntry) float64 {
 	return math.Max(1, float64(backend.GetCapacity()))
 }
 
-// addCount counts the back ends of a group that may take new flows.
+// addCount adds the back ends of a group that may take new flows.
 func (c *capacity) addCount(poolZone directory.Place, count groupCount, localZone string) {
 	if count.backends == 0 {
 		return
@@ -153,7 +157,7 @@
 	pool.remoteSlots += count.slots
 }
 
-// addWarmed adds the back ends that have turned warm since the room was counted.
+// addWarmed adds the back ends that have warmed up since the capacity was measured.
 func (c *capacity) addWarmed(now time.Time) {
 	if c.nextCheckAt.IsZero() || now.Before(c.nextCheckAt) {
 		return
@@ -171,7 +175,7 @@
 	c.scheduleCheck(now)
 }
 
-// scheduleCheck sets when to look again.
+// scheduleCheck sets the time of the next check for warm back ends.
 func (c *capacity) scheduleCheck(now time.Time) {
 	c.nextCheckAt = time.Time{}
 	for _, backend := range c.cold {
@@ -179,13 +183,13 @@
 			c.nextCheckAt = backend.warmAt
 		}
 	}
-	if soonest := now.Add(warmCheckInterval); !c.nextCheckAt.IsZero() && c.nextCheckAt.Before(soonest) {
-		c.nextCheckAt = soonest
+	if earliest := now.Add(warmCheckInterval); !c.nextCheckAt.IsZero() && c.nextCheckAt.Before(earliest) {
+		c.nextCheckAt = earliest
 	}
 }
 
-// updateFailed takes which back ends are judged dead. Those that the table has no longer are none
-// of the room anyway.
+// updateFailed records the back ends detected as failed. Those that are no longer in the table do
+// not count as capacity anyway.
 func (c *capacity) updateFailed(summary *observe.Summary, table *tokenroute.Table, now time.Time) {
 	for id, failed := range c.failed {
 		if !now.Before(failed.until) {
@@ -208,8 +212,8 @@
 	}
 }
 
-// liveSlots are the slots without those of dead back ends, each of which had as many as the
-// others of its place.
+// liveSlots returns the slots without those of failed back ends. Each of these is taken to have the
+// average number of slots of its pool zone.
 func (c *capacity) liveSlots(now time.Time) map[demand.ZonePool]float64 {
 	if len(c.failed) == 0 {
 		return c.slots
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -9,39 +9,42 @@
 )
 
 const (
-	// feedInterval is the mean time between two tellings of the picture to one follower, whose
-	// calls are answered one to three times a second; each telling is some 50 bytes a place.
-	// One may be feedTolerance early: with calls answered each 0.92 s, one in two would else be
-	// told nothing, and pictures be a second older at each level.
+	// feedInterval is the mean interval at which a follower is sent the total demand. Its calls are
+	// answered one to three times a second, and each message takes about 50 bytes per pool zone. A
+	// message may be sent up to feedTolerance early: with calls answered every 0.92 s, every second
+	// reply would otherwise carry nothing, and aggregates would be a second older at each level of
+	// the tree.
 	feedInterval  = time.Second
 	feedTolerance = 250 * time.Millisecond
-	// urgentFeedInterval is the same while the pressure of a place has moved by more than
-	// minPressureChange since, in requests for each slot: a quarter of the room crosses zones
-	// then that did not, or no longer.
+	// urgentFeedInterval is the minimum interval while the pressure of a pool zone has changed by
+	// more than minPressureChange, in requests per slot, since the last message: at such a change,
+	// flows worth a quarter of the capacity start or stop crossing zones.
 	urgentFeedInterval = 300 * time.Millisecond
 	minPressureChange  = 0.25
 	// feedTTL is how long a follower that does not call is remembered.
 	feedTTL = 10 * time.Second
 )
 
-// demandFeed are what followers were told of the picture.
+// demandFeed is what followers were sent of the total demand.
 type demandFeed struct {
-	// encoded is the picture encoded, as at a time, and seen the picture.
+	// encoded is the encoded aggregate as of encodedAt, and aggregate its source.
 	encoded   *apiv1.DemandReport
 	aggregate demand.Aggregate
 	encodedAt time.Time
-	// pressures are those of seen, never changed but replaced.
+	// pressures are those of aggregate. The map is replaced and never modified.
 	pressures map[demand.ZonePool]float64
 	sent      map[string]feedState
 }
 
-// feedState is when a follower was told, and of which pressures, and when the next is due.
+// feedState records when a follower was last sent the total demand, with which pressures, and when
+// it is due again.
 type feedState struct {
 	sentAt, dueAt time.Time
 	pressures     map[demand.ZonePool]float64
 }
 
-// next is what follows a telling at a time, or none if it must wait.
+// next returns the state after a message at the given time, and whether that message may be sent
+// now.
 func (s feedState) next(pressures map[demand.ZonePool]float64, now time.Time) (feedState, bool) {
 	next := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
 	if now.Before(s.dueAt.Add(-feedTolerance)) {
@@ -53,8 +56,8 @@
 	return next, true
 }
 
-// totalDemandFor returns what a follower is told of all, or nil while it was told of late. The
-// picture is encoded once a look for all of them.
+// totalDemandFor returns the total demand to send to a follower, or nil if it was sent recently.
+// The aggregate is encoded once per observation interval for all followers.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
 	f := &c.demand.feed
 	if f.encoded == nil || now.Sub(f.encodedAt) >= observationInterval {
@@ -74,7 +77,7 @@
 	}
 }
 
-// refresh encodes a picture, and forgets the followers that no longer call.
+// refresh encodes an aggregate and drops the followers that no longer call.
 func (f *demandFeed) refresh(aggregate demand.Aggregate, slots map[demand.ZonePool]float64, now time.Time) {
 	f.encoded, f.aggregate, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
 	f.pressures = make(map[demand.ZonePool]float64, len(aggregate.Loads))
@@ -92,8 +95,8 @@
 	}
 }
 
-// pressureChanged tells whether the pressure of a place has moved by enough to be told sooner. Places
-// without room are beyond all pressure before and after.
+// pressureChanged reports whether the pressure of a pool zone has changed enough to be sent sooner.
+// Pool zones without capacity have infinite pressure before and after.
 func pressureChanged(before, after map[demand.ZonePool]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > minPressureChange }
 	for poolZone, pressure := range after {
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// batchDelay lets statements gather between two messages to one balancer. A
-	// machine of 0.06 cores takes some 5 ms of each.
+	// batchDelay lets observations accumulate between two messages to the same balancer. A machine
+	// with 0.06 cores needs about 5 ms for each message.
 	batchDelay = 25 * time.Millisecond
-	// testifyRetryDelay is the pause after a message that failed.
+	// testifyRetryDelay is the delay after a failed message.
 	testifyRetryDelay = 200 * time.Millisecond
-	// maxObservations bounds the statements in one message.
+	// maxObservations bounds the observations in one message.
 	maxObservations = 64
 )
 
-// observationExchange passes on what balancers see of back ends that may be dead: up the tree
-// in calls of their own, down it in the answers for which followers wait.
+// observationExchange passes on what balancers observe about back ends that may have failed: up the
+// tree in calls of their own, and down the tree in the replies that followers wait for.
 type observationExchange struct {
 	buffer evidence.Buffer
-	// clock names the clock of this process.
+	// clock identifies the clock of this process.
 	clock uint64
-	// parent is the balancer that is followed, its clock, and the sequence up to which
-	// it has told its statements.
+	// parent is the address of the parent, parentClock its clock, and receivedSequence the sequence
+	// number up to which it has sent its observations.
 	parent           string
 	parentClock      evidence.RemoteClock
 	receivedSequence uint64
-	// sentSequence is the sequence up to which the parent was told, and telling is set while a
-	// call is under way.
+	// sentSequence is the sequence number up to which observations were sent to the parent, and
+	// sending is set while a call is in progress.
 	sentSequence uint64
 	sending      bool
 	nextSendAt   time.Time
 	client       *replication.Client
 }
 
-// clockNow is what the clock of this process shows.
+// clockNow returns the reading of this process's clock.
 func (c *control) clockNow(now time.Time) time.Duration { return now.Sub(c.balancer.started) }
 
-// collectObservations takes what the traffic goroutine has seen.
+// collectObservations takes over what the traffic goroutine has observed.
 func (c *control) collectObservations(now time.Time) {
 	if c.balancer.traffic == nil {
 		return
@@ -53,7 +53,8 @@
 	}
 }
 
-// receiveObservations takes statements of another balancer: what is new is passed on, and judged by.
+// receiveObservations stores the observations of another balancer. New ones are passed on and
+// evaluated by the traffic goroutine.
 func (c *control) receiveObservations(observations []evidence.Observation, from string, now time.Time) {
 	var added []evidence.Observation
 	for _, observation := range observations {
@@ -66,29 +67,29 @@
 	}
 }
 
-// handleParentObservations takes the statements of the balancer that is followed.
+// handleParentObservations stores the observations of the parent.
 func (c *control) handleParentObservations(news *apiv1.DirectoryNews, now time.Time) {
 	t := &c.testimony
 	if t.parent != news.GetPeer() || t.parentClock.ID != news.GetClock() {
 		t.parent, t.receivedSequence = news.GetPeer(), 0
 	}
-	leftAfter := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
-	leftBefore := c.balancer.started.Add(time.Duration(news.GetLeftBeforeNanoseconds()))
+	sentAfter := c.balancer.started.Add(time.Duration(news.GetLeftAfterNanoseconds()))
+	sentBefore := c.balancer.started.Add(time.Duration(news.GetLeftBeforeNanoseconds()))
 	clock := time.Duration(news.GetClockMilliseconds()) * time.Millisecond
-	t.parentClock = evidence.NewRemoteClock(news.GetClock(), clock, leftAfter, leftBefore)
+	t.parentClock = evidence.NewRemoteClock(news.GetClock(), clock, sentAfter, sentBefore)
 	t.receivedSequence = max(t.receivedSequence, news.GetTestimonyLatest())
 	observations := make([]evidence.Observation, 0, len(news.GetTestimony()))
 	for _, encoded := range news.GetTestimony() {
-		left := leftAfter
+		sentAt := sentAfter
 		if encoded.GetAlive() {
-			left = leftBefore
+			sentAt = sentBefore
 		}
-		observations = append(observations, decodeObservation(encoded, left.Add(-time.Duration(encoded.GetMilliseconds())*time.Millisecond)))
+		observations = append(observations, decodeObservation(encoded, sentAt.Add(-time.Duration(encoded.GetMilliseconds())*time.Millisecond)))
 	}
 	c.receiveObservations(observations, t.parent, now)
 }
 
-// sendObservations tells the balancer that is followed what it does not know yet.
+// sendObservations sends the parent the observations that it does not have yet.
 func (c *control) sendObservations(ctx context.Context, now time.Time) {
 	t := &c.testimony
 	if t.sending || now.Before(t.nextSendAt) || !t.parentClock.Known() || t.sentSequence == t.buffer.LastSequence() {
@@ -114,8 +115,8 @@
 	}()
 }
 
-// handleTestifyResult takes the end of a call that told statements. After a failure they are told
-// again, as far as they are still posted.
+// handleTestifyResult handles the end of a call that sent observations. After a failure they are
+// sent again, as long as they are still buffered.
 func (c *control) handleTestifyResult(news *apiv1.DirectoryNews, now time.Time) {
 	c.testimony.sending = false
 	if news.GetError() != "" {
@@ -134,15 +135,15 @@
 	}
 }
 
-// handleTestifyRequest takes the statements of a follower. Times in a clock that is not that
-// of this process mean nothing.
+// handleTestifyRequest stores the observations of a follower. Times in the clock of another process
+// cannot be interpreted, so observations with such times are ignored.
 func (c *control) handleTestifyRequest(request *apiv1.TestifyRequest, now time.Time) {
 	c.handleDemandReport(request.GetFromAddress(), request.GetDemand(), now)
 	if len(request.GetTestimony()) == 0 {
 		return
 	}
 	if request.GetClock() != c.testimony.clock {
-		c.balancer.logger.Debug("Control: statements in another clock are left out.", "peer", request.GetFromAddress())
+		c.balancer.logger.Debug("Control: observations in another clock are ignored.", "peer", request.GetFromAddress())
 		return
 	}
 	observations := make([]evidence.Observation, 0, len(request.GetTestimony()))
@@ -153,24 +154,24 @@
 	c.receiveObservations(observations, request.GetFromAddress(), now)
 }
 
-// pendingObservations returns the statements that a follower was not told yet, once its call
-// has waited for some to gather.
-func (c *control) pendingObservations(asking *followCall, now time.Time) []evidence.Observation {
-	if !asking.wantsTestimony || now.Sub(asking.receivedAt) < batchDelay {
+// pendingObservations returns the observations that a follower has not been sent yet, once its call
+// has waited for batchDelay.
+func (c *control) pendingObservations(call *followCall, now time.Time) []evidence.Observation {
+	if !call.wantsTestimony || now.Sub(call.receivedAt) < batchDelay {
 		return nil
 	}
-	after := asking.testimonyAfter
-	if asking.testimonyClock != c.testimony.clock {
+	after := call.testimonyAfter
+	if call.testimonyClock != c.testimony.clock {
 		after = 0
 	}
 	if after == c.testimony.buffer.LastSequence() {
 		return nil
 	}
-	return c.testimony.buffer.Since(after, asking.caller.Address, now)
+	return c.testimony.buffer.Since(after, call.caller.Address, now)
 }
 
-// addObservations adds statements to the answer of a follower, and the clock by which it
-// can tell its own.
+// addObservations adds observations to the reply to a follower, and the clock in which the follower
+// can send its own.
 func (c *control) addObservations(reply *apiv1.FollowReply, observations []evidence.Observation, now time.Time) {
 	reply.Clock = c.testimony.clock
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
@@ -180,8 +181,8 @@
 	}
 }
 
-// selectObservations returns the statements for which one message has room: signs of life before
-// witnesses, since who misses one would judge a back end that lives.
+// selectObservations returns the observations that fit into one message. Activity comes before
+// unanswered requests, since a balancer that misses it would take a live back end for failed.
 func selectObservations(observations []evidence.Observation) []evidence.Observation {
 	ordered := slices.Clone(observations)
 	slices.SortStableFunc(ordered, func(a, b evidence.Observation) int { return observationRank(a) - observationRank(b) })
@@ -195,16 +196,17 @@
 	return 1
 }
 
-// encodeObservation returns a statement for a message, with the time in the form that the
-// message takes.
+// encodeObservation encodes an observation for a message, with the time in the form that the kind
+// of message takes.
 func encodeObservation(observation evidence.Observation, at time.Duration) *apiv1.Testimony {
-	switch s := observation.(type) {
+	switch o := observation.(type) {
 	case evidence.UnansweredRequest:
-		// Rounded down it is older, or its age greater by the answer's own rounding.
-		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Client: uint32(s.Client),
-			Zone: s.Zone, Milliseconds: at.Milliseconds()}
+		// Rounding down makes the request older. If the time is an age, rounding of the reply's own
+		// time makes the age greater.
+		return &apiv1.Testimony{Number: o.Backend.Number, StartedMilliseconds: uint64(o.Backend.Start), Client: uint32(o.Client),
+			Zone: o.Zone, Milliseconds: at.Milliseconds()}
 	case evidence.Activity:
-		return &apiv1.Testimony{Number: s.Backend.Number, StartedMilliseconds: uint64(s.Backend.Start), Alive: true,
+		return &apiv1.Testimony{Number: o.Backend.Number, StartedMilliseconds: uint64(o.Backend.Start), Alive: true,
 			Milliseconds: at.Milliseconds()}
 	}
 	return nil
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -10,19 +10,19 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// budgetFraction is the part of what a cold back end bears that is dealt out. The
-// rest is for balancers that know other members than this one, and so let others
-// send besides.
+// budgetFraction is the fraction of what a cold back end can take that is allotted. The rest is
+// reserved for balancers with a different view of the membership, which therefore let additional
+// balancers send.
 const budgetFraction = 0.5
 
-// warmupState tells how cold back ends are, and what this balancer may send them.
-// What a cold back end bears counts over all balancers. So a few balancers, whom
-// rendezvous hashing names for each back end, may use it, and share that.
+// warmupState tells how cold back ends are, and how many flows this balancer may send to them. The
+// limit of a cold back end applies to all balancers together. Therefore only a few balancers,
+// chosen for each back end by rendezvous hashing, may use it and share its limit.
 type warmupState struct {
 	directory *directory.Directory
 	self      string
-	// peerHashes are the hashes of the others' names. They are listed with the first back
-	// end that is cold, since there mostly is none; listed is set then.
+	// peerHashes are the hashes of the other balancers' names. They are computed for the first cold
+	// back end, since usually there is none; peerHashed is set from then on.
 	peerHashes  []uint64
 	peersHashed bool
 	selfHash    uint64
@@ -33,7 +33,7 @@
 	now         time.Time
 }
 
-// newWarmupState collects what the coldness of back ends depends on.
+// newWarmupState collects the inputs for the warm-up of back ends.
 func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
 	state := &warmupState{
@@ -57,7 +57,7 @@
 	return state
 }
 
-// otherBalancers are the hashes of the names of the other balancers.
+// otherBalancers returns the hashes of the names of the other balancers.
 func (w *warmupState) otherBalancers() []uint64 {
 	if w.peersHashed {
 		return w.peerHashes
@@ -77,10 +77,10 @@
 	return hash.Sum64()
 }
 
-// limited tells whether cold back ends are bounded at all.
+// limited reports whether new flows to cold back ends are limited at all.
 func (w *warmupState) limited() bool { return w.overshoot != 0 || w.slack != 0 }
 
-// warmupFunc tells how cold a back end is, or is nil where all are taken for warm.
+// warmupFunc returns the function that tells how cold a back end is, or nil if all count as warm.
 func (w *warmupState) warmupFunc() func(directory.BackendEntry) tokenroute.Warmup {
 	if !w.limited() {
 		return nil
@@ -88,7 +88,7 @@
 	return w.warmup
 }
 
-// warmup tells how cold a back end is.
+// warmup returns how cold a back end is.
 func (w *warmupState) warmup(backend directory.BackendEntry) tokenroute.Warmup {
 	until := w.warmAt(backend)
 	if !w.now.Before(until) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// warmAt is from when on a back end is warm; zero is always. Without a bound in the
-// settings all are.
+// warmAt returns the time from which a back end is warm; zero means that it always is. Without a
+// limit in the settings, all back ends are warm.
 func (w *warmupState) warmAt(backend directory.BackendEntry) time.Time {
 	if !w.limited() {
 		return time.Time{}
@@ -111,9 +111,9 @@
 	return w.coldUntil(backend)
 }
 
-// coldUntil is when a back end is warm. What its entry says is counted from when
-// it was learned, which is later than when it was written. Back ends of a zone
-// that was taken back may have turned cold just before, and have told it or not.
+// coldUntil returns when a back end becomes warm. The time in its entry is counted from when the
+// entry was learned, which is later than when it was written. Back ends of a zone whose evacuation
+// was revoked may have become cold just before, and may not have reported it yet.
 func (w *warmupState) coldUntil(backend directory.BackendEntry) time.Time {
 	var until time.Time
 	if remaining := backend.GetWarmupMilliseconds(); remaining > 0 {
@@ -128,8 +128,8 @@
 	return until
 }
 
-// allowance is how many new flows this balancer may send to a cold back end within
-// a second, of what all may.
+// allowance returns how many new flows this balancer may send to a cold back end per second, out of
+// the limit for all balancers.
 func (w *warmupState) allowance(number uint64, limit float64) int {
 	if limit < 1 {
 		return 0
@@ -142,7 +142,7 @@
 	return budget / users
 }
 
-// rank is how many balancers come before this one in the order of a back end.
+// rank returns the number of balancers before this one in the rendezvous order of a back end.
 func (w *warmupState) rank(number uint64) int {
 	own, rank := rendezvousScore(w.selfHash, number), 0
 	for _, other := range w.otherBalancers() {
@@ -153,8 +153,7 @@
 	return rank
 }
 
-// rendezvousScore is the place of a balancer in the order of a back end; the highest
-// comes first.
+// rendezvousScore returns the score of a balancer for a back end; the highest comes first.
 func rendezvousScore(balancer, number uint64) uint64 {
 	mixed := balancer ^ number*0x9e3779b97f4a7c15
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
@@ -162,8 +161,8 @@
 	return mixed ^ mixed>>31
 }
 
-// evacuatedZones returns the zones whose back ends get no new flows, with the revision of
-// the order.
+// evacuatedZones returns the zones whose back ends get no new flows, with the revision of the
+// evacuation order.
 func (c *control) evacuatedZones() map[string]uint64 {
 	zones := make(map[string]uint64)
 	for _, order := range c.directory.Evacuations() {
@@ -174,7 +173,7 @@
 	return zones
 }
 
-// logEvacuations logs the orders that have come into force or ended with a table.
+// logEvacuations logs the evacuation orders that came into force or ended with a new table.
 func (c *control) logEvacuations(before, after map[string]uint64) {
 	for zone, orderRevision := range after {
 		if before[zone] != orderRevision {
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -14,48 +14,47 @@
 )
 
 const (
-	// minLocalBackends is how many back ends of a pool a zone must have to keep its
-	// new flows. With fewer, one that dies is met again by each retry.
+	// minLocalBackends is how many back ends of a pool a zone must have to keep its new flows. With
+	// fewer, retries are likely to hit the same failed back end again.
 	minLocalBackends = 3
-	// startupSpreadTime is for how long a balancer that has just learned of its back
-	// ends spreads new flows over all zones. After an outage all clients come
-	// back at once, and the zones together take more than each alone.
+	// startupSpreadTime is how long a balancer that has just learned of its back ends spreads new
+	// flows over all zones. After an outage all clients return at once, and the zones together can
+	// take more than any one alone.
 	startupSpreadTime = 3 * time.Second
-	// defaultPolicy names the policy of pools that have none of their own.
+	// defaultPolicy is the name of the policy for pools that have none of their own.
 	defaultPolicy = "default"
-	// unreportedAge stands for times that nobody has reported, in seconds.
+	// unreportedAge stands for times that were never reported, in seconds.
 	unreportedAge = 3600
 )
 
-// Back ends as policies know them.
+// States of back ends as policies see them.
 const (
 	stateLive    = "live"
 	stateLeaving = "leaving"
 )
 
-// weights are the relative shares of new flows that back ends take in one table: by the
-// policy of their pool, else by the default policy, else by their zone and what is
-// observed. A policy that fails is passed over, so that a bad program never stops
-// traffic.
+// weights computes the relative shares of new flows that back ends take in one table: by the policy
+// of their pool, else by the default policy, else by their zone and the observations. A policy that
+// fails is skipped, so that a faulty program never stops traffic.
 type weights struct {
 	control *control
 	zone    string
-	// spreadAllZones is set while all zones take new flows alike.
+	// spreadAllZones is set while all zones get new flows with the same weight.
 	spreadAllZones bool
 	pools          map[string]*poolCapacity
-	// programs are those of the pools that were looked up for this table, nil for none.
+	// programs holds the compiled policies of the pools looked up for this table; nil means none.
 	programs map[string]*policy.Program
 }
 
-// newWeights collects what the weights of a table depend on.
+// newWeights collects the inputs for the weights of a table.
 func (c *control) newWeights(evacuated map[string]uint64, now time.Time) *weights {
 	zone := c.balancer.settings.Load().GetZone()
-	off := c.balancer.disabled
+	disabled := c.balancer.disabled
 	result := &weights{
 		control:        c,
 		zone:           zone,
 		programs:       make(map[string]*policy.Program),
-		spreadAllZones: now.Sub(c.firstRoutesAt) < startupSpreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
+		spreadAllZones: now.Sub(c.firstRoutesAt) < startupSpreadTime && !disabled.Has(mechanism.SpreadAfterStart) || disabled.Has(mechanism.LocalZone),
 	}
 	c.measureCapacity(evacuated, now)
 	result.pools = c.demand.capacity.pools
@@ -67,12 +66,12 @@
 	return result
 }
 
-// weightFunc gives the weight of a back end.
+// weightFunc returns a function that computes the weight of a back end.
 func (c *control) weightFunc(evacuated map[string]uint64, now time.Time) func(directory.BackendEntry) uint32 {
 	return c.newWeights(evacuated, now).weight
 }
 
-// weight is the weight of a back end.
+// weight returns the weight of a back end.
 func (w *weights) weight(backend directory.BackendEntry) uint32 {
 	c := w.control
 	if program := w.program(backend.GetPool()); program != nil {
@@ -87,7 +86,7 @@
 	return uint32(math.Ceil(weight * rule.MaximumWeight))
 }
 
-// uniformWeight is the weight of each back end of a place, where all have the same.
+// uniformWeight returns the weight of each back end of a pool zone, if all have the same.
 func (w *weights) uniformWeight(poolZone directory.Place) (weight uint32, uniform bool) {
 	if w.program(poolZone.Pool) != nil || len(w.control.observed.unhealthy) > 0 {
 		return 0, false
@@ -95,7 +94,7 @@
 	return uint32(math.Ceil(w.poolZoneWeight(poolZone) * rule.MaximumWeight)), true
 }
 
-// poolZoneWeight is the weight, 0 to 1, of a place's back ends that are well.
+// poolZoneWeight returns the weight, from 0 to 1, of the healthy back ends of a pool zone.
 func (w *weights) poolZoneWeight(poolZone directory.Place) float64 {
 	if w.spreadAllZones {
 		return 1
@@ -103,22 +102,22 @@
 	return w.zoneWeight(poolZone)
 }
 
-// zoneChosenByWeights tells whether the weights alone choose the zone of a pool's new flows: where they
-// are the parts that were planned, and the own zone keeps one. Where it has no back end, the
-// weights of the others differ little, and the least used among all shows a zone that is cut
-// off before anybody tells: with a zone evacuated while another was cut off, 129 more requests
-// were late without.
+// zoneChosenByWeights reports whether the weights alone choose the zone of a pool's new flows: this
+// is so if the weights follow planned shares and the own zone keeps one. If the own zone has no
+// back end, the weights of the other zones differ little, and choosing the least used back end of
+// all zones avoids a zone that is cut off before that is reported: with one zone evacuated while
+// another was cut off, 129 more requests were late without this.
 func (w *weights) zoneChosenByWeights(pool string) bool {
 	return w.usesPlannedShares(pool) && w.plannedShares(pool)[demand.Zone(w.zone)] > 0
 }
 
-// usesPlannedShares tells whether a pool's weights are the parts that were planned. A policy, the spread
-// after a start, and few back ends in the zone are weighed otherwise.
+// usesPlannedShares reports whether a pool's weights follow the planned shares. They do not if a
+// policy applies, while new flows are spread after a start, or if the zone has few back ends.
 func (w *weights) usesPlannedShares(pool string) bool {
 	return !w.spreadAllZones && w.program(pool) == nil && w.plannedShares(pool) != nil
 }
 
-// program is the policy of a pool, or nil when the zones decide.
+// program returns the compiled policy of a pool, or nil if the zones decide.
 func (w *weights) program(pool string) *policy.Program {
 	program, cached := w.programs[pool]
 	if !cached {
@@ -128,9 +127,9 @@
 	return program
 }
 
-// plannedShares are the parts of a pool's new flows for each zone, or nil where none are
-// planned, the zone has too few back ends of its own, or all entries have vanished or
-// lapsed, and those that were take new flows for a while.
+// plannedShares returns the shares of a pool's new flows for each zone. It returns nil if none are
+// planned, if the zone has too few back ends of its own, or if all entries were removed or have
+// expired, in which case the former back ends take new flows for a while.
 func (w *weights) plannedShares(name string) map[demand.Zone]float64 {
 	pool := w.pools[name]
 	if pool == nil || pool.localBackends > 0 && pool.localBackends < minLocalBackends {
@@ -139,7 +138,7 @@
 	return w.control.observed.appliedShares[demand.Pool(name)]
 }
 
-// zoneWeight is the weight, 0 to 1, of a pool's back ends in a zone.
+// zoneWeight returns the weight, from 0 to 1, of a pool's back ends in a zone.
 func (w *weights) zoneWeight(poolZone directory.Place) float64 {
 	if zoneShares := w.plannedShares(poolZone.Pool); zoneShares != nil {
 		return w.control.shareWeight(zoneShares, poolZoneOf(poolZone))
@@ -150,12 +149,12 @@
 	return w.control.remoteWeight(poolZone.Pool, w.pools[poolZone.Pool])
 }
 
-// poolZoneOf is a place of the directory as demand knows it.
+// poolZoneOf converts a pool zone of the directory to one of package demand.
 func poolZoneOf(poolZone directory.Place) demand.ZonePool {
 	return demand.ZonePool{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
 }
 
-// remoteWeight is the weight, 0 to 1, of a pool's back ends in other zones.
+// remoteWeight returns the weight, from 0 to 1, of a pool's back ends in other zones.
 func (c *control) remoteWeight(name string, pool *poolCapacity) float64 {
 	if pool == nil || pool.localBackends < minLocalBackends {
 		return 1
@@ -189,7 +188,7 @@
 	}
 	outcome, err := program.Evaluate(facts)
 	if err != nil {
-		c.balancer.logger.Warn("Control: policy failed, zones decide.", "pool", backend.GetPool(),
+		c.balancer.logger.Warn("Control: policy failed, zones decide the weight.", "pool", backend.GetPool(),
 			"backend", backend.GetId(), "error", err)
 		return 0, false
 	}
@@ -199,7 +198,7 @@
 	return uint32(math.Round(outcome.Weight * rule.MaximumWeight)), true
 }
 
-// policyCache keeps policies compiled.
+// policyCache holds compiled policies.
 type policyCache struct {
 	compiled map[string]*compiledPolicy
 }
@@ -209,7 +208,7 @@
 	program *policy.Program
 }
 
-// lookup returns the program for a pool, or nil when the zones decide.
+// lookup returns the program for a pool, or nil if the zones decide.
 func (p *policyCache) lookup(dir *directory.Directory, pool string) *policy.Program {
 	source := dir.Policy(pool)
 	if source == nil {
