--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -32,7 +32,8 @@
 	require.Equal(t, map[refusalKey]uint64{{"lending", 2}: 2, {"lending", 1}: 1}, counters.snapshot())
 }
 
-// A balancer that hears nothing of the others has no picture, whatever waits here.
+// A balancer without reports from the others has no aggregate and refuses no flows, however many
+// requests wait here.
 func TestNoFlowIsRefusedWithoutAggregate(t *testing.T) {
 	now := time.Now()
 	state := newAdmissionState()
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -13,8 +13,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// newWithdrawalControl is the control state of a balancer that may step aside, with the
-// memory of its traffic goroutine.
+// newWithdrawalControl returns the control state of a balancer that may withdraw, with the flow
+// cache of its traffic goroutine.
 func newWithdrawalControl() *control {
 	control := newTestControl()
 	control.balancer.traffic = &traffic{flows: tokenroute.NewFlows(mechanism.Set{})}
@@ -23,8 +23,8 @@
 	return control
 }
 
-// openFlows lets flows open, each in so long, and control look at it for a time. Beside
-// those that take long some are not answered in time.
+// openFlows opens flows that each take the given time to open, and runs the withdrawal check for
+// the given length of time. If flows take long, some are also not answered in time.
 func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
 	for end := now.Add(length); now.Before(end); now = now.Add(aside.LookInterval) {
 		control.balancer.traffic.flows.Opened[aside.StepOf(took)].Add(12)
@@ -36,7 +36,7 @@
 	return now
 }
 
-// Routers leave out who is not ready, and come back to who is.
+// Routers stop sending to a balancer that is not ready, and resume once it is ready again.
 func TestSlowBalancerIsTemporarilyNotReady(t *testing.T) {
 	control := newWithdrawalControl()
 	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
@@ -58,8 +58,8 @@
 	require.True(t, control.balancer.Ready())
 }
 
-// All balancers of a zone agree on the places, whatever they know of other zones, and
-// one that is not listed has none.
+// All balancers of a zone agree on the ranks, whatever they know of other zones. A balancer that is
+// not listed has no rank.
 func TestRanksOfZoneBalancersAreConsistent(t *testing.T) {
 	var balancers []*apiv1.Balancer
 	for number := range 12 {
@@ -82,8 +82,8 @@
 	require.Equal(t, aside.Zone{}, control.withdrawalZone(time.Now()))
 }
 
-// What one says of itself reaches the others of its zone through the one that they
-// follow, fades when it is not renewed, and is passed on no longer than it holds.
+// A balancer's report about itself reaches the others of its zone through their common parent,
+// expires if it is not renewed, and is not relayed after it has expired.
 func TestStrugglingReportsAreRelayedByParent(t *testing.T) {
 	now := time.Now()
 	leaf, parent, other := newWithdrawalControl(), newWithdrawalControl(), newWithdrawalControl()
@@ -95,12 +95,12 @@
 	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
 	require.Equal(t, []aside.Other{{Place: 1}}, other.withdrawalZone(now.Add(time.Second)).Others)
 	parent.handleStrugglingReports(other.strugglingReports(now.Add(2*time.Second)), true, now.Add(2*time.Second))
-	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "an echo renews nothing")
+	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "a relayed report must not renew itself")
 	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Others)
 }
 
-// An older program tells nothing of who struggles. In a rolling release its silence is no
-// sign that the zone is well: 15 of 15 went by it.
+// An older version sends no reports of struggling balancers. In a rolling upgrade its silence does
+// not mean that no balancer of the zone struggles: 15 of 15 balancers acted on that assumption.
 func TestOlderVersionsAreNotCountedAsReporting(t *testing.T) {
 	now := time.Now()
 	control := newWithdrawalControl()
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -31,24 +31,26 @@
 	// urgentRouteAddress and patientRouteAddress are the addresses of two routes to the pool.
 	urgentRouteAddress  = 1
 	patientRouteAddress = 2
-	// steadyClients keep a flow for some requests with pauses, burstClients ask without any.
+	// Each of steadyClients keeps a flow for several requests with pauses; each of burstClients
+	// sends without pauses.
 	steadyClients = 10
 	burstClients  = 60
 )
 
-// queueingBackend is a back end that queues requests and sheds those beyond its queue.
+// queueingBackend is a back end that queues requests and rejects those beyond its queue.
 type queueingBackend struct {
 	inFlight   int
 	slotFreeAt [burstSlots]time.Time
-	// errorFraction is the part of its requests that it answers with an error at once.
+	// errorFraction is the fraction of its requests that it answers with an error at once.
 	errorFraction float64
 }
 
-// burstClient opens flows through one balancer each and asks on them.
+// burstClient opens flows through one balancer each and sends requests on them.
 type burstClient struct {
-	// nextAt is when it goes on, and responseAt when the answer to its request comes.
+	// nextAt is the time of its next action, and responseAt when the response to its request
+	// arrives.
 	nextAt, responseAt time.Time
-	// endsAt is when a caller of a burst ends; zero for the others.
+	// endsAt is when a client of a burst ends; zero for the others.
 	endsAt         time.Time
 	node           int
 	packet         tokenroute.Packet
@@ -58,8 +60,8 @@
 	shed           bool
 }
 
-// burstFleet is balancers before the back ends of one pool, in virtual time. Health takes off
-// weights without a bound, so that the findings alone are shown.
+// burstFleet simulates balancers in front of the back ends of one pool, in virtual time. Weight
+// reductions for health have no limit, so that only the effect of findings is tested.
 type burstFleet struct {
 	random     *rand.Rand
 	now        time.Time
@@ -70,15 +72,17 @@
 	clients    []*burstClient
 	aggregates []*demand.Aggregate
 	unhealthy  map[incarnation.ID]observe.Health
-	// shares is what each back end takes of new flows while it is well, as a policy may say.
+	// shares is the share of new flows of each back end while it is healthy, as a policy may set
+	// it.
 	shares   [burstBackends]float64
 	nextPort int
-	// servedLength and shedding are the lengths of answers, the latter of errors too.
+	// servedLength and errorLength are the lengths of responses; errorLength is also that of
+	// rejections.
 	servedLength, errorLength uint32
-	// aggregateDelay is how old the picture of all is.
+	// aggregateDelay is the age of the aggregate of all balancers.
 	aggregateDelay time.Duration
-	// shedRequests and refusals count the requests that were shed and the flows that were refused, by
-	// second, and found in how many looks each back end counted as unwell.
+	// shedRequests and refusedFlows count rejected requests and refused flows by second, and
+	// unhealthyCounts counts, for each back end, the intervals in which it counted as unhealthy.
 	shedRequests, refusedFlows map[int]int
 	unhealthyCounts            map[uint64]int
 }
@@ -118,7 +122,7 @@
 	return fleet
 }
 
-// rebuildTable makes a table by the findings of now.
+// rebuildTable builds a table from the current findings.
 func (b *burstFleet) renewTable() {
 	b.table = tokenroute.NewTable(b.directory, tokenroute.Options{Now: b.now, Previous: b.table,
 		Weight: func(entry directory.BackendEntry) uint32 {
@@ -126,7 +130,7 @@
 		}})
 }
 
-// burst adds callers for a time.
+// burst adds clients for a period.
 func (b *burstFleet) burst(length time.Duration) {
 	for range burstClients {
 		b.clients = append(b.clients, &burstClient{nextAt: b.now, endsAt: b.now.Add(length)})
@@ -151,7 +155,8 @@
 	}
 }
 
-// advance moves a caller on: it opens a flow, asks, or takes an answer.
+// advance performs a client's next action: it opens a flow, sends a request, or receives a
+// response.
 func (b *burstFleet) advance(client *burstClient) {
 	switch {
 	case client.backend == nil:
@@ -194,7 +199,7 @@
 	client.nextAt = client.responseAt
 }
 
-// startRequest runs a request at a back end, or sheds it.
+// startRequest runs a request at a back end, or rejects it.
 func (b *burstFleet) startRequest(client *burstClient, backend *queueingBackend) {
 	client.shed = backend.inFlight >= burstSlots+burstQueue
 	if client.shed || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
@@ -216,7 +221,7 @@
 	client.responseLength, client.responseAt = b.servedLength, backend.slotFreeAt[first].Add(time.Millisecond)
 }
 
-// receiveResponse acknowledges an answer. Callers of a burst open another flow at once.
+// receiveResponse acknowledges a response. Clients of a burst open another flow at once.
 func (b *burstFleet) receiveResponse(client *burstClient) {
 	b.backends[client.backend.Number-1].inFlight--
 	client.packet.Acknowledged += client.responseLength
@@ -237,7 +242,7 @@
 	}
 }
 
-// summarize takes what the balancers observed, as their control goroutines do.
+// summarize collects what the balancers observed, as their control goroutines do.
 func (b *burstFleet) summarize() {
 	joined := make(map[incarnation.ID]observe.Finding)
 	all := demand.Aggregate{OldestAt: b.now, Balancers: burstBalancers, ZoneBalancers: map[demand.Zone]int{"maadi": burstBalancers},
@@ -273,7 +278,7 @@
 	b.renewTable()
 }
 
-// update takes the picture of all.
+// update applies the aggregate of all balancers.
 func (n *burstNode) update(aggregate *demand.Aggregate, now time.Time) {
 	n.flows.Saturate(n.admission.saturatedPools("maadi", aggregate, now))
 	var demands []admission.PoolState
@@ -284,10 +289,10 @@
 	n.flows.Admit(n.admission.controller.Update(demands, now))
 }
 
-// second is the second of now.
+// second returns the current second of the simulation.
 func (b *burstFleet) second() int { return int(b.now.Sub(burstStart).Seconds()) }
 
-// sumBetween sums up what was counted from one second up to another.
+// sumBetween sums the counts from one second up to, but not including, another.
 func sumBetween(counts map[int]int, from, until int) int {
 	sum := 0
 	for second, count := range counts {
@@ -298,14 +303,14 @@
 	return sum
 }
 
-// unevenShares are shares of new flows by which some back ends get few answers after a burst.
+// unevenShares are shares of new flows with which some back ends get few responses after a burst.
 var unevenShares = [][burstBackends]float64{{1, 1, 1}, {1, 1, 0.3}, {1, 1, 0.1}, {1, 0.5, 0.2}}
 
-// Story: in a burst the back ends that shed gave short answers and looked as if they failed, and
-// those that had few answers after it went on to look slow. Two of three counted as unwell for
-// 10 to 20 s, and the third got nearly all new flows.
+// In a burst, back ends that rejected requests gave short responses and looked as if they failed,
+// and those with few responses afterwards continued to look slow. Two of three counted as unhealthy
+// for 10 to 20 s, and the third got nearly all new flows.
 func TestBurstCausesNoHealthFindings(t *testing.T) {
-	for name, lengths := range map[string][2]uint32{"a shed answer is shorter": {600, 140}, "it is as long": {600, 600}} {
+	for name, lengths := range map[string][2]uint32{"a rejection is shorter": {600, 140}, "a rejection is as long": {600, 600}} {
 		t.Run(name, func(t *testing.T) {
 			for index, share := range unevenShares {
 				for seed := range uint64(4) {
@@ -317,37 +322,39 @@
 					fleet.run(22 * time.Second)
 					require.Empty(t, fleet.unhealthyCounts, "shares %d, seed %d", index, seed)
 					require.Positive(t, sumBetween(fleet.shedRequests, 8, 10))
-					require.Zero(t, sumBetween(fleet.shedRequests, 12, 30), "2 s after the burst all are served as before")
+					require.Zero(t, sumBetween(fleet.shedRequests, 12, 30), "2 s after the burst all requests are served as before")
 				}
 			}
 		})
 	}
 }
 
-// unhealthyFraction is the part of the looks of a time in which a back end counted as unwell.
+// unhealthyFraction runs the simulation for a time and returns the fraction of intervals in which a
+// back end counted as unhealthy.
 func (b *burstFleet) unhealthyFraction(number uint64, length time.Duration) float64 {
 	before := b.unhealthyCounts[number]
 	b.run(length)
 	return float64(b.unhealthyCounts[number]-before) / float64(length/observationInterval)
 }
 
-// A back end that answers half of its requests with an error is found before a burst, and counts
-// as failing but for moments as long as it does, through the burst too.
+// A back end that answers half of its requests with an error is detected before a burst, and counts
+// as failing, except for moments, as long as it fails, also during the burst.
 func TestFailingBackendIsDetectedDuringBurst(t *testing.T) {
 	for seed := range uint64(4) {
 		fleet := newBurstFleet(seed, 600, 140)
 		fleet.backends[2].errorFraction = 0.5
 		fleet.run(4 * time.Second)
-		require.Greater(t, fleet.unhealthyFraction(3, 4*time.Second), 0.75, "before")
+		require.Greater(t, fleet.unhealthyFraction(3, 4*time.Second), 0.75, "before the burst")
 		fleet.burst(2 * time.Second)
-		require.Greater(t, fleet.unhealthyFraction(3, 2*time.Second), 0.75, "in the burst")
-		require.Greater(t, fleet.unhealthyFraction(3, 20*time.Second), 0.75, "after")
+		require.Greater(t, fleet.unhealthyFraction(3, 2*time.Second), 0.75, "during the burst")
+		require.Greater(t, fleet.unhealthyFraction(3, 20*time.Second), 0.75, "after the burst")
 		require.Zero(t, fleet.unhealthyCounts[1]+fleet.unhealthyCounts[2])
 	}
 }
 
-// Story: beside a back end that answered everything at once with an error the other two counted as
-// slow for as long as it did. All three lost the same weight, and it kept a third of the flows.
+// Next to a back end that answered everything at once with an error, the other two counted as slow
+// for as long as it did. All three lost the same weight, so the failing one kept a third of the
+// flows.
 func TestOnlyInstantlyFailingBackendIsAvoided(t *testing.T) {
 	for seed := range uint64(6) {
 		fleet := newBurstFleet(seed, 600, 140)
@@ -360,7 +367,7 @@
 	}
 }
 
-// One that begins to fail in a burst is found once the pool has room again.
+// A back end that begins to fail during a burst is detected once the pool has free capacity again.
 func TestBackendFailingSinceBurstIsDetectedAfterwards(t *testing.T) {
 	for seed := range uint64(4) {
 		fleet := newBurstFleet(seed, 600, 140)
@@ -374,8 +381,9 @@
 	}
 }
 
-// Story: 2 to 8 s after a burst flows were refused by pictures 1.5 to 2.5 s old. An old picture
-// shows that no slot is free, and what waits here now lets go.
+// Between 2 and 8 s after a burst, flows were refused because of aggregates 1.5 to 2.5 s old. An
+// old aggregate shows that no slot is free, while the requests waiting here now show that the burst
+// is over.
 func TestStaleAggregateRefusesNoFlowsAfterBurst(t *testing.T) {
 	for _, delay := range []time.Duration{1500 * time.Millisecond, 2500 * time.Millisecond, 3500 * time.Millisecond} {
 		for seed := range uint64(4) {
@@ -384,9 +392,9 @@
 			fleet.run(8 * time.Second)
 			fleet.burst(5 * time.Second)
 			fleet.run(15 * time.Second)
-			require.Zero(t, sumBetween(fleet.refusedFlows, 0, 8), "before, lag %s, seed %d", delay, seed)
-			require.Positive(t, sumBetween(fleet.refusedFlows, 8, 13), "in the burst")
-			require.Zero(t, sumBetween(fleet.refusedFlows, 14, 30), "a second after it, lag %s, seed %d: %v", delay, seed, fleet.refusedFlows)
+			require.Zero(t, sumBetween(fleet.refusedFlows, 0, 8), "before the burst, delay %s, seed %d", delay, seed)
+			require.Positive(t, sumBetween(fleet.refusedFlows, 8, 13), "during the burst")
+			require.Zero(t, sumBetween(fleet.refusedFlows, 14, 30), "a second after the burst, delay %s, seed %d: %v", delay, seed, fleet.refusedFlows)
 		}
 	}
 }
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -24,13 +24,15 @@
 	return demand.ZonePool{Pool: "lending", Zone: demand.Zone(zone)}
 }
 
-// demandOf is the part of a balancer whose clients ask so much a second of lending.
+// demandOf returns the aggregate of one balancer whose clients send the given rate of requests to
+// the lending pool.
 func demandOf(zone string, rate, waiting float64, at time.Time) demand.Aggregate {
 	return demand.Aggregate{OldestAt: at, Balancers: 1, ZoneBalancers: map[demand.Zone]int{demand.Zone(zone): 1},
 		Loads: map[demand.ZonePool]demand.Load{lendingPoolZone(zone): {Offered: rate, InFlight: waiting}}}
 }
 
-// newParentAndFollower are a balancer that leads and one that follows it, with its clock known there.
+// newParentAndFollower returns a parent and a balancer that follows it and knows the parent's
+// clock.
 func newParentAndFollower(t *testing.T, now time.Time) (parent, child *control) {
 	parent, child = newTestControl(), newTestControl()
 	parent.balancer.started = now.Add(-3 * time.Minute)
@@ -47,8 +49,8 @@
 	return parent, child
 }
 
-// A report goes up with the call that follows, or in one of its own; the sum comes back with
-// the answer.
+// A report is sent up with a follow call or in a call of its own; the total comes back with the
+// reply.
 func TestDemandReportIsSentUpAndTotalReturned(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Now()
@@ -57,7 +59,7 @@
 		request := child.requestTo(peer, 0, now)
 		require.NotNil(t, request.GetDemand())
 		require.Nil(t, child.requestTo(replication.Peer{Address: "10.0.0.3:1", Purpose: replication.PurposeFollow}, 0, now).GetDemand(),
-			"another one is told nothing while the first may count it")
+			"no other parent gets a report while the first may still count it")
 		call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
@@ -77,7 +79,7 @@
 	}
 }
 
-// A balancer that starts anew has another clock, in which an old report means nothing.
+// A restarted balancer has another clock, in which the times of an old report mean nothing.
 func TestReportWithAnotherClockIsIgnored(t *testing.T) {
 	now := time.Now()
 	parent, child := newParentAndFollower(t, now)
@@ -87,7 +89,7 @@
 	require.Equal(t, 1, parent.demand.tree.Aggregate(now).Balancers)
 }
 
-// A message has a bound, and pools are in it whole or not at all.
+// The size of a message is bounded, and each pool is either complete in it or left out.
 func TestReportSizeIsBounded(t *testing.T) {
 	aggregate := demandOf("maadi", 1, 1, time.Now())
 	clear(aggregate.Loads)
@@ -103,7 +105,7 @@
 	counts := make(map[string]int)
 	for _, load := range encoded.GetPlaces() {
 		counts[load.GetPool()]++
-		require.Less(t, load.GetPool(), fmt.Sprintf("pool-%04d", maxReportPoolZones/3), "the last by name are left out, whatever they ask")
+		require.Less(t, load.GetPool(), fmt.Sprintf("pool-%04d", maxReportPoolZones/3), "the last by name are left out, whatever their request rates")
 	}
 	require.Len(t, counts, maxReportPoolZones/3)
 	for pool, count := range counts {
@@ -111,8 +113,9 @@
 	}
 }
 
-// Balancers that see different demand leave out the same pools, so that what all are told of a
-// pool is the sum over all who see it. Those with the least demand of each were left out.
+// Balancers that see different demand leave out the same pools, so that what is reported about a
+// pool is the sum over all balancers that see it. Each balancer used to leave out the pools with
+// the least demand of its own.
 func TestReportedPoolsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
@@ -137,7 +140,7 @@
 	})
 }
 
-// What is no number of requests, told by one balancer, would spoil the sum of all.
+// An invalid number of requests from one balancer would spoil the sum over all.
 func TestInvalidLoadsAreDecodedAsZero(t *testing.T) {
 	for _, value := range []float32{float32(math.NaN()), float32(math.Inf(1)), float32(math.Inf(-1)), -3} {
 		encoded := &apiv1.DemandReport{Balancers: 1, Places: []*apiv1.PlaceLoad{{Pool: "lending", Zone: "maadi",
@@ -147,8 +150,8 @@
 	}
 }
 
-// Followers are answered some three times a second each. Told with each answer, the picture
-// took 13.4 of the 22 kB a second that control may take.
+// Followers get about three replies a second each. Sent with every reply, the aggregate took 13.4
+// of the 22 kB a second available for control traffic.
 func TestTotalDemandIsSentOncePerSecond(t *testing.T) {
 	now := time.Now()
 	parent, _ := newParentAndFollower(t, now)
@@ -168,25 +171,26 @@
 		return sent
 	}
 	require.InDelta(t, 10, tell(1), 1)
-	require.InDelta(t, 11, tell(8), 1, "one more, since pressure has moved")
+	require.InDelta(t, 11, tell(8), 1, "one more, since the pressure has changed")
 
 	send := func(address string) *apiv1.DemandReport { return parent.totalDemandFor(address, now) }
 	one, other := send("10.0.0.8:1"), send("10.0.0.9:1")
-	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "encoded once")
+	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "the aggregate is encoded once for both")
 	require.Nil(t, send("10.0.0.9:1"))
 	now = now.Add(observationInterval + time.Millisecond)
 	parent.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{})
-	require.Nil(t, send("10.0.0.9:1"), "nor sooner than soonPause")
+	require.Nil(t, send("10.0.0.9:1"), "not sooner than urgentFeedInterval")
 	now = now.Add(urgentFeedInterval - observationInterval)
-	require.NotNil(t, send("10.0.0.9:1"), "its pressure has moved")
+	require.NotNil(t, send("10.0.0.9:1"), "the pressure has changed")
 	for range 3 {
 		now = now.Add(feedTTL)
 		send("10.0.0.7:1")
 	}
-	require.Len(t, parent.demand.feed.sent, 1, "who does not call is forgotten")
+	require.Len(t, parent.demand.feed.sent, 1, "followers that do not call are forgotten")
 }
 
-// Calls that are answered a little sooner than each second bring the picture nearly all.
+// Calls that are answered slightly more often than once a second carry the total demand nearly
+// every time.
 func TestTotalDemandIsSentWithRepliesNearlyASecondApart(t *testing.T) {
 	now := time.Now()
 	parent, _ := newParentAndFollower(t, now)
@@ -200,12 +204,12 @@
 		}
 	}
 	require.GreaterOrEqual(t, sent, 75)
-	require.LessOrEqual(t, sent, 93, "one a second")
+	require.LessOrEqual(t, sent, 93, "about one a second")
 	require.LessOrEqual(t, longest, 2*920*time.Millisecond)
 }
 
-// newThreeZoneControl is a balancer of maadi, which has 4 back ends while giza has 8 and fayum 4, with a
-// picture of what the zones ask.
+// newThreeZoneControl returns a balancer in zone maadi, which has 4 back ends while giza has 8 and
+// fayum 4, with an aggregate of the zones' request rates.
 func newThreeZoneControl(maadi, giza, fayum, waiting float64) (*control, time.Time) {
 	control := newTestControl()
 	now := time.Now()
@@ -230,8 +234,9 @@
 	return weights
 }
 
-// A zone in more demand than it has room for sends its surplus to the one that has room, and
-// none to the one that is as full. All others alike got it before, by what one zone saw.
+// A zone with more demand than capacity sends its surplus to the zone with free capacity, and none
+// to the zone that is just as full. Based on one zone's observations alone, all other zones got the
+// surplus equally.
 func TestSurplusGoesToZonesWithFreeCapacity(t *testing.T) {
 	reference := newTestControl()
 	now := time.Now()
@@ -243,16 +248,16 @@
 	weights := control.zoneWeights(now)
 	require.Equal(t, uint32(rule.MaximumWeight), weights["maadi"])
 	require.LessOrEqual(t, weights["fayum"], uint32(rule.MaximumWeight/1000))
-	// All keep 125 for each four back ends, so of 200 it sends 75 to the eight.
+	// All zones keep 125 for each four back ends, so of 200 this one sends 75 to the eight of giza.
 	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(weights["giza"]), 2)
-	require.False(t, control.planZoneShares(now), "the table was made with it")
+	require.False(t, control.planZoneShares(now), "the table was built with these shares")
 	require.True(t, control.newWeights(nil, now).zoneChosenByWeights("lending"))
 	control.balancer.disabled, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
 	require.True(t, control.planZoneShares(now))
-	require.Equal(t, control.zoneWeights(now)["giza"], control.zoneWeights(now)["fayum"], "without it all others are alike")
+	require.Equal(t, control.zoneWeights(now)["giza"], control.zoneWeights(now)["fayum"], "without planned shares all other zones are equal")
 }
 
-// A zone without back ends takes the least used of all the others.
+// A zone without back ends chooses the least used back end of all other zones.
 func TestZoneWithoutBackendsUsesLeastUsedOfAllZones(t *testing.T) {
 	control, now := newThreeZoneControl(200, 100, 200, 50)
 	control.measureCapacity(map[string]uint64{"maadi": 7}, now)
@@ -265,7 +270,7 @@
 	require.False(t, weights.zoneChosenByWeights("lending"))
 }
 
-// An old picture is no ground to send flows anywhere.
+// A stale aggregate is no reason to send flows to another zone.
 func TestStaleAggregatePlansNoShares(t *testing.T) {
 	control, now := newThreeZoneControl(200, 100, 200, 50)
 	require.True(t, control.planZoneShares(now))
@@ -274,7 +279,7 @@
 	require.Nil(t, control.observed.plannedShares)
 }
 
-// Room is what takes new flows.
+// Only back ends that take new flows count as capacity.
 func TestCapacityCountsBackendsThatTakeNewFlows(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -285,10 +290,10 @@
 	require.Positive(t, slots)
 	require.InDelta(t, 2, slots/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
 	control.measureCapacity(map[string]uint64{"giza": 7}, now)
-	require.NotContains(t, control.demand.capacity.slots, lendingPoolZone("giza"), "an evacuated zone has none")
+	require.NotContains(t, control.demand.capacity.slots, lendingPoolZone("giza"), "an evacuated zone has no capacity")
 }
 
-// Where there is no room at all, that is told, and not left out.
+// The pressure of a pool zone without any capacity is exported and not left out.
 func TestPressureMetricIsInfiniteWithoutCapacity(t *testing.T) {
 	now := time.Now()
 	aggregate := demandOf("maadi", 10, 2, now)
@@ -302,5 +307,5 @@
 			}
 		})
 	require.Equal(t, map[string]float64{"maadi": 0.5, "giza": math.Inf(1), "fayum": 0}, pressures,
-		"clients of fayum are served elsewhere")
+		"clients of fayum are served in other zones")
 }
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/divide_test.go
@@ -17,7 +17,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// newServingControl is a balancer of maadi with a table, where lending has back ends in some zones.
+// newServingControl returns a balancer in zone maadi with a table, where the lending pool has back
+// ends in the given zones.
 func newServingControl(now time.Time, backends map[string]int) *control {
 	control := newTestControl()
 	batch := routesBatch(5)
@@ -38,7 +39,8 @@
 	return control
 }
 
-// planWithDemand gives a balancer a picture in which clients of its zone ask, and plans by it.
+// planWithDemand gives a balancer an aggregate with requests from clients of its zone, and plans
+// shares from it.
 func (control *control) planWithDemand(now time.Time) bool {
 	control.demand.tree.SetOwn(demandOf("maadi", 5, 5, now), demand.Position{})
 	aggregate := control.demand.tree.Aggregate(now)
@@ -46,8 +48,8 @@
 	return control.planZoneShares(now)
 }
 
-// The picture tells of a pool for seconds after its last entry has gone. Its back ends
-// still take new flows then, by the grace of pools that are empty.
+// The aggregate still contains a pool for seconds after its last entry was removed. Its back ends
+// still take new flows then, by the grace period for empty pools.
 func TestPlannedPoolMayDisappear(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -64,8 +66,8 @@
 	require.NotPanics(t, func() { control.rebuildTable(now) })
 }
 
-// localFraction is the part of new flows that stays in the zone while its back ends are in use
-// and all others are idle.
+// localFraction returns the fraction of new flows that stay in the zone while its back ends are in
+// use and all others are idle.
 func localFraction(t *testing.T, control *control) float64 {
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
@@ -87,8 +89,8 @@
 	return float64(local) / flows
 }
 
-// The weights choose the zone only where they were made by a plan: elsewhere the least used
-// back end of all zones is taken, as without the picture.
+// The weights choose the zone only if they follow planned shares. Otherwise the least used back end
+// of all zones is chosen, as without an aggregate.
 func TestWeightsChooseZoneOnlyWithPlannedShares(t *testing.T) {
 	now := time.Now()
 	planned := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -125,8 +127,8 @@
 	})
 }
 
-// What is planned away is what goes away, also where a zone has a few back ends and the
-// others a hundred times as many.
+// The planned remote share is the share that actually goes to the other zone, even if a zone has
+// few back ends and the others have a hundred times as many.
 func TestShareWeightsArePreciseForManyBackends(t *testing.T) {
 	for _, remoteBackends := range []int{14, 1400, 14_000} {
 		for _, share := range []float64{0, 0.01, 0.1, 0.5} {
@@ -138,12 +140,12 @@
 				return weight * float64(backends)
 			}
 			local, remote := taken("maadi", 14), taken("giza", remoteBackends)
-			require.InDelta(t, share, remote/(local+remote), 0.002, "%d elsewhere", remoteBackends)
+			require.InDelta(t, share, remote/(local+remote), 0.002, "%d back ends in the other zone", remoteBackends)
 		}
 	}
 }
 
-// A zone that the new plan no longer names had a part before, too.
+// A zone that the new plan no longer contains had a share before, and the change counts.
 func TestZonesDroppedFromPlanAreCompared(t *testing.T) {
 	var w weightInputs
 	shares := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
@@ -155,7 +157,7 @@
 	require.True(t, w.setPlannedShares(shares(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
 }
 
-// Pools that are divided by the picture take no new table for what one zone sees alone.
+// Pools with planned shares get no new table because of what one zone observes alone.
 func TestPlannedPoolsIgnoreLocalLoadChanges(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -164,11 +166,12 @@
 	require.False(t, control.observeWaiting("lending", 12, now))
 	control.observed.plannedShares = nil
 	control.rebuildTable(now)
-	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without a plan they do")
+	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without planned shares a new table is needed")
 }
 
-// A picture that comes and goes, as reports are late, makes a table each time. One that has
-// lapsed is planned by again once it has been fresh for recoveryDelay.
+// An aggregate that alternates between fresh and stale because reports are late would build a table
+// each time. After it was stale, it is used for planning only once it has been fresh for
+// recoveryDelay.
 func TestIntermittentlyStaleAggregatePlansNoShares(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -188,7 +191,7 @@
 			control.rebuildTable(now)
 		}
 	}
-	require.Equal(t, 1, tables, "none but as it lapses")
+	require.Equal(t, 1, tables, "only one new table, when the aggregate becomes stale")
 	for range 8 {
 		now = now.Add(500 * time.Millisecond)
 		control.planWithDemand(now)
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -21,7 +21,7 @@
 	return map[incarnation.ID]observe.Finding{{Number: 7}: {Failing: observe.Excess{Fraction: 0.5, Evidence: evidence}}}
 }
 
-// One balancer sees too few answers to be sure; a tree of them is.
+// A single balancer sees too few responses to be sure; a tree of balancers together sees enough.
 func TestFindingsOfAllBalancersAddUp(t *testing.T) {
 	now := time.Now()
 	var root, middle, leaf findings
@@ -31,12 +31,12 @@
 	require.InDelta(t, 13, root.all(now)[backendSeven].Failing.Evidence, 1e-6)
 	middle.updateParent(encodeFindings(root.all(now)), now)
 	leaf.updateParent(encodeFindings(middle.all(now)), now)
-	require.InDelta(t, 13, leaf.all(now)[backendSeven].Failing.Evidence, 1e-6, "no answer counts twice")
-	require.InDelta(t, 8, middle.subtree(now)[backendSeven].Failing.Evidence, 1e-6, "what came from above is not told above")
+	require.InDelta(t, 13, leaf.all(now)[backendSeven].Failing.Evidence, 1e-6, "no response counts twice")
+	require.InDelta(t, 8, middle.subtree(now)[backendSeven].Failing.Evidence, 1e-6, "findings from the parent are not sent back to it")
 	root.updateFollower("middle", encodeFindings(middle.subtree(now)), now.Add(time.Second))
 	require.InDelta(t, 13, root.all(now.Add(time.Second))[backendSeven].Failing.Evidence, 1e-6)
 	late := now.Add(2 * findingsTTL)
-	require.InDelta(t, 5, root.all(late)[backendSeven].Failing.Evidence, 1e-6, "who is not heard any more does not count")
+	require.InDelta(t, 5, root.all(late)[backendSeven].Failing.Evidence, 1e-6, "balancers that no longer report do not count")
 	require.InDelta(t, 4, leaf.all(late)[backendSeven].Failing.Evidence, 1e-6)
 }
 
@@ -47,18 +47,17 @@
 	}
 	encoded := encodeFindings(findings)
 	require.Len(t, encoded, maxFindings)
-	require.InDelta(t, 999, encoded[0].GetSlowEvidence(), 1e-6, "those with the most evidence")
+	require.InDelta(t, 999, encoded[0].GetSlowEvidence(), 1e-6, "findings with the most evidence come first")
 }
 
-// A back end that fails gets few new flows, and its share again once the evidence
-// has faded.
+// A failing back end gets few new flows, and its full share again once the evidence has decayed.
 func TestFailingBackendLosesItsShare(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
 	require.False(t, control.observed.updateHealth(failingFinding(14), 1))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
-	require.False(t, control.observed.updateHealth(failingFinding(16), 20), "for twenty observers it is too little")
+	require.False(t, control.observed.updateHealth(failingFinding(16), 20), "the evidence is too weak for twenty observers")
 	require.True(t, control.observed.updateHealth(failingFinding(16), 1))
 	require.LessOrEqual(t, control.weightFunc(nil, now)(entry), uint32(rule.MaximumWeight/20))
 	require.False(t, control.observed.updateHealth(failingFinding(9), 1), "nothing changes while it still counts as failing")
@@ -66,7 +65,7 @@
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
 }
 
-// A policy has the last word on what is observed.
+// A policy takes precedence over the weights derived from health.
 func TestPoliciesSeeObservedHealth(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -74,10 +73,10 @@
 	control.directory.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
 	require.True(t, control.observed.updateHealth(failingFinding(16), 1))
 	require.Equal(t, uint32(rule.MaximumWeight/4), control.weightFunc(nil, now)(entry))
-	require.False(t, control.observed.updateHealth(failingFinding(16), 1), "the table was made with it")
+	require.False(t, control.observed.updateHealth(failingFinding(16), 1), "the table was built with this health")
 }
 
-// A call that tells, asks or fetches brings no findings, and ends none.
+// Calls that report, query or fetch carry no findings, and do not remove earlier ones.
 func TestOnlyFollowCallsUpdateFindings(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -91,11 +90,11 @@
 	require.InDelta(t, 9, control.findings.all(now)[backendSeven].Failing.Evidence, 1e-6)
 	healthy := &followCall{caller: caller, receivedAt: now, deadline: now.Add(time.Second), reply: make(chan *apiv1.FollowReply, 1)}
 	control.enqueueFollow(healthy)
-	require.Empty(t, control.findings.all(now), "a follower that finds nothing any more says so")
+	require.Empty(t, control.findings.all(now), "a follow call without findings removes the earlier ones")
 }
 
-// Balancers of another zone hardly see the same back ends. Their findings would
-// cost bytes between zones, and each would raise the evidence that is asked for.
+// Balancers of different zones hardly see the same back ends. Their findings would cost bandwidth
+// between zones, and each additional balancer would raise the evidence required.
 func TestFindingsStayWithinFollowOrder(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -14,7 +14,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// slowFindings are findings by which back ends 1 to count are slow beyond doubt.
+// slowFindings returns findings by which back ends 1 to count are certainly slow.
 func slowFindings(count int) map[incarnation.ID]observe.Finding {
 	findings := make(map[incarnation.ID]observe.Finding)
 	for number := range count {
@@ -23,7 +23,7 @@
 	return findings
 }
 
-// maxBackendFraction is the greatest part of many open flows that one back end gets.
+// maxBackendFraction returns the greatest fraction of many open flows that one back end gets.
 func maxBackendFraction(t *testing.T, control *control) float64 {
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
@@ -41,8 +41,8 @@
 	return float64(highest) / flows
 }
 
-// Story: after a burst two of three back ends counted as unwell. The third got 0.84 to 0.94 of
-// all new flows and shed them, and the pool seemed short of room, so that others were refused.
+// After a burst, two of three back ends counted as unhealthy. The third got 0.84 to 0.94 of all new
+// flows and rejected them, and the pool seemed to lack capacity, so that other flows were refused.
 func TestLoadOnHealthyMinorityIsBounded(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
@@ -62,13 +62,14 @@
 			healthyFraction := maxBackendFraction(t, control)
 			require.True(t, control.observed.updateHealth(slowFindings(test.unhealthy), 1))
 			control.rebuildTable(now)
-			require.LessOrEqual(t, maxBackendFraction(t, control), 2*healthyFraction+0.02, "twice what it has while all are well")
-			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the room is still room")
+			require.LessOrEqual(t, maxBackendFraction(t, control), 2*healthyFraction+0.02, "at most twice its fraction while all back ends are healthy")
+			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the slots still count as capacity")
 		})
 	}
 }
 
-// Where the slots are in use, less is taken off than where they are free, and the table follows.
+// If the slots are in use, weights are reduced less than if they are free, and the table is
+// rebuilt.
 func TestHealthLimitFollowsDemand(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 10})
@@ -82,13 +83,13 @@
 	aggregate := control.demand.tree.Aggregate(now)
 	control.demand.aggregate.Store(aggregate.WithSlots(control.demand.capacity.slots))
 	control.findings.own = slowFindings(5)
-	require.True(t, control.updateHealth(now), "another table")
+	require.True(t, control.updateHealth(now), "the table must be rebuilt")
 	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
 }
 
-// BenchmarkCapacityWithUnhealthyBackends counts the room of a large fleet, with each new table, while some of
-// its back ends are unwell.
+// BenchmarkCapacityWithUnhealthyBackends measures the capacity of a large fleet, as for each new
+// table, while some of its back ends are unhealthy.
 func BenchmarkCapacityWithUnhealthyBackends(b *testing.B) {
 	for _, unhealthy := range []int{0, 100} {
 		b.Run(fmt.Sprint(unhealthy), func(b *testing.B) {
--- a/internal/balancer/observed_test.go
+++ b/internal/balancer/observed_test.go
@@ -12,8 +12,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// observeWaiting feeds summaries with the same number of waiting requests for
-// two seconds and tells whether any of them asked for a new table.
+// observeWaiting applies summaries with the same number of waiting requests for two seconds and
+// reports whether any of them required a new table.
 func (control *control) observeWaiting(pool string, waiting float64, from time.Time) bool {
 	changed := false
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 250 * time.Millisecond {
@@ -23,8 +23,9 @@
 	return changed
 }
 
-// With demand lopsided between zones, the back ends of the smallest zone shed
-// what those of the others had room for: a calm day of ours served 0.81.
+// With uneven demand between zones, the back ends of the smallest zone rejected requests that those
+// of the other zones had capacity for: only 0.81 of the requests were served on a day without
+// faults.
 func TestOverloadedZoneSharesWithOthers(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -33,15 +34,15 @@
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
 	few := control.weightFunc(nil, now)(remote)
 	require.LessOrEqual(t, few, uint32(rule.MaximumWeight/100))
-	require.False(t, control.observeWaiting("lending", 1, now), "a zone with room needs no new table")
+	require.False(t, control.observeWaiting("lending", 1, now), "a zone with free capacity needs no new table")
 	require.True(t, control.observeWaiting("lending", 3.5, now.Add(10*time.Second)))
 	more := control.weightFunc(nil, now.Add(10*time.Second))(remote)
 	require.Greater(t, more, 20*few)
 	control.observeWaiting("lending", 400, now.Add(20*time.Second))
-	require.InDelta(t, rule.MaximumWeight, control.weightFunc(nil, now.Add(20*time.Second))(remote), 10, "all zones alike at most")
+	require.InDelta(t, rule.MaximumWeight, control.weightFunc(nil, now.Add(20*time.Second))(remote), 10, "at most the same weight as the local zone")
 }
 
-// Routers spread a zone's packets over its balancers, so each sees a part.
+// Routers spread a zone's packets over its balancers, so each sees only a fraction of them.
 func TestDemandIncludesOtherBalancersOfZone(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
@@ -56,7 +57,7 @@
 	require.Greater(t, control.weightFunc(nil, now)(remote), alone)
 }
 
-// What was observed long ago is no ground to send flows to other zones.
+// An old summary is no reason to send flows to other zones.
 func TestStaleSummaryClearsDemand(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -10,7 +10,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// newLoadedEstimator feeds summaries with the same number of waiting requests.
+// newLoadedEstimator returns an estimator that was fed summaries with the same number of waiting
+// requests.
 func newLoadedEstimator(waiting float64, from time.Time) *pressureEstimator {
 	estimator := &pressureEstimator{smoothedWaiting: newSmoothedWaiting()}
 	for step := range 20 {
@@ -20,8 +21,8 @@
 	return estimator
 }
 
-// unevenAggregate is a picture of two zones: three balancers whose clients ask for a quarter, and
-// one whose clients ask for the rest.
+// unevenAggregate returns an aggregate of two zones: three balancers whose clients send a quarter
+// of the requests, and one whose clients send the rest.
 func unevenAggregate(at time.Time) *demand.Aggregate {
 	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
 	estimator := demand.Aggregate{OldestAt: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
@@ -29,11 +30,11 @@
 	return estimator.WithSlots(map[demand.ZonePool]float64{maadi: 10, giza: 10})
 }
 
-// Balancers of zones in uneven demand see different parts of it, and must come to the
-// same pressure: with equal parts assumed, the clients of one zone were refused more.
+// Balancers of zones with uneven demand see different fractions of it, and must estimate the same
+// pressure: when equal fractions were assumed, more flows of one zone's clients were refused.
 func TestPressureIsEqualInAllZones(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
-	// Of 80 requests that wait, 20 come from maadi.
+	// Of 80 waiting requests, 20 come from maadi.
 	inMaadi := newLoadedEstimator(20.0/3, now).estimate("lending", "maadi", unevenAggregate(now), listed)
 	inGiza := newLoadedEstimator(60, now).estimate("lending", "giza", unevenAggregate(now), listed)
 	require.InDelta(t, 4, inMaadi.RequestsPerSlot, 0.05)
@@ -46,13 +47,13 @@
 	estimator := newLoadedEstimator(20, now)
 	require.Zero(t, estimator.estimate("lending", "maadi", nil, map[demand.Zone]int{"maadi": 3}))
 	few := map[demand.Zone]int{"maadi": 3, "giza": 6}
-	require.Zero(t, estimator.estimate("lending", "maadi", unevenAggregate(now), few), "four of nine")
+	require.Zero(t, estimator.estimate("lending", "maadi", unevenAggregate(now), few), "the aggregate covers four of nine balancers")
 	all := map[demand.Zone]int{"maadi": 3, "giza": 1}
-	require.Zero(t, estimator.estimate("covers", "maadi", unevenAggregate(now), all), "no room is known")
-	require.Zero(t, estimator.estimate("lending", "elsewhere", unevenAggregate(now), all), "a zone that it does not have")
+	require.Zero(t, estimator.estimate("covers", "maadi", unevenAggregate(now), all), "the capacity of the pool is not known")
+	require.Zero(t, estimator.estimate("lending", "elsewhere", unevenAggregate(now), all), "the aggregate does not contain the zone")
 }
 
-// A balancer that sees no packets any more does not go on with what it saw.
+// A balancer that no longer sees packets does not keep using its old observations.
 func TestPressureAges(t *testing.T) {
 	now := time.Now()
 	estimator := newLoadedEstimator(20, now.Add(-time.Minute))
@@ -60,8 +61,9 @@
 	require.Greater(t, pressure.Age(now), 50*time.Second)
 }
 
-// Where machines are rolled, what they carried passes those that are left. To take as much
-// for the listed ones as for these made a pressure of 4.5 of one of 4.
+// While machines are restarted in turn, their traffic passes through the remaining balancers.
+// Assuming as much traffic for the listed balancers as for the remaining ones gave a pressure of
+// 4.5 instead of 4.
 func TestDepartedBalancersAreNotCounted(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	rolled := unevenAggregate(now)
@@ -70,8 +72,9 @@
 	require.InDelta(t, 4, newLoadedEstimator(60, now).estimate("lending", "giza", rolled, listed).RequestsPerSlot, 0.05)
 }
 
-// What one balancer sees is multiplied by all, so chance, or a part of next to nothing in a
-// picture from before the first traffic, must refuse nobody while the fleet counts free slots.
+// What one balancer sees is scaled up to the whole pool, so noise, or a request fraction close to 0
+// in an aggregate from before the first traffic, must not cause refusals while the balancers
+// together count free slots.
 func TestPressureIsZeroWhileAggregateShowsFreeSlots(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	quiet := unevenAggregate(now)
@@ -84,7 +87,7 @@
 	require.Equal(t, now, pressure.SeenAt)
 }
 
-// A balancer through which few of a pool's requests pass takes what all see.
+// A balancer that handles few of a pool's requests uses the count in the aggregate.
 func TestPressureOfFewLocalRequestsComesFromAggregate(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 3, "giza": 1}
 	few := unevenAggregate(now)
@@ -92,10 +95,10 @@
 		{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0},
 		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 40},
 	}
-	require.InDelta(t, 2, newLoadedEstimator(1, now).estimate("lending", "maadi", few, listed).RequestsPerSlot, 1e-9, "not 45")
+	require.InDelta(t, 2, newLoadedEstimator(1, now).estimate("lending", "maadi", few, listed).RequestsPerSlot, 1e-9, "the pressure of the aggregate, not 45")
 }
 
-// A burst is known here before the picture tells of it, and for a moment after it has ended.
+// A burst is known locally before the aggregate shows it, and for a moment after it has ended.
 func TestPoolIsSaturatedWhileItHasNoFreeSlot(t *testing.T) {
 	now := time.Now()
 	idle := unevenAggregate(now)
@@ -103,16 +106,16 @@
 		{Pool: "lending", Zone: "maadi"}: {Offered: 100, InFlight: 5},
 		{Pool: "lending", Zone: "giza"}:  {Offered: 300, InFlight: 5},
 	}
-	require.False(t, newLoadedEstimator(0, now).saturated("lending", "maadi", nil), "no picture")
+	require.False(t, newLoadedEstimator(0, now).saturated("lending", "maadi", nil), "no aggregate")
 	require.False(t, newLoadedEstimator(0.5, now).saturated("lending", "maadi", idle))
-	require.True(t, newLoadedEstimator(0, now).saturated("lending", "maadi", unevenAggregate(now)), "the picture shows it")
-	require.True(t, newLoadedEstimator(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, by what waits here")
-	require.False(t, newLoadedEstimator(2, now).saturated("lending", "maadi", idle), "24 of 20 slots are too uncertain")
+	require.True(t, newLoadedEstimator(0, now).saturated("lending", "maadi", unevenAggregate(now)), "the aggregate shows it")
+	require.True(t, newLoadedEstimator(3, now).saturated("lending", "maadi", idle), "36 of 20 slots, estimated from the requests waiting here")
+	require.False(t, newLoadedEstimator(2, now).saturated("lending", "maadi", idle), "an estimate of 24 of 20 slots is too uncertain")
 	single := unevenAggregate(now)
 	single.Loads = map[demand.ZonePool]demand.Load{{Pool: "lending", Zone: "maadi"}: {Offered: 1, InFlight: 0.1},
 		{Pool: "lending", Zone: "giza"}: {Offered: 300, InFlight: 5}}
-	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", single), "one request here tells nothing of all")
-	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "no room is known")
+	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", single), "one request here is not enough for an estimate")
+	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "the capacity of the pool is not known")
 	state := newAdmissionState()
 	state.pressures = *newLoadedEstimator(3, now)
 	require.True(t, state.saturatedPools("maadi", idle, now)["lending"])
@@ -121,13 +124,14 @@
 	require.False(t, state.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
 }
 
-// Story: 2 to 10 s after bursts flows were refused at pressures of 4 and of 16, by pictures 2.4 and
-// 3.3 s old. The other balancer of the zone had just stopped, so all that the zone's clients
-// ask passed this one, where the picture had a half of it; or this one had just started.
+// Between 2 and 10 s after bursts, flows were refused at pressures of 4 and 16, because of
+// aggregates 2.4 and 3.3 s old. The other balancer of the zone had just stopped, so all requests of
+// the zone's clients passed through this one, where the aggregate counted half of them; or this one
+// had just started.
 func TestPressureCorrectsForGrownLocalFraction(t *testing.T) {
 	start, listed := time.Now(), map[demand.Zone]int{"maadi": 2, "giza": 1}
 	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
-	for name, first := range map[string]int{"the other one has stopped": 0, "this one has started": 20} {
+	for name, first := range map[string]int{"the other balancer has stopped": 0, "this balancer has started": 20} {
 		t.Run(name, func(t *testing.T) {
 			estimator := &pressureEstimator{smoothedWaiting: newSmoothedWaiting()}
 			for step := first; step < 30; step++ {
@@ -146,9 +150,9 @@
 	}
 }
 
-// Story: a soak with 60 balancers, 2.0 to 2.5 s after bursts: flows were refused at pressures of 3.3
-// to 4.2 by pictures up to 2.8 s old, while hardly a request waited here. A balancer through
-// which few requests pass takes what waits from the picture.
+// In a soak test with 60 balancers, flows were refused 2.0 to 2.5 s after bursts at pressures of
+// 3.3 to 4.2, because of aggregates up to 2.8 s old, while hardly a request waited here. A balancer
+// that handles few requests uses the number of waiting requests in the aggregate.
 func TestFewRequestsHereRefuseNobodyTwoSecondsAfterABurst(t *testing.T) {
 	now, listed := time.Now(), map[demand.Zone]int{"maadi": 20, "giza": 40}
 	maadi, giza := demand.ZonePool{Pool: "lending", Zone: "maadi"}, demand.ZonePool{Pool: "lending", Zone: "giza"}
@@ -156,5 +160,5 @@
 		Loads: map[demand.ZonePool]demand.Load{maadi: {Offered: 100, InFlight: 8}, giza: {Offered: 200, InFlight: 16}}}
 	aggregate := burst.WithSlots(map[demand.ZonePool]float64{maadi: 2, giza: 4})
 	estimator := newLoadedEstimator(0.1, now.Add(-5*time.Second))
-	require.Less(t, estimator.estimate("lending", "maadi", aggregate, listed).RequestsPerSlot, 3.0, "the least urgent give way from 3 on")
+	require.Less(t, estimator.estimate("lending", "maadi", aggregate, listed).RequestsPerSlot, 3.0, "flows of the lowest priority are refused from 3 on")
 }
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -12,8 +12,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// newSizedControl is a balancer that knows so many back ends and balancers in 10 zones; the first of
-// the back ends are cold for a minute.
+// newSizedControl returns a balancer that knows the given numbers of back ends and balancers in 10
+// zones; the first cold back ends are cold for a minute.
 func newSizedControl(backends, balancers, cold int, now time.Time) *control {
 	control := newTestControl()
 	settings := testSettings()
@@ -36,7 +36,7 @@
 	return control
 }
 
-// totalSlots are those of all places.
+// totalSlots returns the slots of all pool zones.
 func (control *control) totalSlots() float64 {
 	all := 0.0
 	for _, slots := range control.demand.capacity.slots {
@@ -45,8 +45,8 @@
 	return all
 }
 
-// Back ends that turn warm are room at the next look, without a count of all of them: that
-// took 226 ms for 140,000, up to once a second while some warm up.
+// Back ends that have warmed up are added at the next check without counting all back ends again.
+// Counting 140,000 took 226 ms, up to once a second while some warm up.
 func TestCapacityGrowsAsBackendsWarmUp(t *testing.T) {
 	now := time.Now()
 	control := newSizedControl(400, 10, 40, now)
@@ -57,13 +57,13 @@
 	require.InDelta(t, 720, control.totalSlots(), 1e-9)
 	control.demand.capacity.addWarmed(now.Add(61 * time.Second))
 	require.InDelta(t, 800, control.totalSlots(), 1e-9)
-	require.NotEqual(t, before, control.demand.capacity.slots, "pictures that were given out don't change")
+	require.NotEqual(t, before, control.demand.capacity.slots, "slots that were handed out do not change")
 	control.measureCapacity(nil, now)
 	require.Less(t, testing.AllocsPerRun(1, func() { control.demand.capacity.addWarmed(now.Add(time.Hour)) }), 100.0)
 }
 
-// A zone whose back ends have died is no room while the directory still has them: the others
-// would send it what they have no room for.
+// A zone whose back ends have failed has no capacity, even while the directory still lists them:
+// the other zones would send it more than it can handle.
 func TestFailedBackendsAreNoCapacity(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -78,9 +78,9 @@
 		return control.balancer.DemandAggregate().Slots[lendingPoolZone("giza")]
 	}
 	require.Equal(t, 8.0, slotsWithFailed())
-	require.Equal(t, 4.0, slotsWithFailed(1, 2, 99), "giza has the numbers up to 4, and nobody 99")
+	require.Equal(t, 4.0, slotsWithFailed(1, 2, 99), "giza has back ends 1 to 4, and none has number 99")
 	control.rebuildTable(now)
-	require.Equal(t, 4.0, slotsWithFailed(), "verdicts end before entries do")
+	require.Equal(t, 4.0, slotsWithFailed(), "the back ends stay without capacity after the detection ends")
 	now = now.Add(failedHold)
 	require.Equal(t, 8.0, slotsWithFailed())
 }
--- a/internal/balancer/testimony_test.go
+++ b/internal/balancer/testimony_test.go
@@ -13,8 +13,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// serveControl lets a control answer the calls of others, over real connections, and
-// returns its address.
+// serveControl lets a control state answer the calls of others over real connections, and returns
+// its address.
 func serveControl(t *testing.T, c *control) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	return listener.Addr().String()
 }
 
-// newControlWithRoutes makes a control that knows something.
+// newControlWithRoutes returns a control state that has learned a route table.
 func newControlWithRoutes(t *testing.T) *control {
 	c := newTestControl()
 	now := time.Now()
@@ -54,7 +54,7 @@
 	return c
 }
 
-// followFrom makes one follow call to the balancer at an address and takes the answer.
+// followFrom makes one follow call to the balancer at an address and handles the reply.
 func (c *control) followFrom(t *testing.T, address string) {
 	ctx := context.Background()
 	messages, err := c.balancer.bus.Subscribe(ctx)
@@ -71,7 +71,7 @@
 	now := time.Now()
 	child.testimony.buffer.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
 	child.sendObservations(context.Background(), now)
-	require.False(t, child.testimony.sending, "the clock of the one that is followed is not known yet")
+	require.False(t, child.testimony.sending, "the clock of the parent is not known yet")
 
 	child.followFrom(t, address)
 	require.Equal(t, parent.testimony.clock, child.testimony.parentClock.ID)
@@ -88,13 +88,13 @@
 	unanswered := received[0].(evidence.UnansweredRequest)
 	require.Equal(t, evidence.Backend{Number: 7}, unanswered.Backend)
 	require.Equal(t, "maadi", unanswered.Zone)
-	require.False(t, unanswered.SentAt.After(now.Add(-700*time.Millisecond)), "never younger than it is")
+	require.False(t, unanswered.SentAt.After(now.Add(-700*time.Millisecond)), "the request never appears newer than it is")
 	require.WithinDuration(t, now.Add(-700*time.Millisecond), unanswered.SentAt, 5*time.Second)
 	require.Equal(t, uint64(1), other.testimony.receivedSequence)
-	require.Empty(t, other.testimony.buffer.Since(0, address, time.Now()), "who told it is not told")
+	require.Empty(t, other.testimony.buffer.Since(0, address, time.Now()), "an observation is not sent back to its sender")
 }
 
-// Statements in the clock of a process that has ended mean nothing.
+// Times in the clock of a process that has ended cannot be interpreted.
 func TestObservationsWithAnotherClockAreIgnored(t *testing.T) {
 	c := newControlWithRoutes(t)
 	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
@@ -105,7 +105,7 @@
 	require.Equal(t, uint64(1), c.testimony.buffer.LastSequence())
 }
 
-// What could not be told is told again, while it is still of use.
+// Observations that could not be delivered are sent again while they are still useful.
 func TestUndeliveredObservationsAreSentAgain(t *testing.T) {
 	c := newControlWithRoutes(t)
 	now := time.Now()
@@ -118,7 +118,7 @@
 	c.handle(<-messages)
 	require.Zero(t, c.testimony.sentSequence)
 	c.sendObservations(context.Background(), time.Now())
-	require.False(t, c.testimony.sending, "after a pause")
+	require.False(t, c.testimony.sending, "not before testifyRetryDelay has passed")
 	c.sendObservations(context.Background(), time.Now().Add(testifyRetryDelay))
 	require.True(t, c.testimony.sending)
 	c.handle(<-messages)
@@ -135,7 +135,7 @@
 	require.Empty(t, box.take())
 }
 
-// One message has room for so many statements; signs of life are among them.
+// The number of observations in a message is bounded; activity is included first.
 func TestActivityIsSentFirst(t *testing.T) {
 	var observations []evidence.Observation
 	for number := range uint64(2 * maxObservations) {
@@ -145,5 +145,5 @@
 	selected := selectObservations(observations)
 	require.Len(t, selected, maxObservations)
 	require.Equal(t, evidence.Activity{Backend: evidence.Backend{Number: 7}}, selected[0])
-	require.Equal(t, evidence.UnansweredRequest{Backend: evidence.Backend{Number: 0}}, selected[1], "the others in their order")
+	require.Equal(t, evidence.UnansweredRequest{Backend: evidence.Backend{Number: 0}}, selected[1], "the other observations keep their order")
 }
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -14,22 +14,22 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// Ways in which balancers of a fleet may take cold back ends into account.
+// How the balancers of a fleet treat cold back ends.
 const (
 	modeIgnore  = "ignore"
 	modeLimited = "bounded"
 )
 
-// coldFleet is a fleet of balancers in virtual time, and a zone whose back ends
-// have just come back cold and empty.
+// coldFleet simulates a fleet of balancers in virtual time, with a zone whose back ends have just
+// come back cold and idle.
 type coldFleet struct {
 	controls []*control
 	flows    []*tokenroute.Flows
 	random   *rand.Rand
 	now      time.Time
-	// newFlows are the times of the new flows of each cold back end.
+	// newFlows holds the times of the new flows of each cold back end.
 	newFlows map[uint64][]time.Time
-	// refused counts the flows that found no back end.
+	// refused counts the flows for which there was no back end.
 	refused int
 }
 
@@ -38,8 +38,7 @@
 	coldPeriod = 2 * time.Second
 )
 
-// newColdFleet makes a fleet of which some balancers do not know a part of the
-// others.
+// newColdFleet returns a fleet in which each balancer does not know some of the others.
 func newColdFleet(size int, mode string, allCold bool) *coldFleet {
 	fleet := &coldFleet{random: rand.New(rand.NewPCG(1, uint64(size))), now: time.Now(), newFlows: make(map[uint64][]time.Time)}
 	zones := []string{"maadi", "nasr", "giza"}
@@ -59,8 +58,8 @@
 	return fleet
 }
 
-// entries are what a balancer knows: 40 back ends in each zone, those of the last
-// one cold, or all.
+// entries returns what a balancer knows: 40 back ends in each zone, of which those of the last zone
+// are cold, or all.
 func (f *coldFleet) entries(size, self int, zones []string, allCold bool) *apiv1.DirectoryBatch {
 	batch := &apiv1.DirectoryBatch{Revision: 9, Complete: true, Changes: []*apiv1.DirectoryChange{{
 		Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{Version: 1,
@@ -76,7 +75,7 @@
 	}
 	for index := range size {
 		if (index+self)%7 == 0 {
-			continue // not known to this balancer yet
+			continue // this balancer does not know it yet
 		}
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", index), Zone: zones[index%len(zones)], PeerAddress: "10.0.0.1:1"}}})
@@ -84,7 +83,7 @@
 	return batch
 }
 
-// run opens so many flows a second, each at any balancer.
+// run opens the given number of flows a second, each through a random balancer.
 func (f *coldFleet) run(perSecond int) {
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for index, c := range f.controls {
@@ -112,7 +111,8 @@
 	return backend.Zone == "giza" || backend.Warmup.Until.After(f.now)
 }
 
-// maxFlowsPerSecond is how many new flows a cold back end got in any second.
+// maxFlowsPerSecond returns the greatest number of new flows that a cold back end got within any
+// second.
 func (f *coldFleet) maxFlowsPerSecond() int {
 	highest := 0
 	for _, times := range f.newFlows {
@@ -127,14 +127,14 @@
 	return highest
 }
 
-// A zone comes back cold and empty at full demand: its balancers prefer it, and the
-// choice of the least used does. No cold back end may get more than 5 new flows in
-// a second from all balancers together, and no client is refused for it.
+// A zone comes back cold and idle at full demand: its balancers prefer it, and so does choosing the
+// least used back end. No cold back end may get more than 5 new flows in a second from all
+// balancers together, and no flow is refused because of that.
 func TestReturningColdZoneIsNotOverloaded(t *testing.T) {
 	for _, size := range []int{8, 88, 300} {
 		unlimited := newColdFleet(size, modeIgnore, false)
 		unlimited.run(1500)
-		require.Greater(t, unlimited.maxFlowsPerSecond(), 5, "the danger is there, with %d balancers", size)
+		require.Greater(t, unlimited.maxFlowsPerSecond(), 5, "without the limit a back end is overloaded, with %d balancers", size)
 		fleet := newColdFleet(size, modeLimited, false)
 		fleet.run(1500)
 		require.LessOrEqual(t, fleet.maxFlowsPerSecond(), 5, "%d balancers", size)
@@ -142,8 +142,8 @@
 	}
 }
 
-// Where only cold back ends are left, they get what they bear, and who finds none
-// is told at once.
+// If only cold back ends are left, they get what they can handle, and flows beyond that are refused
+// at once.
 func TestColdBackendsAloneAreNotOverloaded(t *testing.T) {
 	for _, size := range []int{8, 88, 300} {
 		fleet := newColdFleet(size, modeLimited, true)
@@ -154,8 +154,8 @@
 	}
 }
 
-// Back ends of a zone that was just taken back may have turned cold without having
-// told it yet.
+// Back ends of a zone whose evacuation was just revoked may have become cold without having
+// reported it yet.
 func TestZoneWithRevokedEvacuationCountsAsCold(t *testing.T) {
 	fleet := newColdFleet(1, modeLimited, false)
 	c := fleet.controls[0]
@@ -181,8 +181,8 @@
 	require.Zero(t, countCold(fleet.now.Add(time.Second+coldPeriod)))
 }
 
-// The slots of an evacuated zone are no room: its balancers spread over the others
-// at once.
+// The slots of an evacuated zone do not count as capacity, so its balancers spread flows over the
+// other zones at once.
 func TestEvacuatedZoneHasNoCapacity(t *testing.T) {
 	c := newColdFleet(1, modeLimited, false).controls[0]
 	evacuated := map[string]uint64{"maadi": 10}
