--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -344,10 +344,10 @@
 		fleet := newBurstFleet(seed, 600, 140)
 		fleet.backends[2].errorFraction = 0.5
 		fleet.run(4 * time.Second)
-		require.Greater(t, fleet.unhealthyFraction(3, 4*time.Second), 0.75, "before the burst")
+		require.Greater(t, fleet.unhealthyFraction(3, 4*time.Second), 0.75, "before")
 		fleet.burst(2 * time.Second)
 		require.Greater(t, fleet.unhealthyFraction(3, 2*time.Second), 0.75, "during the burst")
-		require.Greater(t, fleet.unhealthyFraction(3, 20*time.Second), 0.75, "after the burst")
+		require.Greater(t, fleet.unhealthyFraction(3, 20*time.Second), 0.75, "after")
 		require.Zero(t, fleet.unhealthyCounts[1]+fleet.unhealthyCounts[2])
 	}
 }
