--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -17,8 +17,8 @@
 type admissionState struct {
 	controller *admission.Controller
 	// priorities are those of the routes in force, by pool.
-	priorities map[string][]admission.Priority
-	pressures  pressureEstimator
+	priorities        map[string][]admission.Priority
+	pressureEstimator pressureEstimator
 	// overloaded is the set of pools for which some new flows are refused.
 	overloaded map[string]bool
 	// saturatedUntil is, for each pool that recently had no free slot, the time until which it
@@ -27,7 +27,7 @@
 }
 
 func newAdmissionState() admissionState {
-	return admissionState{controller: admission.NewController(), pressures: pressureEstimator{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
+	return admissionState{controller: admission.NewController(), pressureEstimator: pressureEstimator{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // updateRoutes collects each pool's priorities from the routes in force.
@@ -35,9 +35,9 @@
 	a.priorities = make(map[string][]admission.Priority)
 	for _, route := range table.GetRoutes() {
 		for _, share := range route.GetPools() {
-			priorities := a.priorities[share.GetPool()]
-			if priority := admission.Priority(route.GetPriority()); !slices.Contains(priorities, priority) {
-				a.priorities[share.GetPool()] = append(priorities, priority)
+			existing := a.priorities[share.GetPool()]
+			if priority := admission.Priority(route.GetPriority()); !slices.Contains(existing, priority) {
+				a.priorities[share.GetPool()] = append(existing, priority)
 			}
 		}
 	}
@@ -50,25 +50,25 @@
 // saturatedPools returns the pools that are saturated or were within saturationHold.
 func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Aggregate, now time.Time) map[string]bool {
 	for pool := range aggregate.ZonePools() {
-		if a.pressures.saturated(pool, zone, aggregate) {
+		if a.pressureEstimator.saturated(pool, zone, aggregate) {
 			a.saturatedUntil[string(pool)] = now.Add(saturationHold)
 		}
 	}
-	saturated := make(map[string]bool)
+	pools := make(map[string]bool)
 	for pool, until := range a.saturatedUntil {
 		if now.After(until) {
 			delete(a.saturatedUntil, pool)
 			continue
 		}
-		saturated[pool] = true
+		pools[pool] = true
 	}
-	return saturated
+	return pools
 }
 
 // updateAdmission updates the admission controller from the latest summary and passes the resulting
 // refusal fractions to the traffic goroutine.
 func (c *control) updateAdmission(summary *observe.Summary, now time.Time) {
-	c.gate.pressures.addSummary(summary)
+	c.gate.pressureEstimator.addSummary(summary)
 	aggregate := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	c.balancer.traffic.flows.Saturate(c.gate.saturatedPools(zone, aggregate, now))
@@ -78,7 +78,7 @@
 	var demands []admission.PoolState
 	for pool := range aggregate.ZonePools() {
 		if priorities := c.gate.priorities[string(pool)]; len(priorities) > 0 {
-			pressure := c.gate.pressures.estimate(pool, zone, aggregate, c.balancersByZone)
+			pressure := c.gate.pressureEstimator.estimate(pool, zone, aggregate, c.balancersByZone)
 			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: priorities, Pressure: pressure})
 		}
 	}
@@ -97,7 +97,7 @@
 			c.balancer.logger.Warn("Control: pool is short of room.", "pool", refusal.Pool, "urgency", uint64(refusal.Priority),
 				"refused_part", rounded(refusal.Fraction), "pressure", rounded(refusal.Pressure.RequestsPerSlot),
 				"pressure_age", refusal.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
-				"waiting_here", rounded(c.gate.pressures.waiting[refusal.Pool]),
+				"waiting_here", rounded(c.gate.pressureEstimator.waiting[refusal.Pool]),
 				"zone_part", rounded(zoneRequestFraction(demand.Pool(refusal.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
 		}
 		overloaded[refusal.Pool] = true
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -39,12 +39,12 @@
 	state := newAdmissionState()
 	state.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
-	state.pressures = *newLoadedEstimator(1000, now)
+	state.pressureEstimator = *newLoadedEstimator(1000, now)
 	var rejections *admission.Refusals
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
 		rejections = state.controller.Update([]admission.PoolState{{Pool: "lending", Priorities: state.priorities["lending"],
-			Pressure: state.pressures.estimate("lending", "maadi", nil, nil)}}, at)
+			Pressure: state.pressureEstimator.estimate("lending", "maadi", nil, nil)}}, at)
 	}
 	require.Nil(t, rejections)
 }
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -82,24 +82,24 @@
 	} else {
 		c.withdrawal.reports.Drop(name)
 	}
-	var reports []*apiv1.Struggling
+	var encoded []*apiv1.Struggling
 	for _, report := range c.withdrawal.reports.Now(now) {
-		reports = append(reports, &apiv1.Struggling{Name: report.Name, Away: report.Away,
+		encoded = append(encoded, &apiv1.Struggling{Name: report.Name, Away: report.Away,
 			Milliseconds: uint32(now.Sub(report.At).Milliseconds())})
 	}
-	return reports
+	return encoded
 }
 
 // handleStrugglingReports stores the reports of another balancer. Reports about this balancer are
 // ignored, since it knows its own state better. A peer that does not support such reports, like one
 // of an older version, does not count as having reported: in a rolling upgrade, a whole zone would
 // take its silence to mean that no balancer struggles.
-func (c *control) handleStrugglingReports(reports []*apiv1.Struggling, supported bool, now time.Time) {
+func (c *control) handleStrugglingReports(encoded []*apiv1.Struggling, supported bool, now time.Time) {
 	if !supported {
 		return
 	}
 	c.withdrawal.lastReportAt = now
-	for _, report := range reports {
+	for _, report := range encoded {
 		if report.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -50,9 +50,9 @@
 
 func TestWithdrawalCanBeDisabled(t *testing.T) {
 	control := newWithdrawalControl()
-	off, err := mechanism.Parse([]string{"step_aside"})
+	disabled, err := mechanism.Parse([]string{"step_aside"})
 	require.NoError(t, err)
-	control.balancer.disabled = off
+	control.balancer.disabled = disabled
 	now := control.openFlows(2*time.Millisecond, 3*time.Second, time.Now())
 	control.openFlows(80*time.Millisecond, 5*time.Second, now)
 	require.True(t, control.balancer.Ready())
--- a/internal/balancer/asks.go
+++ b/internal/balancer/asks.go
@@ -26,8 +26,8 @@
 
 // rateSample holds the request rates at one time.
 type rateSample struct {
-	at    time.Time
-	rates map[demand.Pool]float64
+	at           time.Time
+	requestRates map[demand.Pool]float64
 }
 
 // addSummary updates the rates with the requests counted since the last summary.
@@ -45,7 +45,7 @@
 		rates[poolZone.Pool] += alpha * load.Offered
 	}
 	r.current = rates
-	r.history = append(r.history, rateSample{at: summary.At, rates: rates})
+	r.history = append(r.history, rateSample{at: summary.At, requestRates: rates})
 	for len(r.history) > 0 && summary.At.Sub(r.history[0].at) > rateHistory {
 		r.history = r.history[1:]
 	}
@@ -59,7 +59,7 @@
 		if sample.at.After(since) {
 			break
 		}
-		past = sample.rates[pool]
+		past = sample.requestRates[pool]
 	}
 	if current <= past || current == 0 {
 		return 1
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -65,17 +65,17 @@
 type burstFleet struct {
 	random     *rand.Rand
 	now        time.Time
-	directory  *directory.Directory
+	replica    *directory.Directory
 	table      *tokenroute.Table
 	nodes      [burstBalancers]burstNode
 	backends   [burstBackends]queueingBackend
 	clients    []*burstClient
 	aggregates []*demand.Aggregate
 	unhealthy  map[incarnation.ID]observe.Health
-	// shares is the share of new flows of each back end while it is healthy, as a policy may set
+	// flowShares is the share of new flows of each back end while it is healthy, as a policy may set
 	// it.
-	shares   [burstBackends]float64
-	nextPort int
+	flowShares [burstBackends]float64
+	nextPort   int
 	// servedLength and errorLength are the lengths of responses; errorLength is also that of
 	// rejections.
 	servedLength, errorLength uint32
@@ -88,17 +88,17 @@
 }
 
 type burstNode struct {
-	flows     *tokenroute.Flows
-	admission admissionState
-	local     demand.LocalLoad
-	findings  map[incarnation.ID]observe.Finding
+	flows          *tokenroute.Flows
+	admissionState admissionState
+	local          demand.LocalLoad
+	findings       map[incarnation.ID]observe.Finding
 }
 
 var burstStart = time.Now()
 
 func newBurstFleet(seed uint64, servedLength, errorLength uint32) *burstFleet {
-	fleet := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, directory: directory.New(time.Minute),
-		servedLength: servedLength, errorLength: errorLength, shares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
+	fleet := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, replica: directory.New(time.Minute),
+		servedLength: servedLength, errorLength: errorLength, flowShares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
 		shedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
 	batch := routesBatch(5)
 	pools := []*apiv1.PoolShare{{Pool: "desk", Weight: 1000}}
@@ -110,10 +110,10 @@
 			Backend: &apiv1.PoolBackend{Id: fmt.Sprint("i-", number+1), Number: number + 1, Pool: "desk", Zone: "maadi",
 				Address: uint32(number + 1), Port: 80, Capacity: burstSlots}}})
 	}
-	fleet.directory.Apply(batch, fleet.now)
+	fleet.replica.Apply(batch, fleet.now)
 	for index := range fleet.nodes {
-		fleet.nodes[index] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), admission: newAdmissionState()}
-		fleet.nodes[index].admission.updateRoutes(fleet.directory.Routes())
+		fleet.nodes[index] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), admissionState: newAdmissionState()}
+		fleet.nodes[index].admissionState.updateRoutes(fleet.replica.Routes())
 	}
 	for range steadyClients {
 		fleet.clients = append(fleet.clients, &burstClient{nextAt: fleet.now})
@@ -124,9 +124,9 @@
 
 // rebuildTable builds a table from the current findings.
 func (b *burstFleet) renewTable() {
-	b.table = tokenroute.NewTable(b.directory, tokenroute.Options{Now: b.now, Previous: b.table,
+	b.table = tokenroute.NewTable(b.replica, tokenroute.Options{Now: b.now, Previous: b.table,
 		Weight: func(entry directory.BackendEntry) uint32 {
-			return uint32(b.shares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
+			return uint32(b.flowShares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
 
@@ -250,7 +250,7 @@
 	for index := range b.nodes {
 		node := &b.nodes[index]
 		if summary := node.flows.Summarize(b.now); summary != nil {
-			node.admission.pressures.addSummary(summary)
+			node.admissionState.pressureEstimator.addSummary(summary)
 			node.local.Observe(summary.Loads, summary.At)
 			node.findings = summary.Findings
 		}
@@ -267,26 +267,26 @@
 			b.nodes[index].update(b.aggregates[delayed], b.now)
 		}
 	}
-	unhealthy := make(map[incarnation.ID]observe.Health)
+	evaluated := make(map[incarnation.ID]observe.Health)
 	for id, finding := range joined {
 		if health := finding.Health(burstBalancers, b.unhealthy[id]); !health.Healthy() {
-			unhealthy[id] = health
+			evaluated[id] = health
 			b.unhealthyCounts[id.Number]++
 		}
 	}
-	b.unhealthy = unhealthy
+	b.unhealthy = evaluated
 	b.renewTable()
 }
 
 // update applies the aggregate of all balancers.
 func (n *burstNode) update(aggregate *demand.Aggregate, now time.Time) {
-	n.flows.Saturate(n.admission.saturatedPools("maadi", aggregate, now))
+	n.flows.Saturate(n.admissionState.saturatedPools("maadi", aggregate, now))
 	var demands []admission.PoolState
 	for pool := range aggregate.ZonePools() {
-		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.admission.priorities[string(pool)],
-			Pressure: n.admission.pressures.estimate(pool, "maadi", aggregate, zoneCounts{"maadi": burstBalancers})})
+		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.admissionState.priorities[string(pool)],
+			Pressure: n.admissionState.pressureEstimator.estimate(pool, "maadi", aggregate, zoneCounts{"maadi": burstBalancers})})
 	}
-	n.flows.Admit(n.admission.controller.Update(demands, now))
+	n.flows.Admit(n.admissionState.controller.Update(demands, now))
 }
 
 // second returns the current second of the simulation.
@@ -312,10 +312,10 @@
 func TestBurstCausesNoHealthFindings(t *testing.T) {
 	for name, lengths := range map[string][2]uint32{"a rejection is shorter": {600, 140}, "a rejection is as long": {600, 600}} {
 		t.Run(name, func(t *testing.T) {
-			for index, share := range unevenShares {
+			for index, flowShares := range unevenShares {
 				for seed := range uint64(4) {
 					fleet := newBurstFleet(seed, lengths[0], lengths[1])
-					fleet.shares = share
+					fleet.flowShares = flowShares
 					fleet.renewTable()
 					fleet.run(8 * time.Second)
 					fleet.burst(2 * time.Second)
@@ -385,16 +385,16 @@
 // old aggregate shows that no slot is free, while the requests waiting here now show that the burst
 // is over.
 func TestStaleAggregateRefusesNoFlowsAfterBurst(t *testing.T) {
-	for _, delay := range []time.Duration{1500 * time.Millisecond, 2500 * time.Millisecond, 3500 * time.Millisecond} {
+	for _, aggregateDelay := range []time.Duration{1500 * time.Millisecond, 2500 * time.Millisecond, 3500 * time.Millisecond} {
 		for seed := range uint64(4) {
 			fleet := newBurstFleet(seed, 600, 140)
-			fleet.aggregateDelay = delay
+			fleet.aggregateDelay = aggregateDelay
 			fleet.run(8 * time.Second)
 			fleet.burst(5 * time.Second)
 			fleet.run(15 * time.Second)
-			require.Zero(t, sumBetween(fleet.refusedFlows, 0, 8), "before the burst, delay %s, seed %d", delay, seed)
+			require.Zero(t, sumBetween(fleet.refusedFlows, 0, 8), "before the burst, delay %s, seed %d", aggregateDelay, seed)
 			require.Positive(t, sumBetween(fleet.refusedFlows, 8, 13), "during the burst")
-			require.Zero(t, sumBetween(fleet.refusedFlows, 14, 30), "a second after the burst, delay %s, seed %d: %v", delay, seed, fleet.refusedFlows)
+			require.Zero(t, sumBetween(fleet.refusedFlows, 14, 30), "a second after the burst, delay %s, seed %d: %v", aggregateDelay, seed, fleet.refusedFlows)
 		}
 	}
 }
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -211,7 +211,7 @@
 	c.nextObservation = now.Add(observationInterval)
 	c.updateDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
-	changed := c.observed.applySummary(summary, now)
+	changed := c.observed.update(summary, now)
 	c.updateAdmission(summary, now)
 	c.findings.own = nil
 	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -26,9 +26,9 @@
 	aggregate atomic.Pointer[demand.Aggregate]
 	// schedule spaces the reports, and reporting is set while a report is being sent in a call of
 	// its own.
-	schedule  demand.ReportSchedule
-	reporting bool
-	feed      demandFeed
+	schedule   demand.ReportSchedule
+	sending    bool
+	demandFeed demandFeed
 	// staleAt is when an aggregate that shares were planned with was last found to be too old. It
 	// is zero once aggregates have been fresh for recoveryDelay again.
 	staleAt time.Time
@@ -127,7 +127,7 @@
 // sendDemandReport sends a report that does not wait for the next call.
 func (c *control) sendDemandReport(ctx context.Context, now time.Time) {
 	d := &c.demand
-	if d.reporting || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
+	if d.sending || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
 		return
 	}
 	parent := c.testimony.parent
@@ -135,7 +135,7 @@
 	if report == nil {
 		return
 	}
-	d.reporting = true
+	d.sending = true
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Demand: report}
 	client := c.testimony.client
 	go func() {
@@ -147,7 +147,7 @@
 
 // handleDemandReportResult handles the end of a call that sent a report.
 func (c *control) handleDemandReportResult(news *apiv1.DirectoryNews, now time.Time) {
-	c.demand.reporting = false
+	c.demand.sending = false
 	if news.GetError() != "" {
 		c.demand.schedule.Failed(now)
 	}
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -33,20 +33,20 @@
 
 // newParentAndFollower returns a parent and a balancer that follows it and knows the parent's
 // clock.
-func newParentAndFollower(t *testing.T, now time.Time) (parent, child *control) {
-	parent, child = newTestControl(), newTestControl()
-	parent.balancer.started = now.Add(-3 * time.Minute)
+func newParentAndFollower(t *testing.T, now time.Time) (parentControl, childControl *control) {
+	parentControl, childControl = newTestControl(), newTestControl()
+	parentControl.balancer.started = now.Add(-3 * time.Minute)
 	parentEntry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
-	child.core.SetBalancers([]*apiv1.Balancer{child.balancer.ownEntry(), parentEntry}, now)
-	require.True(t, child.core.Leads("10.0.0.2:1"))
-	child.testimony.parent = "10.0.0.2:1"
-	child.testimony.parentClock = evidence.NewRemoteClock(parent.testimony.clock, parent.clockNow(now), now.Add(-30*time.Millisecond), now)
-	for _, each := range []*control{parent, child} {
+	childControl.core.SetBalancers([]*apiv1.Balancer{childControl.balancer.ownEntry(), parentEntry}, now)
+	require.True(t, childControl.core.Leads("10.0.0.2:1"))
+	childControl.testimony.parent = "10.0.0.2:1"
+	childControl.testimony.parentClock = evidence.NewRemoteClock(parentControl.testimony.clock, parentControl.clockNow(now), now.Add(-30*time.Millisecond), now)
+	for _, each := range []*control{parentControl, childControl} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
-	parent.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{TreeHeight: 1})
-	child.demand.tree.SetOwn(demandOf("giza", 30, 2, now), demand.Position{Depth: 1, TreeHeight: 1})
-	return parent, child
+	parentControl.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{TreeHeight: 1})
+	childControl.demand.tree.SetOwn(demandOf("giza", 30, 2, now), demand.Position{Depth: 1, TreeHeight: 1})
+	return parentControl, childControl
 }
 
 // A report is sent up with a follow call or in a call of its own; the total comes back with the
@@ -186,7 +186,7 @@
 		now = now.Add(feedTTL)
 		send("10.0.0.7:1")
 	}
-	require.Len(t, parent.demand.feed.sent, 1, "followers that do not call are forgotten")
+	require.Len(t, parent.demand.demandFeed.sent, 1, "followers that do not call are forgotten")
 }
 
 // Calls that are answered slightly more often than once a second carry the total demand nearly
@@ -245,11 +245,11 @@
 	slotsPerBackend := reference.demand.capacity.slots[lendingPoolZone("maadi")] / 4
 	control, now := newThreeZoneControl(200, 100, 200, 20*slotsPerBackend)
 	require.True(t, control.planZoneShares(now))
-	weights := control.zoneWeights(now)
-	require.Equal(t, uint32(rule.MaximumWeight), weights["maadi"])
-	require.LessOrEqual(t, weights["fayum"], uint32(rule.MaximumWeight/1000))
+	zoneWeights := control.zoneWeights(now)
+	require.Equal(t, uint32(rule.MaximumWeight), zoneWeights["maadi"])
+	require.LessOrEqual(t, zoneWeights["fayum"], uint32(rule.MaximumWeight/1000))
 	// All zones keep 125 for each four back ends, so of 200 this one sends 75 to the eight of giza.
-	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(weights["giza"]), 2)
+	require.InDelta(t, rule.MaximumWeight*75/8/(125.0/4), float64(zoneWeights["giza"]), 2)
 	require.False(t, control.planZoneShares(now), "the table was built with these shares")
 	require.True(t, control.newWeights(nil, now).zoneChosenByWeights("lending"))
 	control.balancer.disabled, _ = mechanism.Parse([]string{string(mechanism.DemandShares)})
@@ -266,7 +266,7 @@
 	require.True(t, control.planZoneShares(now))
 	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
-	require.NotNil(t, weights.plannedShares("lending"))
+	require.NotNil(t, weights.poolShares("lending"))
 	require.False(t, weights.zoneChosenByWeights("lending"))
 }
 
@@ -286,9 +286,9 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.measureCapacity(nil, now)
-	slots := control.demand.capacity.slots[lendingPoolZone("giza")]
-	require.Positive(t, slots)
-	require.InDelta(t, 2, slots/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
+	gizaSlots := control.demand.capacity.slots[lendingPoolZone("giza")]
+	require.Positive(t, gizaSlots)
+	require.InDelta(t, 2, gizaSlots/control.demand.capacity.slots[lendingPoolZone("maadi")], 1e-9)
 	control.measureCapacity(map[string]uint64{"giza": 7}, now)
 	require.NotContains(t, control.demand.capacity.slots, lendingPoolZone("giza"), "an evacuated zone has no capacity")
 }
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -7,20 +7,20 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// updateHealth evaluates the health of back ends from the findings of all balancers, and reports
+// evaluateHealth evaluates the health of back ends from the findings of all balancers, and reports
 // whether the table should be rebuilt.
 func (c *control) updateHealth(now time.Time) bool {
-	before, findings := c.observed.unhealthy, c.findings.all(now)
+	before, merged := c.observed.unhealthy, c.findings.all(now)
 	c.observed.limits.update(c.demand.aggregate.Load(), now)
-	changed := c.observed.updateHealth(findings, c.core.OrderSize())
+	changed := c.observed.evaluateHealth(merged, c.core.OrderSize())
 	for backend, health := range c.observed.unhealthy {
 		if before[backend].Healthy() {
-			c.logHealthChange("Control: back end counts as unwell.", backend, health, findings[backend])
+			c.logHealthChange("Control: back end counts as unwell.", backend, health, merged[backend])
 		}
 	}
 	for backend := range before {
 		if c.observed.unhealthy[backend].Healthy() {
-			c.logHealthChange("Control: back end counts as healthy again.", backend, observe.Health{}, findings[backend])
+			c.logHealthChange("Control: back end counts as healthy again.", backend, observe.Health{}, merged[backend])
 		}
 	}
 	return changed
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -39,7 +39,7 @@
 
 // computeHealthLimits sums up the back ends that take new flows, for each new table.
 func (c *control) computeHealthLimits(evacuated map[string]uint64, warmup *warmupState, now time.Time) {
-	limits := healthLimits{
+	result := healthLimits{
 		poolZones:      make(map[incarnation.ID]demand.ZonePool, len(c.observed.unhealthy)),
 		poolZoneTotals: make(map[demand.ZonePool]slotTotals),
 		poolTotals:     make(map[demand.Pool]slotTotals),
@@ -47,12 +47,12 @@
 	if len(c.observed.unhealthy) > 0 {
 		for _, group := range c.directory.Groups() {
 			if _, isEvacuated := evacuated[group.Zone]; !isEvacuated {
-				limits.addGroup(group, &c.observed, warmup, now)
+				result.addGroup(group, &c.observed, warmup, now)
 			}
 		}
 	}
-	limits.update(c.demand.aggregate.Load(), now)
-	c.observed.limits = limits
+	result.update(c.demand.aggregate.Load(), now)
+	c.observed.limits = result
 }
 
 // addGroup adds the back ends of a group. Cold back ends can handle little load and do not count as
@@ -60,7 +60,7 @@
 func (l *healthLimits) addGroup(group *directory.Group, inputs *weightInputs, warmup *warmupState, now time.Time) {
 	poolZone, sum, unhealthy := poolZoneOf(group.Place), slotTotals{}, false
 	for _, backend := range group.Entries {
-		if backend.Gone || backend.GetDraining() || warmup.limited() && now.Before(warmup.warmAt(backend)) {
+		if backend.Gone || backend.GetDraining() || warmup.limited() && now.Before(warmup.warmTime(backend)) {
 			continue
 		}
 		slots := backendSlots(backend)
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -60,10 +60,10 @@
 				all += count
 			}
 			healthyFraction := maxBackendFraction(t, control)
-			require.True(t, control.observed.updateHealth(slowFindings(test.unhealthy), 1))
+			require.True(t, control.observed.evaluateHealth(slowFindings(test.unhealthy), 1))
 			control.rebuildTable(now)
 			require.LessOrEqual(t, maxBackendFraction(t, control), 2*healthyFraction+0.02, "at most twice its fraction while all back ends are healthy")
-			require.GreaterOrEqual(t, control.totalSlots(), float64(all), "half of the slots still count as capacity")
+			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the slots still count as capacity")
 		})
 	}
 }
@@ -73,7 +73,7 @@
 func TestHealthLimitFollowsDemand(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 10})
-	require.True(t, control.observed.updateHealth(slowFindings(5), 1))
+	require.True(t, control.observed.evaluateHealth(slowFindings(5), 1))
 	control.rebuildTable(now)
 	slow := incarnation.ID{Number: 1}
 	idle := control.observed.healthWeight(slow)
@@ -95,7 +95,7 @@
 		b.Run(fmt.Sprint(unhealthy), func(b *testing.B) {
 			now := time.Now()
 			control := newSizedControl(140_000, 100, 0, now)
-			control.observed.updateHealth(slowFindings(unhealthy), 1)
+			control.observed.evaluateHealth(slowFindings(unhealthy), 1)
 			for b.Loop() {
 				control.measureCapacity(nil, now)
 			}
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -31,7 +31,7 @@
 	// and the share of new flows that goes to other zones.
 	pools        map[string]*poolCapacity
 	remoteShares map[string]float64
-	// plannedShares are the shares of a pool's new flows for each zone by the latest aggregate, and
+	// poolShares are the shares of a pool's new flows for each zone by the latest aggregate, and
 	// appliedShares those that the table in force was built with. Pools that are in no aggregate
 	// have none.
 	plannedShares, appliedShares map[demand.Pool]map[demand.Zone]float64
@@ -70,8 +70,8 @@
 	return shares.RemoteShare(w.waiting[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
 }
 
-// applySummary updates the demand from a summary and reports whether the table should be rebuilt.
-func (w *weightInputs) applySummary(summary *observe.Summary, now time.Time) bool {
+// update updates the demand from a summary and reports whether the table should be rebuilt.
+func (w *weightInputs) update(summary *observe.Summary, now time.Time) bool {
 	if summary == nil || now.Sub(summary.At) > summaryMaxAge {
 		clear(w.waiting)
 		return false
@@ -88,9 +88,9 @@
 	return changed
 }
 
-// updateHealth evaluates the findings of the given number of balancers about back ends, and reports
+// evaluateHealth evaluates the findings of the given number of balancers about back ends, and reports
 // whether the table should be rebuilt.
-func (w *weightInputs) updateHealth(findings map[incarnation.ID]observe.Finding, observers int) bool {
+func (w *weightInputs) evaluateHealth(findings map[incarnation.ID]observe.Finding, observers int) bool {
 	unhealthy := make(map[incarnation.ID]observe.Health, len(w.unhealthy))
 	for backend, finding := range findings {
 		if health := finding.Health(observers, w.unhealthy[backend]); !health.Healthy() {
--- a/internal/balancer/observed_test.go
+++ b/internal/balancer/observed_test.go
@@ -18,7 +18,7 @@
 	changed := false
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 250 * time.Millisecond {
 		summary := &observe.Summary{At: from.Add(elapsed), InFlight: map[string]float64{pool: waiting}}
-		changed = control.observed.applySummary(summary, from.Add(elapsed)) || changed
+		changed = control.observed.update(summary, from.Add(elapsed)) || changed
 	}
 	return changed
 }
@@ -66,6 +66,6 @@
 	control.observeWaiting("lending", 400, now)
 	require.NotEmpty(t, control.observed.waiting)
 	old := &observe.Summary{At: now.Add(2 * time.Second), InFlight: map[string]float64{"lending": 400}}
-	control.observed.applySummary(old, now.Add(10*time.Second))
+	control.observed.update(old, now.Add(10*time.Second))
 	require.Empty(t, control.observed.waiting)
 }
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -36,13 +36,13 @@
 // grows, which is corrected for up to the factor maxGrowth.
 type pressureEstimator struct {
 	smoothedWaiting
-	rates requestRates
+	requestRates requestRates
 }
 
 // addSummary updates the waiting requests and the request rates.
 func (p *pressureEstimator) addSummary(summary *observe.Summary) {
 	p.update(summary, pressureTimeConstant)
-	p.rates.addSummary(summary)
+	p.requestRates.addSummary(summary)
 }
 
 // estimate returns the pressure on a pool. Routers spread a zone's packets evenly over its
@@ -68,7 +68,7 @@
 	}
 	scale := float64(aggregate.ZoneBalancers[localZone]) / fraction
 	if waiting >= minLocalInFlight*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.rates.growthSince(pool, aggregate.OldestAt), maxGrowth(aggregate.ZoneBalancers[localZone]))
+		waiting = p.waiting[string(pool)] * scale / min(p.requestRates.growthSince(pool, aggregate.OldestAt), maxGrowth(aggregate.ZoneBalancers[localZone]))
 	}
 	return admission.Pressure{RequestsPerSlot: waiting / slots, SeenAt: seenAt}
 }
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -117,9 +117,9 @@
 	require.False(t, newLoadedEstimator(0.9, now).saturated("lending", "maadi", single), "one request here is not enough for an estimate")
 	require.False(t, newLoadedEstimator(50, now).saturated("covers", "maadi", idle), "the capacity of the pool is not known")
 	state := newAdmissionState()
-	state.pressures = *newLoadedEstimator(3, now)
+	state.pressureEstimator = *newLoadedEstimator(3, now)
 	require.True(t, state.saturatedPools("maadi", idle, now)["lending"])
-	state.pressures = *newLoadedEstimator(0, now)
+	state.pressureEstimator = *newLoadedEstimator(0, now)
 	require.True(t, state.saturatedPools("maadi", idle, now.Add(saturationHold))["lending"])
 	require.False(t, state.saturatedPools("maadi", idle, now.Add(saturationHold+time.Millisecond))["lending"])
 }
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -22,7 +22,7 @@
 	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.directory, tokenroute.Options{
-		Weight:         weights.weight,
+		Weight:         weights.backendWeight,
 		PlaceWeight:    weights.uniformWeight,
 		Evacuated:      evacuated,
 		Warmup:         c.newWarmupState(now).warmupFunc(),
--- a/internal/balancer/room.go
+++ b/internal/balancer/room.go
@@ -53,7 +53,7 @@
 type coldBackend struct {
 	poolZone demand.ZonePool
 	slots    float64
-	warmAt   time.Time
+	until    time.Time
 }
 
 // poolCapacity counts a pool's back ends and slots in the balancer's zone and in the others.
@@ -124,8 +124,8 @@
 			continue
 		}
 		slots := backendSlots(backend) * inputs.healthWeight(backend.Incarnation())
-		if until := warmup.warmAt(backend); now.Before(until) {
-			c.cold = append(c.cold, coldBackend{poolZone: poolZone, slots: slots, warmAt: until})
+		if until := warmup.warmTime(backend); now.Before(until) {
+			c.cold = append(c.cold, coldBackend{poolZone: poolZone, slots: slots, until: until})
 			continue
 		}
 		c.slots[poolZone] += slots
@@ -163,15 +163,15 @@
 		return
 	}
 	c.slots = maps.Clone(c.slots)
-	cold := c.cold[:0]
+	remaining := c.cold[:0]
 	for _, backend := range c.cold {
-		if now.Before(backend.warmAt) {
-			cold = append(cold, backend)
+		if now.Before(backend.until) {
+			remaining = append(remaining, backend)
 			continue
 		}
 		c.slots[backend.poolZone] += backend.slots
 	}
-	c.cold = cold
+	c.cold = remaining
 	c.scheduleCheck(now)
 }
 
@@ -179,8 +179,8 @@
 func (c *capacity) scheduleCheck(now time.Time) {
 	c.nextCheckAt = time.Time{}
 	for _, backend := range c.cold {
-		if c.nextCheckAt.IsZero() || backend.warmAt.Before(c.nextCheckAt) {
-			c.nextCheckAt = backend.warmAt
+		if c.nextCheckAt.IsZero() || backend.until.Before(c.nextCheckAt) {
+			c.nextCheckAt = backend.until
 		}
 	}
 	if earliest := now.Add(warmCheckInterval); !c.nextCheckAt.IsZero() && c.nextCheckAt.Before(earliest) {
@@ -191,8 +191,8 @@
 // updateFailed records the back ends detected as failed. Those that are no longer in the table do
 // not count as capacity anyway.
 func (c *capacity) updateFailed(summary *observe.Summary, table *tokenroute.Table, now time.Time) {
-	for id, failed := range c.failed {
-		if !now.Before(failed.until) {
+	for id, entry := range c.failed {
+		if !now.Before(entry.until) {
 			delete(c.failed, id)
 		}
 	}
@@ -219,9 +219,9 @@
 		return c.slots
 	}
 	slots := maps.Clone(c.slots)
-	for _, failed := range c.failed {
-		if backends := c.backends[failed.poolZone]; backends > 0 && now.Before(failed.until) {
-			slots[failed.poolZone] = math.Max(0, slots[failed.poolZone]-c.slots[failed.poolZone]/float64(backends))
+	for _, entry := range c.failed {
+		if backends := c.backends[entry.poolZone]; backends > 0 && now.Before(entry.until) {
+			slots[entry.poolZone] = math.Max(0, slots[entry.poolZone]-c.slots[entry.poolZone]/float64(backends))
 		}
 	}
 	return slots
--- a/internal/balancer/room_test.go
+++ b/internal/balancer/room_test.go
@@ -36,8 +36,8 @@
 	return control
 }
 
-// totalSlots returns the slots of all pool zones.
-func (control *control) totalSlots() float64 {
+// slots returns the slots of all pool zones.
+func (control *control) slots() float64 {
 	all := 0.0
 	for _, slots := range control.demand.capacity.slots {
 		all += slots
@@ -51,12 +51,12 @@
 	now := time.Now()
 	control := newSizedControl(400, 10, 40, now)
 	control.measureCapacity(nil, now)
-	require.InDelta(t, 720, control.totalSlots(), 1e-9)
+	require.InDelta(t, 720, control.slots(), 1e-9)
 	before := control.demand.capacity.slots
 	control.demand.capacity.addWarmed(now.Add(59 * time.Second))
-	require.InDelta(t, 720, control.totalSlots(), 1e-9)
+	require.InDelta(t, 720, control.slots(), 1e-9)
 	control.demand.capacity.addWarmed(now.Add(61 * time.Second))
-	require.InDelta(t, 800, control.totalSlots(), 1e-9)
+	require.InDelta(t, 800, control.slots(), 1e-9)
 	require.NotEqual(t, before, control.demand.capacity.slots, "slots that were handed out do not change")
 	control.measureCapacity(nil, now)
 	require.Less(t, testing.AllocsPerRun(1, func() { control.demand.capacity.addWarmed(now.Add(time.Hour)) }), 100.0)
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -29,7 +29,7 @@
 type demandFeed struct {
 	// encoded is the encoded aggregate as of encodedAt, and aggregate its source.
 	encoded   *apiv1.DemandReport
-	aggregate demand.Aggregate
+	source    demand.Aggregate
 	encodedAt time.Time
 	// pressures are those of aggregate. The map is replaced and never modified.
 	pressures map[demand.ZonePool]float64
@@ -46,20 +46,20 @@
 // next returns the state after a message at the given time, and whether that message may be sent
 // now.
 func (s feedState) next(pressures map[demand.ZonePool]float64, now time.Time) (feedState, bool) {
-	next := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
+	state := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
 	if now.Before(s.dueAt.Add(-feedTolerance)) {
-		return next, now.Sub(s.sentAt) >= urgentFeedInterval && pressureChanged(s.pressures, pressures)
+		return state, now.Sub(s.sentAt) >= urgentFeedInterval && pressureChanged(s.pressures, pressures)
 	}
 	if now.Before(s.dueAt) {
-		next.dueAt = s.dueAt.Add(feedInterval)
+		state.dueAt = s.dueAt.Add(feedInterval)
 	}
-	return next, true
+	return state, true
 }
 
 // totalDemandFor returns the total demand to send to a follower, or nil if it was sent recently.
 // The aggregate is encoded once per observation interval for all followers.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
-	f := &c.demand.feed
+	f := &c.demand.demandFeed
 	if f.encoded == nil || now.Sub(f.encodedAt) >= observationInterval {
 		f.refresh(c.demand.tree.Aggregate(now), c.demand.capacity.slots, now)
 	}
@@ -70,7 +70,7 @@
 	f.sent[follower] = next
 	return &apiv1.DemandReport{
 		Balancers:       f.encoded.GetBalancers(),
-		AgeMilliseconds: uint32(max(0, f.aggregate.Age(now)).Milliseconds()),
+		AgeMilliseconds: uint32(max(0, f.source.Age(now)).Milliseconds()),
 		Zones:           f.encoded.GetZones(),
 		Places:          f.encoded.GetPlaces(),
 		Above:           uint32(c.demand.tree.Depth(now)),
@@ -79,7 +79,7 @@
 
 // refresh encodes an aggregate and drops the followers that no longer call.
 func (f *demandFeed) refresh(aggregate demand.Aggregate, slots map[demand.ZonePool]float64, now time.Time) {
-	f.encoded, f.aggregate, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
+	f.encoded, f.source, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
 	f.pressures = make(map[demand.ZonePool]float64, len(aggregate.Loads))
 	withRoom := aggregate.WithSlots(slots)
 	for poolZone := range aggregate.Loads {
--- a/internal/balancer/testimony.go
+++ b/internal/balancer/testimony.go
@@ -96,7 +96,7 @@
 		return
 	}
 	observations := t.buffer.Since(t.sentSequence, t.parent, now)
-	previous := t.sentSequence
+	sentSequence := t.sentSequence
 	t.sentSequence = t.buffer.LastSequence()
 	if len(observations) == 0 {
 		return
@@ -111,7 +111,7 @@
 	go func() {
 		err := client.Testify(ctx, parent, request)
 		c.balancer.peerCalls.count(err)
-		c.publish(ctx, &apiv1.DirectoryNews{Peer: parent, Testified: true, TestimonyLatest: previous}, err)
+		c.publish(ctx, &apiv1.DirectoryNews{Peer: parent, Testified: true, TestimonyLatest: sentSequence}, err)
 	}()
 }
 
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -19,8 +19,8 @@
 // limit of a cold back end applies to all balancers together. Therefore only a few balancers,
 // chosen for each back end by rendezvous hashing, may use it and share its limit.
 type warmupState struct {
-	directory *directory.Directory
-	self      string
+	replica *directory.Directory
+	self    string
 	// peerHashes are the hashes of the other balancers' names. They are computed for the first cold
 	// back end, since usually there is none; peerHashed is set from then on.
 	peerHashes  []uint64
@@ -37,7 +37,7 @@
 func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
 	state := &warmupState{
-		directory: c.directory,
+		replica:   c.directory,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -57,13 +57,13 @@
 	return state
 }
 
-// otherBalancers returns the hashes of the names of the other balancers.
-func (w *warmupState) otherBalancers() []uint64 {
+// peers returns the hashes of the names of the other balancers.
+func (w *warmupState) peers() []uint64 {
 	if w.peersHashed {
 		return w.peerHashes
 	}
 	w.peersHashed = true
-	for _, b := range w.directory.Balancers() {
+	for _, b := range w.replica.Balancers() {
 		if b.GetName() != w.self {
 			w.peerHashes = append(w.peerHashes, nameHash(b.GetName()))
 		}
@@ -90,7 +90,7 @@
 
 // warmup returns how cold a back end is.
 func (w *warmupState) warmup(backend directory.BackendEntry) tokenroute.Warmup {
-	until := w.warmAt(backend)
+	until := w.warmTime(backend)
 	if !w.now.Before(until) {
 		return tokenroute.Warmup{}
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// warmAt returns the time from which a back end is warm; zero means that it always is. Without a
+// warmTime returns the time from which a back end is warm; zero means that it always is. Without a
 // limit in the settings, all back ends are warm.
-func (w *warmupState) warmAt(backend directory.BackendEntry) time.Time {
+func (w *warmupState) warmTime(backend directory.BackendEntry) time.Time {
 	if !w.limited() {
 		return time.Time{}
 	}
@@ -135,17 +135,17 @@
 		return 0
 	}
 	budget := max(1, int(limit*budgetFraction))
-	users := min(budget, len(w.otherBalancers())+1)
-	if w.rank(number) >= users {
+	users := min(budget, len(w.peers())+1)
+	if w.rankFor(number) >= users {
 		return 0
 	}
 	return budget / users
 }
 
-// rank returns the number of balancers before this one in the rendezvous order of a back end.
-func (w *warmupState) rank(number uint64) int {
+// rankFor returns the number of balancers before this one in the rendezvous order of a back end.
+func (w *warmupState) rankFor(number uint64) int {
 	own, rank := rendezvousScore(w.selfHash, number), 0
-	for _, other := range w.otherBalancers() {
+	for _, other := range w.peers() {
 		if rendezvousScore(other, number) > own {
 			rank++
 		}
--- a/internal/balancer/warming_test.go
+++ b/internal/balancer/warming_test.go
@@ -44,12 +44,12 @@
 	zones := []string{"maadi", "nasr", "giza"}
 	for index := range size {
 		c := newTestControl()
-		settings := testSettings()
-		settings.Name, settings.Zone = fmt.Sprintf("edge-%d", index), zones[index%len(zones)]
+		balancerSettings := testSettings()
+		balancerSettings.Name, balancerSettings.Zone = fmt.Sprintf("edge-%d", index), zones[index%len(zones)]
 		if mode == modeLimited {
-			settings.WarmupOvershoot, settings.WarmupSlack = 1.5, 5
+			balancerSettings.WarmupOvershoot, balancerSettings.WarmupSlack = 1.5, 5
 		}
-		c.balancer.settings.Store(settings)
+		c.balancer.settings.Store(balancerSettings)
 		c.firstRoutesAt = fleet.now.Add(-time.Hour)
 		c.directory.Apply(fleet.entries(size, index, zones, allCold), fleet.now)
 		fleet.controls = append(fleet.controls, c)
@@ -87,9 +87,9 @@
 func (f *coldFleet) run(perSecond int) {
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for index, c := range f.controls {
-		evacuated := c.evacuatedZones()
-		tables[index] = tokenroute.NewTable(c.directory, tokenroute.Options{Weight: c.weightFunc(evacuated, f.now),
-			Evacuated: evacuated, Warmup: c.newWarmupState(f.now).warmup, Now: f.now})
+		evacuatedZones := c.evacuatedZones()
+		tables[index] = tokenroute.NewTable(c.directory, tokenroute.Options{Weight: c.weightFunc(evacuatedZones, f.now),
+			Evacuated: evacuatedZones, Warmup: c.newWarmupState(f.now).warmup, Now: f.now})
 	}
 	total := perSecond * int(coldPeriod/time.Second)
 	for number := range total {
@@ -114,17 +114,17 @@
 // maxFlowsPerSecond returns the greatest number of new flows that a cold back end got within any
 // second.
 func (f *coldFleet) maxFlowsPerSecond() int {
-	highest := 0
+	maxFlowsPerSecond := 0
 	for _, times := range f.newFlows {
 		first := 0
 		for index, at := range times {
 			for at.Sub(times[first]) >= time.Second {
 				first++
 			}
-			highest = max(highest, index-first+1)
+			maxFlowsPerSecond = max(maxFlowsPerSecond, index-first+1)
 		}
 	}
-	return highest
+	return maxFlowsPerSecond
 }
 
 // A zone comes back cold and idle at full demand: its balancers prefer it, and so does choosing the
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -68,11 +68,11 @@
 
 // weightFunc returns a function that computes the weight of a back end.
 func (c *control) weightFunc(evacuated map[string]uint64, now time.Time) func(directory.BackendEntry) uint32 {
-	return c.newWeights(evacuated, now).weight
+	return c.newWeights(evacuated, now).backendWeight
 }
 
-// weight returns the weight of a back end.
-func (w *weights) weight(backend directory.BackendEntry) uint32 {
+// backendWeight returns the weight of a back end.
+func (w *weights) backendWeight(backend directory.BackendEntry) uint32 {
 	c := w.control
 	if program := w.program(backend.GetPool()); program != nil {
 		if weight, ok := c.evaluate(program, backend, backend.GetZone() == w.zone); ok {
@@ -108,13 +108,13 @@
 // all zones avoids a zone that is cut off before that is reported: with one zone evacuated while
 // another was cut off, 129 more requests were late without this.
 func (w *weights) zoneChosenByWeights(pool string) bool {
-	return w.usesPlannedShares(pool) && w.plannedShares(pool)[demand.Zone(w.zone)] > 0
+	return w.usesPlannedShares(pool) && w.poolShares(pool)[demand.Zone(w.zone)] > 0
 }
 
 // usesPlannedShares reports whether a pool's weights follow the planned shares. They do not if a
 // policy applies, while new flows are spread after a start, or if the zone has few back ends.
 func (w *weights) usesPlannedShares(pool string) bool {
-	return !w.spreadAllZones && w.program(pool) == nil && w.plannedShares(pool) != nil
+	return !w.spreadAllZones && w.program(pool) == nil && w.poolShares(pool) != nil
 }
 
 // program returns the compiled policy of a pool, or nil if the zones decide.
@@ -127,10 +127,10 @@
 	return program
 }
 
-// plannedShares returns the shares of a pool's new flows for each zone. It returns nil if none are
+// poolShares returns the shares of a pool's new flows for each zone. It returns nil if none are
 // planned, if the zone has too few back ends of its own, or if all entries were removed or have
 // expired, in which case the former back ends take new flows for a while.
-func (w *weights) plannedShares(name string) map[demand.Zone]float64 {
+func (w *weights) poolShares(name string) map[demand.Zone]float64 {
 	pool := w.pools[name]
 	if pool == nil || pool.localBackends > 0 && pool.localBackends < minLocalBackends {
 		return nil
@@ -140,7 +140,7 @@
 
 // zoneWeight returns the weight, from 0 to 1, of a pool's back ends in a zone.
 func (w *weights) zoneWeight(poolZone directory.Place) float64 {
-	if zoneShares := w.plannedShares(poolZone.Pool); zoneShares != nil {
+	if zoneShares := w.poolShares(poolZone.Pool); zoneShares != nil {
 		return w.control.shareWeight(zoneShares, poolZoneOf(poolZone))
 	}
 	if poolZone.Zone == w.zone {
