--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -118,12 +118,12 @@
 	for range steadyClients {
 		fleet.clients = append(fleet.clients, &burstClient{nextAt: fleet.now})
 	}
-	fleet.renewTable()
+	fleet.rebuildTable()
 	return fleet
 }
 
 // rebuildTable builds a table from the current findings.
-func (b *burstFleet) renewTable() {
+func (b *burstFleet) rebuildTable() {
 	b.table = tokenroute.NewTable(b.replica, tokenroute.Options{Now: b.now, Previous: b.table,
 		Weight: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.flowShares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
@@ -275,7 +275,7 @@
 		}
 	}
 	b.unhealthy = evaluated
-	b.renewTable()
+	b.rebuildTable()
 }
 
 // update applies the aggregate of all balancers.
@@ -316,7 +316,7 @@
 				for seed := range uint64(4) {
 					fleet := newBurstFleet(seed, lengths[0], lengths[1])
 					fleet.flowShares = flowShares
-					fleet.renewTable()
+					fleet.rebuildTable()
 					fleet.run(8 * time.Second)
 					fleet.burst(2 * time.Second)
 					fleet.run(22 * time.Second)
