--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -24,7 +24,7 @@
 	capacity capacity
 	// aggregate is the latest one, readable from all goroutines; nil means none.
 	aggregate atomic.Pointer[demand.Aggregate]
-	// schedule spaces the reports, and reporting is set while a report is being sent in a call of
+	// schedule spaces the reports, and sending is set while a report is being sent in a call of
 	// its own.
 	schedule   demand.ReportSchedule
 	sending    bool
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -7,7 +7,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// evaluateHealth evaluates the health of back ends from the findings of all balancers, and reports
+// updateHealth evaluates the health of back ends from the findings of all balancers, and reports
 // whether the table should be rebuilt.
 func (c *control) updateHealth(now time.Time) bool {
 	before, merged := c.observed.unhealthy, c.findings.all(now)
--- a/internal/balancer/observed.go
+++ b/internal/balancer/observed.go
@@ -31,7 +31,7 @@
 	// and the share of new flows that goes to other zones.
 	pools        map[string]*poolCapacity
 	remoteShares map[string]float64
-	// poolShares are the shares of a pool's new flows for each zone by the latest aggregate, and
+	// plannedShares are the shares of a pool's new flows for each zone by the latest aggregate, and
 	// appliedShares those that the table in force was built with. Pools that are in no aggregate
 	// have none.
 	plannedShares, appliedShares map[demand.Pool]map[demand.Zone]float64
--- a/internal/balancer/telldemand.go
+++ b/internal/balancer/telldemand.go
@@ -27,11 +27,11 @@
 
 // demandFeed is what followers were sent of the total demand.
 type demandFeed struct {
-	// encoded is the encoded aggregate as of encodedAt, and aggregate its source.
+	// encoded is source, the latest total demand, as encoded at encodedAt.
 	encoded   *apiv1.DemandReport
 	source    demand.Aggregate
 	encodedAt time.Time
-	// pressures are those of aggregate. The map is replaced and never modified.
+	// pressures are those of source. The map is replaced and never modified.
 	pressures map[demand.ZonePool]float64
 	sent      map[string]feedState
 }
