--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Balancers that see different demand leave out the same pools, so that what is reported about a
-// pool is the sum over all balancers that see it. Each balancer used to leave out the pools with
-// the least demand of its own.
+// Balancers that see different demand must leave out the same pools, so that what is reported about
+// a pool is the sum over all balancers that see it. It is not if each leaves out the pools with the
+// least demand of its own.
 func TestReportedPoolsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
--- a/internal/balancer/warmup.go
+++ b/internal/balancer/warmup.go
@@ -22,7 +22,7 @@
 	replica *directory.Directory
 	self    string
 	// peerHashes are the hashes of the other balancers' names. They are computed for the first cold
-	// back end, since usually there is none; peerHashed is set from then on.
+	// back end, since usually there is none; peersHashed is set from then on.
 	peerHashes  []uint64
 	peersHashed bool
 	selfHash    uint64
--- a/internal/balancer/weightinputs.go
+++ b/internal/balancer/weightinputs.go
@@ -88,8 +88,8 @@
 	return changed
 }
 
-// evaluateHealth evaluates the findings of the given number of balancers about back ends, and reports
-// whether the table should be rebuilt.
+// evaluateHealth evaluates the findings of the given number of balancers about back ends, and
+// reports whether the table should be rebuilt.
 func (w *weightInputs) evaluateHealth(findings map[incarnation.ID]observe.Finding, observers int) bool {
 	unhealthy := make(map[incarnation.ID]observe.Health, len(w.unhealthy))
 	for backend, finding := range findings {
