--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -125,7 +125,7 @@
 // rebuildTable builds a table from the current findings.
 func (b *burstFleet) rebuildTable() {
 	b.table = tokenroute.NewTable(b.replica, tokenroute.Options{Now: b.now, Previous: b.table,
-		Weight: func(entry directory.BackendEntry) uint32 {
+		WeightOf: func(entry directory.BackendEntry) uint32 {
 			return uint32(b.flowShares[entry.GetNumber()-1] * shares.HealthWeight(b.unhealthy[entry.Incarnation()]) * rule.MaximumWeight)
 		}})
 }
@@ -149,7 +149,7 @@
 			}
 		}
 		b.clients = active
-		if b.now.Sub(burstStart)%observationInterval == 0 {
+		if b.now.Sub(burstStart)%shareUpdateInterval == 0 {
 			b.summarize()
 		}
 	}
@@ -262,7 +262,7 @@
 		}
 	}
 	b.aggregates = append(b.aggregates, all.WithCapacity(map[demand.PoolZone]float64{{Pool: "desk", Zone: "maadi"}: burstBackends * burstSlots}))
-	if delayed := len(b.aggregates) - 1 - int(b.aggregateDelay/observationInterval); delayed >= 0 {
+	if delayed := len(b.aggregates) - 1 - int(b.aggregateDelay/shareUpdateInterval); delayed >= 0 {
 		for index := range b.nodes {
 			b.nodes[index].update(b.aggregates[delayed], b.now)
 		}
@@ -334,7 +334,7 @@
 func (b *burstFleet) unhealthyFraction(number uint64, length time.Duration) float64 {
 	before := b.unhealthyCounts[number]
 	b.run(length)
-	return float64(b.unhealthyCounts[number]-before) / float64(length/observationInterval)
+	return float64(b.unhealthyCounts[number]-before) / float64(length/shareUpdateInterval)
 }
 
 // A back end that answers half of its requests with an error is detected before a burst, and counts
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -38,8 +38,8 @@
 	buildPauseDivisor = 4
 	// slowBuildThreshold is from which time on a build is told in the log.
 	slowBuildThreshold = 200 * time.Millisecond
-	// observationInterval is the time between two looks at what was observed.
-	observationInterval = 250 * time.Millisecond
+	// shareUpdateInterval is the time between two looks at what was observed.
+	shareUpdateInterval = 250 * time.Millisecond
 	// maxWaitingFollowers bounds the followers' calls that wait at once.
 	maxWaitingFollowers = 256
 )
@@ -84,8 +84,8 @@
 	// nextBuild spaces the building of tables by what the last one took.
 	nextBuild         time.Time
 	nextOperatorCheck time.Time
-	// nextObservation is when what was observed is looked at again.
-	nextObservation time.Time
+	// nextShareUpdate is when what was observed is looked at again.
+	nextShareUpdate time.Time
 }
 
 func newControl(balancer *Balancer, chance *rand.Rand) *control {
@@ -181,7 +181,7 @@
 	c.sendDemandReport(ctx, now)
 	c.answerWaiting(now)
 	c.updateWithdrawal(now)
-	if c.directory.Expire(now) || c.applyObservations(now) {
+	if c.directory.Expire(now) || c.updateShares(now) {
 		c.rebuild = true
 	}
 	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
@@ -202,13 +202,13 @@
 	return min(buildPauseFactor*took, pace.Poll/buildPauseDivisor)
 }
 
-// applyObservations takes what the traffic goroutine and other balancers have
+// updateShares takes what the traffic goroutine and other balancers have
 // observed. It tells whether shares of new flows change by it.
-func (c *control) applyObservations(now time.Time) bool {
-	if c.balancer.traffic == nil || now.Before(c.nextObservation) {
+func (c *control) updateShares(now time.Time) bool {
+	if c.balancer.traffic == nil || now.Before(c.nextShareUpdate) {
 		return false
 	}
-	c.nextObservation = now.Add(observationInterval)
+	c.nextShareUpdate = now.Add(shareUpdateInterval)
 	c.updateDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
 	changed := c.observed.update(summary, now)
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -28,13 +28,13 @@
 	lineSampled
 	// linePassing: any other request that passes.
 	linePassing
-	// lineNoRoom: a flow was refused for want of room. In a burst there are many.
-	lineNoRoom
+	// lineNoCapacity: a flow was refused for want of room. In a burst there are many.
+	lineNoCapacity
 	lineKindCount
 )
 
 // lineLimits are the lines a second of each kind.
-var lineLimits = [lineKindCount]int{lineFailure: 60, lineOpening: 50, lineSampled: 30, linePassing: 40, lineNoRoom: 20}
+var lineLimits = [lineKindCount]int{lineFailure: 60, lineOpening: 50, lineSampled: 30, linePassing: 40, lineNoCapacity: 20}
 
 // sampleDivisor is that one request in so many is of the sample.
 const sampleDivisor = 16
@@ -80,7 +80,7 @@
 			slog.Duration("pressure_age", refused.Pressure.Age(now).Round(time.Millisecond)))
 	}
 	level := slog.LevelInfo
-	if kind == lineFailure || kind == lineNoRoom {
+	if kind == lineFailure || kind == lineNoCapacity {
 		level = slog.LevelWarn
 	}
 	d.logger.LogAttrs(context.Background(), level, message, attributes...)
@@ -92,7 +92,7 @@
 func describe(packet tokenroute.Packet, request []byte, decision tokenroute.Decision) (message string, kind lineKind) {
 	switch {
 	case decision.Reason == tokenroute.ReasonNoRoom:
-		return "Traffic: flow refused.", lineNoRoom
+		return "Traffic: flow refused.", lineNoCapacity
 	case decision.Verdict == tokenroute.Refuse:
 		return "Traffic: flow refused.", lineFailure
 	case decision.Verdict == tokenroute.Drop:
@@ -141,5 +141,5 @@
 	}
 	d.logger.Warn("Traffic: lines left out.", "failures", d.omitted[lineFailure], "openings", d.omitted[lineOpening],
 		"sampled", d.omitted[lineSampled], "passing", d.omitted[linePassing],
-		"no_room", d.omitted[lineNoRoom])
+		"no_room", d.omitted[lineNoCapacity])
 }
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -60,5 +60,5 @@
 	log.record(tokenroute.Packet{}, nil, tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoute}, nil, now)
 	require.Contains(t, written.String(), "reason=no_room token=0 pool=lending urgency=2 refused_part=0.75 pressure=4.26 pressure_age=1.5s")
 	require.Contains(t, written.String(), "reason=no_route")
-	require.Equal(t, lineLimits[lineNoRoom], strings.Count(written.String(), "reason=no_room"))
+	require.Equal(t, lineLimits[lineNoCapacity], strings.Count(written.String(), "reason=no_room"))
 }
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -177,10 +177,10 @@
 	one, other := send("10.0.0.8:1"), send("10.0.0.9:1")
 	require.Same(t, one.GetPlaces()[0], other.GetPlaces()[0], "the aggregate is encoded once for both")
 	require.Nil(t, send("10.0.0.9:1"))
-	now = now.Add(observationInterval + time.Millisecond)
+	now = now.Add(shareUpdateInterval + time.Millisecond)
 	parent.demand.tree.SetOwn(demandOf("maadi", 10, 1, now), demand.Position{})
 	require.Nil(t, send("10.0.0.9:1"), "not sooner than urgentFeedInterval")
-	now = now.Add(urgentFeedInterval - observationInterval)
+	now = now.Add(urgentFeedInterval - shareUpdateInterval)
 	require.NotNil(t, send("10.0.0.9:1"), "the pressure has changed")
 	for range 3 {
 		now = now.Add(feedTTL)
--- a/internal/balancer/demandfeed.go
+++ b/internal/balancer/demandfeed.go
@@ -60,7 +60,7 @@
 // The aggregate is encoded once per observation interval for all followers.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
 	f := &c.demand.demandFeed
-	if f.encoded == nil || now.Sub(f.encodedAt) >= observationInterval {
+	if f.encoded == nil || now.Sub(f.encodedAt) >= shareUpdateInterval {
 		f.refresh(c.demand.tree.Aggregate(now), c.demand.capacity.slots, now)
 	}
 	next, due := f.sent[follower].next(f.pressures, now)
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -187,7 +187,7 @@
 	known := directory.New(time.Minute)
 	known.Apply(earlyBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
-		Weight: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
+		WeightOf: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
 // earlyBatch is a directory with one back end.
--- a/internal/balancer/mailbox.go
+++ b/internal/balancer/mailbox.go
@@ -14,9 +14,9 @@
 // which waits for the other. Its zero value is empty.
 type mailbox struct {
 	// nonEmpty saves the traffic goroutine the lock at each packet.
-	nonEmpty   atomic.Bool
-	mutex      sync.Mutex
-	statements []evidence.Observation
+	nonEmpty     atomic.Bool
+	mutex        sync.Mutex
+	observations []evidence.Observation
 	// lost counts the statements for which there was no room.
 	lost atomic.Uint64
 }
@@ -25,10 +25,10 @@
 func (m *mailbox) put(statements []evidence.Observation) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	room := min(len(statements), mailboxLimit-len(m.statements))
-	m.statements = append(m.statements, statements[:room]...)
+	room := min(len(statements), mailboxLimit-len(m.observations))
+	m.observations = append(m.observations, statements[:room]...)
 	m.lost.Add(uint64(len(statements) - room))
-	m.nonEmpty.Store(len(m.statements) > 0)
+	m.nonEmpty.Store(len(m.observations) > 0)
 }
 
 // take empties the mailbox.
@@ -38,8 +38,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	taken := m.statements
-	m.statements = nil
+	taken := m.observations
+	m.observations = nil
 	m.nonEmpty.Store(false)
 	return taken
 }
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -41,33 +41,33 @@
 		"Datagrams that were malformed or could not be sent.", []string{"cause"}, nil)
 	unreadableDescription = prometheus.NewDesc("indigobarrow_balancer_unreadable_entries_total",
 		"Entries of the store that could not be read, each time that they came.", nil, nil)
-	flowsDescription = prometheus.NewDesc("indigobarrow_balancer_flow_events_total",
+	flowEventsDescription = prometheus.NewDesc("indigobarrow_balancer_flow_events_total",
 		"First packets sent again to another back end, back ends that did not answer in time, and back ends judged dead.", []string{"event"}, nil)
 	earlyDescription = prometheus.NewDesc("indigobarrow_balancer_early_packets_total",
 		"Packets that came before the first table by what became of them. Each is counted as no_table when it came, and those sent once more by what the table decided.", []string{"outcome"}, nil)
 	callsDescription = prometheus.NewDesc("indigobarrow_balancer_calls_total",
 		"Calls to the store and to peers by outcome.", []string{"to", "outcome"}, nil)
-	purposesDescription = prometheus.NewDesc("indigobarrow_balancer_store_calls_total",
+	storeCallsDescription = prometheus.NewDesc("indigobarrow_balancer_store_calls_total",
 		"Calls to the store by purpose.", []string{"purpose"}, nil)
 	eraDescription = prometheus.NewDesc("indigobarrow_balancer_store_era",
 		"How often the store came back from a copy, by its own count.", nil, nil)
 	ageDescription = prometheus.NewDesc("indigobarrow_balancer_knowledge_age_seconds",
 		"Time since the store confirmed what is known.", nil, nil)
-	silentDescription = prometheus.NewDesc("indigobarrow_balancer_silent_connections_total",
+	silentConnectionsDescription = prometheus.NewDesc("indigobarrow_balancer_silent_connections_total",
 		"Connections to other balancers that were given up since they had gone silent.", nil, nil)
 	versionDescription = prometheus.NewDesc("indigobarrow_balancer_configuration_version",
 		"Version of the configuration in force.", nil, nil)
-	statementsDescription = prometheus.NewDesc("indigobarrow_balancer_statements_lost_total",
+	lostObservationsDescription = prometheus.NewDesc("indigobarrow_balancer_statements_lost_total",
 		"Statements on back ends that were not passed on, by the bound that was reached.", []string{"bound"}, nil)
 	evacuatedDescription = prometheus.NewDesc("indigobarrow_balancer_zone_evacuated_revision",
 		"Revision of the order that evacuates a zone.", []string{"zone"}, nil)
-	asideDescription = prometheus.NewDesc("indigobarrow_balancer_stepped_aside_total",
+	withdrawalsDescription = prometheus.NewDesc("indigobarrow_balancer_stepped_aside_total",
 		"How often the balancer stepped aside, since it could not carry its share.", nil, nil)
 	refusalsDescription = prometheus.NewDesc("indigobarrow_balancer_refused_for_room_total",
 		"New flows refused for want of room.", []string{"pool", "urgency"}, nil)
-	refusedPartDescription = prometheus.NewDesc("indigobarrow_balancer_refused_part",
+	refusedFractionDescription = prometheus.NewDesc("indigobarrow_balancer_refused_part",
 		"Part of the new flows that is refused for want of room now.", []string{"pool", "urgency"}, nil)
-	refusedByDescription = prometheus.NewDesc("indigobarrow_balancer_refused_by_pressure",
+	refusalPressureDescription = prometheus.NewDesc("indigobarrow_balancer_refused_by_pressure",
 		"Requests that wait for each slot, by which flows are refused now.", []string{"pool"}, nil)
 	readyDescription = prometheus.NewDesc("indigobarrow_balancer_ready",
 		"1 while the balancer takes new flows.", nil, nil)
@@ -93,40 +93,40 @@
 	counter(faultyDescription, traffic.malformed.Load(), "malformed")
 	counter(faultyDescription, traffic.sendErrors.Load(), "not_sent")
 	counter(unreadableDescription, balancer.unreadableEntries.Load())
-	counter(flowsDescription, traffic.flows.Retried.Load(), "retried")
-	counter(flowsDescription, traffic.flows.Missed.Load(), "not_answered")
-	counter(flowsDescription, traffic.flows.Verdicts(), "backend_dead")
-	counter(flowsDescription, traffic.flows.Silenced(), "zone_silent")
+	counter(flowEventsDescription, traffic.flows.Retried.Load(), "retried")
+	counter(flowEventsDescription, traffic.flows.Missed.Load(), "not_answered")
+	counter(flowEventsDescription, traffic.flows.Verdicts(), "backend_dead")
+	counter(flowEventsDescription, traffic.flows.Silenced(), "zone_silent")
 	counter(earlyDescription, traffic.early.sent.Load(), "sent")
 	counter(earlyDescription, traffic.early.lost.Load(), "lost")
-	counter(statementsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
-	counter(statementsDescription, balancer.control.testimony.buffer.Dropped.Load(), "a_second")
+	counter(lostObservationsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
+	counter(lostObservationsDescription, balancer.control.testimony.buffer.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
 		answered += counts.answered.Load()
 		failed += counts.failed.Load()
-		counter(purposesDescription, counts.answered.Load()+counts.failed.Load(), purpose.String())
+		counter(storeCallsDescription, counts.answered.Load()+counts.failed.Load(), purpose.String())
 	}
 	counter(callsDescription, answered, "store", "answered")
 	counter(callsDescription, failed, "store", "failed")
 	counter(callsDescription, balancer.peerCalls.answered.Load(), "peer", "answered")
 	counter(callsDescription, balancer.peerCalls.failed.Load(), "peer", "failed")
-	counter(asideDescription, balancer.withdrawals.Load())
-	counter(silentDescription, balancer.control.client.GivenUp.Load()+balancer.control.testimony.client.GivenUp.Load())
+	counter(withdrawalsDescription, balancer.withdrawals.Load())
+	counter(silentConnectionsDescription, balancer.control.client.GivenUp.Load()+balancer.control.testimony.client.GivenUp.Load())
 	if confirmed := balancer.confirmedAt.Load(); confirmed > 0 {
 		gauge(eraDescription, float64(balancer.era.Load()))
 		gauge(ageDescription, (time.Since(balancer.started) - time.Duration(confirmed)).Seconds())
 	}
 	for kind, count := range traffic.refusals.snapshot() {
-		counter(refusalsDescription, count, kind.pool, urgencyLabel(kind.priority))
+		counter(refusalsDescription, count, kind.pool, priorityLabel(kind.priority))
 	}
 	told := make(map[string]bool)
 	for _, level := range traffic.flows.Levels().All() {
-		gauge(refusedPartDescription, level.Fraction, level.Pool, urgencyLabel(level.Priority))
+		gauge(refusedFractionDescription, level.Fraction, level.Pool, priorityLabel(level.Priority))
 		if !told[level.Pool] {
 			told[level.Pool] = true
-			gauge(refusedByDescription, level.Pressure.RequestsPerSlot, level.Pool)
+			gauge(refusalPressureDescription, level.Pressure.RequestsPerSlot, level.Pool)
 		}
 	}
 	if table := balancer.table.Load(); table != nil {
@@ -143,7 +143,7 @@
 	gauge(readyDescription, ready)
 }
 
-func urgencyLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
+func priorityLabel(urgency admission.Priority) string { return strconv.FormatUint(uint64(urgency), 10) }
 
 // serveMetrics serves the metrics if the settings give them an address.
 func (b *Balancer) serveMetrics(ctx context.Context) error {
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -22,17 +22,17 @@
 	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
 	table := tokenroute.NewTable(c.directory, tokenroute.Options{
-		Weight:         weights.backendWeight,
-		PlaceWeight:    weights.uniformWeight,
-		Evacuated:      evacuated,
-		Warmup:         c.newWarmupState(now).warmupFunc(),
-		FormerPools:    c.formerPools(now),
-		ZoneByWeight:   weights.zoneChosenByWeights,
-		AdmitAllPools:  now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		StoreRecovery:  c.lapse(),
-		EmptyPoolGrace: c.emptyPoolGrace(),
-		Previous:       c.balancer.table.Load(),
-		Now:            now,
+		WeightOf:         weights.backendWeight,
+		WeightOfPoolZone: weights.uniformWeight,
+		Evacuated:        evacuated,
+		WarmupOf:         c.newWarmupState(now).warmupFunc(),
+		FormerPools:      c.formerPools(now),
+		ZoneByWeight:     weights.zoneChosenByWeights,
+		AdmitAllPools:    now.Sub(c.firstRoutesAt) < c.flowRetention(),
+		StoreRecovery:    c.lapse(),
+		EmptyPoolGrace:   c.emptyPoolGrace(),
+		Previous:         c.balancer.table.Load(),
+		Now:              now,
 	})
 	if table == nil {
 		return
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -101,16 +101,16 @@
 // mailbox is looked at, so that nothing put into it meanwhile is left.
 func (t *traffic) handleWakeup() {
 	t.setWakeup(t.settleAt)
-	t.judgeBackends(time.Now())
+	t.evaluateBackends(time.Now())
 	t.setWakeup(t.settleAt)
 	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
 }
 
-// judgeBackends takes what other balancers saw, judges by it and by what has waited for an
+// evaluateBackends takes what other balancers saw, judges by it and by what has waited for an
 // answer, and tells the clients of back ends that are dead.
-func (t *traffic) judgeBackends(now time.Time) {
+func (t *traffic) evaluateBackends(now time.Time) {
 	table := t.balancer.table.Load()
 	if table != nil {
 		t.routeEarlyPackets(table, now)
@@ -120,12 +120,12 @@
 		t.flows.Receive(statement, table, now)
 	}
 	t.settleAt = t.flows.EvaluatePending(now)
-	t.reportVerdicts(table, now)
+	t.reportFailures(table, now)
 }
 
-// reportVerdicts resets the flows whose back ends were judged dead, and passes on what
+// reportFailures resets the flows whose back ends were judged dead, and passes on what
 // was seen.
-func (t *traffic) reportVerdicts(table *tokenroute.Table, now time.Time) {
+func (t *traffic) reportFailures(table *tokenroute.Table, now time.Time) {
 	for _, verdict := range t.flows.TakeVerdicts() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
 			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Local, "unanswered_elsewhere", verdict.Remote,
@@ -160,7 +160,7 @@
 		t.early.add(packet, datagram, now)
 	}
 	t.route(packet, datagram, table, now)
-	t.reportVerdicts(table, now)
+	t.reportFailures(table, now)
 	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
 		t.handleWakeup()
 	}
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -88,8 +88,8 @@
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for index, c := range f.controls {
 		evacuatedZones := c.evacuatedZones()
-		tables[index] = tokenroute.NewTable(c.directory, tokenroute.Options{Weight: c.weightFunc(evacuatedZones, f.now),
-			Evacuated: evacuatedZones, Warmup: c.newWarmupState(f.now).warmup, Now: f.now})
+		tables[index] = tokenroute.NewTable(c.directory, tokenroute.Options{WeightOf: c.weightFunc(evacuatedZones, f.now),
+			Evacuated: evacuatedZones, WarmupOf: c.newWarmupState(f.now).warmup, Now: f.now})
 	}
 	total := perSecond * int(coldPeriod/time.Second)
 	for number := range total {
--- a/internal/tokenroute/admission.go
+++ b/internal/tokenroute/admission.go
@@ -24,7 +24,7 @@
 	if chosen == nil {
 		return nil
 	}
-	level := levels.Match(chosen.name, route.urgency, key.Hash())
+	level := levels.Match(chosen.name, route.priority, key.Hash())
 	if level == nil {
 		return nil
 	}
--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -97,7 +97,7 @@
 	for _, byZone := range []bool{false, true} {
 		made := defaultOptions()
 		made.ZoneByWeight = func(pool string) bool { return byZone && pool == "lending" }
-		made.Weight = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
+		made.WeightOf = func(entry directory.BackendEntry) uint32 { return weigh(entry.GetZone()) }
 		table, flows := NewTable(known, made), NewFlows(mechanism.Set{}).InZone("maadi")
 		there := 0
 		for port := range 2200 {
@@ -217,7 +217,7 @@
 // What clients think before their first request is no way.
 func TestThinkingIsNoWay(t *testing.T) {
 	made := defaultOptions()
-	made.Weight = func(entry directory.BackendEntry) uint32 {
+	made.WeightOf = func(entry directory.BackendEntry) uint32 {
 		if entry.GetZone() == "maadi" {
 			return 1000
 		}
@@ -282,7 +282,7 @@
 		})
 		require.Len(t, compared, 4)
 		ahead := 0
-		of := first.zones[leader[0].RuleIndex]
+		of := first.poolZones[leader[0].RuleIndex]
 		for _, score := range of.rule.Score(key(port).Hash()) {
 			backend := of.eligible[score.Backend-1]
 			if ahead < 4 {
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -62,7 +62,7 @@
 	for place, group := range b.groups {
 		listed[group.Place] = true
 		known := b.previous.poolZones[group.Place]
-		if known != nil && known.version == group.Version && b.options.Warmup == nil {
+		if known != nil && known.version == group.Version && b.options.WarmupOf == nil {
 			found[place] = known.backends
 			continue
 		}
@@ -104,8 +104,8 @@
 // backend is the back end of an entry; known is that of the previous table, or nil.
 func (b *builder) backend(entry directory.BackendEntry, known *Backend) *Backend {
 	wanted := newBackend(entry)
-	if b.options.Warmup != nil {
-		wanted.Warmup = b.options.Warmup(entry)
+	if b.options.WarmupOf != nil {
+		wanted.Warmup = b.options.WarmupOf(entry)
 	}
 	if known != nil && *known == wanted {
 		return known
@@ -178,7 +178,7 @@
 }
 
 func (b *builder) route(configured *apiv1.ServiceRoute, former map[string]bool) *Route {
-	made := &Route{Name: configured.GetName(), urgency: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
+	made := &Route{Name: configured.GetName(), priority: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
 	for name := range former {
 		made.admittedPools[name] = true
 	}
@@ -222,8 +222,8 @@
 		if !ready {
 			joined = b.vanishedPoolZone(group, joined)
 		}
-		made.withheldByEvacuation = made.withheldByEvacuation || joined.withheldByEvacuation
-		made.zones = append(made.zones, joined)
+		made.withheld = made.withheld || joined.withheldByEvacuation
+		made.poolZones = append(made.poolZones, joined)
 		made.rules = append(made.rules, joined.rule)
 	}
 	return made
--- a/internal/tokenroute/fulllinks_test.go
+++ b/internal/tokenroute/fulllinks_test.go
@@ -47,7 +47,7 @@
 		for index := range l.flows {
 			l.ask(&l.flows[index], now)
 		}
-		for place := range l.balancers {
+		for place := range l.nodes {
 			l.settle(place, now)
 			l.exchange(place, now)
 		}
@@ -57,7 +57,7 @@
 // ask moves a flow on: f.nextAt is when its client sends next, f.answeredAt when the answer
 // comes.
 func (l *fullLinks) ask(f *simulatedFlow, now int) {
-	node := &l.balancers[f.balancer]
+	node := &l.nodes[f.balancer]
 	switch {
 	case f.waiting && f.answeredAt > 0 && now >= f.answeredAt:
 		node.flows.Decide(l.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
@@ -68,13 +68,13 @@
 		return
 	case !f.waiting:
 		f.requests++
-		f.sentAt, f.repeats, f.waiting = now, 0, true
+		f.sentAt, f.retransmits, f.waiting = now, 0, true
 	default:
-		f.repeats++
+		f.retransmits++
 	}
 	f.nextAt = never
-	if f.repeats < len(retransmitTimes) {
-		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
+	if f.retransmits < len(retransmitTimes) {
+		f.nextAt = f.sentAt + retransmitTimes[f.retransmits]
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
 	if node.flows.Decide(l.table, packet, at(now)).Verdict == Refuse {
@@ -103,7 +103,7 @@
 }
 
 func (l *fullLinks) settle(place, now int) {
-	node := &l.balancers[place]
+	node := &l.nodes[place]
 	node.flows.EvaluatePending(at(now))
 	for range node.flows.TakeAbandoned() {
 		l.count(place)
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -17,10 +17,10 @@
 // simulation are balancers of one zone in virtual time that follow each other in a tree
 // and pass on what they see, before back ends of which some fall silent at once.
 type simulation struct {
-	random    *rand.Rand
-	table     *Table
-	balancers []simulatedBalancer
-	flows     []simulatedFlow
+	random *rand.Rand
+	table  *Table
+	nodes  []simulatedBalancer
+	flows  []simulatedFlow
 	// failedAt is when the first `dead` back ends fell silent.
 	failed, failedAt int
 	// detectedAfter is when each balancer's resets told of a dead back end, by both.
@@ -51,14 +51,14 @@
 
 // simulatedFlow is a client's flow: it asks, repeats, and asks again after a pause.
 type simulatedFlow struct {
-	key      flow.Key
-	balancer int
-	backend  int
-	requests uint32
-	sentAt   int
-	repeats  int
-	nextAt   int
-	waiting  bool
+	key         flow.Key
+	balancer    int
+	backend     int
+	requests    uint32
+	sentAt      int
+	retransmits int
+	nextAt      int
+	waiting     bool
 	// answeredAt is when the answer comes, where that is known before; 0 is not.
 	answeredAt int
 }
@@ -95,7 +95,7 @@
 	made := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for place := range balancers {
-		made.balancers = append(made.balancers, simulatedBalancer{flows: NewFlows(off).InZone(home(place))})
+		made.nodes = append(made.nodes, simulatedBalancer{flows: NewFlows(off).InZone(home(place))})
 	}
 	for number := range backends * flows {
 		place := len(made.flows)
@@ -113,7 +113,7 @@
 		for index := range j.flows {
 			j.ask(&j.flows[index], now)
 		}
-		for place := range j.balancers {
+		for place := range j.nodes {
 			j.applyResets(place, now)
 			j.exchange(place, now)
 		}
@@ -128,29 +128,29 @@
 		return
 	case !f.waiting:
 		f.requests++
-		f.sentAt, f.repeats, f.waiting = now, 0, true
+		f.sentAt, f.retransmits, f.waiting = now, 0, true
 		if silent {
 			j.lost++
 		}
-	case !silent && f.repeats == 0:
+	case !silent && f.retransmits == 0:
 		// The answer to the request has come: it is acknowledged.
-		j.balancers[f.balancer].flows.Decide(j.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
+		j.nodes[f.balancer].flows.Decide(j.table, Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests,
 			Acknowledged: 5000*f.requests + 300}, at(now))
 		f.waiting, f.nextAt = false, now+1000+j.random.IntN(4000)
 		return
 	default:
-		f.repeats++
+		f.retransmits++
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
-	if j.balancers[f.balancer].flows.Decide(j.table, packet, at(now)).Verdict == Refuse {
+	if j.nodes[f.balancer].flows.Decide(j.table, packet, at(now)).Verdict == Refuse {
 		j.reset(f)
 		return
 	}
 	switch {
 	case !silent:
 		f.nextAt = now + 25
-	case f.repeats < len(retransmitTimes):
-		f.nextAt = f.sentAt + retransmitTimes[f.repeats]
+	case f.retransmits < len(retransmitTimes):
+		f.nextAt = f.sentAt + retransmitTimes[f.retransmits]
 	default:
 		j.reset(f)
 	}
@@ -161,7 +161,7 @@
 
 // applyResets carries out the verdicts of a balancer.
 func (j *simulation) applyResets(place, now int) {
-	node := &j.balancers[place]
+	node := &j.nodes[place]
 	node.flows.EvaluatePending(at(now))
 	for _, abandoned := range node.flows.TakeAbandoned() {
 		number := int(abandoned.Backend.Number) - 1
@@ -178,7 +178,7 @@
 
 // exchange takes what has arrived and passes on what is new, up and down.
 func (j *simulation) exchange(place, now int) {
-	node := &j.balancers[place]
+	node := &j.nodes[place]
 	kept := node.inbox[:0]
 	for _, each := range node.inbox {
 		if each.arrivesAt > now {
@@ -202,20 +202,20 @@
 	if place > 0 {
 		j.send(place, (place-1)/treeWidth, now)
 	}
-	for child := place*treeWidth + 1; child <= min(place*treeWidth+treeWidth, len(j.balancers)-1); child++ {
+	for child := place*treeWidth + 1; child <= min(place*treeWidth+treeWidth, len(j.nodes)-1); child++ {
 		j.send(place, child, now)
 	}
 	node.sentUpTo = node.board.LastSequence()
 }
 
 func (j *simulation) send(from, to, now int) {
-	statements := j.balancers[from].board.Since(j.balancers[from].sentUpTo, fmt.Sprint(to), at(now))
+	statements := j.nodes[from].board.Since(j.nodes[from].sentUpTo, fmt.Sprint(to), at(now))
 	if len(statements) > 0 {
 		arrivesAt := now + messageTime
 		if j.extraDelay != nil {
 			arrivesAt += j.extraDelay(from, now) + j.extraDelay(to, now)
 		}
-		j.balancers[to].inbox = append(j.balancers[to].inbox, message{from: fmt.Sprint(from), observations: statements, arrivesAt: arrivesAt})
+		j.nodes[to].inbox = append(j.nodes[to].inbox, message{from: fmt.Sprint(from), observations: statements, arrivesAt: arrivesAt})
 	}
 }
 
@@ -258,9 +258,9 @@
 func TestObservationsStayBoundedWhenThirdOfBackendsFails(t *testing.T) {
 	fleet := newSimulation(88, 150, 50, mechanism.Set{})
 	fleet.run(7000)
-	for place := range fleet.balancers {
-		require.Zero(t, fleet.balancers[place].board.Dropped.Load())
-		require.Less(t, int(fleet.balancers[place].board.LastSequence()), 600)
+	for place := range fleet.nodes {
+		require.Zero(t, fleet.nodes[place].board.Dropped.Load())
+		require.Less(t, int(fleet.nodes[place].board.LastSequence()), 600)
 	}
 	require.NotEmpty(t, fleet.detectionTimes())
 }
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -264,7 +264,7 @@
 				group.deliver(member, table, now)
 				member.flows.EvaluatePending(at(now))
 				require.Empty(t, member.flows.TakeAbandoned(), "at %d ms", now)
-				group.send(place, now, latest)
+				group.broadcast(place, now, latest)
 			}
 		}
 	})
@@ -305,7 +305,7 @@
 	}
 }
 
-func (g *balancerGroup) send(from, now, latest int) {
+func (g *balancerGroup) broadcast(from, now, latest int) {
 	for _, statement := range g.members[from].flows.TakeObservations() {
 		for place := range g.members {
 			if place != from {
--- a/internal/tokenroute/liveness_test.go
+++ b/internal/tokenroute/liveness_test.go
@@ -180,7 +180,7 @@
 // modelClient is a client of a back end that lives: it repeats a request until
 // the answer comes, and sends the next one a while later.
 type modelClient struct {
-	n, repeats       uint32
+	n, retransmits   uint32
 	sentAt, answerAt int
 	lossLeft         bool
 }
@@ -194,8 +194,8 @@
 	case c.n == 0 || now >= c.answerAt+think:
 		*c = modelClient{n: c.n + 1, sentAt: now, answerAt: never, lossLeft: true}
 		return true
-	case now < c.answerAt && int(c.repeats) < len(retransmitTimes) && now-c.sentAt >= retransmitTimes[c.repeats]:
-		c.repeats++
+	case now < c.answerAt && int(c.retransmits) < len(retransmitTimes) && now-c.sentAt >= retransmitTimes[c.retransmits]:
+		c.retransmits++
 		return true
 	}
 	return false
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -47,7 +47,7 @@
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
 	made := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
-		timeIndependent: b.options.Warmup == nil, backends: backends}
+		timeIndependent: b.options.WarmupOf == nil, backends: backends}
 	for place := range group.Entries {
 		entry, backend := &group.Entries[place], backends[place]
 		if entry.Restarted {
@@ -93,10 +93,10 @@
 // weight is the share of new flows that each back end of a place takes, where all take the
 // same.
 func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
-	if b.options.PlaceWeight == nil {
+	if b.options.WeightOfPoolZone == nil {
 		return 0, false
 	}
-	return b.options.PlaceWeight(place)
+	return b.options.WeightOfPoolZone(place)
 }
 
 // rule orders flows over some back ends of a group.
@@ -108,7 +108,7 @@
 			for group.Entries[next].GetId() != backend.ID {
 				next++
 			}
-			weight = b.options.Weight(group.Entries[next])
+			weight = b.options.WeightOf(group.Entries[next])
 		}
 		candidates[place] = rule.Candidate{Backend: uint32(place + 1), Weight: weight, Identity: backend.Number}
 	}
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -19,32 +19,32 @@
 // restartingBackend is a directory of three back ends of which the second one starts again under
 // its number.
 type restartingBackend struct {
-	directory *directory.Directory
-	revision  uint64
+	entries  *directory.Directory
+	revision uint64
 }
 
 func newRestartingBackend(startedAt int) *restartingBackend {
-	made := &restartingBackend{directory: directory.New(time.Minute), revision: 100}
+	made := &restartingBackend{entries: directory.New(time.Minute), revision: 100}
 	first := backend(2, 2, "lending")
 	first.GetBackend().StartedMilliseconds = startOf(startedAt)
 	table := routes(1, route(1, share("lending", 1)))
 	table.GetRoutes().IdleMilliseconds = 15_000
 	changes := []*apiv1.DirectoryChange{table, backend(2, 1, "lending"), first, backend(2, 3, "lending")}
-	made.directory.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: made.revision}, at(startedAt))
+	made.entries.Apply(&apiv1.DirectoryBatch{Changes: changes, Revision: made.revision}, at(startedAt))
 	return made
 }
 
 // startOf is the start of a back end at a time, as its entry tells it.
 func startOf(milliseconds int) uint64 { return uint64(at(milliseconds).UnixMilli()) }
 
-func (r *restartingBackend) table() *Table { return NewTable(r.directory, defaultOptions()) }
+func (r *restartingBackend) table() *Table { return NewTable(r.entries, defaultOptions()) }
 
 // restart lets the directory learn that the second back end has started again.
 func (r *restartingBackend) restart(startedAt, learnedAt int) *Table {
 	r.revision++
 	again := backend(r.revision, 2, "lending")
 	again.GetBackend().StartedMilliseconds = startOf(startedAt)
-	r.directory.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{again}, Revision: r.revision}, at(learnedAt))
+	r.entries.Apply(&apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{again}, Revision: r.revision}, at(learnedAt))
 	return r.table()
 }
 
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -86,29 +86,29 @@
 	// those of any pool.
 	admittedPools map[string]bool
 	admitAllPools bool
-	// urgency is that of the route's requests.
-	urgency admission.Priority
+	// priority is that of the route's requests.
+	priority admission.Priority
 }
 
 // pool is the back ends of one pool that may take new flows.
 type pool struct {
 	name string
-	// zones are those of its zones, and rules theirs, in the same order.
-	zones []*poolZone
-	rules []*rule.Rule
-	// withheldByEvacuation is set when some back end takes no new flows only because its zone
+	// poolZones are those of its zones, and rules theirs, in the same order.
+	poolZones []*poolZone
+	rules     []*rule.Rule
+	// withheld is set when some back end takes no new flows only because its zone
 	// is evacuated.
-	withheldByEvacuation bool
+	withheld bool
 	// zoneByWeight is set when the weights alone choose the zone.
 	zoneByWeight bool
 }
 
 // Options are what a table depends on besides the directory.
 type Options struct {
-	Weight WeightFunc
-	// PlaceWeight gives the share that each back end of a place takes, where all take the
+	WeightOf WeightFunc
+	// WeightOfPoolZone gives the share that each back end of a place takes, where all take the
 	// same, and tells whether they do. Nil asks Weigh for each.
-	PlaceWeight func(place directory.Place) (weight uint32, uniform bool)
+	WeightOfPoolZone func(place directory.Place) (weight uint32, uniform bool)
 	// FormerPools are the pools that a route had before, by the route's address;
 	// their open flows stay where they are.
 	FormerPools map[flow.Address]map[string]bool
@@ -119,8 +119,8 @@
 	// Evacuated are the zones whose back ends get no new flows, with the revision
 	// of the operator's order.
 	Evacuated map[string]uint64
-	// Warmup tells how cold a back end is; nil takes all for warm.
-	Warmup func(backend directory.BackendEntry) Warmup
+	// WarmupOf tells how cold a back end is; nil takes all for warm.
+	WarmupOf func(backend directory.BackendEntry) Warmup
 	// StoreRecovery is the time after an outage of the store in which entries that lapsed
 	// meanwhile may come back.
 	StoreRecovery StoreRecovery
@@ -267,7 +267,7 @@
 // the zone of the first one.
 func (p *pool) topCandidates(hash uint64, found []rule.RankedCandidate, except func(*Backend) bool) int {
 	count := rule.TopCandidates(p.rules, hash, found, func(place int, candidate uint32) bool {
-		return except(p.zones[place].eligible[candidate-1])
+		return except(p.poolZones[place].eligible[candidate-1])
 	})
 	if !p.zoneByWeight || count < 2 {
 		return count
@@ -278,7 +278,7 @@
 		return count
 	}
 	count = rule.TopCandidates(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
-		return except(p.zones[zone].eligible[candidate-1])
+		return except(p.poolZones[zone].eligible[candidate-1])
 	})
 	for place := range found[:count] {
 		found[place].RuleIndex = zone
@@ -288,7 +288,7 @@
 
 // backend is the back end of a leader.
 func (p *pool) backend(leader rule.RankedCandidate) *Backend {
-	return p.zones[leader.RuleIndex].eligible[leader.Backend-1]
+	return p.poolZones[leader.RuleIndex].eligible[leader.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil.
@@ -303,7 +303,7 @@
 // Accepts tells whether a back end still takes new flows of the route.
 func (r *Route) Accepts(backend *Backend) bool {
 	for _, each := range r.pools {
-		for _, part := range each.zones {
+		for _, part := range each.poolZones {
 			if part.accepts(backend) {
 				return true
 			}
@@ -320,7 +320,7 @@
 		return ReasonNoBackend
 	case chosen.acceptsAny(hash):
 		return ReasonCold
-	case chosen.withheldByEvacuation:
+	case chosen.withheld:
 		return ReasonEvacuated
 	}
 	return ReasonNoBackend
--- a/internal/tokenroute/takeover_test.go
+++ b/internal/tokenroute/takeover_test.go
@@ -73,8 +73,8 @@
 				return rule.MaximumWeight
 			}
 			uneven := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			made.PlaceWeight = func(place directory.Place) (uint32, bool) { return of(place), !uneven }
-			made.Weight = func(entry directory.BackendEntry) uint32 {
+			made.WeightOfPoolZone = func(place directory.Place) (uint32, bool) { return of(place), !uneven }
+			made.WeightOf = func(entry directory.BackendEntry) uint32 {
 				if uneven && entry.GetNumber()%2 == 0 {
 					return 500
 				}
@@ -105,7 +105,7 @@
 	}
 	all := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
 	made := defaultOptions()
-	made.PlaceWeight = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
+	made.WeightOfPoolZone = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
 	before := NewTable(all, made)
 	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
--- a/internal/tokenroute/tokenroute_test.go
+++ b/internal/tokenroute/tokenroute_test.go
@@ -57,7 +57,7 @@
 func equalWeight(directory.BackendEntry) uint32 { return rule.MaximumWeight }
 
 func defaultOptions() Options {
-	return Options{Weight: equalWeight, EmptyPoolGrace: 1500 * time.Millisecond, Now: start}
+	return Options{WeightOf: equalWeight, EmptyPoolGrace: 1500 * time.Millisecond, Now: start}
 }
 
 func key(port int) flow.Key {
--- a/internal/tokenroute/warming_test.go
+++ b/internal/tokenroute/warming_test.go
@@ -77,7 +77,7 @@
 // coldZone takes the back ends of a zone for cold until a time.
 func coldZone(zone string, until time.Time, allowance int, rated bool) Options {
 	made := defaultOptions()
-	made.Warmup = func(backend directory.BackendEntry) Warmup {
+	made.WarmupOf = func(backend directory.BackendEntry) Warmup {
 		if backend.GetZone() != zone {
 			return Warmup{}
 		}
