--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -57,7 +57,7 @@
 	backend        *tokenroute.Backend
 	requests       int
 	responseLength uint32
-	shed           bool
+	rejected       bool
 }
 
 // burstFleet simulates balancers in front of the back ends of one pool, in virtual time. Weight
@@ -81,10 +81,10 @@
 	servedLength, errorLength uint32
 	// aggregateDelay is the age of the aggregate of all balancers.
 	aggregateDelay time.Duration
-	// shedRequests and refusedFlows count rejected requests and refused flows by second, and
+	// rejectedRequests and refusedFlows count rejected requests and refused flows by second, and
 	// unhealthyCounts counts, for each back end, the intervals in which it counted as unhealthy.
-	shedRequests, refusedFlows map[int]int
-	unhealthyCounts            map[uint64]int
+	rejectedRequests, refusedFlows map[int]int
+	unhealthyCounts                map[uint64]int
 }
 
 type burstNode struct {
@@ -99,7 +99,7 @@
 func newBurstFleet(seed uint64, servedLength, errorLength uint32) *burstFleet {
 	fleet := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, replica: directory.New(time.Minute),
 		servedLength: servedLength, errorLength: errorLength, flowShares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
-		shedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
+		rejectedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
 	batch := routesBatch(5)
 	pools := []*apiv1.PoolShare{{Pool: "desk", Weight: 1000}}
 	batch.Changes[0].GetRoutes().Routes = []*apiv1.ServiceRoute{
@@ -201,8 +201,8 @@
 
 // startRequest runs a request at a back end, or rejects it.
 func (b *burstFleet) startRequest(client *burstClient, backend *queueingBackend) {
-	client.shed = backend.inFlight >= burstSlots+burstQueue
-	if client.shed || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
+	client.rejected = backend.inFlight >= burstSlots+burstQueue
+	if client.rejected || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
 		client.responseLength, client.responseAt = b.errorLength, b.now.Add(time.Millisecond)
 		backend.inFlight++
 		return
@@ -228,16 +228,16 @@
 	client.packet.Length, client.responseAt = 0, time.Time{}
 	b.decide(client)
 	client.nextAt = b.now.Add(60 * time.Millisecond)
-	if client.shed {
-		b.shedRequests[b.second()]++
+	if client.rejected {
+		b.rejectedRequests[b.second()]++
 	}
-	if client.endsAt.IsZero() && client.requests < 12 && !client.shed {
+	if client.endsAt.IsZero() && client.requests < 12 && !client.rejected {
 		return
 	}
 	client.packet.Closing = true
 	b.decide(client)
 	client.packet.Closing, client.backend = false, nil
-	if !client.endsAt.IsZero() && !client.shed {
+	if !client.endsAt.IsZero() && !client.rejected {
 		client.nextAt = b.now
 	}
 }
@@ -321,8 +321,8 @@
 					fleet.burst(2 * time.Second)
 					fleet.run(22 * time.Second)
 					require.Empty(t, fleet.unhealthyCounts, "shares %d, seed %d", index, seed)
-					require.Positive(t, sumBetween(fleet.shedRequests, 8, 10))
-					require.Zero(t, sumBetween(fleet.shedRequests, 12, 30), "2 s after the burst all requests are served as before")
+					require.Positive(t, sumBetween(fleet.rejectedRequests, 8, 10))
+					require.Zero(t, sumBetween(fleet.rejectedRequests, 12, 30), "2 s after the burst all requests are served as before")
 				}
 			}
 		})
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -157,7 +157,7 @@
 	parent, _ := newParentAndFollower(t, now)
 	poolZone := lendingPoolZone("maadi")
 	parent.demand.capacity.slots = map[demand.PoolZone]float64{poolZone: 10}
-	tell := func(waiting float64) (sent int) {
+	countSent := func(waiting float64) (sent int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
 			parent.demand.tree.SetOwn(demandOf("maadi", 10, waiting, now), demand.Position{})
 			call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
@@ -170,8 +170,8 @@
 		}
 		return sent
 	}
-	require.InDelta(t, 10, tell(1), 1)
-	require.InDelta(t, 11, tell(8), 1, "one more, since the pressure has changed")
+	require.InDelta(t, 10, countSent(1), 1)
+	require.InDelta(t, 11, countSent(8), 1, "one more, since the pressure has changed")
 
 	send := func(address string) *apiv1.DemandReport { return parent.totalDemandFor(address, now) }
 	one, other := send("10.0.0.8:1"), send("10.0.0.9:1")
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -32,7 +32,7 @@
 // followers, with each balancer adding its own to those of its followers, and the merged findings
 // of all are passed back down.
 type findings struct {
-	own       map[incarnation.ID]observe.Finding
+	local     map[incarnation.ID]observe.Finding
 	followers map[string]findingsReport
 	// parent holds the merged findings of all balancers as reported by the parent. They include
 	// those of this balancer.
@@ -62,8 +62,8 @@
 
 // subtree returns the merged findings of this balancer and its followers.
 func (f *findings) subtree(now time.Time) map[incarnation.ID]observe.Finding {
-	joined := make(map[incarnation.ID]observe.Finding, len(f.own))
-	for backend, finding := range f.own {
+	joined := make(map[incarnation.ID]observe.Finding, len(f.local))
+	for backend, finding := range f.local {
 		joined[backend] = finding
 	}
 	for _, report := range f.followers {
