--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -27,7 +27,7 @@
 }
 
 func newAdmissionState() admissionState {
-	return admissionState{controller: admission.NewController(), pressureEstimator: pressureEstimator{smoothedWaiting: newSmoothedWaiting()}, saturatedUntil: make(map[string]time.Time)}
+	return admissionState{controller: admission.NewController(), pressureEstimator: pressureEstimator{smoothedInFlight: newSmoothedInFlight()}, saturatedUntil: make(map[string]time.Time)}
 }
 
 // updateRoutes collects each pool's priorities from the routes in force.
@@ -71,7 +71,7 @@
 	c.gate.pressureEstimator.addSummary(summary)
 	aggregate := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	c.balancer.traffic.flows.Saturate(c.gate.saturatedPools(zone, aggregate, now))
+	c.balancer.traffic.flows.SetSaturatedPools(c.gate.saturatedPools(zone, aggregate, now))
 	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
 	}
@@ -84,7 +84,7 @@
 	}
 	refusals := c.gate.controller.Update(demands, now)
 	c.logOverloadChanges(refusals, aggregate, now)
-	c.balancer.traffic.flows.Admit(refusals)
+	c.balancer.traffic.flows.SetRefusals(refusals)
 }
 
 // logOverloadChanges logs which pools have become overloaded and which have recovered.
@@ -97,7 +97,7 @@
 			c.balancer.logger.Warn("Control: pool is short of room.", "pool", refusal.Pool, "urgency", uint64(refusal.Priority),
 				"refused_part", rounded(refusal.Fraction), "pressure", rounded(refusal.Pressure.RequestsPerSlot),
 				"pressure_age", refusal.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
-				"waiting_here", rounded(c.gate.pressureEstimator.waiting[refusal.Pool]),
+				"waiting_here", rounded(c.gate.pressureEstimator.inFlight[refusal.Pool]),
 				"zone_part", rounded(zoneRequestFraction(demand.Pool(refusal.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
 		}
 		overloaded[refusal.Pool] = true
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -112,7 +112,7 @@
 	}
 	fleet.replica.Apply(batch, fleet.now)
 	for index := range fleet.nodes {
-		fleet.nodes[index] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).InZone("maadi"), admissionState: newAdmissionState()}
+		fleet.nodes[index] = burstNode{flows: tokenroute.NewFlows(mechanism.Set{}).WithZone("maadi"), admissionState: newAdmissionState()}
 		fleet.nodes[index].admissionState.updateRoutes(fleet.replica.Routes())
 	}
 	for range steadyClients {
@@ -280,13 +280,13 @@
 
 // update applies the aggregate of all balancers.
 func (n *burstNode) update(aggregate *demand.Aggregate, now time.Time) {
-	n.flows.Saturate(n.admissionState.saturatedPools("maadi", aggregate, now))
+	n.flows.SetSaturatedPools(n.admissionState.saturatedPools("maadi", aggregate, now))
 	var demands []admission.PoolState
 	for pool := range aggregate.PoolZones() {
 		demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: n.admissionState.priorities[string(pool)],
 			Pressure: n.admissionState.pressureEstimator.estimate(pool, "maadi", aggregate, zoneCounts{"maadi": burstBalancers})})
 	}
-	n.flows.Admit(n.admissionState.controller.Update(demands, now))
+	n.flows.SetRefusals(n.admissionState.controller.Update(demands, now))
 }
 
 // second returns the current second of the simulation.
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -96,7 +96,7 @@
 	request := &apiv1.FollowRequest{
 		From:            settings.GetName(),
 		FromAddress:     settings.GetPeerAddress(),
-		After:           c.directory.Revision(),
+		After:           c.replica.Revision(),
 		AgeMilliseconds: uint32(age.Milliseconds()),
 	}
 	request.Everything = peer.Everything
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -27,7 +27,7 @@
 	pools map[string]*poolCapacity
 	// counts holds the last counts of each group. Groups that have not changed are not counted
 	// again.
-	counts map[directory.Place]groupCount
+	counts map[directory.PoolZone]groupCount
 	// cold holds the back ends that do not count as capacity yet, and nextCheckAt is when the first
 	// of them may; zero means never.
 	cold        []coldBackend
@@ -73,22 +73,22 @@
 		slots:    make(map[demand.PoolZone]float64),
 		backends: make(map[demand.PoolZone]int),
 		pools:    make(map[string]*poolCapacity),
-		counts:   make(map[directory.Place]groupCount, len(counts)),
+		counts:   make(map[directory.PoolZone]groupCount, len(counts)),
 	}
 	warmup := c.newWarmupState(now)
 	c.computeHealthLimits(evacuated, warmup, now)
 	localZone := c.balancer.settings.Load().GetZone()
-	for _, group := range c.directory.Groups() {
+	for _, group := range c.replica.BackendGroups() {
 		if _, isEvacuated := evacuated[group.Zone]; isEvacuated {
 			continue
 		}
-		count := counts[group.Place]
+		count := counts[group.PoolZone]
 		if count.version != group.Version {
 			count = countGroup(group)
 		}
-		result.counts[group.Place] = count
-		result.addCount(group.Place, count, localZone)
-		poolZone := poolZoneOf(group.Place)
+		result.counts[group.PoolZone] = count
+		result.addCount(group.PoolZone, count, localZone)
+		poolZone := poolZoneOf(group.PoolZone)
 		if warmup.limited() || len(c.observed.unhealthy) > 0 {
 			result.addBackends(group, poolZone, warmup, &c.observed, now)
 		} else if count.backends > 0 {
@@ -106,7 +106,7 @@
 	slots    float64
 }
 
-func countGroup(group *directory.Group) groupCount {
+func countGroup(group *directory.BackendGroup) groupCount {
 	count := groupCount{version: group.Version}
 	for _, backend := range group.Entries {
 		if !backend.Gone && !backend.GetDraining() {
@@ -118,7 +118,7 @@
 }
 
 // addBackends adds the slots of a group whose back ends differ in warm-up or health.
-func (c *capacity) addBackends(group *directory.Group, poolZone demand.PoolZone, warmup *warmupState, inputs *weightInputs, now time.Time) {
+func (c *capacity) addBackends(group *directory.BackendGroup, poolZone demand.PoolZone, warmup *warmupState, inputs *weightInputs, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
@@ -138,7 +138,7 @@
 }
 
 // addCount adds the back ends of a group that may take new flows.
-func (c *capacity) addCount(poolZone directory.Place, count groupCount, localZone string) {
+func (c *capacity) addCount(poolZone directory.PoolZone, count groupCount, localZone string) {
 	if count.backends == 0 {
 		return
 	}
--- a/internal/balancer/capacity_test.go
+++ b/internal/balancer/capacity_test.go
@@ -32,7 +32,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%10), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 	return control
 }
 
--- a/internal/balancer/clientfor_test.go
+++ b/internal/balancer/clientfor_test.go
@@ -10,7 +10,7 @@
 
 // A balancer that knows nothing dials as long as its core says, which is short at
 // first, and not as a client does by itself.
-func TestClientDialsAsLongAsTheCoreSays(t *testing.T) {
+func TestClientUsesTheDialTimeoutOfTheCore(t *testing.T) {
 	control := newTestControl()
 	peer := replication.Peer{Address: "10.0.0.2:8166", Purpose: replication.PurposeAsk}
 	first := control.clientFor(peer)
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -47,7 +47,7 @@
 // control is the state of the control goroutine.
 type control struct {
 	balancer   *Balancer
-	directory  *directory.Directory
+	replica    *directory.Directory
 	core       *replication.Core
 	client     *replication.Client
 	packer     replication.Packer
@@ -68,7 +68,7 @@
 	waitingCalls    []*followCall
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
-	polling         bool
+	pollInFlight    bool
 	// pendingWrite is what is being written to the store about balancers, and pendingWriteEra the store's
 	// era, as far as was known, when that began.
 	pendingWrite    replication.Write
@@ -79,7 +79,7 @@
 	// poolLastUse are the pools that addresses had, and when they last had them.
 	poolLastUse     map[flow.Address]map[string]time.Time
 	firstRoutesAt   time.Time
-	rebuild         bool
+	rebuildNeeded   bool
 	nextTableChange time.Time
 	// nextBuild spaces the building of tables by what the last one took.
 	nextBuild         time.Time
@@ -92,8 +92,8 @@
 	settings := balancer.settings.Load()
 	retention := seconds(settings.GetFlowSeconds())
 	made := &control{
-		balancer:  balancer,
-		directory: directory.New(retention),
+		balancer: balancer,
+		replica:  directory.New(retention),
 		core: replication.NewCore(replication.Config{
 			Self:      balancer.ownEntry(),
 			Pace:      paceOf(settings),
@@ -181,10 +181,10 @@
 	c.sendDemandReport(ctx, now)
 	c.answerWaiting(now)
 	c.updateWithdrawal(now)
-	if c.directory.Expire(now) || c.updateShares(now) {
-		c.rebuild = true
+	if c.replica.Expire(now) || c.updateShares(now) {
+		c.rebuildNeeded = true
 	}
-	due := c.rebuild || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
+	due := c.rebuildNeeded || !c.nextTableChange.IsZero() && now.After(c.nextTableChange)
 	if !due || now.Before(c.nextBuild) {
 		return
 	}
@@ -227,18 +227,18 @@
 }
 
 func (c *control) startPoll(ctx context.Context, now time.Time) {
-	if c.polling {
+	if c.pollInFlight {
 		return
 	}
 	kind := c.core.NextPoll(now)
 	if kind == replication.PollNone {
 		return
 	}
-	c.polling = true
+	c.pollInFlight = true
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.Reader())
 	_, knows := c.core.Age(now)
-	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.directory.Revision(), now)
+	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
 		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).Poll)
 		go c.checkOperatorEntries(ctx)
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -51,7 +51,7 @@
 
 // A peer that knows nothing answers with an age beyond all bounds and no
 // revision. It confirms nothing, so the store is asked eagerly as before.
-func TestPeerThatKnowsNothingConfirmsNothing(t *testing.T) {
+func TestPeerWithoutKnowledgeDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{
@@ -62,7 +62,7 @@
 	require.False(t, known)
 }
 
-func TestPartOfTheStoreConfirmsNothing(t *testing.T) {
+func TestPartialSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	part := routesBatch(5)
@@ -76,12 +76,12 @@
 
 // An old copy of the store names everybody, but routes and back ends may have
 // changed since. They serve once a peer or the store has brought the changes.
-func TestOldCopyOfTheStoreConfirmsNothing(t *testing.T) {
+func TestStaleSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
 		AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Equal(t, uint64(5), control.directory.Revision())
+	require.Equal(t, uint64(5), control.replica.Revision())
 	control.rebuildTable(now)
 	require.Nil(t, control.balancer.table.Load())
 	reply := control.followOnce(0, now, now.Add(-time.Minute))
@@ -99,7 +99,7 @@
 //
 // Evidence: an answer that may be seconds old tells the store's era as of now, so that nothing in it
 // says that its revision was given in the one before.
-func TestOldCopyOfWhatTheStoreHasLostHidesNothing(t *testing.T) {
+func TestStaleSnapshotOfLostWritesHidesNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollOld),
@@ -108,15 +108,15 @@
 	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Batch: holds, AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Equal(t, uint64(63), control.directory.Revision())
-	require.Equal(t, uint64(63), control.directory.Routes().GetVersion())
-	require.Len(t, control.directory.Backends(), 1)
-	require.False(t, control.directory.Backends()[0].Gone)
+	require.Equal(t, uint64(63), control.replica.Revision())
+	require.Equal(t, uint64(63), control.replica.Routes().GetVersion())
+	require.Len(t, control.replica.Backends(), 1)
+	require.False(t, control.replica.Backends()[0].Gone)
 }
 
 // A back end that had gone when a balancer started is known to it from the old copy, so that open
 // flows find it: the copy is older than what holds, and is kept.
-func TestOldCopyIsKeptBesideWhatHolds(t *testing.T) {
+func TestStaleSnapshotIsKeptBesideCurrentState(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	old := routesBatch(5)
@@ -124,13 +124,13 @@
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
 	control.handleNews(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollOld), AsOfNanoseconds: control.sinceStart(now)}, now)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.Len(t, control.directory.Backends(), 1)
-	require.True(t, control.directory.Backends()[0].Gone)
+	require.Len(t, control.replica.Backends(), 1)
+	require.True(t, control.replica.Backends()[0].Gone)
 }
 
 // An answer of an era that the store has left confirms nothing, and a write that was under way as it
 // was left counts as failed.
-func TestLateAnswerOfAnEarlierEraConfirmsNothing(t *testing.T) {
+func TestLateAnswerOfEarlierEraDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	later, err := revision.Join(1, 3)
@@ -144,7 +144,7 @@
 	age, known := control.core.Age(now)
 	require.True(t, known)
 	require.Equal(t, 2*time.Second, age)
-	require.Equal(t, uint64(6), control.directory.Routes().GetVersion())
+	require.Equal(t, uint64(6), control.replica.Routes().GetVersion())
 
 	entry := &apiv1.Balancer{Name: "edge-9", Zone: "maadi", PeerAddress: "10.0.0.9:8166"}
 	control.pendingWrite = replication.Write{Put: []*apiv1.Balancer{entry}}
@@ -154,7 +154,7 @@
 }
 
 // The reader removes the entry that it knows, and no later one.
-func TestEntriesAreRemovedAtTheRevisionsThatAreKnown(t *testing.T) {
+func TestEntriesAreRemovedAtKnownRevisions(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	entry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:8166"}
@@ -172,14 +172,14 @@
 	require.Equal(t, storeStandIn, purposeOf(replication.PollCatchUp, true, false))
 }
 
-func TestFailedCallsLeaveWhatIsKnown(t *testing.T) {
+func TestFailedCallsKeepTheDirectory(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
 	control.handleNews(&apiv1.DirectoryNews{Error: "status 503"}, now)
 	control.handleNews(&apiv1.DirectoryNews{Peer: "10.0.0.2:8166", Error: "connection refused"}, now)
 	control.handleNews(&apiv1.DirectoryNews{HistoryLost: true, Error: "gone"}, now)
-	require.Equal(t, uint64(5), control.directory.Routes().GetVersion())
+	require.Equal(t, uint64(5), control.replica.Routes().GetVersion())
 }
 
 // followOnce puts a follower's call to the control state and returns its answer, or
@@ -207,7 +207,7 @@
 	require.Nil(t, control.followOnce(5, now, now), "nothing new")
 }
 
-func TestFollowersWaitInBoundedNumber(t *testing.T) {
+func TestWaitingFollowersAreBounded(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	for range maxWaitingFollowers + 10 {
@@ -218,7 +218,7 @@
 
 // At a start of everything, all that is known goes out to as many at a time as a
 // link takes. The others wait, and those that ask for less do not.
-func TestCompleteAnswersGoOutInTurn(t *testing.T) {
+func TestFullRepliesAreRateLimited(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -262,11 +262,11 @@
 			Entry: &apiv1.DirectoryChange_Backend{Backend: &apiv1.PoolBackend{
 				Id: fmt.Sprintf("%s-%s-%d", pool, zone, place), Pool: pool, Zone: zone, Address: 1, Port: 80}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 }
 
 // With one back end in the zone, every retry would meet it again after it died.
-func TestFewBackendsInTheZoneShareWithTheOthers(t *testing.T) {
+func TestFewBackendsInTheZoneShareFlowsWithOtherZones(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.firstRoutesAt = now.Add(-time.Hour)
@@ -277,7 +277,7 @@
 
 // The table turns back to its zone without news, and open flows keep the pools
 // that their route had for the life of a flow.
-func TestTableTurnsWithoutNews(t *testing.T) {
+func TestTableChangesWithoutNews(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -304,7 +304,7 @@
 // A machine that stood still while it built a table builds the next one soon all the
 // same: knowledge may be as old as the standbys' last turn lets it grow, and the
 // pause and a build that takes as long come on top.
-func TestNextTableComesInTimeHoweverLongOneTook(t *testing.T) {
+func TestSlowBuildDoesNotDelayTheNextTable(t *testing.T) {
 	for _, configuration := range []string{"300", "3000", "6000", "60000"} {
 		loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1",
 			"configuration_milliseconds": configuration, "drain_milliseconds": configuration})
@@ -318,7 +318,7 @@
 	}
 }
 
-func TestReloadTakesAllOrNothing(t *testing.T) {
+func TestReloadAppliesAllOrNothing(t *testing.T) {
 	control := newTestControl()
 	balancer := control.balancer
 	level := new(slog.LevelVar)
@@ -341,25 +341,25 @@
 		Revision: revision, Entry: &apiv1.DirectoryChange_Policy{Policy: &apiv1.Policy{Name: name, Weight: weight}}}}}
 }
 
-func TestPoliciesDecideTheSpread(t *testing.T) {
+func TestPoliciesSetTheWeights(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
 	lending := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-1", Pool: "lending", Zone: "maadi", Capacity: 4}}
 	covers := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-2", Pool: "covers", Zone: "maadi", Draining: true}}
-	control.directory.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
+	control.replica.Apply(policyBatch(1, "lending", "capacity / 8.0"), now)
 	require.Equal(t, uint32(rule.MaximumWeight/2), control.weightFunc(nil, now)(lending))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(covers), "no policy of its own")
-	control.directory.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
+	control.replica.Apply(policyBatch(2, "default", "local ? 0.25 : 1.0"), now)
 	require.Zero(t, control.weightFunc(nil, now)(covers), "the default policy's leaving")
-	control.directory.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
+	control.replica.Apply(policyBatch(3, "lending", "1.0 / (capacity - 4.0)"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending), "a program that fails is passed over")
-	control.directory.Apply(policyBatch(4, "lending", "not a program"), now)
+	control.replica.Apply(policyBatch(4, "lending", "not a program"), now)
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(lending))
 }
 
 // A read of the operators' orders that shows others than are known makes the next read
 // of a large store a whole one; nothing but the table of routes is taken from it.
-func TestOrdersChangedUnseenAreReadWhole(t *testing.T) {
+func TestMissedOperatorOrderTriggersFullRead(t *testing.T) {
 	c := newTestControl()
 	now := time.Now()
 	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
@@ -373,7 +373,7 @@
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
 	check.Changes = append(check.Changes, order)
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Batch: check}, now)
-	require.Equal(t, uint64(6), c.directory.Routes().GetVersion())
+	require.Equal(t, uint64(6), c.replica.Routes().GetVersion())
 	require.Empty(t, c.evacuatedZones())
 	require.Equal(t, replication.PollSnapshot, c.core.NextPoll(now))
 	c.handleNews(&apiv1.DirectoryNews{Check: true, Error: "no answer"}, now)
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -74,7 +74,7 @@
 	if decision.Reason == tokenroute.ReasonEvacuated {
 		attributes = append(attributes, slog.Any("evacuated", table.Evacuated))
 	}
-	if refused := decision.Level; refused != nil {
+	if refused := decision.Refusal; refused != nil {
 		attributes = append(attributes, slog.String("pool", refused.Pool), slog.Uint64("urgency", uint64(refused.Priority)),
 			slog.Float64("refused_part", rounded(refused.Fraction)), slog.Float64("pressure", rounded(refused.Pressure.RequestsPerSlot)),
 			slog.Duration("pressure_age", refused.Pressure.Age(now).Round(time.Millisecond)))
@@ -97,7 +97,7 @@
 		return "Traffic: flow refused.", lineFailure
 	case decision.Verdict == tokenroute.Drop:
 		return "Traffic: packet dropped.", lineFailure
-	case decision.Reason == tokenroute.ReasonKept:
+	case decision.Reason == tokenroute.ReasonOpenedElsewhere:
 		return "Traffic: flow kept with its opener.", lineFailure
 	case packet.First:
 		return "Traffic: flow sent to a back end.", lineOpening
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -16,7 +16,7 @@
 
 // On a day with 16781 lines, none told of a request that a balancer had refused:
 // beyond a number of lines a second they were dropped whatever they told.
-func TestPassingRequestsPushOutNoOtherLine(t *testing.T) {
+func TestPassingRequestsDoNotDisplaceOtherLines(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
@@ -47,13 +47,13 @@
 
 // A flow that was refused for want of room names what it was refused by, and many of them
 // push out no line of another failure.
-func TestRefusalsForWantOfRoomAreExplained(t *testing.T) {
+func TestCapacityRefusalsAreLoggedWithTheirCause(t *testing.T) {
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
 	level := &admission.Refusal{Pool: "lending", Priority: 2, Fraction: 0.75,
 		Pressure: admission.Pressure{RequestsPerSlot: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
-	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Level: level}
+	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Refusal: level}
 	for range 1000 {
 		log.record(tokenroute.Packet{First: true}, nil, refused, nil, now)
 	}
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -23,7 +23,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-func earlyRequest(client byte, sequence uint32) tokenroute.Packet {
+func newTestPacket(client byte, sequence uint32) tokenroute.Packet {
 	return tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, client}}, Sequence: sequence, Length: 1}
 }
 
@@ -31,7 +31,7 @@
 	var kept earlyBuffer
 	now := time.Now()
 	for sequence := range uint32(maxEarlyPackets + 3) {
-		kept.add(earlyRequest(1, sequence), []byte{1}, now)
+		kept.add(newTestPacket(1, sequence), []byte{1}, now)
 	}
 	require.EqualValues(t, 3, kept.lost.Load())
 	taken := kept.take(now.Add(maxEarlyAge - 1))
@@ -42,13 +42,13 @@
 }
 
 // The copy of a first packet comes after 200 ms, and may open the flow elsewhere.
-func TestEarlyFirstPacketsWaitForTheirCopyOnly(t *testing.T) {
+func TestEarlyOpenersExpireBeforeTheirRetransmission(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
-	first := earlyRequest(1, 1)
+	first := newTestPacket(1, 1)
 	first.First, first.Length = true, 0
 	kept.add(first, []byte{1}, now)
-	kept.add(earlyRequest(2, 1), []byte{2}, now)
+	kept.add(newTestPacket(2, 1), []byte{2}, now)
 	taken := kept.take(now.Add(200 * time.Millisecond))
 	require.Len(t, taken, 1)
 	require.Equal(t, []byte{2}, taken[0].datagram)
@@ -87,10 +87,10 @@
 	refused := 0
 	traffic := newTestTraffic(t, refusalCountingCodec{refused: &refused})
 	now := time.Now()
-	table := earlyTable(netip.MustParseAddrPort("127.0.0.1:9"))
+	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	nowhere := tokenroute.Packet{Key: flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1},
 		DestinationPort: 444, Protocol: flow.ProtocolTCP}, First: true}
-	traffic.early.add(nowhere, []byte{1}, now)
+	traffic.earlyBuffer.add(nowhere, []byte{1}, now)
 	traffic.routeEarlyPackets(table, now.Add(time.Millisecond))
 	require.Zero(t, refused)
 	require.EqualValues(t, 1, traffic.decisionCounts[tokenroute.ReasonNoRoute].Load())
@@ -102,11 +102,11 @@
 func TestEarlyAcknowledgementsComeFirst(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
-	acknowledgement := earlyRequest(2, 1)
+	acknowledgement := newTestPacket(2, 1)
 	acknowledgement.Length = 0
-	kept.add(earlyRequest(1, 1), []byte{1}, now)
+	kept.add(newTestPacket(1, 1), []byte{1}, now)
 	kept.add(acknowledgement, []byte{2}, now)
-	kept.add(earlyRequest(3, 1), []byte{3}, now)
+	kept.add(newTestPacket(3, 1), []byte{3}, now)
 	var order []byte
 	for _, each := range kept.take(now) {
 		order = append(order, each.datagram...)
@@ -115,14 +115,14 @@
 }
 
 // An acknowledgement that has waited does not answer a witness of what came after it.
-func TestEarlyAcknowledgementProvesItsOwnTimeOnly(t *testing.T) {
+func TestEarlyAcknowledgementCountsAsOfItsArrival(t *testing.T) {
 	traffic := newTestTraffic(t, testCodec{})
 	came := time.Now()
-	table := earlyTable(netip.MustParseAddrPort("127.0.0.1:9"))
+	table := newTestTable(netip.MustParseAddrPort("127.0.0.1:9"))
 	key := flow.Key{Source: [4]byte{100, 64, 0, 1}, Destination: [4]byte{198, 18, 0, 1}, DestinationPort: 443, Protocol: flow.ProtocolTCP}
 	request := tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Sequence: 1, Length: 1}
-	traffic.early.add(request, []byte{1}, came)
-	traffic.early.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
+	traffic.earlyBuffer.add(request, []byte{1}, came)
+	traffic.earlyBuffer.add(tokenroute.Packet{Key: key, Token: tokenroute.TokenOf(7), Acknowledged: 5}, []byte{1}, came.Add(time.Millisecond))
 	now := came.Add(300 * time.Millisecond)
 	traffic.routeEarlyPackets(table, now)
 	require.EqualValues(t, 2, traffic.decisionCounts[tokenroute.ReasonToken].Load())
@@ -134,11 +134,11 @@
 	require.Len(t, hear(came), 1, "it answers what was sent before it came")
 }
 
-func TestEarlyPacketsGrowOld(t *testing.T) {
+func TestEarlyPacketsExpire(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
-	kept.add(earlyRequest(1, 1), []byte{1}, now)
-	kept.add(earlyRequest(2, 1), []byte{2}, now.Add(maxEarlyAge/2))
+	kept.add(newTestPacket(1, 1), []byte{1}, now)
+	kept.add(newTestPacket(2, 1), []byte{2}, now.Add(maxEarlyAge/2))
 	taken := kept.take(now.Add(maxEarlyAge))
 	require.Len(t, taken, 1)
 	require.Equal(t, []byte{2}, taken[0].datagram)
@@ -147,14 +147,14 @@
 }
 
 // A back end would take the second copy of a first packet for one more flow.
-func TestOnlyTheLastCopyIsKept(t *testing.T) {
+func TestOnlyTheLastRetransmissionIsKept(t *testing.T) {
 	var kept earlyBuffer
 	now := time.Now()
 	datagram := []byte{1}
-	kept.add(earlyRequest(1, 1), datagram, now)
-	kept.add(earlyRequest(2, 1), []byte{2}, now)
+	kept.add(newTestPacket(1, 1), datagram, now)
+	kept.add(newTestPacket(2, 1), []byte{2}, now)
 	datagram[0] = 3
-	kept.add(earlyRequest(1, 1), datagram, now.Add(time.Millisecond))
+	kept.add(newTestPacket(1, 1), datagram, now.Add(time.Millisecond))
 	datagram[0] = 4
 	taken := kept.take(now.Add(time.Millisecond))
 	require.Len(t, taken, 2)
@@ -182,16 +182,16 @@
 
 func (testCodec) RequestID([]byte) []byte { return nil }
 
-// earlyTable routes everything to one back end.
-func earlyTable(target netip.AddrPort) *tokenroute.Table {
+// newTestTable routes everything to one back end.
+func newTestTable(target netip.AddrPort) *tokenroute.Table {
 	known := directory.New(time.Minute)
-	known.Apply(earlyBatch(target), time.Now())
+	known.Apply(newTestBatch(target), time.Now())
 	return tokenroute.NewTable(known, tokenroute.Options{
 		WeightOf: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
-// earlyBatch is a directory with one back end.
-func earlyBatch(target netip.AddrPort) *apiv1.DirectoryBatch {
+// newTestBatch is a directory with one back end.
+func newTestBatch(target netip.AddrPort) *apiv1.DirectoryBatch {
 	address := target.Addr().As4()
 	return &apiv1.DirectoryBatch{Revision: 2, Complete: true, Changes: []*apiv1.DirectoryChange{
 		{Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{Version: 1, Routes: []*apiv1.ServiceRoute{
@@ -211,7 +211,7 @@
 // After a loss of power clients' packets come before a balancer knows anything. The
 // first table sends them on, though no further packet comes; without the mechanism the
 // clients have to repeat them.
-func TestPacketsBeforeTheFirstTableAreSentByIt(t *testing.T) {
+func TestFirstTableRoutesEarlyPackets(t *testing.T) {
 	for _, without := range []string{"", string(mechanism.EarlyPackets)} {
 		t.Run("without "+without, func(t *testing.T) {
 			off, err := mechanism.Parse([]string{without}[:min(1, len(without))])
@@ -233,7 +233,7 @@
 			require.Eventually(t, func() bool { return made.traffic.decisionCounts[tokenroute.ReasonNoTable].Load() == 1 },
 				time.Second, time.Millisecond)
 			now := time.Now()
-			batch := earlyBatch(backend.LocalAddr().(*net.UDPAddr).AddrPort())
+			batch := newTestBatch(backend.LocalAddr().(*net.UDPAddr).AddrPort())
 			made.control.handleNews(&apiv1.DirectoryNews{Batch: batch, AsOfNanoseconds: made.control.sinceStart(now)}, now)
 			made.control.rebuildTable(now)
 			require.NotNil(t, made.table.Load())
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -70,7 +70,7 @@
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
-	control.directory.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
+	control.replica.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
 	require.True(t, control.observed.evaluateHealth(failingFinding(16), 1))
 	require.Equal(t, uint32(rule.MaximumWeight/4), control.weightFunc(nil, now)(entry))
 	require.False(t, control.observed.evaluateHealth(failingFinding(16), 1), "the table was built with this health")
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -139,7 +139,7 @@
 
 // enqueueFollow lets a follower wait, or answers it at once when there is no room.
 func (c *control) enqueueFollow(asking *followCall) {
-	c.core.Called(asking.caller, c.directory.Revision(), asking.receivedAt)
+	c.core.Called(asking.caller, c.replica.Revision(), asking.receivedAt)
 	c.core.TakeShown(asking.shownBalancers, asking.receivedAt)
 	c.core.TakeSilent(asking.silentBalancers, asking.receivedAt)
 	if asking.wantsFindings {
@@ -179,7 +179,7 @@
 	}
 	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
 	statements := c.pendingObservations(asking, now)
-	if asking.afterRevision >= c.directory.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
+	if asking.afterRevision >= c.replica.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
 		return false
 	}
 	if known && asking.wantsFullReply() && !c.fullReplies.allow(now) {
@@ -215,7 +215,7 @@
 // pagedReply returns the pages of all that is known for a follower that needs all of it, or
 // nil where one answer is enough.
 func (c *control) pagedReply(asking *followCall, known bool, now time.Time) *replication.Pages {
-	if !known || asking.revisionOnly || !asking.acceptsPages || !c.directory.NeedsAll(asking.afterRevision, asking.withTombstones) {
+	if !known || asking.revisionOnly || !asking.acceptsPages || !c.replica.NeedsSnapshot(asking.afterRevision, asking.withTombstones) {
 		return nil
 	}
 	return c.pagesFor(asking.afterRevision, now)
@@ -227,9 +227,9 @@
 		// Without a revision, the batch claims and confirms nothing.
 		return &apiv1.DirectoryBatch{}
 	}
-	batch := c.directory.Since(asking.afterRevision)
+	batch := c.replica.Since(asking.afterRevision)
 	if asking.withTombstones {
-		batch = c.directory.Everything(asking.afterRevision)
+		batch = c.replica.SinceWithTombstones(asking.afterRevision)
 	}
 	if !asking.acceptsPacked {
 		return batch
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -45,7 +45,7 @@
 		poolTotals:     make(map[demand.Pool]slotTotals),
 	}
 	if len(c.observed.unhealthy) > 0 {
-		for _, group := range c.directory.Groups() {
+		for _, group := range c.replica.BackendGroups() {
 			if _, isEvacuated := evacuated[group.Zone]; !isEvacuated {
 				result.addGroup(group, &c.observed, warmup, now)
 			}
@@ -57,8 +57,8 @@
 
 // addGroup adds the back ends of a group. Cold back ends can handle little load and do not count as
 // capacity.
-func (l *healthLimits) addGroup(group *directory.Group, inputs *weightInputs, warmup *warmupState, now time.Time) {
-	poolZone, sum, unhealthy := poolZoneOf(group.Place), slotTotals{}, false
+func (l *healthLimits) addGroup(group *directory.BackendGroup, inputs *weightInputs, warmup *warmupState, now time.Time) {
+	poolZone, sum, unhealthy := poolZoneOf(group.PoolZone), slotTotals{}, false
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() || warmup.limited() && now.Before(warmup.warmTime(backend)) {
 			continue
--- a/internal/balancer/lapse_test.go
+++ b/internal/balancer/lapse_test.go
@@ -17,7 +17,7 @@
 // Evidence: the log of a soak shows the read 1.31 s after the removal and a new flow 1.74 s after
 // the read; knowledge had been stale for 1.65 s, in which no entry can lapse, since one does after
 // three heartbeats of silence.
-func TestAGapTooShortToLapseGivesNoGrace(t *testing.T) {
+func TestShortStoreGapGivesNoGrace(t *testing.T) {
 	control := newTestControl()
 	control.balancer.settings.Load().DrainMilliseconds = 3000
 	told := time.Now()
@@ -27,15 +27,15 @@
 	control.handleNews(&apiv1.DirectoryNews{Batch: holds, AsOfNanoseconds: control.sinceStart(told)}, told)
 	read := told.Add(1650 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(read)}, read)
-	require.True(t, control.directory.Backends()[0].Gone)
-	lapse := control.lapse()
+	require.True(t, control.replica.Backends()[0].Gone)
+	lapse := control.storeRecovery()
 	require.False(t, lapse.Until.After(told.Add(3*time.Second)), "new flows until %s after it may have gone", lapse.Until.Sub(told))
 }
 
 // After a gap in which entries may have lapsed they have their time to come back, but none takes
 // new flows beyond the time of a leaving back end, counted from the last confirmation before the
 // gap, while that has not passed.
-func TestLapsedEntriesHaveNoMoreTimeThanLeavingOnes(t *testing.T) {
+func TestExpiredEntriesGetNoMoreTimeThanLeavingOnes(t *testing.T) {
 	for _, each := range []struct{ gap, until time.Duration }{
 		{gap: 2300 * time.Millisecond, until: 0},
 		{gap: 2500 * time.Millisecond, until: 3 * time.Second},
@@ -49,7 +49,7 @@
 		for revision, at := range []time.Time{told, told.Add(each.gap)} {
 			control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(uint64(revision + 5)), AsOfNanoseconds: control.sinceStart(at)}, at)
 		}
-		lapse := control.lapse()
+		lapse := control.storeRecovery()
 		if each.until == 0 {
 			require.Zero(t, lapse, "no entry lapses within %s", each.gap)
 			continue
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -38,7 +38,7 @@
 	case news.GetWrite():
 		c.writeEnded(news.GetError(), now)
 	case news.GetPeer() == "":
-		c.polling = false
+		c.pollInFlight = false
 		c.pollEnded(news, now)
 	default:
 		c.peerCallEnded(news, asOf, now)
@@ -49,8 +49,8 @@
 	}
 	c.countUnreadable(news)
 	confirms := c.confirms(news)
-	if _, knows := c.core.Age(now); !knows && confirms && isOlder(news.GetBatch(), c.directory) {
-		c.directory.Clear()
+	if _, knows := c.core.Age(now); !knows && confirms && isOlder(news.GetBatch(), c.replica) {
+		c.replica.Clear()
 	}
 	c.apply(news.GetBatch(), now)
 	if confirms {
@@ -74,25 +74,25 @@
 	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollOld {
 		return false
 	}
-	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.directory.Revision())
+	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.replica.Revision())
 }
 
 // apply takes entries, and that the store came back from a copy if they show that.
 func (c *control) apply(batch *apiv1.DirectoryBatch, now time.Time) {
-	before := c.directory.Revision()
-	if c.directory.Apply(batch, now) {
-		c.rebuild = true
+	before := c.replica.Revision()
+	if c.replica.Apply(batch, now) {
+		c.rebuildNeeded = true
 		c.updateBalancers(now)
 	}
-	after := c.directory.Revision()
+	after := c.replica.Revision()
 	c.balancer.era.Store(uint64(revision.EraOf(after)))
 	if before == 0 || revision.EraOf(after) == revision.EraOf(before) {
 		return
 	}
-	c.rebuild = true
-	c.core.StoreRestored(c.directory.Balancers(), now)
+	c.rebuildNeeded = true
+	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.directory.Held())
+		"known_to", revision.Text(before), "held", c.replica.OverrideCount())
 }
 
 // countUnreadable counts the entries of the store that could not be read.
@@ -109,11 +109,11 @@
 
 // updateBalancers takes the balancers that the directory lists, if they have changed.
 func (c *control) updateBalancers(now time.Time) {
-	if c.directory.BalancerChanges() == c.balancerChangesSeen {
+	if c.replica.BalancerChanges() == c.balancerChangesSeen {
 		return
 	}
-	c.balancerChangesSeen = c.directory.BalancerChanges()
-	balancers := c.directory.Balancers()
+	c.balancerChangesSeen = c.replica.BalancerChanges()
+	balancers := c.replica.Balancers()
 	c.core.SetBalancers(balancers, now)
 	c.balancersByZone = c.countByZone(balancers)
 	c.observed.zoneBalancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
@@ -163,7 +163,7 @@
 // and the store is read whole.
 func (c *control) operatorCheckEnded(news *apiv1.DirectoryNews, now time.Time) {
 	batch := news.GetBatch()
-	if c.directory.Contradicts(batch) {
+	if c.replica.Contradicts(batch) {
 		c.balancer.logger.Info("Control: orders have changed unseen, the store is read whole.",
 			"revision", revision.Text(batch.GetOrdersRevision()))
 		c.core.HistoryLost(now)
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -11,14 +11,14 @@
 
 // startWrite writes what is due about balancers to the store.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
-	c.core.SetLost(c.directory.LostPolicies())
+	c.core.SetLost(c.replica.LostPolicies())
 	write, found := c.core.NextWrite(now)
 	if !found {
 		return
 	}
 	c.pendingWrite, c.pendingWriteEra = write, c.balancer.era.Load()
 	if write.Policy != nil {
-		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Gone)
+		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Removed)
 	}
 	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(write.Put), "remove", write.Remove,
 		"first_of_zones", len(write.Leads))
@@ -49,12 +49,12 @@
 // no longer has needs no removal.
 func (c *control) revisionsOf(names []string) []BalancerRevision {
 	entries := make(map[string]*apiv1.Balancer)
-	for _, b := range c.directory.Balancers() {
+	for _, b := range c.replica.Balancers() {
 		entries[b.GetName()] = b
 	}
 	var found []BalancerRevision
 	for _, name := range names {
-		revision := c.directory.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
+		revision := c.replica.RevisionOf(directory.Key{Kind: directory.KindBalancer, Name: name})
 		if revision != 0 {
 			found = append(found, BalancerRevision{Balancer: entries[name], Revision: revision})
 		}
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -94,11 +94,11 @@
 	counter(faultyDescription, traffic.sendErrors.Load(), "not_sent")
 	counter(unreadableDescription, balancer.unreadableEntries.Load())
 	counter(flowEventsDescription, traffic.flows.Retried.Load(), "retried")
-	counter(flowEventsDescription, traffic.flows.Missed.Load(), "not_answered")
-	counter(flowEventsDescription, traffic.flows.Verdicts(), "backend_dead")
-	counter(flowEventsDescription, traffic.flows.Silenced(), "zone_silent")
-	counter(earlyDescription, traffic.early.sent.Load(), "sent")
-	counter(earlyDescription, traffic.early.lost.Load(), "lost")
+	counter(flowEventsDescription, traffic.flows.Unanswered.Load(), "not_answered")
+	counter(flowEventsDescription, traffic.flows.BackendFailures(), "backend_dead")
+	counter(flowEventsDescription, traffic.flows.SilentZoneCount(), "zone_silent")
+	counter(earlyDescription, traffic.earlyBuffer.sent.Load(), "sent")
+	counter(earlyDescription, traffic.earlyBuffer.lost.Load(), "lost")
 	counter(lostObservationsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
 	counter(lostObservationsDescription, balancer.control.testimony.buffer.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
@@ -122,7 +122,7 @@
 		counter(refusalsDescription, count, kind.pool, priorityLabel(kind.priority))
 	}
 	told := make(map[string]bool)
-	for _, level := range traffic.flows.Levels().All() {
+	for _, level := range traffic.flows.Refusals().All() {
 		gauge(refusedFractionDescription, level.Fraction, level.Pool, priorityLabel(level.Priority))
 		if !told[level.Pool] {
 			told[level.Pool] = true
--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -26,7 +26,7 @@
 
 // serve answers a follower that asks for one page.
 func (p *pageCache) serve(request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
-	for _, each := range p.load() {
+	for _, each := range p.all() {
 		if page := each.Page(request.GetPage()); each.ID == request.GetPageOf() && page != nil {
 			return &apiv1.FollowReply{Page: page}, nil
 		}
@@ -34,7 +34,7 @@
 	return nil, errPageExpired
 }
 
-func (p *pageCache) load() []*replication.Pages {
+func (p *pageCache) all() []*replication.Pages {
 	if kept := p.entries.Load(); kept != nil {
 		return *kept
 	}
@@ -44,7 +44,7 @@
 // reusable returns the pages that a further follower may be given who needs what is known up
 // to a revision, or nil.
 func (p *pageCache) reusable(revision uint64, now time.Time) *replication.Pages {
-	all := p.load()
+	all := p.all()
 	if len(all) == 0 {
 		return nil
 	}
@@ -58,7 +58,7 @@
 // add keeps pages, and drops those that are old.
 func (p *pageCache) add(made *replication.Pages, now time.Time) {
 	var kept []*replication.Pages
-	for _, each := range p.load() {
+	for _, each := range p.all() {
 		if !each.Old(now) {
 			kept = append(kept, each)
 		}
@@ -70,10 +70,10 @@
 // pagesFor returns all that is known as pages, for one who knows everything up to a revision,
 // or nil where it is not too much for one answer.
 func (c *control) pagesFor(after uint64, now time.Time) *replication.Pages {
-	if known := c.pageCache.reusable(min(after, c.directory.Revision()), now); known != nil {
+	if known := c.pageCache.reusable(min(after, c.replica.Revision()), now); known != nil {
 		return known
 	}
-	batch := c.directory.Since(0)
+	batch := c.replica.Since(0)
 	if len(batch.GetChanges()) < pagingThreshold {
 		return nil
 	}
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -55,29 +55,29 @@
 // A balancer that starts is told ten thousand back ends over a link that takes longer for
 // them than an answer may: 200 KB a second, as a sixth of what 21 followers of a strong one
 // have each. In one answer they never came.
-func TestAllIsToldOverANarrowLink(t *testing.T) {
+func TestFullReplyOverASlowLink(t *testing.T) {
 	now := time.Now()
 	parent, child := newFleetControl(1_000, 10_000, now), newTestControl()
 	t.Cleanup(child.testimony.client.Close)
 	link := newThrottledListener(t, 200<<10)
 	address := serveControlOn(t, parent, link)
 	child.followFrom(t, address)
-	require.Equal(t, parent.directory.Revision(), child.directory.Revision())
-	require.Len(t, child.directory.Backends(), 10_000)
-	require.Len(t, child.directory.Balancers(), 1_000)
-	require.Equal(t, parent.directory.Routes().GetVersion(), child.directory.Routes().GetVersion())
+	require.Equal(t, parent.replica.Revision(), child.replica.Revision())
+	require.Len(t, child.replica.Backends(), 10_000)
+	require.Len(t, child.replica.Balancers(), 1_000)
+	require.Equal(t, parent.replica.Routes().GetVersion(), child.replica.Routes().GetVersion())
 	require.Less(t, int(link.written.Load()), 600_000, "packed")
 	require.False(t, child.core.ConfirmedAt().IsZero())
 	require.False(t, child.core.ConfirmedAt().After(parent.core.ConfirmedAt()), "never younger than it was when the first page was made")
 }
 
 // Further followers are given the same pages, and are told next what is new since.
-func TestPagesAreMadeOnceForManyFollowers(t *testing.T) {
+func TestPagesAreSharedByFollowers(t *testing.T) {
 	now := time.Now()
 	parent := newFleetControl(100, 2_000, now)
 	one := parent.pagesFor(0, now)
 	require.NotNil(t, one)
-	parent.directory.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
+	parent.replica.Apply(&apiv1.DirectoryBatch{Revision: 11, Changes: []*apiv1.DirectoryChange{fleetBackend(11, 3, true)}}, now)
 	require.Same(t, one, parent.pagesFor(0, now.Add(500*time.Millisecond)))
 	require.NotSame(t, one, parent.pagesFor(10, now.Add(500*time.Millisecond)), "who knows more needs newer ones")
 	later := parent.pagesFor(0, now.Add(2*time.Second))
@@ -93,7 +93,7 @@
 // Each page is within its bound, whatever there is to tell.
 func TestPagesAreBounded(t *testing.T) {
 	now := time.Now()
-	known := newFleetControl(100, 5_000, now).directory
+	known := newFleetControl(100, 5_000, now).replica
 	made, err := replication.NewPages(known.Since(0), now, now)
 	require.NoError(t, err)
 	count := 0
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -35,7 +35,7 @@
 // That fraction changes at once when another balancer of the zone stops. The request rate here then
 // grows, which is corrected for up to the factor maxGrowth.
 type pressureEstimator struct {
-	smoothedWaiting
+	smoothedInFlight
 	requestRates requestRates
 }
 
@@ -68,7 +68,7 @@
 	}
 	scale := float64(aggregate.ZoneBalancers[localZone]) / fraction
 	if waiting >= minLocalInFlight*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.requestRates.growthSince(pool, aggregate.At), maxGrowth(aggregate.ZoneBalancers[localZone]))
+		waiting = p.inFlight[string(pool)] * scale / min(p.requestRates.growthSince(pool, aggregate.At), maxGrowth(aggregate.ZoneBalancers[localZone]))
 	}
 	return admission.Pressure{RequestsPerSlot: waiting / slots, SeenAt: seenAt}
 }
@@ -106,7 +106,7 @@
 	if waiting >= saturationPressure*slots {
 		return true
 	}
-	fraction, local := zoneRequestFraction(pool, localZone, aggregate), p.waiting[string(pool)]
+	fraction, local := zoneRequestFraction(pool, localZone, aggregate), p.inFlight[string(pool)]
 	return fraction > 0 && local >= minSaturationInFlight && local*float64(aggregate.ZoneBalancers[localZone])/fraction >= localSaturationPressure*slots
 }
 
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -13,7 +13,7 @@
 // newLoadedEstimator returns an estimator that was fed summaries with the same number of waiting
 // requests.
 func newLoadedEstimator(waiting float64, from time.Time) *pressureEstimator {
-	estimator := &pressureEstimator{smoothedWaiting: newSmoothedWaiting()}
+	estimator := &pressureEstimator{smoothedInFlight: newSmoothedInFlight()}
 	for step := range 20 {
 		estimator.addSummary(&observe.Summary{At: from.Add(time.Duration(step) * 250 * time.Millisecond),
 			InFlight: map[string]float64{"lending": waiting}})
@@ -133,7 +133,7 @@
 	maadi, giza := demand.PoolZone{Pool: "lending", Zone: "maadi"}, demand.PoolZone{Pool: "lending", Zone: "giza"}
 	for name, first := range map[string]int{"the other balancer has stopped": 0, "this balancer has started": 20} {
 		t.Run(name, func(t *testing.T) {
-			estimator := &pressureEstimator{smoothedWaiting: newSmoothedWaiting()}
+			estimator := &pressureEstimator{smoothedInFlight: newSmoothedInFlight()}
 			for step := first; step < 30; step++ {
 				rate, waiting := 15.0, 1.0
 				if step >= 20 {
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -12,7 +12,7 @@
 
 // rebuildTable builds the table that packets are decided by.
 func (c *control) rebuildTable(now time.Time) {
-	c.rebuild = false
+	c.rebuildNeeded = false
 	c.nextTableChange = time.Time{}
 	if _, knows := c.core.Age(now); !knows {
 		// A part of the store, or an old copy, is no ground to refuse flows on.
@@ -21,7 +21,7 @@
 	c.recordPools(now)
 	evacuated := c.evacuatedZones()
 	weights := c.newWeights(evacuated, now)
-	table := tokenroute.NewTable(c.directory, tokenroute.Options{
+	table := tokenroute.NewTable(c.replica, tokenroute.Options{
 		WeightOf:         weights.backendWeight,
 		WeightOfPoolZone: weights.uniformWeight,
 		Evacuated:        evacuated,
@@ -29,7 +29,7 @@
 		FormerPools:      c.formerPools(now),
 		ZoneByWeight:     weights.zoneChosenByWeights,
 		AdmitAllPools:    now.Sub(c.firstRoutesAt) < c.flowRetention(),
-		StoreRecovery:    c.lapse(),
+		StoreRecovery:    c.storeRecovery(),
 		EmptyPoolGrace:   c.emptyPoolGrace(),
 		Previous:         c.balancer.table.Load(),
 		Now:              now,
@@ -38,7 +38,7 @@
 		return
 	}
 	c.scheduleTableChange(now)
-	c.gate.updateRoutes(c.directory.Routes())
+	c.gate.updateRoutes(c.replica.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
@@ -58,19 +58,19 @@
 	return time.Duration(drain/emptyPoolGraceDivisor) * time.Millisecond
 }
 
-// minLapseHeartbeats is the least number of heartbeats after which the entry of a back
+// minExpiryHeartbeats is the least number of heartbeats after which the entry of a back
 // end that can't reach the store lapses: three without a write, the last of which may
 // have come one heartbeat before the gap.
-const minLapseHeartbeats = 2
+const minExpiryHeartbeats = 2
 
-// lapse is the time in which entries that lapsed in the last gap in what the store
+// storeRecovery is the time in which entries that lapsed in the last gap in what the store
 // confirmed may come back. In a gap shorter than entries take to lapse, those that
 // vanished were removed. After a gap shorter than a leaving back end has, entries may
 // have been removed while this balancer counted as in touch with the store, so that
 // they take no new flows beyond the time of a leaving back end.
-func (c *control) lapse() tokenroute.StoreRecovery {
+func (c *control) storeRecovery() tokenroute.StoreRecovery {
 	gap, loaded := c.core.LastGap(), c.balancer.settings.Load()
-	if gap.Length() < minLapseHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
+	if gap.Length() < minExpiryHeartbeats*milliseconds(loaded.GetHeartbeatMilliseconds()) || c.balancer.disabled.Has(mechanism.LapseGrace) {
 		return tokenroute.StoreRecovery{}
 	}
 	lapse := tokenroute.StoreRecovery{Since: gap.Until, Until: gap.Until.Add(milliseconds(loaded.GetLapseMilliseconds()))}
@@ -97,19 +97,19 @@
 func (c *control) scheduleTableChange(now time.Time) {
 	c.nextTableChange = time.Time{}
 	c.changeTableAt(c.firstRoutesAt.Add(startupSpreadTime), now)
-	c.changeTableAt(c.lapse().Until, now)
-	for _, group := range c.directory.Groups() {
-		if group.Gone > 0 {
+	c.changeTableAt(c.storeRecovery().Until, now)
+	for _, group := range c.replica.BackendGroups() {
+		if group.TombstoneCount > 0 {
 			c.scheduleVanished(group, now)
 		}
 	}
 }
 
 // scheduleVanished sets when back ends of a group that vanished have had their time.
-func (c *control) scheduleVanished(group *directory.Group, now time.Time) {
+func (c *control) scheduleVanished(group *directory.BackendGroup, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone {
-			c.changeTableAt(backend.VanishedAt.Add(c.emptyPoolGrace()), now)
+			c.changeTableAt(backend.RemovalSeenAt.Add(c.emptyPoolGrace()), now)
 		}
 	}
 }
@@ -124,10 +124,10 @@
 // recordPools notes the pools of each address, whose open flows stay on them
 // when a later configuration names others.
 func (c *control) recordPools(now time.Time) {
-	if c.directory.Routes() != nil && c.firstRoutesAt.IsZero() {
+	if c.replica.Routes() != nil && c.firstRoutesAt.IsZero() {
 		c.firstRoutesAt = now
 	}
-	for _, route := range c.directory.Routes().GetRoutes() {
+	for _, route := range c.replica.Routes().GetRoutes() {
 		address := tokenroute.AddressOf(route)
 		pools := c.poolLastUse[address]
 		if pools == nil {
--- a/internal/balancer/renew_test.go
+++ b/internal/balancer/renew_test.go
@@ -29,7 +29,7 @@
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 3, Entry: &apiv1.DirectoryChange_Balancer{
 			Balancer: &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", n), Zone: fmt.Sprintf("zone-%d", n%5), PeerAddress: "10.0.0.1:1"}}})
 	}
-	control.directory.Apply(batch, now)
+	control.replica.Apply(batch, now)
 	control.core.Confirm(now)
 	return control
 }
@@ -46,9 +46,9 @@
 		Address: uint32(n + 1), Port: 80, Capacity: 2, Draining: draining}}}
 }
 
-// BenchmarkRenewAfterOneChange is what a balancer pays for one back end that begins to
+// BenchmarkRebuildAfterOneChange is what a balancer pays for one back end that begins to
 // leave, by balancers and back ends.
-func BenchmarkRenewAfterOneChange(b *testing.B) {
+func BenchmarkRebuildAfterOneChange(b *testing.B) {
 	for _, size := range [][2]int{{100, 1_000}, {1_000, 10_000}, {2_000, 20_000}} {
 		b.Run(fmt.Sprintf("%d/%d", size[0], size[1]), func(b *testing.B) {
 			now := time.Now()
@@ -60,7 +60,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				revision++
-				control.directory.Apply(&apiv1.DirectoryBatch{Revision: revision,
+				control.replica.Apply(&apiv1.DirectoryBatch{Revision: revision,
 					Changes: []*apiv1.DirectoryChange{fleetBackend(revision, 7, revision%2 == 0)}}, now)
 				control.rebuildTable(now)
 			}
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -26,7 +26,7 @@
 
 // A peer that answers the second of two calls is no older for the time that the first
 // one was in vain. It counted as stale and was passed over for 2 s.
-func TestPeerBehindASilentConnectionIsNotPassedOver(t *testing.T) {
+func TestPeerBehindASilentConnectionIsNotSkipped(t *testing.T) {
 	child := newControlWithRoutes(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -31,10 +31,10 @@
 	// inbox are statements on back ends from other balancers, and statements those
 	// that they should be told.
 	inbox, outbox mailbox
-	// settleAt is when joined witnesses have waited long enough; zero is never.
-	settleAt time.Time
-	// early are the packets that came before the first table.
-	early earlyBuffer
+	// nextEvaluation is when joined witnesses have waited long enough; zero is never.
+	nextEvaluation time.Time
+	// earlyBuffer are the packets that came before the first table.
+	earlyBuffer earlyBuffer
 	// refusals are the flows refused for want of room.
 	refusals   refusalCounters
 	malformed  atomic.Uint64
@@ -47,7 +47,7 @@
 	return &traffic{
 		balancer: balancer,
 		socket:   socket,
-		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.settings.Load().GetZone()),
+		flows:    tokenroute.NewFlows(balancer.disabled).WithZone(balancer.settings.Load().GetZone()),
 		log:      decisionLog{logger: balancer.logger},
 		input:    make([]byte, size),
 		output:   make([]byte, 0, 2*size),
@@ -100,10 +100,10 @@
 // handleWakeup hears what other balancers saw and judges by it. The deadline is set before the
 // mailbox is looked at, so that nothing put into it meanwhile is left.
 func (t *traffic) handleWakeup() {
-	t.setWakeup(t.settleAt)
+	t.setWakeup(t.nextEvaluation)
 	t.evaluateBackends(time.Now())
-	t.setWakeup(t.settleAt)
-	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
+	t.setWakeup(t.nextEvaluation)
+	if t.inbox.nonEmpty.Load() || t.earlyBuffer.pending() && t.balancer.table.Load() != nil {
 		t.setWakeup(pastDeadline)
 	}
 }
@@ -119,14 +119,14 @@
 	for _, statement := range t.inbox.take() {
 		t.flows.Receive(statement, table, now)
 	}
-	t.settleAt = t.flows.EvaluatePending(now)
+	t.nextEvaluation = t.flows.EvaluatePending(now)
 	t.reportFailures(table, now)
 }
 
 // reportFailures resets the flows whose back ends were judged dead, and passes on what
 // was seen.
 func (t *traffic) reportFailures(table *tokenroute.Table, now time.Time) {
-	for _, verdict := range t.flows.TakeVerdicts() {
+	for _, verdict := range t.flows.TakeBackendFailures() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
 			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Local, "unanswered_elsewhere", verdict.Remote,
 			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
@@ -135,7 +135,7 @@
 		t.balancer.logger.Warn("Traffic: a zone answers nothing, new flows avoid it.", "silent_zone", silent.Zone, "times", silent.Times,
 			"silent_for", now.Sub(silent.Since).Round(time.Millisecond))
 	}
-	for _, abandoned := range t.flows.TakeAbandoned() {
+	for _, abandoned := range t.flows.TakeAbandonedFlows() {
 		t.reset(abandoned, table, now)
 	}
 	if statements := t.flows.TakeObservations(); len(statements) > 0 {
@@ -157,11 +157,11 @@
 	case table != nil:
 		t.routeEarlyPackets(table, now)
 	case !t.balancer.disabled.Has(mechanism.EarlyPackets):
-		t.early.add(packet, datagram, now)
+		t.earlyBuffer.add(packet, datagram, now)
 	}
 	t.route(packet, datagram, table, now)
 	t.reportFailures(table, now)
-	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
+	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.nextEvaluation) {
 		t.handleWakeup()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
@@ -181,12 +181,12 @@
 
 // routeEarlyPackets sends on what came before the first table.
 func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
-	if !t.early.pending() {
+	if !t.earlyBuffer.pending() {
 		return
 	}
-	kept := t.early.take(now)
+	kept := t.earlyBuffer.take(now)
 	t.balancer.logger.Info("Traffic: packets from before the first table are sent on.", "packets", len(kept),
-		"lost", t.early.lost.Load())
+		"lost", t.earlyBuffer.lost.Load())
 	for _, each := range kept {
 		t.routeEarlyPacket(each, table, now)
 	}
@@ -210,8 +210,8 @@
 // execute does what was decided on a packet.
 func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
 	t.decisionCounts[decision.Reason].Add(1)
-	if decision.Level != nil {
-		t.refusals.increment(decision.Level)
+	if decision.Refusal != nil {
+		t.refusals.increment(decision.Refusal)
 	}
 	codec := t.balancer.dependencies.Codec
 	var err error
@@ -230,7 +230,7 @@
 }
 
 // reset tells the client of a flow that its back end no longer holds it.
-func (t *traffic) reset(abandoned tokenroute.Abandoned, table *tokenroute.Table, now time.Time) {
+func (t *traffic) reset(abandoned tokenroute.AbandonedFlow, table *tokenroute.Table, now time.Time) {
 	packet := tokenroute.Packet{Key: abandoned.Key, Acknowledged: abandoned.Acknowledged}
 	decision := tokenroute.Decision{
 		Verdict: tokenroute.Refuse,
--- a/internal/balancer/warmup.go
+++ b/internal/balancer/warmup.go
@@ -37,7 +37,7 @@
 func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
 	state := &warmupState{
-		replica:   c.directory,
+		replica:   c.replica,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -46,12 +46,12 @@
 		revokedAt: make(map[string]time.Time),
 		now:       now,
 	}
-	for _, pool := range c.directory.Routes().GetWarmups() {
+	for _, pool := range c.replica.Routes().GetWarmups() {
 		state.pools[pool.GetPool()] = pool
 	}
-	for _, order := range c.directory.Evacuations() {
-		if !order.Holds() {
-			state.revokedAt[order.Zone] = order.GoneAt
+	for _, order := range c.replica.Evacuations() {
+		if !order.Active() {
+			state.revokedAt[order.Zone] = order.RevokedAt
 		}
 	}
 	return state
@@ -165,8 +165,8 @@
 // evacuation order.
 func (c *control) evacuatedZones() map[string]uint64 {
 	zones := make(map[string]uint64)
-	for _, order := range c.directory.Evacuations() {
-		if order.Holds() {
+	for _, order := range c.replica.Evacuations() {
+		if order.Active() {
 			zones[order.Zone] = order.Revision
 		}
 	}
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -51,7 +51,7 @@
 		}
 		c.balancer.settings.Store(balancerSettings)
 		c.firstRoutesAt = fleet.now.Add(-time.Hour)
-		c.directory.Apply(fleet.entries(size, index, zones, allCold), fleet.now)
+		c.replica.Apply(fleet.entries(size, index, zones, allCold), fleet.now)
 		fleet.controls = append(fleet.controls, c)
 		fleet.flows = append(fleet.flows, tokenroute.NewFlows(mechanism.Set{}))
 	}
@@ -88,7 +88,7 @@
 	tables := make([]*tokenroute.Table, len(f.controls))
 	for index, c := range f.controls {
 		evacuatedZones := c.evacuatedZones()
-		tables[index] = tokenroute.NewTable(c.directory, tokenroute.Options{WeightOf: c.weightFunc(evacuatedZones, f.now),
+		tables[index] = tokenroute.NewTable(c.replica, tokenroute.Options{WeightOf: c.weightFunc(evacuatedZones, f.now),
 			Evacuated: evacuatedZones, WarmupOf: c.newWarmupState(f.now).warmup, Now: f.now})
 	}
 	total := perSecond * int(coldPeriod/time.Second)
@@ -165,17 +165,17 @@
 	}
 	countCold := func(now time.Time) int {
 		warming, count := c.newWarmupState(now), 0
-		for _, backend := range c.directory.Backends() {
+		for _, backend := range c.replica.Backends() {
 			if backend.GetZone() == "maadi" && !warming.warmup(backend).Until.IsZero() {
 				count++
 			}
 		}
 		return count
 	}
-	c.directory.Apply(order(10, false), fleet.now)
+	c.replica.Apply(order(10, false), fleet.now)
 	require.Contains(t, c.evacuatedZones(), "maadi")
 	require.Zero(t, countCold(fleet.now))
-	c.directory.Apply(order(11, true), fleet.now.Add(time.Second))
+	c.replica.Apply(order(11, true), fleet.now.Add(time.Second))
 	require.NotContains(t, c.evacuatedZones(), "maadi")
 	require.Equal(t, 40, countCold(fleet.now.Add(time.Second)))
 	require.Zero(t, countCold(fleet.now.Add(time.Second+coldPeriod)))
--- a/internal/balancer/weightinputs.go
+++ b/internal/balancer/weightinputs.go
@@ -26,7 +26,7 @@
 // for a response at a time. Routers spread a zone's packets evenly over its balancers, so each of n
 // balancers sees one n-th of them.
 type weightInputs struct {
-	smoothedWaiting
+	smoothedInFlight
 	// pools and remoteShares are what the table in force was built with, by pool: the back ends,
 	// and the share of new flows that goes to other zones.
 	pools        map[string]*poolCapacity
@@ -48,7 +48,7 @@
 }
 
 func newWeightInputs() weightInputs {
-	return weightInputs{smoothedWaiting: newSmoothedWaiting(), remoteShares: make(map[string]float64),
+	return weightInputs{smoothedInFlight: newSmoothedInFlight(), remoteShares: make(map[string]float64),
 		appliedHealthWeights: make(map[incarnation.ID]float64), zoneBalancers: 1}
 }
 
@@ -67,16 +67,16 @@
 }
 
 func (w *weightInputs) remoteShare(name string, capacity *poolCapacity) float64 {
-	return shares.RemoteShare(w.waiting[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
+	return shares.RemoteShare(w.inFlight[name]*float64(w.zoneBalancers), capacity.localSlots, capacity.remoteSlots)
 }
 
 // update updates the demand from a summary and reports whether the table should be rebuilt.
 func (w *weightInputs) update(summary *observe.Summary, now time.Time) bool {
 	if summary == nil || now.Sub(summary.At) > summaryMaxAge {
-		clear(w.waiting)
+		clear(w.inFlight)
 		return false
 	}
-	if !w.smoothedWaiting.update(summary, demandTimeConstant) {
+	if !w.smoothedInFlight.update(summary, demandTimeConstant) {
 		return false
 	}
 	changed := false
@@ -116,7 +116,7 @@
 	if pool == nil || pool.localSlots == 0 {
 		return 0
 	}
-	return w.waiting[name] * float64(w.zoneBalancers) / pool.localSlots
+	return w.inFlight[name] * float64(w.zoneBalancers) / pool.localSlots
 }
 
 // healthChanged reports whether the weight of a back end has changed enough for a new table.
@@ -163,8 +163,8 @@
 
 // inFlightByPool returns the demand by pool, for the log.
 func (w *weightInputs) inFlightByPool() map[string]float64 {
-	inFlight := make(map[string]float64, len(w.waiting))
-	for pool, waiting := range w.waiting {
+	inFlight := make(map[string]float64, len(w.inFlight))
+	for pool, waiting := range w.inFlight {
 		inFlight[pool] = math.Round(waiting*float64(w.zoneBalancers)*10) / 10
 	}
 	return inFlight
--- a/internal/balancer/weightinputs_test.go
+++ b/internal/balancer/weightinputs_test.go
@@ -64,8 +64,8 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.observeWaiting("lending", 400, now)
-	require.NotEmpty(t, control.observed.waiting)
+	require.NotEmpty(t, control.observed.inFlight)
 	old := &observe.Summary{At: now.Add(2 * time.Second), InFlight: map[string]float64{"lending": 400}}
 	control.observed.update(old, now.Add(10*time.Second))
-	require.Empty(t, control.observed.waiting)
+	require.Empty(t, control.observed.inFlight)
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -79,7 +79,7 @@
 			return weight
 		}
 	}
-	weight := w.poolZoneWeight(directory.Place{Pool: backend.GetPool(), Zone: backend.GetZone()})
+	weight := w.poolZoneWeight(directory.PoolZone{Pool: backend.GetPool(), Zone: backend.GetZone()})
 	if !c.balancer.disabled.Has(mechanism.Health) {
 		weight *= c.observed.healthWeight(backend.Incarnation())
 	}
@@ -87,7 +87,7 @@
 }
 
 // uniformWeight returns the weight of each back end of a pool zone, if all have the same.
-func (w *weights) uniformWeight(poolZone directory.Place) (weight uint32, uniform bool) {
+func (w *weights) uniformWeight(poolZone directory.PoolZone) (weight uint32, uniform bool) {
 	if w.program(poolZone.Pool) != nil || len(w.control.observed.unhealthy) > 0 {
 		return 0, false
 	}
@@ -95,7 +95,7 @@
 }
 
 // poolZoneWeight returns the weight, from 0 to 1, of the healthy back ends of a pool zone.
-func (w *weights) poolZoneWeight(poolZone directory.Place) float64 {
+func (w *weights) poolZoneWeight(poolZone directory.PoolZone) float64 {
 	if w.spreadAllZones {
 		return 1
 	}
@@ -121,7 +121,7 @@
 func (w *weights) program(pool string) *policy.Program {
 	program, cached := w.programs[pool]
 	if !cached {
-		program = w.control.programs.lookup(w.control.directory, pool)
+		program = w.control.programs.lookup(w.control.replica, pool)
 		w.programs[pool] = program
 	}
 	return program
@@ -139,7 +139,7 @@
 }
 
 // zoneWeight returns the weight, from 0 to 1, of a pool's back ends in a zone.
-func (w *weights) zoneWeight(poolZone directory.Place) float64 {
+func (w *weights) zoneWeight(poolZone directory.PoolZone) float64 {
 	if zoneShares := w.poolShares(poolZone.Pool); zoneShares != nil {
 		return w.control.shareWeight(zoneShares, poolZoneOf(poolZone))
 	}
@@ -150,7 +150,7 @@
 }
 
 // poolZoneOf converts a pool zone of the directory to one of package demand.
-func poolZoneOf(poolZone directory.Place) demand.PoolZone {
+func poolZoneOf(poolZone directory.PoolZone) demand.PoolZone {
 	return demand.PoolZone{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
 }
 
--- a/internal/balancer/withdrawal.go
+++ b/internal/balancer/withdrawal.go
@@ -37,9 +37,9 @@
 		return
 	}
 	flows := c.balancer.traffic.flows
-	counts := aside.Counts{Missed: flows.Missed.Load()}
-	for step := range flows.Opened {
-		counts.Opened[step] = flows.Opened[step].Load()
+	counts := aside.Counts{Missed: flows.Unanswered.Load()}
+	for step := range flows.OpenedByTime {
+		counts.Opened[step] = flows.OpenedByTime[step].Load()
 	}
 	core := c.withdrawal.core
 	if !core.Look(counts, c.withdrawalZone(now), now) {
--- a/internal/balancer/withdrawal_test.go
+++ b/internal/balancer/withdrawal_test.go
@@ -27,9 +27,9 @@
 // the given length of time. If flows take long, some are also not answered in time.
 func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
 	for end := now.Add(length); now.Before(end); now = now.Add(aside.LookInterval) {
-		control.balancer.traffic.flows.Opened[aside.StepOf(took)].Add(12)
+		control.balancer.traffic.flows.OpenedByTime[aside.StepOf(took)].Add(12)
 		if took > 50*time.Millisecond {
-			control.balancer.traffic.flows.Missed.Add(4)
+			control.balancer.traffic.flows.Unanswered.Add(4)
 		}
 		control.updateWithdrawal(now)
 	}
--- a/internal/balancer/zoneshares_test.go
+++ b/internal/balancer/zoneshares_test.go
@@ -56,7 +56,7 @@
 	require.True(t, control.planWithDemand(now))
 	control.rebuildTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
-	for _, backend := range control.directory.Backends() {
+	for _, backend := range control.replica.Backends() {
 		gone.Changes = append(gone.Changes, &apiv1.DirectoryChange{Revision: 6, Gone: true,
 			Entry: &apiv1.DirectoryChange_Backend{Backend: backend.PoolBackend}})
 	}
@@ -107,7 +107,7 @@
 	})
 	t.Run("policy of its own", func(t *testing.T) {
 		own := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
-		own.directory.Apply(policyBatch(6, "lending", "1.0"), now)
+		own.replica.Apply(policyBatch(6, "lending", "1.0"), now)
 		own.planWithDemand(now)
 		own.rebuildTable(now)
 		require.Less(t, localFraction(t, own), 0.1)
--- a/internal/directory/changelog.go
+++ b/internal/directory/changelog.go
@@ -53,6 +53,6 @@
 	}
 	c.changes = slices.DeleteFunc(c.changes, func(logged loggedChange) bool {
 		known := entries[logged.key]
-		return known == nil || known.logged != logged.revision
+		return known == nil || known.loggedRevision != logged.revision
 	})
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, uint64(9), known.Revision())
 }
 
-func TestRemovedEntriesKeepWhatTheyHeld(t *testing.T) {
+func TestRemovedEntriesKeepContent(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(3, true, backendChange(2, "i-1", false, false)), start)
 	require.True(t, known.Apply(batch(5, true), start))
@@ -50,19 +50,19 @@
 
 // An old answer that arrives late does not bring back an entry of whose removal
 // this directory has no tombstone.
-func TestLateAnswersBringNothingBack(t *testing.T) {
+func TestStaleBatchesRestoreNothing(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(3, true), start)
 	known.Apply(batch(2, true, backendChange(1, "i-1", false, false)), start)
 	found := known.Backends()
 	require.Len(t, found, 1, "what it held is kept for its open flows (soak seeds 1001 and 1002)")
 	require.True(t, found[0].Gone)
-	require.True(t, found[0].VanishedAt.IsZero())
+	require.True(t, found[0].RemovalSeenAt.IsZero())
 	require.Equal(t, uint32(1), found[0].GetAddress())
 }
 
 // A directory that never saw an entry still tells one that did of its removal.
-func TestUnseenRemovalIsPassedOn(t *testing.T) {
+func TestUnseenRemovalIsPropagated(t *testing.T) {
 	unaware, saw := New(time.Minute), New(time.Minute)
 	unaware.Apply(batch(1, true), start)
 	unaware.Apply(batch(5, true), start)
@@ -79,7 +79,7 @@
 	require.Equal(t, uint32(1), known.Backends()[0].GetAddress())
 }
 
-func TestUnreadableEntriesLoseNothing(t *testing.T) {
+func TestUnreadableEntriesKeepContent(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(3, true, routesChange(1), backendChange(2, "i-1", false, false)), start)
 	unreadable := []*apiv1.DirectoryChange{
@@ -100,7 +100,7 @@
 	require.False(t, known.Backends()[0].GetDraining(), "it has written anew")
 }
 
-func TestRepetitionsAreNoChange(t *testing.T) {
+func TestRewrittenContentIsNoChange(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(3, true, backendChange(2, "i-1", false, false)), start)
 	require.False(t, known.Apply(batch(8, true, backendChange(7, "i-1", false, false)), start))
@@ -108,7 +108,7 @@
 
 // Back ends write their entries about every second. Followers are told of what
 // changed, not of that: at 140,000 back ends it would be 8 MB at each read.
-func TestHeartbeatsAreNotTold(t *testing.T) {
+func TestHeartbeatsAreNotReported(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(3, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
 	known.Apply(batch(8, true, backendChange(7, "i-1", false, false), backendChange(8, "i-2", true, false)), start)
@@ -123,7 +123,7 @@
 
 // A balancer that missed a change and its reversal still tells one that saw
 // the change of the reversal. The seed that found this is in the commit.
-func TestMissedReversalIsPassedOn(t *testing.T) {
+func TestMissedReversalIsPropagated(t *testing.T) {
 	missed, saw := New(time.Minute), New(time.Minute)
 	missed.Apply(batch(1, true, backendChange(1, "i-1", false, false)), start)
 	missed.Apply(batch(3, true, backendChange(3, "i-1", false, false)), start)
@@ -132,7 +132,7 @@
 	require.False(t, saw.Backends()[0].GetDraining())
 }
 
-func TestTombstonesExpireAndAskersGetEverything(t *testing.T) {
+func TestExpiredTombstonesRequireSnapshot(t *testing.T) {
 	known := New(time.Second)
 	known.Apply(batch(3, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
 	known.Apply(batch(5, false, backendChange(5, "i-1", false, true)), start)
@@ -146,14 +146,14 @@
 	require.False(t, asker.Backends()[1].Gone)
 }
 
-// world is a store in which changes happen, for the property test.
-type world struct {
+// fakeStore is a store in which changes happen, for the property test.
+type fakeStore struct {
 	revision uint64
 	entries  map[string]*apiv1.DirectoryChange
 	history  []*apiv1.DirectoryChange
 }
 
-func (world *world) change(id string, draining, gone bool) {
+func (world *fakeStore) change(id string, draining, gone bool) {
 	world.revision++
 	made := backendChange(world.revision, id, draining, gone)
 	world.history = append(world.history, made)
@@ -164,7 +164,7 @@
 	world.entries[id] = made
 }
 
-func (world *world) snapshot() *apiv1.DirectoryBatch {
+func (world *fakeStore) snapshot() *apiv1.DirectoryBatch {
 	made := batch(world.revision, true)
 	for _, entry := range world.entries {
 		made.Changes = append(made.Changes, proto.CloneOf(entry))
@@ -172,7 +172,7 @@
 	return made
 }
 
-func (world *world) since(after uint64) *apiv1.DirectoryBatch {
+func (world *fakeStore) since(after uint64) *apiv1.DirectoryBatch {
 	made := batch(world.revision, false)
 	for _, event := range world.history {
 		if event.GetRevision() > after {
@@ -185,9 +185,9 @@
 // Several directories learn from the store and from each other, in any order
 // and with old answers arriving late. None ever goes back, and all that reach
 // the store's revision hold what the store holds.
-func TestDirectoriesAgreeWhateverTheOrder(t *testing.T) {
+func TestDirectoriesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &world{entries: make(map[string]*apiv1.DirectoryChange)}
+		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
 		known := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
 		var late []*apiv1.DirectoryBatch
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -214,12 +214,12 @@
 		}
 		for _, each := range known {
 			each.Apply(store.since(each.Revision()), start)
-			requireSame(t, store, each)
+			requireMatchesStore(t, store, each)
 		}
 	})
 }
 
-func requireSame(t require.TestingT, store *world, known *Directory) {
+func requireMatchesStore(t require.TestingT, store *fakeStore, known *Directory) {
 	held := make(map[string]bool)
 	for _, backend := range known.Backends() {
 		if !backend.Gone {
@@ -235,26 +235,26 @@
 
 // Who has read the store asks a peer for what the store does not have, and not
 // for everything again.
-func TestEverythingAfterARevisionIsChangesAndTombstones(t *testing.T) {
+func TestSinceWithTombstones(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(3, true, backendChange(1, "i-1", false, false), backendChange(2, "i-2", false, false),
 		backendChange(3, "i-3", false, false)), start)
 	known.Apply(batch(4, false, backendChange(4, "i-1", false, true)), start)
 	known.Apply(batch(5, false, backendChange(5, "i-4", false, false)), start)
 	require.Len(t, known.Since(4).GetChanges(), 1)
-	require.Len(t, known.Everything(4).GetChanges(), 2, "the tombstone too")
-	require.Len(t, known.Everything(3).GetChanges(), 2, "the tombstone once")
-	require.Len(t, known.Everything(0).GetChanges(), 4)
+	require.Len(t, known.SinceWithTombstones(4).GetChanges(), 2, "the tombstone too")
+	require.Len(t, known.SinceWithTombstones(3).GetChanges(), 2, "the tombstone once")
+	require.Len(t, known.SinceWithTombstones(0).GetChanges(), 4)
 }
 
 // A balancer starts and reads the store just after a back end has gone. A peer that
 // has read it before still takes the back end for living, and is the only one that
 // can tell its open flows' address (soak seed 2002).
-func TestWhoIsBehindTellsAllThatItHolds(t *testing.T) {
+func TestPeerBehindSendsSnapshot(t *testing.T) {
 	peer, started := New(time.Minute), New(time.Minute)
 	peer.Apply(batch(3, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
 	started.Apply(batch(4, true, backendChange(3, "i-2", false, false)), start)
-	started.Apply(peer.Everything(started.Revision()), start)
+	started.Apply(peer.SinceWithTombstones(started.Revision()), start)
 	found := started.Backends()
 	require.Len(t, found, 2)
 	require.True(t, found[0].Gone)
@@ -262,7 +262,7 @@
 	require.Equal(t, uint64(4), started.Revision())
 }
 
-func TestChangesOfBalancersAreCounted(t *testing.T) {
+func TestBalancerChangesAreCounted(t *testing.T) {
 	known := New(time.Minute)
 	key := Key{Kind: KindBalancer, Name: "edge-1"}
 	require.Zero(t, known.RevisionOf(key))
@@ -283,7 +283,7 @@
 
 // Each tombstone ends in its time, whatever is made, removed and made again
 // between the looks.
-func TestTombstonesEndInTheirTime(t *testing.T) {
+func TestTombstonesExpireOnTime(t *testing.T) {
 	const retention = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		known := New(retention)
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -20,35 +20,35 @@
 // written again by then has in truth gone.
 
 const (
-	// lostFor is for how long an entry is held that the copy lacks: its writer is back
+	// missingOverrideTime is for how long an entry is held that the copy lacks: its writer is back
 	// within about 2 s, and the last second is for the news to arrive. New flows to one
 	// that has left meanwhile end within the time that a leaving back end has.
-	lostFor = 3 * time.Second
-	// endedFor is for how long an entry stays ended that the copy shows as it was before:
+	missingOverrideTime = 3 * time.Second
+	// endedOverrideTime is for how long an entry stays ended that the copy shows as it was before:
 	// until its back end would have been missed had it fallen silent, three times 3 s.
-	endedFor = 10 * time.Second
-	// awayFor is after how long without a word what is known is no longer held against a
+	endedOverrideTime = 10 * time.Second
+	// maxOverrideAge is after how long without a word what is known is no longer held against a
 	// later era: who was away for longer may come long after the copy, and what it shows
 	// otherwise was written since. A drill takes some seconds.
-	awayFor = 10 * time.Second
+	maxOverrideAge = 10 * time.Second
 )
 
-// entersEra tells whether a batch is the first one of a later era, and comes soon enough after the
+// entersNewEra tells whether a batch is the first one of a later era, and comes soon enough after the
 // last word of the earlier one for what is known to be later than what it shows.
-func (d *Directory) entersEra(batch *apiv1.DirectoryBatch, now time.Time) bool {
+func (d *Directory) entersNewEra(batch *apiv1.DirectoryBatch, now time.Time) bool {
 	later := d.revision != 0 && revision.EraOf(batch.GetRevision()) > revision.EraOf(d.revision)
-	return later && now.Sub(d.toldAt) <= awayFor
+	return later && now.Sub(d.updatedAt) <= maxOverrideAge
 }
 
-// ofPastEra tells whether a batch speaks of an era that the store has left. It says nothing of
+// fromPastEra tells whether a batch speaks of an era that the store has left. It says nothing of
 // what holds now, and its revisions are above those that the copy goes back to.
-func (d *Directory) ofPastEra(batch *apiv1.DirectoryBatch) bool {
+func (d *Directory) fromPastEra(batch *apiv1.DirectoryBatch) bool {
 	return batch.GetRevision() != 0 && revision.EraOf(batch.GetRevision()) < revision.EraOf(d.revision)
 }
 
-// addUnknown takes from a batch of a past era the back ends that are not known here, as
+// addUnknownBackends takes from a batch of a past era the back ends that are not known here, as
 // tombstones: their open flows still have to find them.
-func (d *Directory) addUnknown(batch *apiv1.DirectoryBatch, now time.Time) bool {
+func (d *Directory) addUnknownBackends(batch *apiv1.DirectoryBatch, now time.Time) bool {
 	added := false
 	for _, change := range batch.GetChanges() {
 		key := KeyOf(change)
@@ -59,10 +59,10 @@
 	return added
 }
 
-// reverts tells whether a change would put an older table of routes in force, or a policy
+// rolledBackBy tells whether a change would put an older table of routes in force, or a policy
 // back to what the store's copy holds. Both stand until they have been written again. A policy
 // whose number is above the known one's is not the copy's: that one was given out earlier.
-func (e *entry) reverts(change *apiv1.DirectoryChange, entering bool) bool {
+func (e *entry) rolledBackBy(change *apiv1.DirectoryChange, entering bool) bool {
 	if offered := change.GetRoutes(); offered != nil {
 		return offered.GetVersion() < e.change.GetRoutes().GetVersion()
 	}
@@ -73,10 +73,10 @@
 	return change.GetGone() != e.change.GetGone() || !proto.Equal(offered, e.change.GetPolicy())
 }
 
-// believed is what holds of an entry: what the store says, or what is held against it.
-func (e *entry) believed() *apiv1.DirectoryChange {
-	if e.held != nil {
-		return e.held
+// effective is what holds of an entry: what the store says, or what is held against it.
+func (e *entry) effective() *apiv1.DirectoryChange {
+	if e.override != nil {
+		return e.override
 	}
 	return e.change
 }
@@ -84,83 +84,83 @@
 // LostPolicy is a policy, or the removal of one, that the store has lost.
 type LostPolicy struct {
 	Policy *apiv1.Policy
-	// Gone is set where it was the removal.
-	Gone bool
-	// Stands is the store's revision of what it has in its place; 0 is nothing.
-	Stands uint64
+	// Removed is set where it was the removal.
+	Removed bool
+	// StoredRevision is the store's revision of what it has in its place; 0 is nothing.
+	StoredRevision uint64
 }
 
 // LostPolicies returns what is to be written again of policies: nobody else remembers them.
 func (d *Directory) LostPolicies() []LostPolicy {
 	var found []LostPolicy
-	for key, known := range d.lost {
+	for key, known := range d.lostPolicies {
 		if !known.change.GetContested() {
-			delete(d.lost, key)
+			delete(d.lostPolicies, key)
 			continue
 		}
-		if known.change.GetGone() && known.stands == 0 {
+		if known.change.GetGone() && known.storedRevision == 0 {
 			continue // nothing stands that would have to be removed
 		}
-		found = append(found, LostPolicy{Policy: known.change.GetPolicy(), Gone: known.change.GetGone(), Stands: known.stands})
+		found = append(found, LostPolicy{Policy: known.change.GetPolicy(), Removed: known.change.GetGone(), StoredRevision: known.storedRevision})
 	}
 	return found
 }
 
-// noteLost notes that a policy is to be written again, if an entry is one.
-func (d *Directory) noteLost(key Key, known *entry) {
+// trackLostPolicy notes that a policy is to be written again, if an entry is one.
+func (d *Directory) trackLostPolicy(key Key, known *entry) {
 	if key.Kind == KindPolicy && known.change.GetContested() {
-		d.lost[key] = known
+		d.lostPolicies[key] = known
 	}
 }
 
-// notice takes what the store has in place of a policy that it lost.
-func (e *entry) notice(change *apiv1.DirectoryChange) {
+// noteStoredPolicy takes what the store has in place of a policy that it lost.
+func (e *entry) noteStoredPolicy(change *apiv1.DirectoryChange) {
 	if e.change.GetContested() && change.GetPolicy() != nil && !change.GetGone() && !change.GetContested() {
-		e.stands = change.GetRevision()
+		e.storedRevision = change.GetRevision()
 	}
 }
 
-// outlasts tells whether an entry stands that a complete batch does not name: the table of
+// keptWhenMissing tells whether an entry stands that a complete batch does not name: the table of
 // routes, and a policy that the store has lost.
-func (e *entry) outlasts(kind Kind, from arrival) bool {
-	return kind == KindRoutes || kind == KindPolicy && (from.entering || e.change.GetContested())
+func (e *entry) keptWhenMissing(kind Kind, from batchContext) bool {
+	return kind == KindRoutes || kind == KindPolicy && (from.newEra || e.change.GetContested())
 }
 
-// belief is what was believed of an entry before a change of it.
-type belief struct {
-	// told is what the store had said.
-	told, change *apiv1.DirectoryChange
-	// goneAt is when it was removed, if it was.
-	goneAt time.Time
+// entryState is what was believed of an entry before a change of it.
+type entryState struct {
+	// stored is what the store had said.
+	stored, effective *apiv1.DirectoryChange
+	// removedAt is when it was removed, if it was.
+	removedAt time.Time
 }
 
-func beliefIn(known *entry) belief {
-	return belief{told: known.change, change: known.believed(), goneAt: known.goneAt}
+func stateOf(known *entry) entryState {
+	return entryState{stored: known.change, effective: known.effective(), removedAt: known.removedAt}
 }
 
 // reconcile decides what is believed of an entry after a change of it. It tells whether the
 // entry is held or released by that.
-func (d *Directory) reconcile(key Key, known *entry, before belief, from arrival) bool {
+func (d *Directory) reconcile(key Key, known *entry, before entryState, from batchContext) bool {
 	limit := time.Duration(0)
-	if from.entering {
-		limit = heldFor(before.change, known.change)
+	if from.newEra {
+		limit = overrideTime(before.effective, known.change)
 	}
 	if limit == 0 {
-		return d.release(key, known)
+		return d.dropOverride(key, known)
 	}
-	known.held, known.heldUntil = before.change, from.at.Add(limit)
-	if before.change.GetGone() {
-		known.goneAt = before.goneAt
+	known.override, known.overrideUntil = before.effective, from.receivedAt.Add(limit)
+	if before.effective.GetGone() {
+		known.removedAt = before.removedAt
 	}
-	d.held[key] = known
-	d.expireAt(known.heldUntil)
-	d.touch(key)
+	d.overridden[key] = known
+	d.scheduleExpiry(known.overrideUntil)
+	d.reindex(key)
 	return true
 }
 
-// heldFor is for how long what was known of an entry is held against what the copy shows; 0
+// overrideTime is for how long what was known of an entry is held against what the copy shows; 0
 // is not at all.
-func heldFor(before, shown *apiv1.DirectoryChange) time.Duration {
+func overrideTime(before, shown *apiv1.DirectoryChange) time.Duration {
 	switch before.GetEntry().(type) {
 	case *apiv1.DirectoryChange_Backend, *apiv1.DirectoryChange_Evacuation:
 	default:
@@ -168,59 +168,59 @@
 	}
 	switch {
 	case shown.GetGone() && !before.GetGone():
-		return lostFor
-	case startOf(shown) != startOf(before):
+		return missingOverrideTime
+	case startTime(shown) != startTime(before):
 		return 0
 	case before.GetGone() && !shown.GetGone():
-		return endedFor
-	case saidDraining(before) && !shown.GetGone() && !shown.GetBackend().GetDraining():
-		return endedFor
+		return endedOverrideTime
+	case reportsDraining(before) && !shown.GetGone() && !shown.GetBackend().GetDraining():
+		return endedOverrideTime
 	case !shown.GetBackend().GetDraining() && !sameContent(before, shown):
 		// The copy may show it colder than it is by now.
-		return lostFor
+		return missingOverrideTime
 	}
 	return 0
 }
 
-// saidDraining tells whether a back end has said that it leaves.
-func saidDraining(change *apiv1.DirectoryChange) bool {
+// reportsDraining tells whether a back end has said that it leaves.
+func reportsDraining(change *apiv1.DirectoryChange) bool {
 	return change.GetBackend().GetDraining() && !change.GetUnreadable()
 }
 
-// release lets an entry be what the store says. It tells whether the entry was held.
-func (d *Directory) release(key Key, known *entry) bool {
-	if known.held == nil {
+// dropOverride lets an entry be what the store says. It tells whether the entry was held.
+func (d *Directory) dropOverride(key Key, known *entry) bool {
+	if known.override == nil {
 		return false
 	}
-	known.held = nil
+	known.override = nil
 	if !known.change.GetGone() {
-		known.goneAt = time.Time{}
+		known.removedAt = time.Time{}
 	}
-	delete(d.held, key)
-	d.touch(key)
+	delete(d.overridden, key)
+	d.reindex(key)
 	return true
 }
 
-// releaseDue lets entries be what the store says whose time to be written again is over. It
+// dropExpiredOverrides lets entries be what the store says whose time to be written again is over. It
 // tells whether any was.
-func (d *Directory) releaseDue(now time.Time) bool {
+func (d *Directory) dropExpiredOverrides(now time.Time) bool {
 	released := false
-	for key, known := range d.held {
-		if now.Before(known.heldUntil) {
-			d.expireAt(known.heldUntil)
+	for key, known := range d.overridden {
+		if now.Before(known.overrideUntil) {
+			d.scheduleExpiry(known.overrideUntil)
 			continue
 		}
-		released = d.release(key, known) || released
+		released = d.dropOverride(key, known) || released
 	}
 	return released
 }
 
-// Held is how many entries are held against what the store's copy shows.
-func (d *Directory) Held() int { return len(d.held) }
+// OverrideCount is how many entries are held against what the store's copy shows.
+func (d *Directory) OverrideCount() int { return len(d.overridden) }
 
-// touch has an entry listed anew.
-func (d *Directory) touch(key Key) {
+// reindex has an entry listed anew.
+func (d *Directory) reindex(key Key) {
 	if key.Kind == KindBackend {
-		d.listing.change(key.Name)
+		d.backends.markChanged(key.Name)
 	}
 }
--- a/internal/directory/listing_test.go
+++ b/internal/directory/listing_test.go
@@ -11,7 +11,7 @@
 )
 
 // Whatever changes, between any two looks, the list is what the entries say.
-func TestListingFollowsTheEntries(t *testing.T) {
+func TestBackendIndexMatchesEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := New(5 * time.Second)
 		now := start
@@ -30,15 +30,15 @@
 			known.Expire(now)
 			if rapid.Bool().Draw(t, "look") {
 				listed := known.Backends()
-				all := make(map[Place]bool)
-				for _, group := range known.Groups() {
-					all[group.Place] = true
-					require.Equal(t, group.Gone > 0, slices.ContainsFunc(group.Entries, func(each BackendEntry) bool { return each.Gone }))
+				all := make(map[PoolZone]bool)
+				for _, group := range known.BackendGroups() {
+					all[group.PoolZone] = true
+					require.Equal(t, group.TombstoneCount > 0, slices.ContainsFunc(group.Entries, func(each BackendEntry) bool { return each.Gone }))
 				}
 				for key := range known.entries {
-					known.affect(key.Name, all)
+					known.addAffected(key.Name, all)
 				}
-				known.relist(all)
+				known.rebuildGroups(all)
 				require.Equal(t, known.Backends(), listed)
 			}
 		}
--- a/internal/directory/lookup.go
+++ b/internal/directory/lookup.go
@@ -21,10 +21,10 @@
 type BackendEntry struct {
 	*apiv1.PoolBackend
 	Gone bool
-	// VanishedAt is when this directory learned of the removal, if it knew the
+	// RemovalSeenAt is when this directory learned of the removal, if it knew the
 	// back end before. It is zero for a tombstone that was learned as such,
 	// which may be of any age.
-	VanishedAt time.Time
+	RemovalSeenAt time.Time
 	// LearnedAt is when this directory learned of what the entry holds, which is
 	// no earlier than when it was written.
 	LearnedAt time.Time
@@ -43,22 +43,22 @@
 	Zone string
 	// Revision is the store's revision of the order, or of its end.
 	Revision uint64
-	// LearnedAt is when this directory learned of the order, and GoneAt when it
-	// learned that it was taken back; GoneAt is zero while it holds.
-	LearnedAt, GoneAt time.Time
+	// LearnedAt is when this directory learned of the order, and RevokedAt when it
+	// learned that it was taken back; RevokedAt is zero while it holds.
+	LearnedAt, RevokedAt time.Time
 }
 
-// Holds tells whether the order is in force.
-func (e Evacuation) Holds() bool { return e.GoneAt.IsZero() }
+// Active tells whether the order is in force.
+func (e Evacuation) Active() bool { return e.RevokedAt.IsZero() }
 
 // Evacuations returns the orders to evacuate zones, by zone, those that were
 // taken back lately too.
 func (d *Directory) Evacuations() []Evacuation {
 	var found []Evacuation
-	for zone, known := range d.orders {
-		order := Evacuation{Zone: zone, Revision: known.believed().GetRevision(), LearnedAt: known.learnedAt}
-		if known.believed().GetGone() {
-			order.GoneAt = known.goneAt
+	for zone, known := range d.evacuations {
+		order := Evacuation{Zone: zone, Revision: known.effective().GetRevision(), LearnedAt: known.learnedAt}
+		if known.effective().GetGone() {
+			order.RevokedAt = known.removedAt
 		}
 		found = append(found, order)
 	}
@@ -81,7 +81,7 @@
 		}
 	}
 	holding := 0
-	for zone, known := range d.orders {
+	for zone, known := range d.evacuations {
 		if known.change.GetGone() {
 			continue
 		}
--- a/internal/directory/orders_test.go
+++ b/internal/directory/orders_test.go
@@ -15,62 +15,62 @@
 		Evacuation: &apiv1.Evacuation{Zone: zone}}}
 }
 
-func orders(revision uint64, changes ...*apiv1.DirectoryChange) *apiv1.DirectoryBatch {
+func evacuationBatch(revision uint64, changes ...*apiv1.DirectoryChange) *apiv1.DirectoryBatch {
 	return &apiv1.DirectoryBatch{OrdersRevision: revision, Changes: changes}
 }
 
-// holding are the zones that a directory takes for evacuated.
-func holding(known *Directory) []string {
+// activeZones are the zones that a directory takes for evacuated.
+func activeZones(known *Directory) []string {
 	var zones []string
 	for _, order := range known.Evacuations() {
-		if order.Holds() {
+		if order.Active() {
 			zones = append(zones, order.Zone)
 		}
 	}
 	return zones
 }
 
-func TestOrderAndItsEndNeverOvertakeEachOther(t *testing.T) {
+func TestEvacuationAndRevocationKeepTheirOrder(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(5, true, evacuationChange(4, "maadi", false)), start)
-	require.Equal(t, []string{"maadi"}, holding(known))
+	require.Equal(t, []string{"maadi"}, activeZones(known))
 	known.Apply(batch(7, false, evacuationChange(7, "maadi", true)), start.Add(time.Second))
-	require.Empty(t, holding(known))
-	require.Equal(t, start.Add(time.Second), known.Evacuations()[0].GoneAt)
+	require.Empty(t, activeZones(known))
+	require.Equal(t, start.Add(time.Second), known.Evacuations()[0].RevokedAt)
 	known.Apply(batch(6, false, evacuationChange(4, "maadi", false)), start)
-	require.Empty(t, holding(known), "the order arrives again, late")
+	require.Empty(t, activeZones(known), "the order arrives again, late")
 	known.Apply(batch(9, false, evacuationChange(9, "maadi", false)), start)
 	known.Apply(batch(8, false, evacuationChange(7, "maadi", true)), start)
-	require.Equal(t, []string{"maadi"}, holding(known), "the end of the first order arrives after the second order")
+	require.Equal(t, []string{"maadi"}, activeZones(known), "the end of the first order arrives after the second order")
 }
 
-func TestOrderThatAWholeReadDoesNotNameIsTakenBack(t *testing.T) {
+func TestEvacuationMissingFromSnapshotIsRevoked(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(5, true, evacuationChange(4, "maadi", false), evacuationChange(3, "giza", false)), start)
 	known.Apply(batch(10, false, evacuationChange(10, "giza", false)), start)
 	known.Apply(batch(9, true), start)
-	require.Equal(t, []string{"giza"}, holding(known), "the order for giza is newer than what was read")
+	require.Equal(t, []string{"giza"}, activeZones(known), "the order for giza is newer than what was read")
 }
 
 // A read of the orders alone that shows others than are known tells that a change
 // was missed, unless it is older than what is known.
-func TestOrdersThatContradict(t *testing.T) {
+func TestContradictingEvacuations(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(5, true, evacuationChange(4, "maadi", false), evacuationChange(2, "giza", false)), start)
 	known.Apply(batch(6, false, evacuationChange(6, "giza", true)), start)
 	maadi := evacuationChange(4, "maadi", false)
-	require.False(t, known.Contradicts(orders(9, routesChange(8), maadi)))
-	require.True(t, known.Contradicts(orders(9)), "taken back")
-	require.True(t, known.Contradicts(orders(9, maadi, evacuationChange(9, "nasr", false))), "a new one")
-	require.True(t, known.Contradicts(orders(9, maadi, evacuationChange(9, "giza", false))), "given again")
-	require.True(t, known.Contradicts(orders(9, evacuationChange(8, "maadi", false))), "taken back and given again")
-	require.False(t, known.Contradicts(orders(5, maadi, evacuationChange(2, "giza", false))), "older than what is known")
+	require.False(t, known.Contradicts(evacuationBatch(9, routesChange(8), maadi)))
+	require.True(t, known.Contradicts(evacuationBatch(9)), "taken back")
+	require.True(t, known.Contradicts(evacuationBatch(9, maadi, evacuationChange(9, "nasr", false))), "a new one")
+	require.True(t, known.Contradicts(evacuationBatch(9, maadi, evacuationChange(9, "giza", false))), "given again")
+	require.True(t, known.Contradicts(evacuationBatch(9, evacuationChange(8, "maadi", false))), "taken back and given again")
+	require.False(t, known.Contradicts(evacuationBatch(5, maadi, evacuationChange(2, "giza", false))), "older than what is known")
 	require.False(t, known.Contradicts(nil))
 }
 
 // Peers that learn in any order, some from the store and some from each other, end
 // with what the operator ordered last.
-func TestPeersAgreeOnOrders(t *testing.T) {
+func TestPeersConvergeOnEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := []*Directory{New(time.Minute), New(time.Minute), New(time.Minute)}
 		revision := uint64(1)
@@ -96,7 +96,7 @@
 				if peer != reader {
 					peer.Apply(reader.Since(peer.Revision()), start)
 				}
-				require.Equal(t, gone, len(holding(peer)) == 0)
+				require.Equal(t, gone, len(activeZones(peer)) == 0)
 			}
 		}
 	})
--- a/internal/directory/size_test.go
+++ b/internal/directory/size_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// BenchmarkDropOne is the cost of a tombstone that has had its time: 0.36 ms beside 10,000
+// BenchmarkExpireOneTombstone is the cost of a tombstone that has had its time: 0.36 ms beside 10,000
 // back ends while all entries were looked at, 2.3 us since only tombstones are.
-func BenchmarkDropOne(b *testing.B) {
+func BenchmarkExpireOneTombstone(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			known := New(time.Minute)
--- a/internal/directory/starts_test.go
+++ b/internal/directory/starts_test.go
@@ -30,7 +30,7 @@
 	return found
 }
 
-func TestAnotherStartUnderTheSameIDIsToldAndMarked(t *testing.T) {
+func TestRestartUnderSameIDIsReportedAndMarked(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
 	require.False(t, known.Backends()[0].Restarted)
@@ -44,7 +44,7 @@
 
 // A call to the store that got no answer may be done seconds later: the entry of a start
 // that has ended then stands over that of its successor, with a higher revision.
-func TestLateWriteOfAnEarlierStartIsNotTaken(t *testing.T) {
+func TestLateWriteOfEarlierStartIsIgnored(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(1, true, startChange(1, "i-1", 5)), start)
 	known.Apply(batch(2, false, startChange(2, "i-1", 9)), start)
@@ -56,14 +56,14 @@
 }
 
 // A clock that was set back gives the next start an earlier time.
-func TestStartThatGoesOnWritingIsTaken(t *testing.T) {
+func TestStartThatKeepsWritingIsAccepted(t *testing.T) {
 	known := New(time.Minute)
 	known.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
 	for second := 1; second <= 9; second++ {
 		require.False(t, known.Apply(batch(uint64(second+1), false, startChange(uint64(second+1), "i-1", 5)),
 			start.Add(time.Duration(second)*time.Second)))
 	}
-	require.True(t, known.Apply(batch(12, false, startChange(12, "i-1", 5)), start.Add(lateWrite)))
+	require.True(t, known.Apply(batch(12, false, startChange(12, "i-1", 5)), start.Add(lateWriteWindow)))
 	require.Equal(t, uint32(5), known.Backends()[0].GetAddress())
 	gone := New(time.Minute)
 	gone.Apply(batch(1, true, startChange(1, "i-1", 9)), start)
@@ -74,9 +74,9 @@
 // Back ends start again under their ids, and writes of starts that have ended come late.
 // Directories learn from the store and from each other, in any order. Once each living start
 // has written once more and all have read, all hold the living starts.
-func TestDirectoriesAgreeOnTheLivingStarts(t *testing.T) {
+func TestDirectoriesConvergeOnLiveStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &world{entries: make(map[string]*apiv1.DirectoryChange)}
+		store := &fakeStore{entries: make(map[string]*apiv1.DirectoryChange)}
 		known := []*Directory{New(time.Hour), New(time.Hour), New(time.Hour)}
 		living := make(map[string]uint64)
 		now := start
--- a/internal/directory/tell.go
+++ b/internal/directory/tell.go
@@ -2,16 +2,16 @@
 
 import apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 
-// NeedsAll tells whether who knows everything up to a revision has to be told all entries;
+// NeedsSnapshot tells whether who knows everything up to a revision has to be told all entries;
 // with everything set, whether Everything tells it so.
-func (d *Directory) NeedsAll(after uint64, everything bool) bool {
-	return after == 0 || after < d.forgotten || d.between(after) || everything && after > d.revision
+func (d *Directory) NeedsSnapshot(after uint64, everything bool) bool {
+	return after == 0 || after < d.compactedRevision || d.insideStep(after) || everything && after > d.revision
 }
 
 // Since returns what changed after a revision. When the asker may know of
 // entries whose removal can't be told, or knows nothing, the batch is complete.
 func (d *Directory) Since(after uint64) *apiv1.DirectoryBatch {
-	complete := d.NeedsAll(after, false)
+	complete := d.NeedsSnapshot(after, false)
 	batch := &apiv1.DirectoryBatch{Revision: d.revision, Complete: complete}
 	if complete {
 		for _, known := range d.entries {
@@ -21,7 +21,7 @@
 	}
 	for _, logged := range d.log.since(after) {
 		known := d.entries[logged.key]
-		if known != nil && known.logged == logged.revision {
+		if known != nil && known.loggedRevision == logged.revision {
 			batch.Changes = append(batch.Changes, known.change)
 		}
 	}
@@ -29,10 +29,10 @@
 	return batch
 }
 
-// Everything returns what changed after a revision, and all tombstones besides.
+// SinceWithTombstones returns what changed after a revision, and all tombstones besides.
 // Who has read the store lacks only those. Who has read more of it than is known
 // here gets all entries: one that has gone meanwhile is not a tombstone here yet.
-func (d *Directory) Everything(after uint64) *apiv1.DirectoryBatch {
+func (d *Directory) SinceWithTombstones(after uint64) *apiv1.DirectoryBatch {
 	if after > d.revision {
 		after = 0
 	}
--- a/internal/tokenroute/admission.go
+++ b/internal/tokenroute/admission.go
@@ -4,19 +4,19 @@
 	"github.com/indigobarrow/indigobarrow/internal/admission"
 )
 
-// Admit takes the levels by which new flows are refused for want of room; nil refuses
+// SetRefusals takes the levels by which new flows are refused for want of room; nil refuses
 // nobody. It may be called by any goroutine.
-func (f *Flows) Admit(levels *admission.Refusals) { f.levels.Store(levels) }
+func (f *Flows) SetRefusals(levels *admission.Refusals) { f.refusals.Store(levels) }
 
-// Levels are those in force.
-func (f *Flows) Levels() *admission.Refusals { return f.levels.Load() }
+// Refusals are those in force.
+func (f *Flows) Refusals() *admission.Refusals { return f.refusals.Load() }
 
-// refusing returns the level by which the first packet of a flow is refused, or nil.
+// refusalFor returns the level by which the first packet of a flow is refused, or nil.
 // A copy passes: an earlier one may have been forwarded here or by another balancer, and
 // to refuse it would be to say of a flow that may have opened that it was not.
-func (f *Flows) refusing(route *Route, packet Packet) *admission.Refusal {
-	levels := f.levels.Load()
-	if levels == nil || packet.Copy {
+func (f *Flows) refusalFor(route *Route, packet Packet) *admission.Refusal {
+	levels := f.refusals.Load()
+	if levels == nil || packet.Retransmission {
 		return nil
 	}
 	key := packet.Key
@@ -28,7 +28,7 @@
 	if level == nil {
 		return nil
 	}
-	if state := f.memory.find(key); state != nil && (state.opening.count > 0 || state.track.backend != nil) {
+	if state := f.cache.find(key); state != nil && (state.opening.count > 0 || state.tracker.backend != nil) {
 		return nil
 	}
 	return level
--- a/internal/tokenroute/admission_test.go
+++ b/internal/tokenroute/admission_test.go
@@ -10,8 +10,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// short are levels that refuse all less urgent flows to a pool that is short of room.
-func short(t *testing.T) *admission.Refusals {
+// lowPriorityRefusals are levels that refuse all less urgent flows to a pool that is short of room.
+func lowPriorityRefusals(t *testing.T) *admission.Refusals {
 	gate := admission.NewController()
 	var levels *admission.Refusals
 	for step := range 20 {
@@ -23,15 +23,15 @@
 	return levels
 }
 
-// twoUrgencies has one pool behind an urgent route and one that is less so.
-func twoUrgencies() *Table {
+// twoPriorityTable has one pool behind an urgent route and one that is less so.
+func twoPriorityTable() *Table {
 	urgent, other := route(1, share("lending", 1)), route(2, share("lending", 1))
 	urgent.Priority, other.Priority = 1, 2
 	return NewTable(newDirectory(&apiv1.DirectoryChange{Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{
 		Version: 1, Routes: []*apiv1.ServiceRoute{urgent, other}}}}, backend(2, 7, "lending"), backend(3, 9, "lending")), defaultOptions())
 }
 
-func firstTo(port int, address byte) Packet {
+func firstPacketTo(port int, address byte) Packet {
 	packet := firstPacket(port)
 	packet.Key.Destination[3] = address
 	return packet
@@ -39,38 +39,38 @@
 
 // A pool that was short of room got every flow, and shed the urgent as readily as what
 // could wait.
-func TestLessUrgentFlowsAreRefusedForWantOfRoom(t *testing.T) {
-	flows, table := NewFlows(mechanism.Set{}), twoUrgencies()
-	flows.Admit(short(t))
+func TestLowPriorityFlowsAreRefusedWhenCapacityIsShort(t *testing.T) {
+	flows, table := NewFlows(mechanism.Set{}), twoPriorityTable()
+	flows.SetRefusals(lowPriorityRefusals(t))
 	for port := range 100 {
-		refused := flows.Decide(table, firstTo(port, 2), at(port))
+		refused := flows.Decide(table, firstPacketTo(port, 2), at(port))
 		require.Equal(t, Refuse, refused.Verdict)
 		require.Equal(t, ReasonNoRoom, refused.Reason)
-		require.Equal(t, admission.Priority(2), refused.Level.Priority)
-		require.Equal(t, 6.0, refused.Level.Pressure.RequestsPerSlot)
-		require.Equal(t, Forward, flows.Decide(table, firstTo(port, 1), at(port)).Verdict)
+		require.Equal(t, admission.Priority(2), refused.Refusal.Priority)
+		require.Equal(t, 6.0, refused.Refusal.Pressure.RequestsPerSlot)
+		require.Equal(t, Forward, flows.Decide(table, firstPacketTo(port, 1), at(port)).Verdict)
 	}
-	flows.Admit(nil)
-	require.Equal(t, Forward, flows.Decide(table, firstTo(1000, 2), at(200)).Verdict)
+	flows.SetRefusals(nil)
+	require.Equal(t, Forward, flows.Decide(table, firstPacketTo(1000, 2), at(200)).Verdict)
 }
 
 // A first packet that went to a back end may have opened its flow there: neither a copy
 // of it nor a later packet is refused.
-func TestWhatWasForwardedIsNotRefused(t *testing.T) {
-	flows, table := NewFlows(mechanism.Set{}), twoUrgencies()
-	opened := flows.Decide(table, firstTo(1, 2), at(0))
-	flows.Admit(short(t))
+func TestForwardedFlowsAreNotRefused(t *testing.T) {
+	flows, table := NewFlows(mechanism.Set{}), twoPriorityTable()
+	opened := flows.Decide(table, firstPacketTo(1, 2), at(0))
+	flows.SetRefusals(lowPriorityRefusals(t))
 	for _, elapsed := range []int{10, 200, 600} {
-		require.Equal(t, Forward, flows.Decide(table, firstTo(1, 2), at(elapsed)).Verdict)
+		require.Equal(t, Forward, flows.Decide(table, firstPacketTo(1, 2), at(elapsed)).Verdict)
 	}
-	later := firstTo(1, 2)
+	later := firstPacketTo(1, 2)
 	later.First, later.Token, later.Length = false, opened.Backend.Token, 100
 	require.Equal(t, Forward, flows.Decide(table, later, at(700)).Verdict)
 	elsewhere := NewFlows(mechanism.Set{})
-	elsewhere.Admit(short(t))
+	elsewhere.SetRefusals(lowPriorityRefusals(t))
 	require.Equal(t, Forward, elsewhere.Decide(table, later, at(700)).Verdict, "nor by a balancer that the flow has come to")
-	require.Equal(t, ReasonNoRoom, elsewhere.Decide(table, firstTo(2, 2), at(700)).Reason)
-	copied := firstTo(3, 2)
-	copied.Copy = true
+	require.Equal(t, ReasonNoRoom, elsewhere.Decide(table, firstPacketTo(2, 2), at(700)).Reason)
+	copied := firstPacketTo(3, 2)
+	copied.Retransmission = true
 	require.Equal(t, Forward, elsewhere.Decide(table, copied, at(700)).Verdict, "another balancer may have forwarded the first")
 }
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -20,9 +20,9 @@
 type builder struct {
 	options   Options
 	previous  *Table
-	groups    []*directory.Group
+	groups    []*directory.BackendGroup
 	tokens    *tokenIndexBuilder
-	poolZones map[directory.Place]*poolZone
+	poolZones map[directory.PoolZone]*poolZone
 	pools     map[string]*pool
 	// sharedTokenPools are the pools of which two back ends share a token.
 	sharedTokenPools map[string]bool
@@ -40,9 +40,9 @@
 	made := &builder{
 		options:          options,
 		previous:         previous,
-		groups:           known.Groups(),
+		groups:           known.BackendGroups(),
 		tokens:           newTokenIndexBuilder(previous.tokens),
-		poolZones:        make(map[directory.Place]*poolZone),
+		poolZones:        make(map[directory.PoolZone]*poolZone),
 		pools:            make(map[string]*pool),
 		sharedTokenPools: make(map[string]bool),
 	}
@@ -58,10 +58,10 @@
 // the tokens up to date.
 func (b *builder) indexBackends() [][]*Backend {
 	found := make([][]*Backend, len(b.groups))
-	listed := make(map[directory.Place]bool, len(b.groups))
+	listed := make(map[directory.PoolZone]bool, len(b.groups))
 	for place, group := range b.groups {
-		listed[group.Place] = true
-		known := b.previous.poolZones[group.Place]
+		listed[group.PoolZone] = true
+		known := b.previous.poolZones[group.PoolZone]
 		if known != nil && known.version == group.Version && b.options.WarmupOf == nil {
 			found[place] = known.backends
 			continue
@@ -82,7 +82,7 @@
 // backendsOf returns the back ends of a group: those of the previous table, by id, where
 // nothing of them has changed. Flows remember theirs for seconds, and would else keep a copy for
 // each table.
-func (b *builder) backendsOf(group *directory.Group, previous []*Backend) []*Backend {
+func (b *builder) backendsOf(group *directory.BackendGroup, previous []*Backend) []*Backend {
 	made := make([]*Backend, len(group.Entries))
 	for place, entry := range group.Entries {
 		before := 0
@@ -131,14 +131,14 @@
 
 // addPoolZone adds the part of a group, the previous one where nothing that it depends on has
 // changed.
-func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
+func (b *builder) addPoolZone(group *directory.BackendGroup, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
-	weight, uniform := b.weight(group.Place)
-	made := b.previous.poolZones[group.Place]
+	weight, uniform := b.weight(group.PoolZone)
+	made := b.previous.poolZones[group.PoolZone]
 	if made == nil || b.sharedTokenPools[group.Pool] || !made.reusable(group.Version, evacuated, weight, uniform) {
 		made = b.poolZone(group, backends)
 	}
-	b.poolZones[group.Place] = made
+	b.poolZones[group.PoolZone] = made
 	b.restarted = append(b.restarted, made.restarted...)
 }
 
@@ -196,8 +196,8 @@
 }
 
 // groupsOf are the groups of a pool.
-func (b *builder) groupsOf(pool string) []*directory.Group {
-	first, _ := slices.BinarySearchFunc(b.groups, pool, func(each *directory.Group, pool string) int {
+func (b *builder) groupsOf(pool string) []*directory.BackendGroup {
+	first, _ := slices.BinarySearchFunc(b.groups, pool, func(each *directory.BackendGroup, pool string) int {
 		return strings.Compare(each.Pool, pool)
 	})
 	last := first
@@ -216,9 +216,9 @@
 	made := &pool{name: name, zoneByWeight: b.options.ZoneByWeight != nil && b.options.ZoneByWeight(name)}
 	b.pools[name] = made
 	groups := b.groupsOf(name)
-	ready := slices.ContainsFunc(groups, func(each *directory.Group) bool { return len(b.poolZones[each.Place].eligible) > 0 })
+	ready := slices.ContainsFunc(groups, func(each *directory.BackendGroup) bool { return len(b.poolZones[each.PoolZone].eligible) > 0 })
 	for _, group := range groups {
-		joined := b.poolZones[group.Place]
+		joined := b.poolZones[group.PoolZone]
 		if !ready {
 			joined = b.vanishedPoolZone(group, joined)
 		}
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -13,9 +13,9 @@
 	Key flow.Key
 	// First is set on the packet that opens a flow.
 	First bool
-	// Copy is set on repetitions of a first packet.
-	Copy  bool
-	Token Token
+	// Retransmission is set on repetitions of a first packet.
+	Retransmission bool
+	Token          Token
 	// Sequence, Acknowledged and Length are those of the packet's data.
 	Sequence, Acknowledged uint32
 	Length                 uint16
@@ -42,7 +42,7 @@
 // The reasons.
 const (
 	ReasonToken Reason = iota
-	ReasonKept
+	ReasonOpenedElsewhere
 	ReasonNewFlow
 	ReasonNoTable
 	ReasonNoRoute
@@ -78,8 +78,8 @@
 	Verdict Verdict
 	Reason  Reason
 	Backend *Backend
-	// Level is that by which the flow was refused for want of room.
-	Level *admission.Refusal
+	// Refusal is that by which the flow was refused for want of room.
+	Refusal *admission.Refusal
 }
 
 // Decide decides one packet by a table, which may be nil while nothing is
@@ -90,8 +90,8 @@
 		return Decision{Verdict: Drop, Reason: ReasonNoTable}
 	}
 	f.SetTable(table, now)
-	if !f.off.Has(mechanism.RestedFlows) {
-		f.memory.rest = table.IdleTimeout
+	if !f.disabled.Has(mechanism.RestedFlows) {
+		f.cache.idleTimeout = table.IdleTimeout
 	}
 	route := table.Route(packet.Key.Address())
 	if packet.First {
@@ -107,14 +107,14 @@
 	if named == nil {
 		return Decision{Verdict: Drop, Reason: ReasonUnknownToken}
 	}
-	f.turn(now)
-	state := f.memory.find(packet.Key)
-	chosen := f.next(state, named, now)
+	f.rotate(now)
+	state := f.cache.find(packet.Key)
+	chosen := f.backendFor(state, named, now)
 	if f.observe(packet, state, chosen, now) {
 		return Decision{Verdict: Refuse, Reason: ReasonDeadBackend, Backend: chosen}
 	}
 	if chosen != named {
-		return Decision{Verdict: Forward, Reason: ReasonKept, Backend: chosen}
+		return Decision{Verdict: Forward, Reason: ReasonOpenedElsewhere, Backend: chosen}
 	}
 	return Decision{Verdict: Forward, Reason: ReasonToken, Backend: named}
 }
@@ -124,18 +124,18 @@
 func (f *Flows) observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	var seenAt time.Time
 	if state == nil && (packet.Length > 0 || packet.Closing) {
-		seenAt = f.memory.wake(packet.Key, backend.Incarnation())
+		seenAt = f.cache.removeIdle(packet.Key, backend.Incarnation())
 	}
 	if packet.Closing {
 		f.close(packet, state, now)
 		return false
 	}
 	if state == nil && packet.Length > 0 {
-		state = f.memory.add(packet.Key)
-		state.seenAt = seenAt
+		state = f.cache.add(packet.Key)
+		state.firstRequestAt = seenAt
 	}
 	if state != nil {
-		state.attach(f.loadOf(backend), now)
+		state.attach(f.loadFor(backend), now)
 	}
 	return f.liveness.Observe(packet, state, backend, now)
 }
@@ -146,23 +146,23 @@
 	if state == nil {
 		return
 	}
-	state.ended(packet.Key.Address(), packet.Acknowledged)
+	state.countResponseLength(packet.Key.Address(), packet.Acknowledged)
 	if state.opening.count > 1 {
-		state.release(now)
+		state.detach(now)
 		return
 	}
-	f.memory.forget(packet.Key, state, now)
+	f.cache.forget(packet.Key, state, now)
 }
 
 func (f *Flows) decideFirst(route *Route, packet Packet, now time.Time) Decision {
 	if route == nil {
 		return Decision{Verdict: Refuse, Reason: ReasonNoRoute}
 	}
-	if level := f.refusing(route, packet); level != nil {
+	if level := f.refusalFor(route, packet); level != nil {
 		f.CountRefusal(level.Pool)
-		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Level: level}
+		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Refusal: level}
 	}
-	chosen := f.First(route, packet.Key, now)
+	chosen := f.ChooseForFirst(route, packet.Key, now)
 	if chosen == nil {
 		return Decision{Verdict: Refuse, Reason: route.refusalReason(packet.Key.Hash())}
 	}
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -15,22 +15,22 @@
 
 // Flows is the memory of one traffic goroutine.
 type Flows struct {
-	off    mechanism.Set
-	memory *memory
-	queue  []waiting
-	// places are what is asked of each pool in each zone.
-	places map[demand.PoolZone]*placeAsked
-	silent map[incarnation.ID]*silence
-	zones  *zones
-	loads  map[incarnation.ID]*load
-	pools  map[string]*poolUse
-	// summarizedAt is when the last summary was made, judgedAt when answers were
+	disabled        mechanism.Set
+	cache           *flowCache
+	pendingOpenings []pendingOpening
+	// demands are what is asked of each pool in each zone.
+	demands  map[demand.PoolZone]*poolZoneDemand
+	backoffs map[incarnation.ID]*backoff
+	zones    *zoneMonitor
+	loads    map[incarnation.ID]*backendLoad
+	pools    map[string]*poolUse
+	// summarizedAt is when the last summary was made, comparedAt when answers were
 	// last compared.
-	summarizedAt, judgedAt time.Time
-	// cold counts what goes to cold back ends.
-	cold warmupLimiter
-	// levels say which new flows are refused for want of room.
-	levels atomic.Pointer[admission.Refusals]
+	summarizedAt, comparedAt time.Time
+	// warmupAllowance counts what goes to cold back ends.
+	warmupAllowance warmupLimiter
+	// refusals say which new flows are refused for want of room.
+	refusals atomic.Pointer[admission.Refusals]
 	// saturated are the pools whose answers tell of their queues.
 	saturated atomic.Pointer[map[string]bool]
 	// table is the latest one, and restarted are the starts whose earlier flows were given
@@ -41,101 +41,101 @@
 	liveness *FailureDetector
 	// Retried counts first packets that went to another back end.
 	Retried atomic.Uint64
-	// Missed counts back ends that did not answer in time.
-	Missed atomic.Uint64
-	// Opened counts flows by how long they took to open.
-	Opened [aside.Steps]atomic.Uint64
-	// Kept counts packets sent to the back end that opened their flow although
+	// Unanswered counts back ends that did not answer in time.
+	Unanswered atomic.Uint64
+	// OpenedByTime counts flows by how long they took to open.
+	OpenedByTime [aside.Steps]atomic.Uint64
+	// TokenOverrides counts packets sent to the back end that opened their flow although
 	// their token named another.
-	Kept atomic.Uint64
+	TokenOverrides atomic.Uint64
 }
 
 // NewFlows makes an empty memory, for decisions without the given mechanisms.
 func NewFlows(off mechanism.Set) *Flows {
-	memory, zones := newMemory(), newZones(off)
+	memory, zones := newFlowCache(), newZoneMonitor(off)
 	return &Flows{
-		off:      off,
-		memory:   memory,
-		silent:   make(map[incarnation.ID]*silence),
+		disabled: off,
+		cache:    memory,
+		backoffs: make(map[incarnation.ID]*backoff),
 		zones:    zones,
-		loads:    make(map[incarnation.ID]*load),
+		loads:    make(map[incarnation.ID]*backendLoad),
 		pools:    make(map[string]*poolUse),
 		liveness: newFailureDetector(memory, zones, off),
 	}
 }
 
-// InZone sets the zone of this balancer and returns the memory.
-func (f *Flows) InZone(zone string) *Flows {
+// WithZone sets the zone of this balancer and returns the memory.
+func (f *Flows) WithZone(zone string) *Flows {
 	f.liveness.zone = zone
 	return f
 }
 
-// Verdicts is how often a back end was judged dead.
-func (f *Flows) Verdicts() uint64 { return f.liveness.FailureCount.Load() }
+// BackendFailures is how often a back end was judged dead.
+func (f *Flows) BackendFailures() uint64 { return f.liveness.FailureCount.Load() }
 
-// TakeVerdicts returns the back ends that were judged dead since the last call.
-func (f *Flows) TakeVerdicts() []BackendFailure {
+// TakeBackendFailures returns the back ends that were judged dead since the last call.
+func (f *Flows) TakeBackendFailures() []BackendFailure {
 	taken := f.liveness.failures
 	f.liveness.failures = nil
 	return taken
 }
 
-// Silenced is how often a zone was found silent.
-func (f *Flows) Silenced() uint64 { return f.zones.silenced.Load() }
+// SilentZoneCount is how often a zone was found silent.
+func (f *Flows) SilentZoneCount() uint64 { return f.zones.silentCount.Load() }
 
 // TakeSilentZones returns the zones that were found silent since the last call.
 func (f *Flows) TakeSilentZones() []SilentZone {
-	taken := f.zones.verdict
-	f.zones.verdict = nil
+	taken := f.zones.silentZones
+	f.zones.silentZones = nil
 	return taken
 }
 
-// TakeAbandoned returns the flows whose back end was judged dead since the last
+// TakeAbandonedFlows returns the flows whose back end was judged dead since the last
 // call, to be reset.
-func (f *Flows) TakeAbandoned() []Abandoned {
+func (f *Flows) TakeAbandonedFlows() []AbandonedFlow {
 	taken := f.liveness.abandoned
 	f.liveness.abandoned = nil
 	return taken
 }
 
-// First returns the back end for the first packet of a flow, or a repetition
+// ChooseForFirst returns the back end for the first packet of a flow, or a repetition
 // of it, or nil when the route has none. A repetition that comes before the
 // answer was due goes where the earlier one went, while that still takes new
 // flows.
-func (f *Flows) First(route *Route, key flow.Key, now time.Time) *Backend {
-	f.turn(now)
-	f.collect(now)
-	state := f.memory.find(key)
+func (f *Flows) ChooseForFirst(route *Route, key flow.Key, now time.Time) *Backend {
+	f.rotate(now)
+	f.collectOverdue(now)
+	state := f.cache.find(key)
 	if state == nil {
-		state = f.memory.add(key)
+		state = f.cache.add(key)
 	}
 	known := &state.opening
-	if known.opened != nil {
-		return known.opened
+	if known.openedBy != nil {
+		return known.openedBy
 	}
-	if known.count > 0 && (now.Sub(known.sentAt) < AnswerTime || known.count == maximumTried) && route.Accepts(known.last()) {
+	if known.count > 0 && (now.Sub(known.sentAt) < ResponseTimeout || known.count == maxAttempts) && route.Accepts(known.last()) {
 		return known.last()
 	}
 	prefer := func(backend *Backend) Preference { return f.preference(known, backend, now) }
-	chosen := route.Choose(key.Hash(), prefer, f.inUse)
+	chosen := route.Choose(key.Hash(), prefer, f.usage)
 	if chosen == nil {
 		return nil
 	}
-	f.remember(state, chosen, now)
+	f.recordAttempt(state, chosen, now)
 	return chosen
 }
 
 // preference is how willingly a back end is sent the new flow of an opening.
-func (f *Flows) preference(known *opening, backend *Backend, now time.Time) Preference {
-	warmth := f.cold.preference(backend, now)
+func (f *Flows) preference(known *flowOpening, backend *Backend, now time.Time) Preference {
+	warmth := f.warmupAllowance.preference(backend, now)
 	if warmth == Forbidden {
 		return Forbidden
 	}
 	if known.wasTried(backend) || f.liveness.Failed(backend, now) {
 		return Avoided
 	}
-	silent := f.silent[backend.Incarnation()]
-	if silent != nil && now.Before(silent.avoidUntil) && !f.off.Has(mechanism.AvoidSilent) {
+	silent := f.backoffs[backend.Incarnation()]
+	if silent != nil && now.Before(silent.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
 		return Avoided
 	}
 	if f.zones.avoids(backend.Zone, now) {
@@ -144,21 +144,21 @@
 	return warmth
 }
 
-// inUse is how much of a back end the flows use that pass here.
-func (f *Flows) inUse(backend *Backend) int {
+// usage is how much of a back end the flows use that pass here.
+func (f *Flows) usage(backend *Backend) int {
 	known := f.loads[backend.Incarnation()]
-	if known == nil || f.off.Has(mechanism.LeastUsed) {
+	if known == nil || f.disabled.Has(mechanism.LeastUsed) {
 		return 0
 	}
-	return known.flows + waitingWeight*known.waiting
+	return known.flows + inFlightWeight*known.inFlight
 }
 
-// loadOf returns the load of a back end.
-func (f *Flows) loadOf(backend *Backend) *load {
+// loadFor returns the load of a back end.
+func (f *Flows) loadFor(backend *Backend) *backendLoad {
 	known := f.loads[backend.Incarnation()]
 	if known == nil {
-		known = &load{pool: f.poolUse(backend.Pool), place: f.placeAsked(backend.Pool, backend.Zone),
-			answers: make(map[flow.Address]*observe.ResponseHistory)}
+		known = &backendLoad{pool: f.poolUse(backend.Pool), demand: f.demandFor(backend.Pool, backend.Zone),
+			responses: make(map[flow.Address]*observe.ResponseHistory)}
 		f.loads[backend.Incarnation()] = known
 	}
 	return known
@@ -173,100 +173,100 @@
 	return known
 }
 
-func (f *Flows) remember(state *flowState, chosen *Backend, now time.Time) {
+func (f *Flows) recordAttempt(state *flowState, chosen *Backend, now time.Time) {
 	known := &state.opening
 	if known.count > 0 {
 		f.Retried.Add(1)
 	}
-	f.cold.record(chosen, now)
-	f.countOpening(chosen, known.count == 0)
-	known.count = min(known.count, maximumTried-1)
-	known.tried[known.count] = chosen
+	f.warmupAllowance.record(chosen, now)
+	f.countNewFlow(chosen, known.count == 0)
+	known.count = min(known.count, maxAttempts-1)
+	known.attempts[known.count] = chosen
 	known.count++
 	known.sentAt = now
-	if silent := f.silent[chosen.Incarnation()]; silent != nil {
+	if silent := f.backoffs[chosen.Incarnation()]; silent != nil {
 		// It is tried by one flow, not by all that find it the least used.
-		silent.avoidUntil = now.Add(AnswerTime)
+		silent.avoidUntil = now.Add(ResponseTimeout)
 	}
-	f.zones.tried(chosen.Zone, now)
-	state.attach(f.loadOf(chosen), now)
-	if len(f.queue) < generationLimit {
-		f.queue = append(f.queue, waiting{opening: known, backend: chosen, sentAt: now})
+	f.zones.recordAttempt(chosen.Zone, now)
+	state.attach(f.loadFor(chosen), now)
+	if len(f.pendingOpenings) < maxGenerationFlows {
+		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: known, backend: chosen, sentAt: now})
 	}
 }
 
-// next returns the back end for a later packet of a flow whose token names the given back
+// backendFor returns the back end for a later packet of a flow whose token names the given back
 // end. The state is nil where no earlier packet passed here.
-func (f *Flows) next(state *flowState, named *Backend, now time.Time) *Backend {
+func (f *Flows) backendFor(state *flowState, named *Backend, now time.Time) *Backend {
 	if state == nil {
 		return named
 	}
 	known := &state.opening
-	if known.opened == nil && known.wasTried(named) {
-		known.opened = named
+	if known.openedBy == nil && known.wasTried(named) {
+		known.openedBy = named
 		f.countOpened(now.Sub(known.sentAt))
-		delete(f.silent, named.Incarnation())
+		delete(f.backoffs, named.Incarnation())
 		if known.last().Number == named.Number {
-			f.zones.answered(named, known.sentAt)
+			f.zones.recordResponse(named, known.sentAt)
 		}
 	}
-	if known.opened == nil || known.opened.Number == named.Number {
+	if known.openedBy == nil || known.openedBy.Number == named.Number {
 		return named
 	}
-	f.Kept.Add(1)
-	return known.opened
+	f.TokenOverrides.Add(1)
+	return known.openedBy
 }
 
 // countOpened counts a flow by how long it took to open. What took longer than an
 // answer may is counted as missed.
 func (f *Flows) countOpened(took time.Duration) {
-	if took < AnswerTime {
-		f.Opened[aside.StepOf(took)].Add(1)
+	if took < ResponseTimeout {
+		f.OpenedByTime[aside.StepOf(took)].Add(1)
 	}
 }
 
-// collect counts the back ends whose answers are overdue.
-func (f *Flows) collect(now time.Time) {
+// collectOverdue counts the back ends whose answers are overdue.
+func (f *Flows) collectOverdue(now time.Time) {
 	due := 0
-	for due < len(f.queue) && now.Sub(f.queue[due].sentAt) >= AnswerTime {
-		f.judge(f.queue[due], now)
+	for due < len(f.pendingOpenings) && now.Sub(f.pendingOpenings[due].sentAt) >= ResponseTimeout {
+		f.recordMiss(f.pendingOpenings[due], now)
 		due++
 	}
-	f.queue = f.queue[:copy(f.queue, f.queue[due:])]
+	f.pendingOpenings = f.pendingOpenings[:copy(f.pendingOpenings, f.pendingOpenings[due:])]
 }
 
-func (f *Flows) judge(due waiting, now time.Time) {
-	if due.opening.opened != nil {
+func (f *Flows) recordMiss(due pendingOpening, now time.Time) {
+	if due.opening.openedBy != nil {
 		return
 	}
-	f.Missed.Add(1)
-	f.zones.missed(due.backend, due.sentAt, now)
-	state := f.silent[due.backend.Incarnation()]
+	f.Unanswered.Add(1)
+	f.zones.recordMiss(due.backend, due.sentAt, now)
+	state := f.backoffs[due.backend.Incarnation()]
 	if state == nil {
-		state = &silence{}
-		f.silent[due.backend.Incarnation()] = state
+		state = &backoff{}
+		f.backoffs[due.backend.Incarnation()] = state
 	}
-	avoid := min(avoidShortest<<state.misses, avoidLongest)
-	if avoid < avoidLongest {
+	avoid := min(minAvoidTime<<state.misses, maxAvoidTime)
+	if avoid < maxAvoidTime {
 		state.misses++
 	}
 	state.avoidUntil = now.Add(avoid)
 }
 
-// turn drops what is too old.
-func (f *Flows) turn(now time.Time) {
-	if !f.memory.turn(now) {
+// rotate drops what is too old.
+func (f *Flows) rotate(now time.Time) {
+	if !f.cache.rotate(now) {
 		return
 	}
 	f.liveness.expire(now)
-	f.cold.expire(now)
-	for id, state := range f.silent {
-		if now.Sub(state.avoidUntil) > avoidLongest {
-			delete(f.silent, id)
+	f.warmupAllowance.expire(now)
+	for id, state := range f.backoffs {
+		if now.Sub(state.avoidUntil) > maxAvoidTime {
+			delete(f.backoffs, id)
 		}
 	}
 	for id, known := range f.loads {
-		if known.flows == 0 && len(known.answers) == 0 {
+		if known.flows == 0 && len(known.responses) == 0 {
 			delete(f.loads, id)
 		}
 	}
--- a/internal/tokenroute/fulllinks_test.go
+++ b/internal/tokenroute/fulllinks_test.go
@@ -10,29 +10,29 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// fullLinks are judges a part of which stand behind links that are full: what they forward is
+// congestedFleet are judges a part of which stand behind links that are full: what they forward is
 // late or lost, and so are their messages. All back ends live.
-type fullLinks struct {
+type congestedFleet struct {
 	*simulation
-	// part is that one balancer in so many is behind a full link, from fullFrom on.
-	part, fullFrom int
+	// congestedEvery is that one balancer in so many is behind a full link, from congestedFrom on.
+	congestedEvery, congestedFrom int
 	// loss is the part of the packets that is lost there, and delay what the others wait, in
 	// milliseconds.
 	loss  float64
 	delay int
 	// resets counts the flows reset by balancers behind full links, and by the others.
-	full, others int
+	congestedResets, otherResets int
 }
 
-func newFullLinks(balancers, backends, flows int, gone bool, loss float64, delay int) *fullLinks {
+func newCongestedFleet(balancers, backends, flows int, gone bool, loss float64, delay int) *congestedFleet {
 	nowhere := func(int) string { return "" }
-	made := &fullLinks{simulation: newSimulationWithFlows(balancers, backends, 0, flows, mechanism.Set{}, nowhere, nowhere),
-		part: 3, fullFrom: 4000, loss: loss, delay: delay}
+	made := &congestedFleet{simulation: newSimulationWithFlows(balancers, backends, 0, flows, mechanism.Set{}, nowhere, nowhere),
+		congestedEvery: 3, congestedFrom: 4000, loss: loss, delay: delay}
 	if gone {
-		made.table = goneTable(backends)
+		made.table = tombstoneTable(backends)
 	}
 	made.extraDelay = func(place, now int) int {
-		if made.isFull(place, now) {
+		if made.isCongested(place, now) {
 			return delay
 		}
 		return 0
@@ -40,23 +40,25 @@
 	return made
 }
 
-func (l *fullLinks) isFull(place, now int) bool { return place%l.part == l.part-1 && now >= l.fullFrom }
+func (l *congestedFleet) isCongested(place, now int) bool {
+	return place%l.congestedEvery == l.congestedEvery-1 && now >= l.congestedFrom
+}
 
-func (l *fullLinks) run(until int) {
+func (l *congestedFleet) run(until int) {
 	for now := 0; now < until; now += stepTime {
 		for index := range l.flows {
-			l.ask(&l.flows[index], now)
+			l.stepFlow(&l.flows[index], now)
 		}
 		for place := range l.nodes {
-			l.settle(place, now)
+			l.evaluate(place, now)
 			l.exchange(place, now)
 		}
 	}
 }
 
-// ask moves a flow on: f.nextAt is when its client sends next, f.answeredAt when the answer
+// stepFlow moves a flow on: f.nextAt is when its client sends next, f.answeredAt when the answer
 // comes.
-func (l *fullLinks) ask(f *simulatedFlow, now int) {
+func (l *congestedFleet) stepFlow(f *simulatedFlow, now int) {
 	node := &l.nodes[f.balancer]
 	switch {
 	case f.waiting && f.answeredAt > 0 && now >= f.answeredAt:
@@ -78,12 +80,12 @@
 	}
 	packet := Packet{Key: f.key, Token: Token(f.backend + 1), Sequence: 1000 * f.requests, Acknowledged: 5000 * f.requests, Length: 500}
 	if node.flows.Decide(l.table, packet, at(now)).Verdict == Refuse {
-		l.count(f.balancer)
+		l.countReset(f.balancer)
 		f.waiting, f.answeredAt, f.nextAt = false, 0, now+1000
 		return
 	}
 	takes := 25
-	if l.isFull(f.balancer, now) {
+	if l.isCongested(f.balancer, now) {
 		if l.random.Float64() < l.loss {
 			return
 		}
@@ -94,24 +96,24 @@
 	}
 }
 
-func (l *fullLinks) count(place int) {
-	if place%l.part == l.part-1 {
-		l.full++
+func (l *congestedFleet) countReset(place int) {
+	if place%l.congestedEvery == l.congestedEvery-1 {
+		l.congestedResets++
 	} else {
-		l.others++
+		l.otherResets++
 	}
 }
 
-func (l *fullLinks) settle(place, now int) {
+func (l *congestedFleet) evaluate(place, now int) {
 	node := &l.nodes[place]
 	node.flows.EvaluatePending(at(now))
-	for range node.flows.TakeAbandoned() {
-		l.count(place)
+	for range node.flows.TakeAbandonedFlows() {
+		l.countReset(place)
 	}
 }
 
-// goneTable has back ends whose entries have all gone; they serve on.
-func goneTable(backends int) *Table {
+// tombstoneTable has back ends whose entries have all gone; they serve on.
+func tombstoneTable(backends int) *Table {
 	changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 	changes[0].GetRoutes().IdleMilliseconds = 15_000
 	for number := range backends {
@@ -124,17 +126,17 @@
 // others, while every back end lives; the entries of some have gone though they serve on, as
 // planned work may have it, and then no disruption excuses a reset. Without a judgement of the
 // own link 30 to 190 flows of living back ends were reset in 8 s where entries had gone.
-func TestBalancersBehindFullLinksResetNoLivingFlow(t *testing.T) {
+func TestBalancersBehindCongestedLinksResetNoLiveFlows(t *testing.T) {
 	const balancers, backends = 60, 90
 	for _, gone := range []bool{false, true} {
 		for _, loss := range []float64{0.1, 0.2, 0.3, 0.4, 0.5, 0.7} {
 			for _, delay := range []int{0, 300, 600} {
 				t.Run(fmt.Sprintf("loss %v, delay %d ms, entries gone %v", loss, delay, gone), func(t *testing.T) {
 					t.Parallel()
-					l := newFullLinks(balancers, backends, busyFlows, gone, loss, delay)
+					l := newCongestedFleet(balancers, backends, busyFlows, gone, loss, delay)
 					l.run(12_000)
-					require.Zero(t, l.full, "by balancers behind full links")
-					require.Zero(t, l.others, "by the others")
+					require.Zero(t, l.congestedResets, "by balancers behind full links")
+					require.Zero(t, l.otherResets, "by the others")
 				})
 			}
 		}
@@ -143,15 +145,15 @@
 
 // Where a back end has few flows, none else may know that it lives. What balancers behind
 // full links think then must not reach the others.
-func TestDoubtsOfFullLinksStayThere(t *testing.T) {
+func TestCongestedLinksDoNotMisleadOtherBalancers(t *testing.T) {
 	for _, size := range [][3]int{{60, 90, 5}, {60, 300, 1}, {100, 1000, 1}} {
 		for _, gone := range []bool{false, true} {
 			for _, loss := range []float64{0.1, 0.3, 0.5, 0.7} {
 				t.Run(fmt.Sprintf("%v, loss %v, entries gone %v", size, loss, gone), func(t *testing.T) {
 					t.Parallel()
-					l := newFullLinks(size[0], size[1], size[2], gone, loss, 0)
+					l := newCongestedFleet(size[0], size[1], size[2], gone, loss, 0)
 					l.run(12_000)
-					require.Zero(t, l.others)
+					require.Zero(t, l.otherResets)
 				})
 			}
 		}
@@ -159,16 +161,16 @@
 }
 
 // A balancer that has seen next to nothing answered knows little of its own link.
-func TestDoubtFallsWithAnswers(t *testing.T) {
-	var judged link
-	require.Greater(t, judged.doubt(retransmitsToReport, at(0), at(600)), doubtOfVerdict)
+func TestExpectedLinkLossFallsWithResponses(t *testing.T) {
+	var judged linkMonitor
+	require.Greater(t, judged.expectedLinkLoss(retransmitsToReport, at(0), at(600)), maxLinkLossForFailure)
 	for now := range 250 {
-		judged.answered(false, at(40*now))
+		judged.countResponse(false, at(40*now))
 	}
-	require.LessOrEqual(t, judged.doubt(retransmitsToFail, at(8600), at(10_000)), doubtOfVerdict)
+	require.LessOrEqual(t, judged.expectedLinkLoss(retransmitsToFail, at(8600), at(10_000)), maxLinkLossForFailure)
 	for now := range 10 {
-		judged.answered(now%3 == 0, at(10_000+40*now))
+		judged.countResponse(now%3 == 0, at(10_000+40*now))
 	}
-	require.Greater(t, judged.doubt(retransmitsToFail, at(10_000), at(10_400)), doubtOfVerdict, "it has turned bad since")
-	require.Zero(t, func() int { prompt, _ := judged.since(at(0), at(40_000)); return prompt }(), "what is old is forgotten")
+	require.Greater(t, judged.expectedLinkLoss(retransmitsToFail, at(10_000), at(10_400)), maxLinkLossForFailure, "it has turned bad since")
+	require.Zero(t, func() int { prompt, _ := judged.countSince(at(0), at(40_000)); return prompt }(), "what is old is forgotten")
 }
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -31,7 +31,7 @@
 // Receive takes what another balancer saw. Statements on back ends that the table does
 // not have, or has another start of, are of no concern.
 func (f *Flows) Receive(statement evidence.Observation, table *Table, now time.Time) {
-	if table == nil || f.off.Has(mechanism.JoinedEvidence) {
+	if table == nil || f.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
 	backend := table.Backend(statement.BackendID())
--- a/internal/tokenroute/joined_fleet_test.go
+++ b/internal/tokenroute/joined_fleet_test.go
@@ -59,7 +59,7 @@
 	retransmits int
 	nextAt      int
 	waiting     bool
-	// answeredAt is when the answer comes, where that is known before; 0 is not.
+	// respondedAt is when the answer comes, where that is known before; 0 is not.
 	answeredAt int
 }
 
@@ -95,7 +95,7 @@
 	made := &simulation{random: rand.New(rand.NewPCG(uint64(balancers), 7)), failed: dead, failedAt: 4000,
 		table: NewTable(newDirectory(changes...), defaultOptions()), detectedAfter: make(map[[2]int]int)}
 	for place := range balancers {
-		made.nodes = append(made.nodes, simulatedBalancer{flows: NewFlows(off).InZone(home(place))})
+		made.nodes = append(made.nodes, simulatedBalancer{flows: NewFlows(off).WithZone(home(place))})
 	}
 	for number := range backends * flows {
 		place := len(made.flows)
@@ -163,7 +163,7 @@
 func (j *simulation) applyResets(place, now int) {
 	node := &j.nodes[place]
 	node.flows.EvaluatePending(at(now))
-	for _, abandoned := range node.flows.TakeAbandoned() {
+	for _, abandoned := range node.flows.TakeAbandonedFlows() {
 		number := int(abandoned.Backend.Number) - 1
 		if number >= j.failed {
 			panic(fmt.Sprintf("back end %d lives", number))
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -29,7 +29,7 @@
 // countResets settles and returns how many flows are reset.
 func countResets(flows *Flows, now int) int {
 	flows.EvaluatePending(at(now))
-	return len(flows.TakeAbandoned())
+	return len(flows.TakeAbandonedFlows())
 }
 
 // exchange lets a flow of a client pass, with an answer.
@@ -43,20 +43,20 @@
 // A balancer that has seen no request fail resets its flows by what two others saw, once
 // nobody has answered; its client's next request opens a flow elsewhere.
 func TestRemoteReportsFailBackend(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 1, 2, 0)
 	exchange(flows, table, 2, 3, 0)
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	require.False(t, flows.HasPending())
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(750))
 	require.Equal(t, at(700+pendingMillis), flows.EvaluatePending(at(751)))
-	require.Empty(t, flows.TakeAbandoned(), "somebody may answer yet")
+	require.Empty(t, flows.TakeAbandonedFlows(), "somebody may answer yet")
 	require.Equal(t, Forward, flows.Decide(table, request(3, 2, 1), at(752)).Verdict)
 	require.Equal(t, 2, countResets(flows, 700+pendingMillis), "clients 1 and 3")
 	require.Equal(t, Refuse, flows.Decide(table, request(4, 2, 1), at(1000)).Verdict)
 	require.Equal(t, Forward, flows.Decide(table, request(2, 3, 1), at(1000)).Verdict)
-	require.Equal(t, uint64(1), flows.Verdicts())
-	verdicts := flows.TakeVerdicts()
+	require.Equal(t, uint64(1), flows.BackendFailures())
+	verdicts := flows.TakeBackendFailures()
 	require.Len(t, verdicts, 1)
 	require.Equal(t, at(100), verdicts[0].SilentSince)
 	require.Equal(t, 2, verdicts[0].Remote)
@@ -85,7 +85,7 @@
 
 func TestNewerAnswerOverridesReports(t *testing.T) {
 	table := NewTable(twoZoneDirectory(), defaultOptions())
-	before := NewFlows(mechanism.Set{}).InZone("maadi")
+	before := NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(before, table, 1, 2, 200)
 	before.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	before.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -93,14 +93,14 @@
 	require.Equal(t, []evidence.Observation{evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}, evidence.Activity{Backend: evidence.Backend{Number: 2}, At: at(220)}},
 		before.TakeObservations(), "and the others are told")
 
-	meanwhile := NewFlows(mechanism.Set{}).InZone("maadi")
+	meanwhile := NewFlows(mechanism.Set{}).WithZone("maadi")
 	meanwhile.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	meanwhile.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	exchange(meanwhile, table, 1, 2, 750)
 	require.Zero(t, countResets(meanwhile, 700+pendingMillis), "it answers while the witnesses wait")
 	require.Len(t, meanwhile.TakeObservations(), 1)
 
-	told := NewFlows(mechanism.Set{}).InZone("maadi")
+	told := NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(told, table, 1, 2, 0)
 	told.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	told.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -113,7 +113,7 @@
 // Witnesses leave no room where many back ends fall silent at once, which is just when a
 // sign of life for one that lives has to be told.
 func TestActivityIsQueuedWhenReportsFillTheQueue(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 1, 2, 200)
 	for client := range evidence.Client(2 * maxObservations) {
 		flows.liveness.queueObservation(unanswered(3, client, "maadi", 100))
@@ -126,7 +126,7 @@
 
 // A sign of life ends a verdict too.
 func TestActivityClearsFailure(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
 	countResets(flows, 700+pendingMillis)
@@ -140,13 +140,13 @@
 func TestReportsFromIsolatedZoneCountOnlyThere(t *testing.T) {
 	table := NewTable(twoZoneDirectory(), defaultOptions())
 	for zone, expected := range map[string]int{"giza": 1, "maadi": 0, "nasr": 0} {
-		flows := NewFlows(mechanism.Set{}).InZone(zone)
+		flows := NewFlows(mechanism.Set{}).WithZone(zone)
 		exchange(flows, table, 1, 2, 0)
 		flows.Receive(unanswered(2, 101, "giza", 100), table, at(700))
 		flows.Receive(unanswered(2, 102, "giza", 150), table, at(700))
 		require.Equal(t, expected, countResets(flows, 700+pendingMillis), zone)
 	}
-	flows := NewFlows(mechanism.Set{}).InZone("nasr")
+	flows := NewFlows(mechanism.Set{}).WithZone("nasr")
 	exchange(flows, table, 1, 2, 0)
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	flows.Receive(unanswered(2, 102, "maadi", 150), table, at(700))
@@ -185,7 +185,7 @@
 // Flows that rest for as long as they may are reset with the others; those that are
 // closed or forgotten are not.
 func TestIdleFlowsAreReset(t *testing.T) {
-	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).InZone("maadi")
+	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	for client := byte(1); client <= 4; client++ {
 		exchange(flows, table, client, 2, 0)
 	}
@@ -200,11 +200,11 @@
 	flows.Receive(unanswered(2, 102, "maadi", 12_100), table, at(12_700))
 	flows.EvaluatePending(at(12_700 + pendingMillis))
 	found := make(map[byte]uint32)
-	for _, abandoned := range flows.TakeAbandoned() {
+	for _, abandoned := range flows.TakeAbandonedFlows() {
 		found[abandoned.Key.Source[3]] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[byte]uint32{1: 9, 3: 9, 4: 9}, found)
-	require.Zero(t, flows.memory.resting)
+	require.Zero(t, flows.cache.idleCount)
 }
 
 func TestIdleFlowsExpire(t *testing.T) {
@@ -213,15 +213,15 @@
 	for now := 0; now <= 19_000; now += 500 {
 		exchange(flows, table, 50, 3, now)
 	}
-	require.Zero(t, flows.memory.resting)
-	require.Empty(t, flows.memory.rested)
+	require.Zero(t, flows.cache.idleCount)
+	require.Empty(t, flows.cache.idle)
 	for port := range 200_000 {
 		packet := request(1, 2, 1)
 		packet.Key = key(port)
 		packet.Key.Source[1] = byte(port >> 16)
 		flows.Decide(table, packet, at(20_000+port/20))
 	}
-	require.LessOrEqual(t, flows.memory.resting, restedLimit)
+	require.LessOrEqual(t, flows.cache.idleCount, maxIdleFlows)
 }
 
 // Whatever the clients do, however balancers stall and messages between them are late,
@@ -263,7 +263,7 @@
 				exchange(member.flows, table, 200+byte(place), 3, now)
 				group.deliver(member, table, now)
 				member.flows.EvaluatePending(at(now))
-				require.Empty(t, member.flows.TakeAbandoned(), "at %d ms", now)
+				require.Empty(t, member.flows.TakeAbandonedFlows(), "at %d ms", now)
 				group.broadcast(place, now, latest)
 			}
 		}
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -66,12 +66,12 @@
 	disabled mechanism.Set
 	// zone is that of this balancer.
 	zone   string
-	memory *memory
-	zones  *zones
+	memory *flowCache
+	zones  *zoneMonitor
 	health map[incarnation.ID]*backendHealth
 	// link is what the answers tell of the balancer's own link.
-	link      link
-	abandoned []Abandoned
+	link      linkMonitor
+	abandoned []AbandonedFlow
 	failures  []BackendFailure
 	// observations are what other balancers have yet to be told.
 	observations []evidence.Observation
@@ -83,7 +83,7 @@
 
 // newFailureDetector makes a judge of the back ends of the flows in a memory, against
 // whom nothing speaks yet.
-func newFailureDetector(memory *memory, zones *zones, off mechanism.Set) *FailureDetector {
+func newFailureDetector(memory *flowCache, zones *zoneMonitor, off mechanism.Set) *FailureDetector {
 	return &FailureDetector{disabled: off, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
@@ -107,11 +107,11 @@
 // once when it has received something.
 func (l *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	l.recordActivity(backend, now)
-	if state == nil || state.track.backend == nil {
+	if state == nil || state.tracker.backend == nil {
 		return
 	}
-	state.track.expected = packet.Acknowledged
-	if state.track.acknowledged != packet.Acknowledged {
+	state.tracker.lastAck = packet.Acknowledged
+	if state.tracker.acknowledged != packet.Acknowledged {
 		l.recordAnswer(packet.Key, state, backend, now)
 	}
 }
@@ -120,77 +120,77 @@
 // acknowledges more than the one before proves that the back end lived when
 // that one passed, at least.
 func (l *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	known := &state.track
+	known := &state.tracker
 	switch {
 	case known.backend == nil:
 		l.trackRequest(packet, state, backend, now)
 	case known.acknowledged != packet.Acknowledged:
 		l.recordActivity(backend, known.passedAt)
 		l.recordAnswer(packet.Key, state, backend, now)
-		state.ended(packet.Key.Address(), packet.Acknowledged)
+		state.countResponseLength(packet.Key.Address(), packet.Acknowledged)
 		l.trackRequest(packet, state, backend, now)
 	case known.sequence == packet.Sequence && known.backend.Incarnation() != backend.Incarnation():
 		// What an earlier start left unanswered says nothing of this one.
 		l.trackRequest(packet, state, backend, now)
 	case known.sequence == packet.Sequence:
 		known.backend, known.passedAt = backend, now
-		state.waitsStill(now)
+		state.resumeRequest(now)
 		l.recordRetransmission(known, packet, now)
-		if known.repeats > 0 {
-			state.unreach(now)
+		if known.retransmissions > 0 {
+			state.markUndelivered(now)
 		}
 	default:
 		known.passedAt = now
-		state.sendsOn(now)
+		state.markSending(now)
 	}
 }
 
 func (l *FailureDetector) trackRequest(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	state.setWaiting(true, now)
-	if state.seenAt.IsZero() {
-		state.seenAt = now
+	state.setInFlight(true, now)
+	if state.firstRequestAt.IsZero() {
+		state.firstRequestAt = now
 	}
-	state.track = track{
+	state.tracker = requestTracker{
 		backend:  backend,
-		sequence: packet.Sequence, acknowledged: packet.Acknowledged, expected: packet.Acknowledged,
-		passedAt: now, sentAt: now, repeatedAt: now,
+		sequence: packet.Sequence, acknowledged: packet.Acknowledged, lastAck: packet.Acknowledged,
+		passedAt: now, sentAt: now, retransmittedAt: now,
 	}
 }
 
 // recordRetransmission counts a copy of an unanswered packet and lets its client speak
 // against the back end when there were enough.
-func (l *FailureDetector) recordRetransmission(known *track, packet Packet, now time.Time) {
-	if now.Sub(known.repeatedAt) < minRetransmitInterval {
+func (l *FailureDetector) recordRetransmission(known *requestTracker, packet Packet, now time.Time) {
+	if now.Sub(known.retransmittedAt) < minRetransmitInterval {
 		return
 	}
-	known.repeats++
-	known.repeatedAt = now
-	l.zones.missed(known.backend, known.sentAt, now)
+	known.retransmissions++
+	known.retransmittedAt = now
+	l.zones.recordMiss(known.backend, known.sentAt, now)
 	if judged := l.healthOf(known.backend); judged != nil {
 		judged.retransmittedAt = now
 	}
-	if known.repeats >= retransmitsToReport {
+	if known.retransmissions >= retransmitsToReport {
 		l.recordUnanswered(known, clientAddress(packet.Key.Source), now)
 	}
 }
 
 // recordAnswer takes that the oldest request of a flow was answered.
 func (l *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
-	state.setWaiting(false, now)
-	known := &state.track
+	state.setInFlight(false, now)
+	known := &state.tracker
 	judged := l.healthOf(backend)
-	if state.load != nil && known.repeats == 0 && !known.timed {
-		known.timed = true
-		state.load.answersTo(key.Address()).AddTime(now.Sub(known.sentAt))
+	if state.load != nil && known.retransmissions == 0 && !known.ackCounted {
+		known.ackCounted = true
+		state.load.responseCounts(key.Address()).AddTime(now.Sub(known.sentAt))
 	}
-	if !known.counted {
-		known.counted = true
-		l.link.answered(known.repeats > 0, now)
+	if !known.responseCounted {
+		known.responseCounted = true
+		l.link.countResponse(known.retransmissions > 0, now)
 	}
-	if known.repeats == 0 {
-		l.zones.answered(backend, known.sentAt)
+	if known.retransmissions == 0 {
+		l.zones.recordResponse(backend, known.sentAt)
 	}
-	if judged != nil && known.repeats == 0 && known.sentAt.After(judged.promptSentAt) {
+	if judged != nil && known.retransmissions == 0 && known.sentAt.After(judged.promptSentAt) {
 		judged.promptSentAt = known.sentAt
 	}
 }
@@ -207,20 +207,20 @@
 }
 
 // recordUnanswered lets a client speak against the back end of its flow.
-func (l *FailureDetector) recordUnanswered(known *track, client clientAddress, now time.Time) {
+func (l *FailureDetector) recordUnanswered(known *requestTracker, client clientAddress, now time.Time) {
 	backend := known.backend
 	judged := l.healthOf(backend)
 	if judged == nil || !known.sentAt.After(judged.activeAt) {
 		return
 	}
-	prompt := l.othersResponsive(judged, known.sentAt) && l.link.doubt(known.repeats, known.sentAt, now) <= doubtOfWitness
-	judged.unanswered[client] = unansweredRequest{sentAt: known.sentAt, othersAnswered: prompt, copies: known.repeats}
+	prompt := l.othersResponsive(judged, known.sentAt) && l.link.expectedLinkLoss(known.retransmissions, known.sentAt, now) <= maxLinkLossForReport
+	judged.unanswered[client] = unansweredRequest{sentAt: known.sentAt, othersAnswered: prompt, copies: known.retransmissions}
 	if !prompt || l.disabled.Has(mechanism.Verdicts) {
 		return
 	}
 	l.reportUnanswered(backend, client, known.sentAt)
-	enough := known.repeats >= retransmitsToFail || judged.localClients() >= clientsToFail
-	if enough && l.link.doubt(judged.lostCopies(), known.sentAt, now) <= doubtOfVerdict {
+	enough := known.retransmissions >= retransmitsToFail || judged.localClients() >= clientsToFail
+	if enough && l.link.expectedLinkLoss(judged.lostCopies(), known.sentAt, now) <= maxLinkLossForFailure {
 		l.markFailed(judged, backend, now)
 		return
 	}
@@ -244,16 +244,16 @@
 func (l *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
 	for _, generation := range []map[flow.Key]*flowState{l.memory.current, l.memory.previous} {
 		for key, state := range generation {
-			known := &state.track
+			known := &state.tracker
 			if known.backend == nil || known.backend.Incarnation() != backend.Incarnation() {
 				continue
 			}
-			l.abandoned = append(l.abandoned, Abandoned{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: known.expected})
+			l.abandoned = append(l.abandoned, AbandonedFlow{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: known.lastAck})
 			l.memory.forget(key, state, now)
 		}
 	}
-	for _, rested := range l.memory.takeRested(backend.Incarnation()) {
-		l.abandoned = append(l.abandoned, Abandoned{Key: rested.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: rested.expected})
+	for _, rested := range l.memory.takeIdle(backend.Incarnation()) {
+		l.abandoned = append(l.abandoned, AbandonedFlow{Key: rested.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: rested.lastAck})
 	}
 }
 
--- a/internal/tokenroute/liveness_test.go
+++ b/internal/tokenroute/liveness_test.go
@@ -85,15 +85,15 @@
 	flows.Decide(table, answered, at(20))
 	flows.Decide(table, request(7, 3, 1), at(100))
 	sendUnanswered(flows, table, 2, []byte{1}, 100, 600)
-	require.Empty(t, flows.TakeAbandoned())
+	require.Empty(t, flows.TakeAbandonedFlows())
 	sendUnanswered(flows, table, 2, []byte{2}, 110, 600)
 	acknowledged := make(map[flow.Key]uint32)
-	for _, abandoned := range flows.TakeAbandoned() {
+	for _, abandoned := range flows.TakeAbandonedFlows() {
 		require.Equal(t, Token(2), abandoned.Backend.Token)
 		acknowledged[abandoned.Key] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[flow.Key]uint32{clientKey(1): 5000, clientKey(2): 5000, clientKey(8): 5300}, acknowledged)
-	require.Empty(t, flows.TakeAbandoned())
+	require.Empty(t, flows.TakeAbandonedFlows())
 }
 
 // One client needs one repetition more, also where the directory says that the back end is
@@ -271,15 +271,15 @@
 		packet.Key = key(port)
 		flows.Decide(table, packet, at(port/100))
 	}
-	memory := flows.memory
-	require.LessOrEqual(t, len(memory.current)+len(memory.previous), 2*generationLimit)
-	flows.turn(at(600_000))
-	flows.turn(at(600_000 + int(generationTime/time.Millisecond)))
+	memory := flows.cache
+	require.LessOrEqual(t, len(memory.current)+len(memory.previous), 2*maxGenerationFlows)
+	flows.rotate(at(600_000))
+	flows.rotate(at(600_000 + int(generationTime/time.Millisecond)))
 	require.Empty(t, memory.current)
 	require.Empty(t, memory.previous)
 	require.Empty(t, flows.liveness.health)
-	require.Empty(t, flows.silent)
-	flows.turn(at(600_000 + 2*int(generationTime/time.Millisecond)))
+	require.Empty(t, flows.backoffs)
+	flows.rotate(at(600_000 + 2*int(generationTime/time.Millisecond)))
 	require.Empty(t, flows.loads)
 }
 
@@ -294,10 +294,10 @@
 		number++
 		packet := request(byte(number), 2, number)
 		packet.Key.SourcePort = uint16(number % 14000)
-		flows.observe(packet, flows.memory.find(packet.Key), backend, start)
+		flows.observe(packet, flows.cache.find(packet.Key), backend, start)
 		packet.Length = 0
 		packet.Acknowledged++
-		flows.observe(packet, flows.memory.find(packet.Key), backend, start)
+		flows.observe(packet, flows.cache.find(packet.Key), backend, start)
 	}
 }
 
@@ -314,7 +314,7 @@
 		for port := range count {
 			packet := request(1, 2, 1)
 			packet.Key.SourcePort = uint16(port)
-			flows.observe(packet, flows.memory.find(packet.Key), backend, start)
+			flows.observe(packet, flows.cache.find(packet.Key), backend, start)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/tokenroute/living_test.go
+++ b/internal/tokenroute/living_test.go
@@ -10,9 +10,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 )
 
-// zoneFlows are flows of clients 1 to 10 with back ends 1 to 10 in maadi, the balancer's
+// zoneFixture are flows of clients 1 to 10 with back ends 1 to 10 in maadi, the balancer's
 // zone, and of clients 101 to 110 with back ends 101 to 110 in giza.
-type zoneFlows struct {
+type zoneFixture struct {
 	flows *Flows
 	table *Table
 }
@@ -20,8 +20,8 @@
 // silentClients are those of most back ends of giza.
 var silentClients = []byte{101, 102, 103, 104, 105, 106, 107, 108}
 
-func newZoneFlows(off mechanism.Set) *zoneFlows {
-	made := &zoneFlows{flows: NewFlows(off).InZone("maadi"), table: twoLargeZones()}
+func newZoneFixture(off mechanism.Set) *zoneFixture {
+	made := &zoneFixture{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones()}
 	for number := range byte(10) {
 		exchange(made.flows, made.table, number+1, Token(number+1), 0)
 		exchange(made.flows, made.table, number+101, Token(number)+101, 0)
@@ -29,65 +29,65 @@
 	return made
 }
 
-// asks lets clients send their request, or repeat it.
-func (z *zoneFlows) asks(now int, clients ...byte) {
+// sendRequests lets clients send their request, or repeat it.
+func (z *zoneFixture) sendRequests(now int, clients ...byte) {
 	for _, client := range clients {
 		z.flows.Decide(z.table, request(client, Token(client), 5000), at(now))
 	}
 }
 
-// othersAnswer lets back ends of maadi answer requests sent at a time.
-func (z *zoneFlows) othersAnswer(now int, clients ...byte) {
+// answerRequests lets back ends of maadi answer requests sent at a time.
+func (z *zoneFixture) answerRequests(now int, clients ...byte) {
 	for _, client := range clients {
 		exchange(z.flows, z.table, client, Token(client), now)
 	}
 }
 
-// reset settles and returns which clients' flows are reset, in order.
-func (z *zoneFlows) reset(now int) []byte {
+// resetClients settles and returns which clients' flows are reset, in order.
+func (z *zoneFixture) resetClients(now int) []byte {
 	for earlier := now - 500; earlier <= now; earlier += 10 {
 		z.flows.EvaluatePending(at(earlier))
 	}
 	var clients []byte
-	for _, each := range z.flows.TakeAbandoned() {
+	for _, each := range z.flows.TakeAbandonedFlows() {
 		clients = append(clients, each.Key.Source[3])
 	}
 	slices.Sort(clients)
 	return clients
 }
 
-// unansweredHere lets requests of clients in giza stay unanswered through two repetitions,
+// leaveUnanswered lets requests of clients in giza stay unanswered through two repetitions,
 // while back ends of maadi answer.
-func (z *zoneFlows) unansweredHere(now int, clients ...byte) {
-	z.asks(now, clients...)
-	z.othersAnswer(now+50, 1, 2, 3, 4, 5, 6)
-	z.asks(now+200, clients...)
-	z.asks(now+600, clients...)
+func (z *zoneFixture) leaveUnanswered(now int, clients ...byte) {
+	z.sendRequests(now, clients...)
+	z.answerRequests(now+50, 1, 2, 3, 4, 5, 6)
+	z.sendRequests(now+200, clients...)
+	z.sendRequests(now+600, clients...)
 }
 
-// seenIn lets a balancer of a zone tell of a request to the back end of a client.
-func (z *zoneFlows) seenIn(zone string, client byte, sentAt int) {
+// reportUnanswered lets a balancer of a zone tell of a request to the back end of a client.
+func (z *zoneFixture) reportUnanswered(zone string, client byte, sentAt int) {
 	z.flows.Receive(unanswered(uint64(client), evidence.Client(client)+100, zone, sentAt), z.table, at(sentAt+650))
 }
 
 // Back ends that answer after 0.9 s are slow, be it all of a zone: their clients have
 // repeated the request twice.
-func TestSlowZoneIsNotReset(t *testing.T) {
+func TestSlowZoneFlowsAreNotReset(t *testing.T) {
 	for _, seenHere := range []bool{true, false} {
-		z := newZoneFlows(mechanism.Set{})
+		z := newZoneFixture(mechanism.Set{})
 		all := append(slices.Clone(silentClients), 109, 110)
-		z.othersAnswer(1, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)
-		z.asks(1000, all...)
+		z.answerRequests(1, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)
+		z.sendRequests(1000, all...)
 		for number := range byte(20) {
-			z.othersAnswer(1050, number+1)
+			z.answerRequests(1050, number+1)
 		}
-		z.asks(1200, all...)
-		z.asks(1600, all...)
+		z.sendRequests(1200, all...)
+		z.sendRequests(1600, all...)
 		require.Len(t, z.flows.TakeObservations(), len(all), "the link is trusted")
 		for _, client := range all {
-			z.seenIn("nasr", client, 1000)
+			z.reportUnanswered("nasr", client, 1000)
 		}
-		require.Empty(t, z.reset(1905))
+		require.Empty(t, z.resetClients(1905))
 		for _, client := range all {
 			if seenHere {
 				z.flows.Decide(z.table, acknowledgement(client, Token(client)), at(1910))
@@ -95,15 +95,15 @@
 				z.flows.Receive(evidence.Activity{Backend: evidence.Backend{Number: uint64(client)}, At: at(1910)}, z.table, at(1910+pendingMillis-20))
 			}
 		}
-		require.Empty(t, z.reset(2100))
-		require.Empty(t, z.reset(3000))
+		require.Empty(t, z.resetClients(2100))
+		require.Empty(t, z.resetClients(3000))
 		require.Equal(t, Forward, z.flows.Decide(z.table, request(101, 101, 6000), at(3000)).Verdict)
 	}
 }
 
 // Forty of the fifty back ends of a zone die while nobody asks the other ten, whose flows
 // are idle: the flows of the ten stay, which judges checks.
-func TestIdleLivingBackendsOfADeadZoneKeepTheirFlows(t *testing.T) {
+func TestIdleLiveBackendsOfFailedZoneKeepFlows(t *testing.T) {
 	zone := func(number int) string {
 		if number < 50 {
 			return "giza"
@@ -111,7 +111,7 @@
 		return "maadi"
 	}
 	for _, balancers := range []int{8, 88} {
-		fleet := newZonedSimulation(balancers, 150, 40, mechanism.Set{}, besideGiza, zone)
+		fleet := newZonedSimulation(balancers, 150, 40, mechanism.Set{}, otherZone, zone)
 		fleet.idleFrom = 40
 		fleet.run(9000)
 		require.NotEmpty(t, fleet.detectionTimes(), "the dead part is judged")
@@ -125,42 +125,42 @@
 	}
 }
 
-// besideGiza puts balancers into two zones other than giza.
-func besideGiza(place int) string { return []string{"maadi", "nasr"}[place%2] }
+// otherZone puts balancers into two zones other than giza.
+func otherZone(place int) string { return []string{"maadi", "nasr"}[place%2] }
 
 // A balancer whose packets to one zone are lost sees all other zones answer, and must not
 // trust a verdict on a single back end there for that, by clients or by repetitions.
-func TestLossToOneZoneIsNoVerdictOnItsBackends(t *testing.T) {
-	z := newZoneFlows(mechanism.Set{})
-	z.unansweredHere(1000, append(slices.Clone(silentClients), 109, 110)...)
+func TestPacketLossToOneZoneFailsNoBackends(t *testing.T) {
+	z := newZoneFixture(mechanism.Set{})
+	z.leaveUnanswered(1000, append(slices.Clone(silentClients), 109, 110)...)
 	for _, client := range silentClients {
 		for _, now := range []int{1000, 1200, 1600} {
 			z.flows.Decide(z.table, request(client+50, Token(client), 7000), at(now+5))
 		}
 	}
-	z.asks(2400, silentClients...)
-	require.Empty(t, z.reset(3000))
-	require.Zero(t, z.flows.Verdicts())
+	z.sendRequests(2400, silentClients...)
+	require.Empty(t, z.resetClients(3000))
+	require.Zero(t, z.flows.BackendFailures())
 	require.Empty(t, z.flows.TakeObservations())
 }
 
 // A balancer whose own link is full loses what it sends to all zones.
-func TestFullLinkIsNoVerdictOnAZone(t *testing.T) {
-	z := newZoneFlows(mechanism.Set{})
+func TestCongestedLinkFailsNoZone(t *testing.T) {
+	z := newZoneFixture(mechanism.Set{})
 	for _, now := range []int{1000, 1200, 1600} {
-		z.asks(now, append(silentClients, 1, 2, 3, 4)...)
+		z.sendRequests(now, append(silentClients, 1, 2, 3, 4)...)
 		if now == 1000 {
-			z.othersAnswer(1050, 5, 6, 7)
+			z.answerRequests(1050, 5, 6, 7)
 		}
 	}
-	require.Empty(t, z.reset(2100))
+	require.Empty(t, z.resetClients(2100))
 	require.False(t, z.flows.HasPending())
 }
 
 // A third of the back ends of all zones falls silent at once, seen by many balancers
 // that each see some of their flows: only flows of the dead are reset, which judges
 // checks. One in three balancers would else judge a zone dead.
-func TestAThirdSilentInAllZonesResetsNoLivingFlow(t *testing.T) {
+func TestThirdOfBackendsFailedInAllZonesResetsNoLiveFlows(t *testing.T) {
 	zone := func(number int) string { return string(rune('a' + number%3)) }
 	for _, balancers := range []int{8, 88} {
 		fleet := newZonedSimulation(balancers, 150, 50, mechanism.Set{}, zone, zone)
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -43,9 +43,9 @@
 
 // poolZone makes the part of a group. Those that may take new flows have an entry, or one that
 // lapsed while the store was away and may come back. None of them is in an evacuated zone.
-func (b *builder) poolZone(group *directory.Group, backends []*Backend) *poolZone {
+func (b *builder) poolZone(group *directory.BackendGroup, backends []*Backend) *poolZone {
 	_, evacuated := b.options.Evacuated[group.Zone]
-	weight, uniform := b.weight(group.Place)
+	weight, uniform := b.weight(group.PoolZone)
 	made := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
 		timeIndependent: b.options.WarmupOf == nil, backends: backends}
 	for place := range group.Entries {
@@ -53,13 +53,13 @@
 		if entry.Restarted {
 			made.restarted = append(made.restarted, backend)
 		}
-		if entry.Gone && !entry.VanishedAt.IsZero() {
+		if entry.Gone && !entry.RemovalSeenAt.IsZero() {
 			made.timeIndependent = made.timeIndependent && !b.mayReturn(entry)
 		}
 		if entry.GetDraining() || !b.ownsToken(backend) {
 			continue
 		}
-		switch ready := !entry.Gone || b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now); {
+		switch ready := !entry.Gone || b.options.StoreRecovery.covers(entry.RemovalSeenAt, b.options.Now); {
 		case evacuated:
 			made.withheldByEvacuation = made.withheldByEvacuation || !entry.Gone
 		case ready:
@@ -72,16 +72,16 @@
 
 // mayReturn tells whether a back end that vanished may still take new flows for a time.
 func (b *builder) mayReturn(entry *directory.BackendEntry) bool {
-	return b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now) || b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
+	return b.options.StoreRecovery.covers(entry.RemovalSeenAt, b.options.Now) || b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyPoolGrace
 }
 
 // vanishedPoolZone is the part with those back ends that have just vanished. They take new flows
 // where their pool has no other.
-func (b *builder) vanishedPoolZone(group *directory.Group, of *poolZone) *poolZone {
+func (b *builder) vanishedPoolZone(group *directory.BackendGroup, of *poolZone) *poolZone {
 	made := &poolZone{backends: of.backends, withheldByEvacuation: of.withheldByEvacuation}
 	for place := range group.Entries {
 		entry := &group.Entries[place]
-		just := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
+		just := entry.Gone && b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyPoolGrace
 		if just && !of.evacuated && !entry.GetDraining() && b.ownsToken(of.backends[place]) {
 			made.eligible = append(made.eligible, of.backends[place])
 		}
@@ -92,7 +92,7 @@
 
 // weight is the share of new flows that each back end of a place takes, where all take the
 // same.
-func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
+func (b *builder) weight(place directory.PoolZone) (weight uint32, uniform bool) {
 	if b.options.WeightOfPoolZone == nil {
 		return 0, false
 	}
@@ -100,7 +100,7 @@
 }
 
 // rule orders flows over some back ends of a group.
-func (b *builder) rule(group *directory.Group, chosen []*Backend, weight uint32, uniform bool) *rule.Rule {
+func (b *builder) rule(group *directory.BackendGroup, chosen []*Backend, weight uint32, uniform bool) *rule.Rule {
 	candidates := make([]rule.Candidate, len(chosen))
 	next := 0
 	for place, backend := range chosen {
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -36,25 +36,25 @@
 	}
 	giveUp := func(key flow.Key, acknowledged uint32) {
 		f.liveness.abandoned = append(f.liveness.abandoned,
-			Abandoned{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
+			AbandonedFlow{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
 	}
-	for _, generation := range []map[flow.Key]*flowState{f.memory.current, f.memory.previous} {
+	for _, generation := range []map[flow.Key]*flowState{f.cache.current, f.cache.previous} {
 		for key, state := range generation {
-			known := &state.track
-			if known.backend != nil && former(known.backend.Incarnation()) && outlived(state.seenAt) {
-				giveUp(key, known.expected)
-				f.memory.forget(key, state, now)
+			known := &state.tracker
+			if known.backend != nil && former(known.backend.Incarnation()) && outlived(state.firstRequestAt) {
+				giveUp(key, known.lastAck)
+				f.cache.forget(key, state, now)
 			}
 		}
 	}
-	for id, flows := range f.memory.rested {
+	for id, flows := range f.cache.idle {
 		if !former(id) {
 			continue
 		}
 		for key, each := range flows {
-			if outlived(each.seenAt) {
-				giveUp(key, each.expected)
-				f.memory.resting--
+			if outlived(each.firstRequestAt) {
+				giveUp(key, each.lastAck)
+				f.cache.idleCount--
 				delete(flows, key)
 			}
 		}
--- a/internal/tokenroute/restarted_test.go
+++ b/internal/tokenroute/restarted_test.go
@@ -61,13 +61,13 @@
 	after := back.restart(500, 700)
 	require.Equal(t, Forward, flows.Decide(after, request(3, 2, 1), at(750)).Verdict, "a flow of the new start")
 	require.Equal(t, Forward, flows.Decide(after, request(1, 2, 1), at(1400)).Verdict, "a copy of what the earlier one left unanswered")
-	flows.TakeAbandoned()
+	flows.TakeAbandonedFlows()
 	for client := range evidence.Client(3) {
 		flows.Receive(evidence.UnansweredRequest{Backend: id(2, -60_000), Client: client + 50, SentAt: at(900)}, after, at(1600))
 	}
 	flows.EvaluatePending(at(2000))
 	require.Equal(t, Forward, flows.Decide(after, request(4, 2, 1), at(2001)).Verdict, "witnesses of the earlier start")
-	require.Empty(t, flows.TakeAbandoned())
+	require.Empty(t, flows.TakeAbandonedFlows())
 	for client := range evidence.Client(2) {
 		flows.Receive(evidence.UnansweredRequest{Backend: id(2, 500), Client: client + 50, SentAt: at(1500)}, after, at(2100))
 	}
@@ -97,16 +97,16 @@
 	table = back.restart(12_100, 13_000)
 	flows.SetTable(table, at(13_010))
 	reset := make(map[flow.Key]Reason)
-	for _, abandoned := range flows.TakeAbandoned() {
+	for _, abandoned := range flows.TakeAbandonedFlows() {
 		require.Equal(t, id(2, 12_100), abandoned.Backend.Incarnation())
 		reset[abandoned.Key] = abandoned.Reason
 	}
 	require.Equal(t, map[flow.Key]Reason{clientKey(1): ReasonRestarted, clientKey(2): ReasonRestarted}, reset)
 	require.Equal(t, "restarted_backend", ReasonRestarted.String())
 	flows.SetTable(back.table(), at(13_100))
-	require.Empty(t, flows.TakeAbandoned(), "each is told once")
+	require.Empty(t, flows.TakeAbandonedFlows(), "each is told once")
 	exchange(4, 13_200)
-	require.Empty(t, flows.TakeAbandoned())
+	require.Empty(t, flows.TakeAbandonedFlows())
 }
 
 // The place of a back end in the order of a flow goes by its number, not by its start.
@@ -161,7 +161,7 @@
 				flows.Decide(table, packet, at(now+15))
 				c.nextAt = now + 100 + chance.IntN(6000)
 			}
-			for _, abandoned := range flows.TakeAbandoned() {
+			for _, abandoned := range flows.TakeAbandonedFlows() {
 				opened := (int(abandoned.Key.SourcePort) - 1000) * 20
 				require.Less(t, opened, living, "a flow of the living start was reset at %d", now)
 			}
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -68,7 +68,7 @@
 	tokens      *tokenIndex
 	// poolZones are the back ends of each pool in each zone, from which the next table takes
 	// over what has not changed.
-	poolZones map[directory.Place]*poolZone
+	poolZones map[directory.PoolZone]*poolZone
 	// sharedTokenPools are the pools of which two back ends share a token, or did in an earlier table.
 	sharedTokenPools map[string]bool
 	// restarted are the back ends of which an earlier start was known.
@@ -108,7 +108,7 @@
 	WeightOf WeightFunc
 	// WeightOfPoolZone gives the share that each back end of a place takes, where all take the
 	// same, and tells whether they do. Nil asks Weigh for each.
-	WeightOfPoolZone func(place directory.Place) (weight uint32, uniform bool)
+	WeightOfPoolZone func(place directory.PoolZone) (weight uint32, uniform bool)
 	// FormerPools are the pools that a route had before, by the route's address;
 	// their open flows stay where they are.
 	FormerPools map[flow.Address]map[string]bool
--- a/internal/tokenroute/takeover_test.go
+++ b/internal/tokenroute/takeover_test.go
@@ -45,7 +45,7 @@
 		all := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
 		now, revision := start, uint64(100)
 		var previous *Table
-		weights := make(map[directory.Place]uint32)
+		weights := make(map[directory.PoolZone]uint32)
 		made := defaultOptions()
 		for range rapid.IntRange(1, 25).Draw(t, "tables") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause ms")) * time.Millisecond)
@@ -64,21 +64,21 @@
 				all.Apply(&apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{change}}, now)
 			}
 			all.Expire(now)
-			place := directory.Place{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
+			place := directory.PoolZone{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
 			weights[place] = uint32(rapid.IntRange(0, 3).Draw(t, "weight")) * 1000
-			of := func(place directory.Place) uint32 {
+			of := func(place directory.PoolZone) uint32 {
 				if weight, found := weights[place]; found {
 					return weight
 				}
 				return rule.MaximumWeight
 			}
 			uneven := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			made.WeightOfPoolZone = func(place directory.Place) (uint32, bool) { return of(place), !uneven }
+			made.WeightOfPoolZone = func(place directory.PoolZone) (uint32, bool) { return of(place), !uneven }
 			made.WeightOf = func(entry directory.BackendEntry) uint32 {
 				if uneven && entry.GetNumber()%2 == 0 {
 					return 500
 				}
-				return of(directory.Place{Pool: entry.GetPool(), Zone: entry.GetZone()})
+				return of(directory.PoolZone{Pool: entry.GetPool(), Zone: entry.GetZone()})
 			}
 			made.Evacuated = map[string]uint64{}
 			if rapid.IntRange(0, 3).Draw(t, "evacuated") == 0 {
@@ -105,16 +105,16 @@
 	}
 	all := newDirectory(append(changes, routes(1, route(1, share("lending", 1))))...)
 	made := defaultOptions()
-	made.WeightOfPoolZone = func(directory.Place) (uint32, bool) { return rule.MaximumWeight, true }
+	made.WeightOfPoolZone = func(directory.PoolZone) (uint32, bool) { return rule.MaximumWeight, true }
 	before := NewTable(all, made)
 	all.Apply(&apiv1.DirectoryBatch{Revision: 101, Changes: []*apiv1.DirectoryChange{
 		draining(inZone(backend(101, 1, "lending"), "zone-0"))}}, start)
 	made.Previous = before
 	after := NewTable(all, made)
 	for zone, shared := range map[string]bool{"zone-0": false, "zone-1": true, "zone-2": true} {
-		place := directory.Place{Pool: "lending", Zone: zone}
+		place := directory.PoolZone{Pool: "lending", Zone: zone}
 		require.Equal(t, shared, before.poolZones[place] == after.poolZones[place], zone)
 	}
-	require.Len(t, after.poolZones[directory.Place{Pool: "lending", Zone: "zone-0"}].eligible, 19)
-	require.Len(t, before.poolZones[directory.Place{Pool: "lending", Zone: "zone-0"}].eligible, 20)
+	require.Len(t, after.poolZones[directory.PoolZone{Pool: "lending", Zone: "zone-0"}].eligible, 19)
+	require.Len(t, before.poolZones[directory.PoolZone{Pool: "lending", Zone: "zone-0"}].eligible, 20)
 }
--- a/internal/tokenroute/tokenroute_test.go
+++ b/internal/tokenroute/tokenroute_test.go
@@ -245,7 +245,7 @@
 	require.Equal(t, one, flows.Decide(table, laterPacket(1, one.Token), at(210)).Backend)
 	for millisecond := 220; millisecond < 60_000; millisecond += 1000 {
 		kept := flows.Decide(table, laterPacket(1, two.Token), at(millisecond))
-		require.Equal(t, Decision{Verdict: Forward, Reason: ReasonKept, Backend: one}, kept)
+		require.Equal(t, Decision{Verdict: Forward, Reason: ReasonOpenedElsewhere, Backend: one}, kept)
 	}
 	end := laterPacket(1, two.Token)
 	end.Closing = true
@@ -289,11 +289,11 @@
 	for port := range 60000 {
 		flows.Decide(table, firstPacket(port), at(port/100))
 	}
-	require.LessOrEqual(t, len(flows.memory.current)+len(flows.memory.previous), 2*generationLimit)
-	require.LessOrEqual(t, len(flows.queue), generationLimit)
+	require.LessOrEqual(t, len(flows.cache.current)+len(flows.cache.previous), 2*maxGenerationFlows)
+	require.LessOrEqual(t, len(flows.pendingOpenings), maxGenerationFlows)
 	flows.Decide(table, firstPacket(1), at(600_000))
 	flows.Decide(table, firstPacket(2), at(610_000))
-	require.LessOrEqual(t, len(flows.memory.current)+len(flows.memory.previous), 2)
+	require.LessOrEqual(t, len(flows.cache.current)+len(flows.cache.previous), 2)
 }
 
 func BenchmarkDecideToken(b *testing.B) {
@@ -382,20 +382,20 @@
 	request := laterPacket(1, only.Token)
 	request.Length = 100
 	flows.Decide(table, request, at(10))
-	require.Equal(t, 1+waitingWeight, flows.inUse(only), "a flow, and an answer that it waits for")
+	require.Equal(t, 1+inFlightWeight, flows.usage(only), "a flow, and an answer that it waits for")
 	answer := laterPacket(1, only.Token)
 	answer.Acknowledged = 900
 	flows.Decide(table, answer, at(60))
-	require.Equal(t, 1, flows.inUse(only))
+	require.Equal(t, 1, flows.usage(only))
 	end := laterPacket(1, only.Token)
 	end.Closing = true
 	flows.Decide(table, end, at(70))
-	require.Zero(t, flows.inUse(only))
+	require.Zero(t, flows.usage(only))
 	flows.Decide(table, firstPacket(2), at(80))
-	require.Equal(t, 1, flows.inUse(only))
-	flows.turn(at(10_000))
-	flows.turn(at(20_000))
-	require.Zero(t, flows.inUse(only))
+	require.Equal(t, 1, flows.usage(only))
+	flows.rotate(at(10_000))
+	flows.rotate(at(20_000))
+	require.Zero(t, flows.usage(only))
 }
 
 // Flows remember their back ends for seconds. Where tables follow each other, each holding
--- a/internal/tokenroute/warming_test.go
+++ b/internal/tokenroute/warming_test.go
@@ -49,7 +49,7 @@
 // was repeated before.
 func TestRetransmittedFirstPacketsFollowEvacuation(t *testing.T) {
 	before, after := NewTable(twoZones(), defaultOptions()), NewTable(twoZones(), evacuationOptions("maadi"))
-	for copies := 1; copies <= maximumTried; copies++ {
+	for copies := 1; copies <= maxAttempts; copies++ {
 		flows := NewFlows(mechanism.Set{})
 		for port := range 50 {
 			for copy := range copies {
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// zoneMisses is how many back ends of a zone must have left something unanswered,
+	// silentZoneMisses is how many back ends of a zone must have left something unanswered,
 	// with nothing sent since answered by any of the zone, for the zone to count as
 	// silent.
-	zoneMisses = 3
-	// zoneAvoid is for how long new flows avoid a silent zone until one tries it again.
-	zoneAvoid = time.Second
-	// zoneMissTime is how long something unanswered speaks against its zone.
-	zoneMissTime = 4 * time.Second
-	// zoneLogPause is how often the log is told of a zone: one that loses some packets goes
+	silentZoneMisses = 3
+	// zoneAvoidTime is for how long new flows avoid a silent zone until one tries it again.
+	zoneAvoidTime = time.Second
+	// zoneMissAge is how long something unanswered speaks against its zone.
+	zoneMissAge = 4 * time.Second
+	// zoneLogInterval is how often the log is told of a zone: one that loses some packets goes
 	// back and forth, 25 times in 120 s at few flows a second.
-	zoneLogPause = 10 * time.Second
+	zoneLogInterval = 10 * time.Second
 )
 
-// zones tells zones out of reach from here by what their back ends leave unanswered:
+// zoneMonitor tells zones out of reach from here by what their back ends leave unanswered:
 // first packets, and requests that are repeated. It decides only where new flows go: a
 // zone behind a cut and a zone that died look the same from here. What it costs when it is
 // wrong is load: the other zones get the new flows of a zone that lives, for a second at a
@@ -32,28 +32,28 @@
 // found as if no zone were.
 // Each back end for itself is avoided after one flow was lost to it (Flows), and a cut
 // zone has a hundred of them.
-type zones struct {
-	off   mechanism.Set
-	known map[string]*zoneSilence
-	// until is when the last zone is avoided. A new flow asks for each back end.
-	until   time.Time
-	verdict []SilentZone
-	// silenced counts how often a zone was found silent.
-	silenced atomic.Uint64
+type zoneMonitor struct {
+	disabled mechanism.Set
+	zones    map[string]*zoneState
+	// avoidUntil is when the last zone is avoided. A new flow asks for each back end.
+	avoidUntil  time.Time
+	silentZones []SilentZone
+	// silentCount counts how often a zone was found silent.
+	silentCount atomic.Uint64
 }
 
-// zoneSilence is what a zone left unanswered.
-type zoneSilence struct {
-	// answeredAt is when the latest packet was sent that a back end of the zone
+// zoneState is what a zone left unanswered.
+type zoneState struct {
+	// respondedAt is when the latest packet was sent that a back end of the zone
 	// answered without a repetition.
-	answeredAt time.Time
+	respondedAt time.Time
 	// misses are different back ends, the earliest first, each with the latest packet
 	// that it left unanswered.
 	misses     []zoneMiss
 	avoidUntil time.Time
-	// toldAt is when the log was last told, and untold how often it was found silent since.
-	toldAt time.Time
-	untold int
+	// loggedAt is when the log was last told, and untold how often it was found silent since.
+	loggedAt time.Time
+	unlogged int
 }
 
 type zoneMiss struct {
@@ -70,97 +70,97 @@
 	Times int
 }
 
-func newZones(off mechanism.Set) *zones {
-	return &zones{off: off, known: make(map[string]*zoneSilence)}
+func newZoneMonitor(off mechanism.Set) *zoneMonitor {
+	return &zoneMonitor{disabled: off, zones: make(map[string]*zoneState)}
 }
 
-func (z *zones) of(zone string) *zoneSilence {
-	known := z.known[zone]
+func (z *zoneMonitor) zone(zone string) *zoneState {
+	known := z.zones[zone]
 	if known == nil {
-		known = &zoneSilence{}
-		z.known[zone] = known
+		known = &zoneState{}
+		z.zones[zone] = known
 	}
 	return known
 }
 
-// answered takes that a back end answered at once what was sent at a time.
-func (z *zones) answered(backend *Backend, sentAt time.Time) {
-	known := z.of(backend.Zone)
-	if !sentAt.After(known.answeredAt) {
+// recordResponse takes that a back end answered at once what was sent at a time.
+func (z *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
+	known := z.zone(backend.Zone)
+	if !sentAt.After(known.respondedAt) {
 		return
 	}
-	known.answeredAt = sentAt
-	known.forget(sentAt)
+	known.respondedAt = sentAt
+	known.dropMisses(sentAt)
 }
 
-// missed takes that a back end left unanswered what was sent at a time.
-func (z *zones) missed(backend *Backend, sentAt, now time.Time) {
-	if z.off.Has(mechanism.SilentZones) {
+// recordMiss takes that a back end left unanswered what was sent at a time.
+func (z *zoneMonitor) recordMiss(backend *Backend, sentAt, now time.Time) {
+	if z.disabled.Has(mechanism.SilentZones) {
 		return
 	}
-	known := z.of(backend.Zone)
-	if !sentAt.After(known.answeredAt) {
+	known := z.zone(backend.Zone)
+	if !sentAt.After(known.respondedAt) {
 		return
 	}
-	silent := known.silent()
-	known.forget(now.Add(-zoneMissTime))
-	known.add(zoneMiss{backend: backend.Incarnation(), sentAt: sentAt})
-	if !known.silent() || now.Before(known.avoidUntil) {
+	silent := known.isSilent()
+	known.dropMisses(now.Add(-zoneMissAge))
+	known.addMiss(zoneMiss{backend: backend.Incarnation(), sentAt: sentAt})
+	if !known.isSilent() || now.Before(known.avoidUntil) {
 		return
 	}
-	known.avoidUntil = now.Add(zoneAvoid)
-	z.until = latest(z.until, known.avoidUntil)
+	known.avoidUntil = now.Add(zoneAvoidTime)
+	z.avoidUntil = maxTime(z.avoidUntil, known.avoidUntil)
 	if !silent {
-		z.silenced.Add(1)
-		z.tell(backend.Zone, known, now)
+		z.silentCount.Add(1)
+		z.report(backend.Zone, known, now)
 	}
 }
 
-// tell lets the log know that a zone was found silent, now and then.
-func (z *zones) tell(zone string, known *zoneSilence, now time.Time) {
-	known.untold++
-	if !known.toldAt.IsZero() && now.Sub(known.toldAt) < zoneLogPause {
+// report lets the log know that a zone was found silent, now and then.
+func (z *zoneMonitor) report(zone string, known *zoneState, now time.Time) {
+	known.unlogged++
+	if !known.loggedAt.IsZero() && now.Sub(known.loggedAt) < zoneLogInterval {
 		return
 	}
-	z.verdict = append(z.verdict, SilentZone{Zone: zone, Since: known.misses[0].sentAt, Times: known.untold})
-	known.toldAt, known.untold = now, 0
+	z.silentZones = append(z.silentZones, SilentZone{Zone: zone, Since: known.misses[0].sentAt, Times: known.unlogged})
+	known.loggedAt, known.unlogged = now, 0
 }
 
 // avoids tells whether new flows avoid a zone.
-func (z *zones) avoids(zone string, now time.Time) bool {
-	if !now.Before(z.until) {
+func (z *zoneMonitor) avoids(zone string, now time.Time) bool {
+	if !now.Before(z.avoidUntil) {
 		return false
 	}
-	known := z.known[zone]
-	return known != nil && known.silent() && now.Before(known.avoidUntil)
+	known := z.zones[zone]
+	return known != nil && known.isSilent() && now.Before(known.avoidUntil)
 }
 
-// tried takes that a new flow goes to a zone: where it was silent, the flow tries it
+// recordAttempt takes that a new flow goes to a zone: where it was silent, the flow tries it
 // for the others.
-func (z *zones) tried(zone string, now time.Time) {
-	if known := z.known[zone]; known != nil && known.silent() && !now.Before(known.avoidUntil) {
-		known.avoidUntil = now.Add(AnswerTime)
-		z.until = latest(z.until, known.avoidUntil)
+func (z *zoneMonitor) recordAttempt(zone string, now time.Time) {
+	if known := z.zones[zone]; known != nil && known.isSilent() && !now.Before(known.avoidUntil) {
+		known.avoidUntil = now.Add(ResponseTimeout)
+		z.avoidUntil = maxTime(z.avoidUntil, known.avoidUntil)
 	}
 }
 
-func (s *zoneSilence) silent() bool { return len(s.misses) >= zoneMisses }
+func (s *zoneState) isSilent() bool { return len(s.misses) >= silentZoneMisses }
 
-// add notes a miss; of a back end only the latest one counts.
-func (s *zoneSilence) add(miss zoneMiss) {
+// addMiss notes a miss; of a back end only the latest one counts.
+func (s *zoneState) addMiss(miss zoneMiss) {
 	s.misses = slices.DeleteFunc(s.misses, func(each zoneMiss) bool { return each.backend == miss.backend })
 	s.misses = append(s.misses, miss)
-	if len(s.misses) > zoneMisses {
+	if len(s.misses) > silentZoneMisses {
 		s.misses = slices.Delete(s.misses, 0, 1)
 	}
 }
 
-// forget drops the misses of what was sent up to a time.
-func (s *zoneSilence) forget(until time.Time) {
+// dropMisses drops the misses of what was sent up to a time.
+func (s *zoneState) dropMisses(until time.Time) {
 	s.misses = slices.DeleteFunc(s.misses, func(each zoneMiss) bool { return !each.sentAt.After(until) })
 }
 
-func latest(one, other time.Time) time.Time {
+func maxTime(one, other time.Time) time.Time {
 	if other.After(one) {
 		return other
 	}
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -19,31 +19,31 @@
 	return NewTable(newDirectory(changes...), defaultOptions())
 }
 
-// opener opens flows from new ports, one a pause, whose back ends answer if they do.
-type opener struct {
-	flows   *Flows
-	table   *Table
-	answers func(*Backend) bool
-	port    uint16
-	now     int
+// flowOpener opens flows from new ports, one a pause, whose back ends answer if they do.
+type flowOpener struct {
+	flows    *Flows
+	table    *Table
+	responds func(*Backend) bool
+	port     uint16
+	now      int
 	// pause is in milliseconds, 10 unless a test says otherwise.
 	pause int
 	// lost counts first packets to back ends that did not answer, by zone.
 	lost map[string]int
 }
 
-func newOpener(off mechanism.Set, answers func(*Backend) bool) *opener {
-	return &opener{flows: NewFlows(off).InZone("maadi"), table: twoLargeZones(), answers: answers, pause: 10, lost: make(map[string]int)}
+func newOpener(off mechanism.Set, answers func(*Backend) bool) *flowOpener {
+	return &flowOpener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), responds: answers, pause: 10, lost: make(map[string]int)}
 }
 
-func (o *opener) open(count int) {
+func (o *flowOpener) open(count int) {
 	for range count {
 		o.now += o.pause
 		o.port++
 		packet := firstPacket(1)
 		packet.Key.SourcePort = o.port
 		chosen := o.flows.Decide(o.table, packet, at(o.now)).Backend
-		if !o.answers(chosen) {
+		if !o.responds(chosen) {
 			o.lost[chosen.Zone]++
 			continue
 		}
@@ -66,14 +66,14 @@
 	together.open(90)
 	require.Greater(t, alone.lost["giza"], 19, "each back end for itself")
 	require.LessOrEqual(t, together.lost["giza"], 15, "those of 150 ms, until the first was due")
-	require.EqualValues(t, 1, together.flows.Silenced())
+	require.EqualValues(t, 1, together.flows.SilentZoneCount())
 	silent := together.flows.TakeSilentZones()
 	require.Len(t, silent, 1)
 	require.Equal(t, "giza", silent[0].Zone)
 }
 
 // One flow a while tries a silent zone, and its answer opens it for all.
-func TestSilentZoneIsTriedAndReturns(t *testing.T) {
+func TestSilentZoneIsProbedAndRecovers(t *testing.T) {
 	back := false
 	fleet := newOpener(mechanism.Set{}, func(b *Backend) bool { return back || inMaadi(b) })
 	fleet.open(90)
@@ -83,13 +83,13 @@
 	require.Greater(t, fleet.lost["giza"], before, "it is tried")
 	back = true
 	fleet.open(150)
-	fleet.answers = func(*Backend) bool { return true }
+	fleet.responds = func(*Backend) bool { return true }
 	require.False(t, fleet.flows.zones.avoids("giza", at(fleet.now)))
 }
 
 // A balancer whose own link is full, or an outage of everything, finds all zones
 // silent: new flows go where they went.
-func TestSilenceOfAllZonesRefusesNothing(t *testing.T) {
+func TestAllZonesSilentRefusesNothing(t *testing.T) {
 	fleet := newOpener(mechanism.Set{}, func(*Backend) bool { return false })
 	fleet.open(300)
 	require.Greater(t, fleet.lost["maadi"], 50)
@@ -99,7 +99,7 @@
 // Where all zones are silent, back ends that answered nothing themselves are still told
 // from those that did: here nineteen of twenty are dead, in one zone, and the first packet
 // to the one that lives would else be as rare as to each dead one.
-func TestSilenceOfAllZonesLeavesTheLivingBackEndsFirst(t *testing.T) {
+func TestAllZonesSilentStillPrefersLiveBackends(t *testing.T) {
 	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
 	lost := func(off mechanism.Set) int {
@@ -119,44 +119,44 @@
 }
 
 // Back ends of a zone that answers otherwise are full or dead, each for itself.
-func TestZoneOfWhichSomeAnswerIsNotSilent(t *testing.T) {
+func TestZoneWithSomeResponsesIsNotSilent(t *testing.T) {
 	fleet := newOpener(mechanism.Set{}, func(b *Backend) bool { return inMaadi(b) || b.Number%2 == 0 })
 	fleet.open(500)
-	require.Zero(t, fleet.flows.Silenced())
+	require.Zero(t, fleet.flows.SilentZoneCount())
 }
 
-func TestMissesOfAZoneGrowOld(t *testing.T) {
-	zones := newZones(mechanism.Set{})
+func TestZoneMissesExpire(t *testing.T) {
+	zones := newZoneMonitor(mechanism.Set{})
 	miss := func(number uint64, now time.Time) {
-		zones.missed(&Backend{Number: number, Zone: "giza"}, now, now)
+		zones.recordMiss(&Backend{Number: number, Zone: "giza"}, now, now)
 	}
 	for number := range uint64(6) {
-		miss(number, at(int(number)*int(zoneMissTime/time.Millisecond)/2))
+		miss(number, at(int(number)*int(zoneMissAge/time.Millisecond)/2))
 	}
-	require.Zero(t, zones.silenced.Load(), "two within the time")
-	miss(9, at(5*int(zoneMissTime/time.Millisecond)/2+1))
-	miss(9, at(5*int(zoneMissTime/time.Millisecond)/2+2))
-	require.EqualValues(t, 1, zones.silenced.Load())
-	zones.answered(&Backend{Number: 9, Zone: "giza"}, at(1))
-	require.True(t, zones.of("giza").silent(), "what was sent before says nothing")
+	require.Zero(t, zones.silentCount.Load(), "two within the time")
+	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+1))
+	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+2))
+	require.EqualValues(t, 1, zones.silentCount.Load())
+	zones.recordResponse(&Backend{Number: 9, Zone: "giza"}, at(1))
+	require.True(t, zones.zone("giza").isSilent(), "what was sent before says nothing")
 }
 
 // A zone of which some answer and others do not goes back and forth; the log is told of it
 // once in ten seconds. Switched off, nothing is counted or told.
-func TestSilentZoneIsLoggedNowAndThen(t *testing.T) {
+func TestSilentZoneLoggingIsRateLimited(t *testing.T) {
 	flap := func(off mechanism.Set) (told, times int, counted uint64) {
-		zones := newZones(off)
+		zones := newZoneMonitor(off)
 		for now := 0; now < 120_000; now += 100 {
 			backend := &Backend{Number: uint64(now / 100 % 7), Zone: "giza"}
-			zones.missed(backend, at(now), at(now+1))
+			zones.recordMiss(backend, at(now), at(now+1))
 			if now%1000 == 0 {
-				zones.answered(backend, at(now))
+				zones.recordResponse(backend, at(now))
 			}
 		}
-		for _, each := range zones.verdict {
+		for _, each := range zones.silentZones {
 			times += each.Times
 		}
-		return len(zones.verdict), times, zones.silenced.Load()
+		return len(zones.silentZones), times, zones.silentCount.Load()
 	}
 	told, times, counted := flap(mechanism.Set{})
 	require.Greater(t, counted, uint64(50))
