--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -91,7 +91,7 @@
 
 func describe(packet tokenroute.Packet, request []byte, decision tokenroute.Decision) (message string, kind lineKind) {
 	switch {
-	case decision.Reason == tokenroute.ReasonNoRoom:
+	case decision.Reason == tokenroute.ReasonNoCapacity:
 		return "Traffic: flow refused.", lineNoCapacity
 	case decision.Verdict == tokenroute.Refuse:
 		return "Traffic: flow refused.", lineFailure
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -53,7 +53,7 @@
 	now := time.Now().Truncate(time.Second)
 	level := &admission.Refusal{Pool: "lending", Priority: 2, Fraction: 0.75,
 		Pressure: admission.Pressure{RequestsPerSlot: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
-	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoRoom, Refusal: level}
+	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoCapacity, Refusal: level}
 	for range 1000 {
 		log.record(tokenroute.Packet{First: true}, nil, refused, nil, now)
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -91,8 +91,8 @@
 	overridden, lostPolicies map[Key]*entry
 	// evacuations are the entries of orders to evacuate, by zone.
 	evacuations map[string]*entry
-	// backends are the back ends in order.
-	backends backendIndex
+	// backendIndex are the back ends in order.
+	backendIndex backendIndex
 	// balancerChanges counts the changes of the entries of balancers.
 	balancerChanges uint64
 }
@@ -111,7 +111,7 @@
 // New makes an empty directory that keeps tombstones for the given time.
 func New(retention time.Duration) *Directory {
 	return &Directory{retention: retention, entries: make(map[Key]*entry), evacuations: make(map[string]*entry),
-		tombstones: make(map[Key]*entry), overridden: make(map[Key]*entry), lostPolicies: make(map[Key]*entry), backends: newBackendIndex()}
+		tombstones: make(map[Key]*entry), overridden: make(map[Key]*entry), lostPolicies: make(map[Key]*entry), backendIndex: newBackendIndex()}
 }
 
 // Clear forgets everything. What was learned from an old copy of the store may be later than
@@ -264,7 +264,7 @@
 	case KindBalancer:
 		d.balancerChanges++
 	case KindBackend:
-		d.backends.markChanged(key.Name)
+		d.backendIndex.markChanged(key.Name)
 	case KindEvacuation:
 		d.evacuations[key.Name] = known
 	}
@@ -365,7 +365,7 @@
 	delete(d.lostPolicies, key)
 	switch key.Kind {
 	case KindBackend:
-		d.backends.markChanged(key.Name)
+		d.backendIndex.markChanged(key.Name)
 	case KindEvacuation:
 		delete(d.evacuations, key.Name)
 	}
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -221,6 +221,6 @@
 // reindex has an entry listed anew.
 func (d *Directory) reindex(key Key) {
 	if key.Kind == KindBackend {
-		d.backends.markChanged(key.Name)
+		d.backendIndex.markChanged(key.Name)
 	}
 }
--- a/internal/directory/listing.go
+++ b/internal/directory/listing.go
@@ -49,7 +49,7 @@
 // BackendGroups returns all back ends by place, the places by pool and zone. Groups hold until the
 // directory changes.
 func (d *Directory) BackendGroups() []*BackendGroup {
-	l := &d.backends
+	l := &d.backendIndex
 	if len(l.changed) == 0 {
 		return l.ordered
 	}
@@ -83,7 +83,7 @@
 
 // addAffected notes the places where a back end was listed and is to be.
 func (d *Directory) addAffected(id string, affected map[PoolZone]bool) {
-	if before, listed := d.backends.poolZoneOf[id]; listed {
+	if before, listed := d.backendIndex.poolZoneOf[id]; listed {
 		affected[before] = true
 	}
 	if made, found := d.backendEntry(id); found {
@@ -93,7 +93,7 @@
 
 // updateBackend brings one back end up to date.
 func (d *Directory) updateBackend(id string) {
-	l := &d.backends
+	l := &d.backendIndex
 	made, found := d.backendEntry(id)
 	if before, listed := l.poolZoneOf[id]; listed && (!found || before != made.poolZone()) {
 		group := l.groups[before]
@@ -116,7 +116,7 @@
 
 // rebuildGroups lists some groups anew.
 func (d *Directory) rebuildGroups(affected map[PoolZone]bool) {
-	l := &d.backends
+	l := &d.backendIndex
 	for place := range affected {
 		group := l.group(place)
 		for _, each := range group.Entries {
--- a/internal/tokenroute/admission.go
+++ b/internal/tokenroute/admission.go
@@ -28,7 +28,7 @@
 	if level == nil {
 		return nil
 	}
-	if state := f.cache.find(key); state != nil && (state.opening.count > 0 || state.tracker.backend != nil) {
+	if state := f.flowCache.find(key); state != nil && (state.opening.count > 0 || state.tracker.backend != nil) {
 		return nil
 	}
 	return level
--- a/internal/tokenroute/admission_test.go
+++ b/internal/tokenroute/admission_test.go
@@ -45,7 +45,7 @@
 	for port := range 100 {
 		refused := flows.Decide(table, firstPacketTo(port, 2), at(port))
 		require.Equal(t, Refuse, refused.Verdict)
-		require.Equal(t, ReasonNoRoom, refused.Reason)
+		require.Equal(t, ReasonNoCapacity, refused.Reason)
 		require.Equal(t, admission.Priority(2), refused.Refusal.Priority)
 		require.Equal(t, 6.0, refused.Refusal.Pressure.RequestsPerSlot)
 		require.Equal(t, Forward, flows.Decide(table, firstPacketTo(port, 1), at(port)).Verdict)
@@ -69,7 +69,7 @@
 	elsewhere := NewFlows(mechanism.Set{})
 	elsewhere.SetRefusals(lowPriorityRefusals(t))
 	require.Equal(t, Forward, elsewhere.Decide(table, later, at(700)).Verdict, "nor by a balancer that the flow has come to")
-	require.Equal(t, ReasonNoRoom, elsewhere.Decide(table, firstPacketTo(2, 2), at(700)).Reason)
+	require.Equal(t, ReasonNoCapacity, elsewhere.Decide(table, firstPacketTo(2, 2), at(700)).Reason)
 	copied := firstPacketTo(3, 2)
 	copied.Retransmission = true
 	require.Equal(t, Forward, elsewhere.Decide(table, copied, at(700)).Verdict, "another balancer may have forwarded the first")
--- a/internal/tokenroute/asked.go
+++ b/internal/tokenroute/asked.go
@@ -49,8 +49,8 @@
 	startedAt time.Time
 }
 
-// demandFor returns what is asked of a place.
-func (f *Flows) demandFor(pool, zone string) *poolZoneDemand {
+// poolZoneDemand returns what is asked of a place.
+func (f *Flows) poolZoneDemand(pool, zone string) *poolZoneDemand {
 	place := demand.PoolZone{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
 	known := f.demands[place]
 	if known != nil {
@@ -62,8 +62,8 @@
 	}
 	f.demands[place] = known
 	known.local = known
-	if zone != f.liveness.zone {
-		known.local = f.demandFor(pool, f.liveness.zone)
+	if zone != f.failureDetector.zone {
+		known.local = f.poolZoneDemand(pool, f.failureDetector.zone)
 	}
 	return known
 }
@@ -71,7 +71,7 @@
 // countNewFlow counts a new flow that goes to a back end; first is set unless it went to
 // another one before.
 func (f *Flows) countNewFlow(backend *Backend, first bool) {
-	place := f.loadFor(backend).demand
+	place := f.loadFor(backend).poolDemand
 	place.newFlows++
 	if first {
 		place.local.requests++
@@ -80,7 +80,7 @@
 
 // CountRefusal counts a new flow that was refused for want of room in a pool.
 func (f *Flows) CountRefusal(pool string) {
-	place := f.demandFor(pool, f.liveness.zone)
+	place := f.poolZoneDemand(pool, f.failureDetector.zone)
 	place.refusals++
 	place.requests++
 }
@@ -88,7 +88,7 @@
 // countRequest counts a request that begins, or one that was answered. The first request of
 // a flow that opened here counts with its opening.
 func (s *flowState) countRequest(begins bool, now time.Time) {
-	place := s.load.demand
+	place := s.load.poolDemand
 	if !begins {
 		s.lost = false
 		place.responses++
@@ -120,7 +120,7 @@
 	}
 	s.lost = false
 	s.countInFlight(true, now)
-	s.load.demand.addPending(s)
+	s.load.poolDemand.addPending(s)
 }
 
 // markUndelivered takes that a request was repeated, so that it has reached nobody: who lives
@@ -165,7 +165,7 @@
 		change = -1
 	}
 	s.load.pool.use.Add(change, now)
-	s.load.demand.use.Add(change, now)
+	s.load.poolDemand.use.Add(change, now)
 }
 
 // windowedMin is the least of some samples in minRTTWindow to twice as long, in seconds; 0 is none.
--- a/internal/tokenroute/asked_test.go
+++ b/internal/tokenroute/asked_test.go
@@ -62,13 +62,13 @@
 	}
 	flows.Decide(table, request(20, 2, 1), at(1000))
 	summarizeAt(flows, 1400)
-	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Equal(t, 9, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 	flows.Decide(table, request(20, 2, 1), at(1450)) // its client still waits
 	summarizeAt(flows, 1700)
-	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Equal(t, 1, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].flows, "flows that were reset are none")
 	flows.Decide(table, request(1, 2, 2), at(1800))
-	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlight, "one that goes on counts again")
+	require.Equal(t, 2, flows.loads[incarnation.ID{Number: 2}].inFlightRequests, "one that goes on counts again")
 }
 
 // The time on the way is no work of a back end.
@@ -149,7 +149,7 @@
 			waiting += load.InFlight
 			answers += load.Responses * summaryInterval.Seconds()
 		}
-		if flows.loads[incarnation.ID{Number: 2}].inFlight == 0 {
+		if flows.loads[incarnation.ID{Number: 2}].inFlightRequests == 0 {
 			idle++
 		}
 	}
@@ -206,12 +206,12 @@
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	flows.Decide(table, request(1, 2, 1), at(0))
 	summarizeAt(flows, 1500)
-	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 5001}, at(2000))
 	flows.Decide(table, Packet{Key: clientKey(1), Token: 2, Acknowledged: 6001}, at(2010))
 	require.Equal(t, 1.0, summarizeAt(flows, 2500)[lendingPoolZone("maadi")].Responses)
-	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].demand.responseTime, 1e-9)
-	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlight)
+	require.InDelta(t, 2, flows.loads[incarnation.ID{Number: 2}].poolDemand.responseTime, 1e-9)
+	require.Zero(t, flows.loads[incarnation.ID{Number: 2}].inFlightRequests)
 }
 
 // What clients think before their first request is no way.
@@ -242,7 +242,7 @@
 			}
 		}
 	}
-	require.InDelta(t, 0.75, flows.demandFor("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
+	require.InDelta(t, 0.75, flows.poolZoneDemand("lending", "maadi").serviceFraction(), 0.01, "80 ms, of those 20 on the way")
 }
 
 // largeTwoZoneDirectory has so many back ends in each of two zones, named from 1 on; those of giza have
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -54,8 +54,8 @@
 	ReasonEvacuated
 	// ReasonCold: only cold back ends are left, and they bear no more now.
 	ReasonCold
-	// ReasonNoRoom: the pool is short of room, and the flow was drawn to give way.
-	ReasonNoRoom
+	// ReasonNoCapacity: the pool is short of room, and the flow was drawn to give way.
+	ReasonNoCapacity
 	// ReasonRestarted: the back end has started again since the flow was opened, and
 	// holds none from before.
 	ReasonRestarted
@@ -91,7 +91,7 @@
 	}
 	f.SetTable(table, now)
 	if !f.disabled.Has(mechanism.RestedFlows) {
-		f.cache.idleTimeout = table.IdleTimeout
+		f.flowCache.idleTimeout = table.IdleTimeout
 	}
 	route := table.Route(packet.Key.Address())
 	if packet.First {
@@ -108,7 +108,7 @@
 		return Decision{Verdict: Drop, Reason: ReasonUnknownToken}
 	}
 	f.rotate(now)
-	state := f.cache.find(packet.Key)
+	state := f.flowCache.find(packet.Key)
 	chosen := f.backendFor(state, named, now)
 	if f.observe(packet, state, chosen, now) {
 		return Decision{Verdict: Refuse, Reason: ReasonDeadBackend, Backend: chosen}
@@ -124,20 +124,20 @@
 func (f *Flows) observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	var seenAt time.Time
 	if state == nil && (packet.Length > 0 || packet.Closing) {
-		seenAt = f.cache.removeIdle(packet.Key, backend.Incarnation())
+		seenAt = f.flowCache.removeIdle(packet.Key, backend.Incarnation())
 	}
 	if packet.Closing {
 		f.close(packet, state, now)
 		return false
 	}
 	if state == nil && packet.Length > 0 {
-		state = f.cache.add(packet.Key)
+		state = f.flowCache.add(packet.Key)
 		state.firstRequestAt = seenAt
 	}
 	if state != nil {
 		state.attach(f.loadFor(backend), now)
 	}
-	return f.liveness.Observe(packet, state, backend, now)
+	return f.failureDetector.Observe(packet, state, backend, now)
 }
 
 // close takes the packet that ends a flow. Who opened a contested flow is still
@@ -151,7 +151,7 @@
 		state.detach(now)
 		return
 	}
-	f.cache.forget(packet.Key, state, now)
+	f.flowCache.forget(packet.Key, state, now)
 }
 
 func (f *Flows) decideFirst(route *Route, packet Packet, now time.Time) Decision {
@@ -160,7 +160,7 @@
 	}
 	if level := f.refusalFor(route, packet); level != nil {
 		f.CountRefusal(level.Pool)
-		return Decision{Verdict: Refuse, Reason: ReasonNoRoom, Refusal: level}
+		return Decision{Verdict: Refuse, Reason: ReasonNoCapacity, Refusal: level}
 	}
 	chosen := f.ChooseForFirst(route, packet.Key, now)
 	if chosen == nil {
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -16,14 +16,14 @@
 // Flows is the memory of one traffic goroutine.
 type Flows struct {
 	disabled        mechanism.Set
-	cache           *flowCache
+	flowCache       *flowCache
 	pendingOpenings []pendingOpening
 	// demands are what is asked of each pool in each zone.
-	demands  map[demand.PoolZone]*poolZoneDemand
-	backoffs map[incarnation.ID]*backoff
-	zones    *zoneMonitor
-	loads    map[incarnation.ID]*backendLoad
-	pools    map[string]*poolUse
+	demands     map[demand.PoolZone]*poolZoneDemand
+	backoffs    map[incarnation.ID]*backoff
+	zoneMonitor *zoneMonitor
+	loads       map[incarnation.ID]*backendLoad
+	pools       map[string]*poolUse
 	// summarizedAt is when the last summary was made, comparedAt when answers were
 	// last compared.
 	summarizedAt, comparedAt time.Time
@@ -37,8 +37,8 @@
 	// up.
 	table     *Table
 	restarted map[incarnation.ID]bool
-	// liveness judges back ends by the later packets of their flows.
-	liveness *FailureDetector
+	// failureDetector judges back ends by the later packets of their flows.
+	failureDetector *FailureDetector
 	// Retried counts first packets that went to another back end.
 	Retried atomic.Uint64
 	// Unanswered counts back ends that did not answer in time.
@@ -54,47 +54,47 @@
 func NewFlows(off mechanism.Set) *Flows {
 	memory, zones := newFlowCache(), newZoneMonitor(off)
 	return &Flows{
-		disabled: off,
-		cache:    memory,
-		backoffs: make(map[incarnation.ID]*backoff),
-		zones:    zones,
-		loads:    make(map[incarnation.ID]*backendLoad),
-		pools:    make(map[string]*poolUse),
-		liveness: newFailureDetector(memory, zones, off),
+		disabled:        off,
+		flowCache:       memory,
+		backoffs:        make(map[incarnation.ID]*backoff),
+		zoneMonitor:     zones,
+		loads:           make(map[incarnation.ID]*backendLoad),
+		pools:           make(map[string]*poolUse),
+		failureDetector: newFailureDetector(memory, zones, off),
 	}
 }
 
 // WithZone sets the zone of this balancer and returns the memory.
 func (f *Flows) WithZone(zone string) *Flows {
-	f.liveness.zone = zone
+	f.failureDetector.zone = zone
 	return f
 }
 
 // BackendFailures is how often a back end was judged dead.
-func (f *Flows) BackendFailures() uint64 { return f.liveness.FailureCount.Load() }
+func (f *Flows) BackendFailures() uint64 { return f.failureDetector.FailureCount.Load() }
 
 // TakeBackendFailures returns the back ends that were judged dead since the last call.
 func (f *Flows) TakeBackendFailures() []BackendFailure {
-	taken := f.liveness.failures
-	f.liveness.failures = nil
+	taken := f.failureDetector.failures
+	f.failureDetector.failures = nil
 	return taken
 }
 
 // SilentZoneCount is how often a zone was found silent.
-func (f *Flows) SilentZoneCount() uint64 { return f.zones.silentCount.Load() }
+func (f *Flows) SilentZoneCount() uint64 { return f.zoneMonitor.silentCount.Load() }
 
 // TakeSilentZones returns the zones that were found silent since the last call.
 func (f *Flows) TakeSilentZones() []SilentZone {
-	taken := f.zones.silentZones
-	f.zones.silentZones = nil
+	taken := f.zoneMonitor.silentZones
+	f.zoneMonitor.silentZones = nil
 	return taken
 }
 
 // TakeAbandonedFlows returns the flows whose back end was judged dead since the last
 // call, to be reset.
 func (f *Flows) TakeAbandonedFlows() []AbandonedFlow {
-	taken := f.liveness.abandoned
-	f.liveness.abandoned = nil
+	taken := f.failureDetector.abandoned
+	f.failureDetector.abandoned = nil
 	return taken
 }
 
@@ -105,9 +105,9 @@
 func (f *Flows) ChooseForFirst(route *Route, key flow.Key, now time.Time) *Backend {
 	f.rotate(now)
 	f.collectOverdue(now)
-	state := f.cache.find(key)
+	state := f.flowCache.find(key)
 	if state == nil {
-		state = f.cache.add(key)
+		state = f.flowCache.add(key)
 	}
 	known := &state.opening
 	if known.openedBy != nil {
@@ -131,14 +131,14 @@
 	if warmth == Forbidden {
 		return Forbidden
 	}
-	if known.wasTried(backend) || f.liveness.Failed(backend, now) {
+	if known.wasTried(backend) || f.failureDetector.Failed(backend, now) {
 		return Avoided
 	}
 	silent := f.backoffs[backend.Incarnation()]
 	if silent != nil && now.Before(silent.avoidUntil) && !f.disabled.Has(mechanism.AvoidSilent) {
 		return Avoided
 	}
-	if f.zones.avoids(backend.Zone, now) {
+	if f.zoneMonitor.avoids(backend.Zone, now) {
 		return max(warmth, Suspected)
 	}
 	return warmth
@@ -150,14 +150,14 @@
 	if known == nil || f.disabled.Has(mechanism.LeastUsed) {
 		return 0
 	}
-	return known.flows + inFlightWeight*known.inFlight
+	return known.flows + inFlightWeight*known.inFlightRequests
 }
 
 // loadFor returns the load of a back end.
 func (f *Flows) loadFor(backend *Backend) *backendLoad {
 	known := f.loads[backend.Incarnation()]
 	if known == nil {
-		known = &backendLoad{pool: f.poolUse(backend.Pool), demand: f.demandFor(backend.Pool, backend.Zone),
+		known = &backendLoad{pool: f.poolUse(backend.Pool), poolDemand: f.poolZoneDemand(backend.Pool, backend.Zone),
 			responses: make(map[flow.Address]*observe.ResponseHistory)}
 		f.loads[backend.Incarnation()] = known
 	}
@@ -188,7 +188,7 @@
 		// It is tried by one flow, not by all that find it the least used.
 		silent.avoidUntil = now.Add(ResponseTimeout)
 	}
-	f.zones.recordAttempt(chosen.Zone, now)
+	f.zoneMonitor.recordProbe(chosen.Zone, now)
 	state.attach(f.loadFor(chosen), now)
 	if len(f.pendingOpenings) < maxGenerationFlows {
 		f.pendingOpenings = append(f.pendingOpenings, pendingOpening{opening: known, backend: chosen, sentAt: now})
@@ -207,7 +207,7 @@
 		f.countOpened(now.Sub(known.sentAt))
 		delete(f.backoffs, named.Incarnation())
 		if known.last().Number == named.Number {
-			f.zones.recordResponse(named, known.sentAt)
+			f.zoneMonitor.recordResponse(named, known.sentAt)
 		}
 	}
 	if known.openedBy == nil || known.openedBy.Number == named.Number {
@@ -229,18 +229,18 @@
 func (f *Flows) collectOverdue(now time.Time) {
 	due := 0
 	for due < len(f.pendingOpenings) && now.Sub(f.pendingOpenings[due].sentAt) >= ResponseTimeout {
-		f.recordMiss(f.pendingOpenings[due], now)
+		f.recordOverdue(f.pendingOpenings[due], now)
 		due++
 	}
 	f.pendingOpenings = f.pendingOpenings[:copy(f.pendingOpenings, f.pendingOpenings[due:])]
 }
 
-func (f *Flows) recordMiss(due pendingOpening, now time.Time) {
+func (f *Flows) recordOverdue(due pendingOpening, now time.Time) {
 	if due.opening.openedBy != nil {
 		return
 	}
 	f.Unanswered.Add(1)
-	f.zones.recordMiss(due.backend, due.sentAt, now)
+	f.zoneMonitor.recordMiss(due.backend, due.sentAt, now)
 	state := f.backoffs[due.backend.Incarnation()]
 	if state == nil {
 		state = &backoff{}
@@ -255,10 +255,10 @@
 
 // rotate drops what is too old.
 func (f *Flows) rotate(now time.Time) {
-	if !f.cache.rotate(now) {
+	if !f.flowCache.rotate(now) {
 		return
 	}
-	f.liveness.expire(now)
+	f.failureDetector.expire(now)
 	f.warmupAllowance.expire(now)
 	for id, state := range f.backoffs {
 		if now.Sub(state.avoidUntil) > maxAvoidTime {
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -40,26 +40,28 @@
 	}
 	switch heard := statement.(type) {
 	case evidence.UnansweredRequest:
-		f.liveness.receive(heard, backend, now)
+		f.failureDetector.receive(heard, backend, now)
 	case evidence.Activity:
-		f.liveness.recordActivity(backend, heard.At)
+		f.failureDetector.recordActivity(backend, heard.At)
 	}
 }
 
 // TakeObservations returns what this balancer has seen since the last call and others
 // should know.
 func (f *Flows) TakeObservations() []evidence.Observation {
-	taken := f.liveness.observations
-	f.liveness.observations = nil
+	taken := f.failureDetector.observations
+	f.failureDetector.observations = nil
 	return taken
 }
 
 // EvaluatePending judges by the joined witnesses that nobody answered in time, and returns when
 // the next ones will have waited long enough; the zero time is never.
-func (f *Flows) EvaluatePending(now time.Time) time.Time { return f.liveness.evaluatePending(now) }
+func (f *Flows) EvaluatePending(now time.Time) time.Time {
+	return f.failureDetector.evaluatePending(now)
+}
 
 // HasPending tells whether joined witnesses wait for an answer.
-func (f *Flows) HasPending() bool { return len(f.liveness.pending) > 0 }
+func (f *Flows) HasPending() bool { return len(f.failureDetector.pending) > 0 }
 
 // receive takes a witness that another balancer tells of. It counts for those that reach
 // the back end by the way that the other one does: from the same zone, or where the
--- a/internal/tokenroute/joined_test.go
+++ b/internal/tokenroute/joined_test.go
@@ -116,7 +116,7 @@
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 1, 2, 200)
 	for client := range evidence.Client(2 * maxObservations) {
-		flows.liveness.queueObservation(unanswered(3, client, "maadi", 100))
+		flows.failureDetector.queueObservation(unanswered(3, client, "maadi", 100))
 	}
 	flows.Receive(unanswered(2, 101, "maadi", 100), table, at(700))
 	told := flows.TakeObservations()
@@ -204,7 +204,7 @@
 		found[abandoned.Key.Source[3]] = abandoned.Acknowledged
 	}
 	require.Equal(t, map[byte]uint32{1: 9, 3: 9, 4: 9}, found)
-	require.Zero(t, flows.cache.idleCount)
+	require.Zero(t, flows.flowCache.idleCount)
 }
 
 func TestIdleFlowsExpire(t *testing.T) {
@@ -213,15 +213,15 @@
 	for now := 0; now <= 19_000; now += 500 {
 		exchange(flows, table, 50, 3, now)
 	}
-	require.Zero(t, flows.cache.idleCount)
-	require.Empty(t, flows.cache.idle)
+	require.Zero(t, flows.flowCache.idleCount)
+	require.Empty(t, flows.flowCache.idle)
 	for port := range 200_000 {
 		packet := request(1, 2, 1)
 		packet.Key = key(port)
 		packet.Key.Source[1] = byte(port >> 16)
 		flows.Decide(table, packet, at(20_000+port/20))
 	}
-	require.LessOrEqual(t, flows.cache.idleCount, maxIdleFlows)
+	require.LessOrEqual(t, flows.flowCache.idleCount, maxIdleFlows)
 }
 
 // Whatever the clients do, however balancers stall and messages between them are late,
--- a/internal/tokenroute/liveness_test.go
+++ b/internal/tokenroute/liveness_test.go
@@ -271,13 +271,13 @@
 		packet.Key = key(port)
 		flows.Decide(table, packet, at(port/100))
 	}
-	memory := flows.cache
+	memory := flows.flowCache
 	require.LessOrEqual(t, len(memory.current)+len(memory.previous), 2*maxGenerationFlows)
 	flows.rotate(at(600_000))
 	flows.rotate(at(600_000 + int(generationTime/time.Millisecond)))
 	require.Empty(t, memory.current)
 	require.Empty(t, memory.previous)
-	require.Empty(t, flows.liveness.health)
+	require.Empty(t, flows.failureDetector.health)
 	require.Empty(t, flows.backoffs)
 	flows.rotate(at(600_000 + 2*int(generationTime/time.Millisecond)))
 	require.Empty(t, flows.loads)
@@ -294,10 +294,10 @@
 		number++
 		packet := request(byte(number), 2, number)
 		packet.Key.SourcePort = uint16(number % 14000)
-		flows.observe(packet, flows.cache.find(packet.Key), backend, start)
+		flows.observe(packet, flows.flowCache.find(packet.Key), backend, start)
 		packet.Length = 0
 		packet.Acknowledged++
-		flows.observe(packet, flows.cache.find(packet.Key), backend, start)
+		flows.observe(packet, flows.flowCache.find(packet.Key), backend, start)
 	}
 }
 
@@ -314,7 +314,7 @@
 		for port := range count {
 			packet := request(1, 2, 1)
 			packet.Key.SourcePort = uint16(port)
-			flows.observe(packet, flows.cache.find(packet.Key), backend, start)
+			flows.observe(packet, flows.flowCache.find(packet.Key), backend, start)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/tokenroute/memory.go
+++ b/internal/tokenroute/memory.go
@@ -27,7 +27,7 @@
 	cached bool
 	// load is where the flow counts as in use, nil for nowhere.
 	load *backendLoad
-	// inFlight is set while the flow counts as waiting for an answer there.
+	// inFlightRequests is set while the flow counts as waiting for an answer there.
 	inFlight bool
 	// requestSeen is set once the flow's first request has begun, and inFlightSince is when the
 	// latest one did.
@@ -45,12 +45,12 @@
 
 // backendLoad is how much of a back end the flows use that pass here.
 type backendLoad struct {
-	flows    int
-	inFlight int
+	flows            int
+	inFlightRequests int
 	// pool is what the flows use of the back end's pool, and place what they ask of it
 	// in the back end's zone.
-	pool   *poolUse
-	demand *poolZoneDemand
+	pool       *poolUse
+	poolDemand *poolZoneDemand
 	// responses are those of the back end by the address that was asked: what is
 	// usual differs between addresses, and flows that last make some back ends
 	// serve one more than another.
@@ -102,9 +102,9 @@
 func (s *flowState) countInFlight(waits bool, now time.Time) {
 	s.inFlight = waits
 	if waits {
-		s.load.inFlight++
+		s.load.inFlightRequests++
 	} else {
-		s.load.inFlight--
+		s.load.inFlightRequests--
 	}
 	s.updateDemand(now)
 }
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -35,26 +35,26 @@
 		return !seenAt.IsZero() && backend.Start.Outlived(now.Sub(seenAt), now)
 	}
 	giveUp := func(key flow.Key, acknowledged uint32) {
-		f.liveness.abandoned = append(f.liveness.abandoned,
+		f.failureDetector.abandoned = append(f.failureDetector.abandoned,
 			AbandonedFlow{Key: key, Backend: backend, Reason: ReasonRestarted, Acknowledged: acknowledged})
 	}
-	for _, generation := range []map[flow.Key]*flowState{f.cache.current, f.cache.previous} {
+	for _, generation := range []map[flow.Key]*flowState{f.flowCache.current, f.flowCache.previous} {
 		for key, state := range generation {
 			known := &state.tracker
 			if known.backend != nil && former(known.backend.Incarnation()) && outlived(state.firstRequestAt) {
 				giveUp(key, known.lastAck)
-				f.cache.forget(key, state, now)
+				f.flowCache.forget(key, state, now)
 			}
 		}
 	}
-	for id, flows := range f.cache.idle {
+	for id, flows := range f.flowCache.idle {
 		if !former(id) {
 			continue
 		}
 		for key, each := range flows {
 			if outlived(each.firstRequestAt) {
 				giveUp(key, each.lastAck)
-				f.cache.idleCount--
+				f.flowCache.idleCount--
 				delete(flows, key)
 			}
 		}
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -34,7 +34,7 @@
 		At:       now,
 		InFlight: make(map[string]float64, len(f.pools)),
 		Loads:    f.summarizeDemand(elapsed, now),
-		Dead:     f.liveness.failed(now),
+		Dead:     f.failureDetector.failed(now),
 
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
--- a/internal/tokenroute/tokenroute_test.go
+++ b/internal/tokenroute/tokenroute_test.go
@@ -289,11 +289,11 @@
 	for port := range 60000 {
 		flows.Decide(table, firstPacket(port), at(port/100))
 	}
-	require.LessOrEqual(t, len(flows.cache.current)+len(flows.cache.previous), 2*maxGenerationFlows)
+	require.LessOrEqual(t, len(flows.flowCache.current)+len(flows.flowCache.previous), 2*maxGenerationFlows)
 	require.LessOrEqual(t, len(flows.pendingOpenings), maxGenerationFlows)
 	flows.Decide(table, firstPacket(1), at(600_000))
 	flows.Decide(table, firstPacket(2), at(610_000))
-	require.LessOrEqual(t, len(flows.cache.current)+len(flows.cache.previous), 2)
+	require.LessOrEqual(t, len(flows.flowCache.current)+len(flows.flowCache.previous), 2)
 }
 
 func BenchmarkDecideToken(b *testing.B) {
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -35,9 +35,9 @@
 type zoneMonitor struct {
 	disabled mechanism.Set
 	zones    map[string]*zoneState
-	// avoidUntil is when the last zone is avoided. A new flow asks for each back end.
-	avoidUntil  time.Time
-	silentZones []SilentZone
+	// lastAvoidUntil is when the last zone is avoided. A new flow asks for each back end.
+	lastAvoidUntil time.Time
+	silentZones    []SilentZone
 	// silentCount counts how often a zone was found silent.
 	silentCount atomic.Uint64
 }
@@ -74,7 +74,7 @@
 	return &zoneMonitor{disabled: off, zones: make(map[string]*zoneState)}
 }
 
-func (z *zoneMonitor) zone(zone string) *zoneState {
+func (z *zoneMonitor) stateOf(zone string) *zoneState {
 	known := z.zones[zone]
 	if known == nil {
 		known = &zoneState{}
@@ -85,7 +85,7 @@
 
 // recordResponse takes that a back end answered at once what was sent at a time.
 func (z *zoneMonitor) recordResponse(backend *Backend, sentAt time.Time) {
-	known := z.zone(backend.Zone)
+	known := z.stateOf(backend.Zone)
 	if !sentAt.After(known.respondedAt) {
 		return
 	}
@@ -93,12 +93,12 @@
 	known.dropMisses(sentAt)
 }
 
-// recordMiss takes that a back end left unanswered what was sent at a time.
+// recordOverdue takes that a back end left unanswered what was sent at a time.
 func (z *zoneMonitor) recordMiss(backend *Backend, sentAt, now time.Time) {
 	if z.disabled.Has(mechanism.SilentZones) {
 		return
 	}
-	known := z.zone(backend.Zone)
+	known := z.stateOf(backend.Zone)
 	if !sentAt.After(known.respondedAt) {
 		return
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	known.avoidUntil = now.Add(zoneAvoidTime)
-	z.avoidUntil = maxTime(z.avoidUntil, known.avoidUntil)
+	z.lastAvoidUntil = maxTime(z.lastAvoidUntil, known.avoidUntil)
 	if !silent {
 		z.silentCount.Add(1)
 		z.report(backend.Zone, known, now)
@@ -128,19 +128,19 @@
 
 // avoids tells whether new flows avoid a zone.
 func (z *zoneMonitor) avoids(zone string, now time.Time) bool {
-	if !now.Before(z.avoidUntil) {
+	if !now.Before(z.lastAvoidUntil) {
 		return false
 	}
 	known := z.zones[zone]
 	return known != nil && known.isSilent() && now.Before(known.avoidUntil)
 }
 
-// recordAttempt takes that a new flow goes to a zone: where it was silent, the flow tries it
+// recordProbe takes that a new flow goes to a zone: where it was silent, the flow tries it
 // for the others.
-func (z *zoneMonitor) recordAttempt(zone string, now time.Time) {
+func (z *zoneMonitor) recordProbe(zone string, now time.Time) {
 	if known := z.zones[zone]; known != nil && known.isSilent() && !now.Before(known.avoidUntil) {
 		known.avoidUntil = now.Add(ResponseTimeout)
-		z.avoidUntil = maxTime(z.avoidUntil, known.avoidUntil)
+		z.lastAvoidUntil = maxTime(z.lastAvoidUntil, known.avoidUntil)
 	}
 }
 
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -84,7 +84,7 @@
 	back = true
 	fleet.open(150)
 	fleet.responds = func(*Backend) bool { return true }
-	require.False(t, fleet.flows.zones.avoids("giza", at(fleet.now)))
+	require.False(t, fleet.flows.zoneMonitor.avoids("giza", at(fleet.now)))
 }
 
 // A balancer whose own link is full, or an outage of everything, finds all zones
@@ -138,7 +138,7 @@
 	miss(9, at(5*int(zoneMissAge/time.Millisecond)/2+2))
 	require.EqualValues(t, 1, zones.silentCount.Load())
 	zones.recordResponse(&Backend{Number: 9, Zone: "giza"}, at(1))
-	require.True(t, zones.zone("giza").isSilent(), "what was sent before says nothing")
+	require.True(t, zones.stateOf("giza").isSilent(), "what was sent before says nothing")
 }
 
 // A zone of which some answer and others do not goes back and forth; the log is told of it
