--- a/internal/balancer/weightinputs.go
+++ b/internal/balancer/weightinputs.go
@@ -163,9 +163,9 @@
 
 // inFlightByPool returns the demand by pool, for the log.
 func (w *weightInputs) inFlightByPool() map[string]float64 {
-	inFlight := make(map[string]float64, len(w.inFlight))
+	byPool := make(map[string]float64, len(w.inFlight))
 	for pool, waiting := range w.inFlight {
-		inFlight[pool] = math.Round(waiting*float64(w.zoneBalancers)*10) / 10
+		byPool[pool] = math.Round(waiting*float64(w.zoneBalancers)*10) / 10
 	}
-	return inFlight
+	return byPool
 }
