--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -109,7 +109,7 @@
 // The report is sent in a call of its own if alone is set, or else with another call.
 func (c *control) demandReportFor(parent string, alone bool, now time.Time) *apiv1.DemandReport {
 	parentClock := c.testimony.parentClock
-	if parent != c.testimony.parent || !parentClock.Known() || !c.core.Leads(parent) {
+	if parent != c.testimony.parent || !parentClock.Known() || !c.core.MayReportTo(parent) {
 		return nil
 	}
 	report, ok := c.demand.tree.ReportTo(demand.Address(parent), now)
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -38,7 +38,7 @@
 	parentControl.balancer.started = now.Add(-3 * time.Minute)
 	parentEntry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
 	childControl.core.SetBalancers([]*apiv1.Balancer{childControl.balancer.ownEntry(), parentEntry}, now)
-	require.True(t, childControl.core.Leads("10.0.0.2:1"))
+	require.True(t, childControl.core.MayReportTo("10.0.0.2:1"))
 	childControl.testimony.parent = "10.0.0.2:1"
 	childControl.testimony.parentClock = evidence.NewRemoteClock(parentControl.testimony.clock, parentControl.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{parentControl, childControl} {
--- a/internal/balancer/warmup.go
+++ b/internal/balancer/warmup.go
@@ -177,12 +177,12 @@
 func (c *control) logEvacuations(before, after map[string]uint64) {
 	for zone, orderRevision := range after {
 		if before[zone] != orderRevision {
-			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Text(orderRevision))
+			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Format(orderRevision))
 		}
 	}
 	for zone, orderRevision := range before {
 		if _, active := after[zone]; !active {
-			c.balancer.logger.Info("Control: zone is taken back.", "zone", zone, "ordered_at_revision", revision.Text(orderRevision))
+			c.balancer.logger.Info("Control: zone is taken back.", "zone", zone, "ordered_at_revision", revision.Format(orderRevision))
 		}
 	}
 }
--- a/internal/balancer/withdrawal.go
+++ b/internal/balancer/withdrawal.go
@@ -18,8 +18,8 @@
 // withdrawalState is what the control goroutine knows of the balancers of its zone that struggle,
 // that is, do not carry their share of the traffic.
 type withdrawalState struct {
-	core    *aside.Core
-	reports aside.Picture
+	core    *aside.Detector
+	reports aside.ReportSet
 	// lastReportAt is when another balancer last reported which balancers struggle, or that none
 	// does.
 	lastReportAt time.Time
@@ -37,23 +37,23 @@
 		return
 	}
 	flows := c.balancer.traffic.flows
-	counts := aside.Counts{Missed: flows.Unanswered.Load()}
+	counts := aside.Counts{Unanswered: flows.Unanswered.Load()}
 	for step := range flows.OpenedByTime {
 		counts.Opened[step] = flows.OpenedByTime[step].Load()
 	}
 	core := c.withdrawal.core
-	if !core.Look(counts, c.withdrawalZone(now), now) {
+	if !core.Observe(counts, c.withdrawalZone(now), now) {
 		return
 	}
-	c.balancer.withdrawn.Store(core.Aside())
-	if !core.Aside() {
+	c.balancer.withdrawn.Store(core.Withdrawn())
+	if !core.Withdrawn() {
 		c.balancer.logger.Info("Control: back from aside.")
 		return
 	}
 	c.balancer.withdrawals.Add(1)
-	seen := core.Seen()
-	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.Stay(),
-		"opened_promptly", seen.Prompt, "slowly", seen.Slow, "not_in_time", seen.Missed)
+	seen := core.LastSample()
+	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.WithdrawalDuration(),
+		"opened_promptly", seen.OnTime, "slowly", seen.Slow, "not_in_time", seen.Unanswered)
 }
 
 // withdrawalZone returns what is known about the balancers of this zone at the given time.
@@ -63,11 +63,11 @@
 	if !listed {
 		return aside.Zone{} // the others do not count this balancer
 	}
-	reporting := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Whole()
-	zone := aside.Zone{Place: rank, Size: len(c.withdrawal.ranks), Heard: reporting}
-	for _, report := range c.withdrawal.reports.Now(now) {
+	reporting := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Complete()
+	zone := aside.Zone{Rank: rank, Size: len(c.withdrawal.ranks), ReportsComplete: reporting}
+	for _, report := range c.withdrawal.reports.Current(now) {
 		if peerRank, inZone := c.withdrawal.ranks[report.Name]; inZone && report.Name != name {
-			zone.Others = append(zone.Others, aside.Other{Place: peerRank, Away: report.Away})
+			zone.Struggling = append(zone.Struggling, aside.Peer{Rank: peerRank, Withdrawn: report.Withdrawn})
 		}
 	}
 	return zone
@@ -77,14 +77,14 @@
 // with this balancer's own report if it struggles.
 func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
-	if c.withdrawal.core.Struggles() {
-		c.withdrawal.reports.Take(aside.Statement{Name: name, Away: c.withdrawal.core.Aside(), At: now})
+	if c.withdrawal.core.Struggling() {
+		c.withdrawal.reports.Add(aside.Report{Name: name, Withdrawn: c.withdrawal.core.Withdrawn(), At: now})
 	} else {
-		c.withdrawal.reports.Drop(name)
+		c.withdrawal.reports.Remove(name)
 	}
 	var encoded []*apiv1.Struggling
-	for _, report := range c.withdrawal.reports.Now(now) {
-		encoded = append(encoded, &apiv1.Struggling{Name: report.Name, Away: report.Away,
+	for _, report := range c.withdrawal.reports.Current(now) {
+		encoded = append(encoded, &apiv1.Struggling{Name: report.Name, Away: report.Withdrawn,
 			Milliseconds: uint32(now.Sub(report.At).Milliseconds())})
 	}
 	return encoded
@@ -103,7 +103,7 @@
 		if report.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.withdrawal.reports.Take(aside.Statement{Name: report.GetName(), Away: report.GetAway(),
+		c.withdrawal.reports.Add(aside.Report{Name: report.GetName(), Withdrawn: report.GetAway(),
 			At: now.Add(-time.Duration(report.GetMilliseconds()) * time.Millisecond)})
 	}
 }
--- a/internal/balancer/withdrawal_test.go
+++ b/internal/balancer/withdrawal_test.go
@@ -26,8 +26,8 @@
 // openFlows opens flows that each take the given time to open, and runs the withdrawal check for
 // the given length of time. If flows take long, some are also not answered in time.
 func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
-	for end := now.Add(length); now.Before(end); now = now.Add(aside.LookInterval) {
-		control.balancer.traffic.flows.OpenedByTime[aside.StepOf(took)].Add(12)
+	for end := now.Add(length); now.Before(end); now = now.Add(aside.SampleInterval) {
+		control.balancer.traffic.flows.OpenedByTime[aside.BucketOf(took)].Add(12)
 		if took > 50*time.Millisecond {
 			control.balancer.traffic.flows.Unanswered.Add(4)
 		}
@@ -73,7 +73,7 @@
 		control.rankZoneBalancers(balancers)
 		zone := control.withdrawalZone(time.Now())
 		require.Equal(t, 12, zone.Size)
-		places[zone.Place] = true
+		places[zone.Rank] = true
 	}
 	require.Len(t, places, 12)
 	control := newTestControl()
@@ -90,13 +90,13 @@
 	leaf.balancer.settings.Load().Name = "edge-2"
 	parent.balancer.settings.Load().Name = "edge-3"
 	now = leaf.openFlows(2*time.Millisecond, 3*time.Second, now)
-	now = leaf.openFlows(80*time.Millisecond, aside.LookInterval, now)
+	now = leaf.openFlows(80*time.Millisecond, aside.SampleInterval, now)
 	parent.handleStrugglingReports(leaf.strugglingReports(now), true, now)
 	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
-	require.Equal(t, []aside.Other{{Place: 1}}, other.withdrawalZone(now.Add(time.Second)).Others)
+	require.Equal(t, []aside.Peer{{Rank: 1}}, other.withdrawalZone(now.Add(time.Second)).Struggling)
 	parent.handleStrugglingReports(other.strugglingReports(now.Add(2*time.Second)), true, now.Add(2*time.Second))
 	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "a relayed report must not renew itself")
-	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Others)
+	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Struggling)
 }
 
 // An older version sends no reports of struggling balancers. In a rolling upgrade its silence does
@@ -105,7 +105,7 @@
 	now := time.Now()
 	control := newWithdrawalControl()
 	control.handleStrugglingReports(nil, false, now)
-	require.False(t, control.withdrawalZone(now).Heard)
+	require.False(t, control.withdrawalZone(now).ReportsComplete)
 	control.handleStrugglingReports(nil, true, now)
-	require.True(t, control.withdrawalZone(now).Heard)
+	require.True(t, control.withdrawalZone(now).ReportsComplete)
 }
