--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -13,15 +13,16 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// admissionState is what the control goroutine knows of admission.
+// admissionState is the control goroutine's state for admission control.
 type admissionState struct {
 	controller *admission.Controller
 	// priorities are those of the routes in force, by pool.
 	priorities        map[string][]admission.Priority
 	pressureEstimator pressureEstimator
-	// overloaded are the pools that some flows are refused of.
+	// overloaded is the set of pools for which some new flows are refused.
 	overloaded map[string]bool
-	// saturatedUntil is until when pools that had no free slot count as saturated.
+	// saturatedUntil is, for each pool that recently had no free slot, the time until which it
+	// counts as saturated.
 	saturatedUntil map[string]time.Time
 }
 
@@ -29,105 +30,106 @@
 	return admissionState{controller: admission.NewController(), pressureEstimator: pressureEstimator{smoothedInFlight: newSmoothedInFlight()}, saturatedUntil: make(map[string]time.Time)}
 }
 
-// updateRoutes takes the routes that are in force.
-func (g *admissionState) updateRoutes(table *apiv1.RouteTable) {
-	g.priorities = make(map[string][]admission.Priority)
+// updateRoutes collects each pool's priorities from the routes in force.
+func (a *admissionState) updateRoutes(table *apiv1.RouteTable) {
+	a.priorities = make(map[string][]admission.Priority)
 	for _, route := range table.GetRoutes() {
 		for _, share := range route.GetPools() {
-			known := g.priorities[share.GetPool()]
-			if urgency := admission.Priority(route.GetPriority()); !slices.Contains(known, urgency) {
-				g.priorities[share.GetPool()] = append(known, urgency)
+			existing := a.priorities[share.GetPool()]
+			if priority := admission.Priority(route.GetPriority()); !slices.Contains(existing, priority) {
+				a.priorities[share.GetPool()] = append(existing, priority)
 			}
 		}
 	}
 }
 
-// saturationHold is for how long a pool that had no free slot counts as saturated: until the
-// answers of that time have been compared and forgotten.
+// saturationHold is how long a pool that had no free slot still counts as saturated: until the
+// responses of that time have been compared and discarded.
 const saturationHold = time.Second
 
-// saturatedPools are the pools that are saturated, or were a moment ago.
-func (g *admissionState) saturatedPools(zone demand.Zone, picture *demand.Aggregate, now time.Time) map[string]bool {
-	for pool := range picture.PoolZones() {
-		if g.pressureEstimator.saturated(pool, zone, picture) {
-			g.saturatedUntil[string(pool)] = now.Add(saturationHold)
+// saturatedPools returns the pools that are saturated or were within saturationHold.
+func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Aggregate, now time.Time) map[string]bool {
+	for pool := range aggregate.PoolZones() {
+		if a.pressureEstimator.saturated(pool, zone, aggregate) {
+			a.saturatedUntil[string(pool)] = now.Add(saturationHold)
 		}
 	}
-	found := make(map[string]bool)
-	for pool, until := range g.saturatedUntil {
+	pools := make(map[string]bool)
+	for pool, until := range a.saturatedUntil {
 		if now.After(until) {
-			delete(g.saturatedUntil, pool)
+			delete(a.saturatedUntil, pool)
 			continue
 		}
-		found[pool] = true
+		pools[pool] = true
 	}
-	return found
+	return pools
 }
 
-// updateAdmission moves the gate by what was observed and hands its levels to traffic.
+// updateAdmission updates the admission controller from the latest summary and passes the resulting
+// refusal fractions to the traffic goroutine.
 func (c *control) updateAdmission(summary *observe.Summary, now time.Time) {
 	c.gate.pressureEstimator.addSummary(summary)
-	picture := c.demand.aggregate.Load()
+	aggregate := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	c.balancer.traffic.flows.SetSaturatedPools(c.gate.saturatedPools(zone, picture, now))
+	c.balancer.traffic.flows.SetSaturatedPools(c.gate.saturatedPools(zone, aggregate, now))
 	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
 	}
 	var demands []admission.PoolState
-	for pool := range picture.PoolZones() {
-		if urgencies := c.gate.priorities[string(pool)]; len(urgencies) > 0 {
-			pressure := c.gate.pressureEstimator.estimate(pool, zone, picture, c.balancersByZone)
-			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: urgencies, Pressure: pressure})
+	for pool := range aggregate.PoolZones() {
+		if priorities := c.gate.priorities[string(pool)]; len(priorities) > 0 {
+			pressure := c.gate.pressureEstimator.estimate(pool, zone, aggregate, c.balancersByZone)
+			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: priorities, Pressure: pressure})
 		}
 	}
-	levels := c.gate.controller.Update(demands, now)
-	c.logOverloadChanges(levels, picture, now)
-	c.balancer.traffic.flows.SetRefusals(levels)
+	refusals := c.gate.controller.Update(demands, now)
+	c.logOverloadChanges(refusals, aggregate, now)
+	c.balancer.traffic.flows.SetRefusals(refusals)
 }
 
-// logOverloadChanges tells which pools began or ceased to be short of room.
-func (c *control) logOverloadChanges(levels *admission.Refusals, picture *demand.Aggregate, now time.Time) {
-	short := make(map[string]bool)
+// logOverloadChanges logs which pools have become overloaded and which have recovered.
+func (c *control) logOverloadChanges(refusals *admission.Refusals, aggregate *demand.Aggregate, now time.Time) {
+	overloaded := make(map[string]bool)
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	for _, level := range levels.All() {
-		if !short[level.Pool] && !c.gate.overloaded[level.Pool] {
-			waiting, room := picture.PoolTotals(demand.Pool(level.Pool))
-			c.balancer.logger.Warn("Control: pool is short of room.", "pool", level.Pool, "urgency", uint64(level.Priority),
-				"refused_part", rounded(level.Fraction), "pressure", rounded(level.Pressure.RequestsPerSlot),
-				"pressure_age", level.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(room),
-				"waiting_here", rounded(c.gate.pressureEstimator.inFlight[level.Pool]),
-				"zone_part", rounded(zoneRequestFraction(demand.Pool(level.Pool), zone, picture)), "zone_balancers", picture.ZoneBalancers[zone])
+	for _, refusal := range refusals.All() {
+		if !overloaded[refusal.Pool] && !c.gate.overloaded[refusal.Pool] {
+			waiting, slots := aggregate.PoolTotals(demand.Pool(refusal.Pool))
+			c.balancer.logger.Warn("Control: pool is short of room.", "pool", refusal.Pool, "urgency", uint64(refusal.Priority),
+				"refused_part", rounded(refusal.Fraction), "pressure", rounded(refusal.Pressure.RequestsPerSlot),
+				"pressure_age", refusal.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
+				"waiting_here", rounded(c.gate.pressureEstimator.inFlight[refusal.Pool]),
+				"zone_part", rounded(zoneRequestFraction(demand.Pool(refusal.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
 		}
-		short[level.Pool] = true
+		overloaded[refusal.Pool] = true
 	}
 	for pool := range c.gate.overloaded {
-		if !short[pool] {
+		if !overloaded[pool] {
 			c.balancer.logger.Info("Control: pool has room again.", "pool", pool)
 		}
 	}
-	c.gate.overloaded = short
+	c.gate.overloaded = overloaded
 }
 
-// refusalCounters counts the flows that were refused for want of room, by pool and urgency. Any
-// goroutine may use it; a refused flow costs its lock and no more.
+// refusalCounters counts the flows refused for lack of capacity, by pool and priority. It is safe
+// for concurrent use; counting a refused flow costs no more than taking the lock.
 type refusalCounters struct {
 	mutex  sync.Mutex
 	counts map[refusalKey]uint64
 }
 
-// refusalKey is a pool and an urgency.
+// refusalKey identifies a counter by pool and priority.
 type refusalKey struct {
 	pool     string
 	priority admission.Priority
 }
 
-func (r *refusalCounters) increment(level *admission.Refusal) {
+func (r *refusalCounters) increment(refusal *admission.Refusal) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.counts == nil {
 		r.counts = make(map[refusalKey]uint64)
 	}
-	r.counts[refusalKey{pool: level.Pool, priority: level.Priority}]++
+	r.counts[refusalKey{pool: refusal.Pool, priority: refusal.Priority}]++
 }
 
 func (r *refusalCounters) snapshot() map[refusalKey]uint64 {
--- a/internal/balancer/divide_test.go
+++ b/internal/balancer/zoneshares_test.go
@@ -17,7 +17,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
 )
 
-// newServingControl is a balancer of maadi with a table, where lending has back ends in some zones.
+// newServingControl returns a balancer in zone maadi with a table, where the lending pool has back
+// ends in the given zones.
 func newServingControl(now time.Time, backends map[string]int) *control {
 	control := newTestControl()
 	batch := routesBatch(5)
@@ -38,25 +39,26 @@
 	return control
 }
 
-// planWithDemand gives a balancer a picture in which clients of its zone ask, and plans by it.
+// planWithDemand gives a balancer an aggregate with requests from clients of its zone, and plans
+// shares from it.
 func (control *control) planWithDemand(now time.Time) bool {
 	control.demand.tree.SetOwn(demandOf("maadi", 5, 5, now), demand.Position{})
-	picture := control.demand.tree.Aggregate(now)
-	control.demand.aggregate.Store(picture.WithCapacity(control.demand.capacity.slots))
+	aggregate := control.demand.tree.Aggregate(now)
+	control.demand.aggregate.Store(aggregate.WithCapacity(control.demand.capacity.slots))
 	return control.planZoneShares(now)
 }
 
-// The picture tells of a pool for seconds after its last entry has gone. Its back ends
-// still take new flows then, by the grace of pools that are empty.
+// The aggregate still contains a pool for seconds after its last entry was removed. Its back ends
+// still take new flows then, by the grace period for empty pools.
 func TestPlannedPoolMayDisappear(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
 	require.True(t, control.planWithDemand(now))
 	control.rebuildTable(now)
 	gone := &apiv1.DirectoryBatch{Revision: 6}
-	for _, each := range control.replica.Backends() {
+	for _, backend := range control.replica.Backends() {
 		gone.Changes = append(gone.Changes, &apiv1.DirectoryChange{Revision: 6, Gone: true,
-			Entry: &apiv1.DirectoryChange_Backend{Backend: each.PoolBackend}})
+			Entry: &apiv1.DirectoryChange_Backend{Backend: backend.PoolBackend}})
 	}
 	now = now.Add(100 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.sinceStart(now)}, now)
@@ -64,13 +66,13 @@
 	require.NotPanics(t, func() { control.rebuildTable(now) })
 }
 
-// localFraction is the part of new flows that stays in the zone while its back ends are in use
-// and all others are idle.
+// localFraction returns the fraction of new flows that stay in the zone while its back ends are in
+// use and all others are idle.
 func localFraction(t *testing.T, control *control) float64 {
 	table := control.balancer.table.Load()
 	route := table.Route(flow.Address{IP: [4]byte{0, 0, 0, 1}, Port: 443, Protocol: flow.ProtocolTCP})
 	require.NotNil(t, route)
-	kept := 0
+	local := 0
 	const flows = 500
 	for hash := range uint64(flows) {
 		chosen := route.Choose(hash*0x9e3779b97f4a7c15, func(*tokenroute.Backend) tokenroute.Preference { return tokenroute.Preferred },
@@ -81,14 +83,14 @@
 				return 0
 			})
 		if chosen.Zone == "maadi" {
-			kept++
+			local++
 		}
 	}
-	return float64(kept) / flows
+	return float64(local) / flows
 }
 
-// The weights choose the zone only where they were made by a plan: elsewhere the least used
-// back end of all zones is taken, as without the picture.
+// The weights choose the zone only if they follow planned shares. Otherwise the least used back end
+// of all zones is chosen, as without an aggregate.
 func TestWeightsChooseZoneOnlyWithPlannedShares(t *testing.T) {
 	now := time.Now()
 	planned := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -111,11 +113,11 @@
 		require.Less(t, localFraction(t, own), 0.1)
 	})
 	t.Run("spread after a start", func(t *testing.T) {
-		young := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
-		young.firstRoutesAt = now
-		young.planWithDemand(now)
-		young.rebuildTable(now)
-		require.Less(t, localFraction(t, young), 0.1)
+		started := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
+		started.firstRoutesAt = now
+		started.planWithDemand(now)
+		started.rebuildTable(now)
+		require.Less(t, localFraction(t, started), 0.1)
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
 		other := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -125,37 +127,37 @@
 	})
 }
 
-// What is planned away is what goes away, also where a zone has a few back ends and the
-// others a hundred times as many.
+// The planned remote share is the share that actually goes to the other zone, even if a zone has
+// few back ends and the others have a hundred times as many.
 func TestShareWeightsArePreciseForManyBackends(t *testing.T) {
-	for _, elsewhere := range []int{14, 1400, 14_000} {
-		for _, part := range []float64{0, 0.01, 0.1, 0.5} {
+	for _, remoteBackends := range []int{14, 1400, 14_000} {
+		for _, share := range []float64{0, 0.01, 0.1, 0.5} {
 			control := newTestControl()
-			control.demand.capacity.backends = map[demand.PoolZone]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): elsewhere}
-			parts := map[demand.Zone]float64{"maadi": 1 - part, "giza": part}
+			control.demand.capacity.backends = map[demand.PoolZone]int{lendingPoolZone("maadi"): 14, lendingPoolZone("giza"): remoteBackends}
+			shares := map[demand.Zone]float64{"maadi": 1 - share, "giza": share}
 			taken := func(zone string, backends int) float64 {
-				weight := math.Ceil(control.shareWeight(parts, lendingPoolZone(zone)) * rule.MaximumWeight)
+				weight := math.Ceil(control.shareWeight(shares, lendingPoolZone(zone)) * rule.MaximumWeight)
 				return weight * float64(backends)
 			}
-			home, away := taken("maadi", 14), taken("giza", elsewhere)
-			require.InDelta(t, part, away/(home+away), 0.002, "%d elsewhere", elsewhere)
+			local, remote := taken("maadi", 14), taken("giza", remoteBackends)
+			require.InDelta(t, share, remote/(local+remote), 0.002, "%d back ends in the other zone", remoteBackends)
 		}
 	}
 }
 
-// A zone that the new plan no longer names had a part before, too.
+// A zone that the new plan no longer contains had a share before, and the change counts.
 func TestZonesDroppedFromPlanAreCompared(t *testing.T) {
-	var o weightInputs
-	parts := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
+	var w weightInputs
+	shares := func(zones map[demand.Zone]float64) map[demand.Pool]map[demand.Zone]float64 {
 		return map[demand.Pool]map[demand.Zone]float64{"lending": zones}
 	}
-	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
-	require.False(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
-	o.appliedShares = parts(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
-	require.True(t, o.setPlannedShares(parts(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	w.appliedShares = shares(map[demand.Zone]float64{"maadi": 0.68, "giza": 0.28, "fayum": 0.04})
+	require.False(t, w.setPlannedShares(shares(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
+	w.appliedShares = shares(map[demand.Zone]float64{"maadi": 0.66, "giza": 0.26, "fayum": 0.08})
+	require.True(t, w.setPlannedShares(shares(map[demand.Zone]float64{"maadi": 0.7, "giza": 0.3})))
 }
 
-// Pools that are divided by the picture take no new table for what one zone sees alone.
+// Pools with planned shares get no new table because of what one zone observes alone.
 func TestPlannedPoolsIgnoreLocalLoadChanges(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -164,11 +166,12 @@
 	require.False(t, control.observeWaiting("lending", 12, now))
 	control.observed.plannedShares = nil
 	control.rebuildTable(now)
-	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without a plan they do")
+	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without planned shares a new table is needed")
 }
 
-// A picture that comes and goes, as reports are late, makes a table each time. One that has
-// lapsed is planned by again once it has been fresh for recoveryDelay.
+// An aggregate that alternates between fresh and stale because reports are late would build a table
+// each time. After it was stale, it is used for planning only once it has been fresh for
+// recoveryDelay.
 func TestIntermittentlyStaleAggregatePlansNoShares(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
@@ -177,18 +180,18 @@
 	tables := 0
 	for step := range 40 {
 		now = now.Add(500 * time.Millisecond)
-		picture := *control.demand.aggregate.Load()
-		picture.At = now
+		aggregate := *control.demand.aggregate.Load()
+		aggregate.At = now
 		if step%4 == 0 {
-			picture.At = now.Add(-demand.MaximumAge - time.Second)
+			aggregate.At = now.Add(-demand.MaximumAge - time.Second)
 		}
-		control.demand.aggregate.Store(&picture)
+		control.demand.aggregate.Store(&aggregate)
 		if control.planZoneShares(now) {
 			tables++
 			control.rebuildTable(now)
 		}
 	}
-	require.Equal(t, 1, tables, "none but as it lapses")
+	require.Equal(t, 1, tables, "only one new table, when the aggregate becomes stale")
 	for range 8 {
 		now = now.Add(500 * time.Millisecond)
 		control.planWithDemand(now)
