--- a/internal/replication/call.go
+++ b/internal/replication/call.go
@@ -15,27 +15,27 @@
 const (
 	// PurposeFollow waits for news at the balancer that this one follows.
 	PurposeFollow Purpose = iota
-	// PurposeAsk: a balancer that knows nothing asks several others at once
+	// PurposeProbe: a balancer that knows nothing asks several others at once
 	// whether they know anything, and waits at those that do not.
-	PurposeAsk
+	PurposeProbe
 	// PurposeFetch brings what another balancer has shown to know.
 	PurposeFetch
-	// PurposeTell shows a balancer that was not heard of late what is known
+	// PurposeAnnounce shows a balancer that was not heard of late what is known
 	// here. One that knows less then fetches it.
-	PurposeTell
+	PurposeAnnounce
 	purposeCount
 )
 
 // callLimits bound the calls of each purpose that are under way at once.
-var callLimits = [purposeCount]int{PurposeFollow: 1, PurposeAsk: 3, PurposeFetch: 1, PurposeTell: 4}
+var callLimits = [purposeCount]int{PurposeFollow: 1, PurposeProbe: 3, PurposeFetch: 1, PurposeAnnounce: 4}
 
 // Peer is a balancer to call next.
 type Peer struct {
 	Address string
 	Purpose Purpose
-	// Everything is set until a peer has told all that it holds, tombstones
+	// Full is set until a peer has told all that it holds, tombstones
 	// too, which the store does not have.
-	Everything bool
+	Full bool
 	// RevisionOnly is set when the answer shall only tell whether the peer knows
 	// something, so that not all that are asked tell everything.
 	RevisionOnly bool
@@ -45,10 +45,10 @@
 func (p Peer) Waits() bool {
 	switch p.Purpose {
 	case PurposeFollow:
-		return !p.Everything
-	case PurposeAsk:
+		return !p.Full
+	case PurposeProbe:
 		return true
-	case PurposeFetch, PurposeTell:
+	case PurposeFetch, PurposeAnnounce:
 	}
 	return false
 }
@@ -63,10 +63,10 @@
 // until PeerAnswered or PeerFailed.
 func (c *Core) NextPeer(now time.Time) (Peer, bool) {
 	for purpose, next := range []func(time.Time) (string, bool){
-		PurposeFollow: c.nextFollow,
-		PurposeAsk:    c.nextAsk,
-		PurposeFetch:  c.nextFetch,
-		PurposeTell:   c.nextTell,
+		PurposeFollow:   c.nextFollow,
+		PurposeProbe:    c.nextAsk,
+		PurposeFetch:    c.nextFetch,
+		PurposeAnnounce: c.nextTell,
 	} {
 		purpose := Purpose(purpose)
 		if c.underWay[purpose] >= callLimits[purpose] {
@@ -81,8 +81,8 @@
 		return Peer{
 			Address:      address,
 			Purpose:      purpose,
-			Everything:   !c.caughtUp && purpose != PurposeTell,
-			RevisionOnly: purpose == PurposeAsk && !c.isParent(address),
+			Full:         !c.caughtUp && purpose != PurposeAnnounce,
+			RevisionOnly: purpose == PurposeProbe && !c.isParent(address),
 		}, true
 	}
 	return Peer{}, false
@@ -106,7 +106,7 @@
 // nextFollow returns the balancer to follow. The reader follows one only until
 // it has been told everything once, and while its own knowledge is stale.
 func (c *Core) nextFollow(now time.Time) (string, bool) {
-	if !c.knows() || c.Reader() && c.caughtUp && !c.Stale(now) {
+	if !c.knows() || c.IsReader() && c.caughtUp && !c.Stale(now) {
 		return "", false
 	}
 	if address, found := c.firstFree(addressesOf(c.tree.above), PurposeFollow, now); found {
@@ -129,7 +129,7 @@
 	if now.Before(c.start.parentUntil) {
 		return c.firstToAsk(above, now)
 	}
-	return c.firstFree(slices.Concat(above, c.lastResorts(), c.callers), PurposeAsk, now)
+	return c.firstFree(slices.Concat(above, c.lastResorts(), c.callers), PurposeProbe, now)
 }
 
 // firstToAsk returns the one balancer to ask early in a start: the nearest above,
@@ -138,11 +138,11 @@
 	if len(above) == 0 {
 		above = c.config.Seeds
 	}
-	asking := func(address string) bool { return c.calls[callKey{address, PurposeAsk}] }
+	asking := func(address string) bool { return c.calls[callKey{address, PurposeProbe}] }
 	if c.start.members && c.readsFirst() || slices.ContainsFunc(above, asking) {
 		return "", false
 	}
-	return c.firstFree(above, PurposeAsk, now)
+	return c.firstFree(above, PurposeProbe, now)
 }
 
 // firstFree returns the first of the addresses that is not passed over and not
@@ -176,23 +176,23 @@
 // nothing has yet to be asked for everything.
 func (c *Core) PeerAnswered(peer Peer, asOf, now time.Time) {
 	c.callEnded(peer)
-	c.Heard(peer.Address, now)
+	c.RecordActivity(peer.Address, now)
 	c.contactOf(peer.Address).failed = 0
-	if peer.Purpose == PurposeTell {
+	if peer.Purpose == PurposeAnnounce {
 		c.told(asOf)
 		return
 	}
-	if peer.RevisionOnly || peer.Purpose == PurposeAsk && now.Sub(asOf) >= knowsNothingAge {
+	if peer.RevisionOnly || peer.Purpose == PurposeProbe && now.Sub(asOf) >= knowsNothingAge {
 		c.askAnswered(peer, asOf, now)
 		return
 	}
-	stale := now.Sub(asOf) > c.config.Pace.Stale
+	stale := now.Sub(asOf) > c.config.Timing.StaleAge
 	c.contactOf(peer.Address).useless = stale
 	switch {
 	case stale && !c.knows():
 		c.paused[peer.Address] = now.Add(eagerPause)
 	case stale:
-		c.paused[peer.Address] = now.Add(c.config.PeerPause)
+		c.paused[peer.Address] = now.Add(c.config.PeerRetryDelay)
 	default:
 		c.caughtUp = true
 		c.alone = c.alone && peer.Purpose != PurposeFollow
@@ -223,11 +223,11 @@
 	known.useless = true
 	known.failed++
 	switch {
-	case peer.Purpose == PurposeTell:
+	case peer.Purpose == PurposeAnnounce:
 		c.tellPause = max(c.tellPause/2, tellShortest)
 	case !c.knows():
 		c.paused[peer.Address] = now.Add(eagerPause)
 	default:
-		c.paused[peer.Address] = now.Add(c.config.PeerPause)
+		c.paused[peer.Address] = now.Add(c.config.PeerRetryDelay)
 	}
 }
--- a/internal/replication/core.go
+++ b/internal/replication/core.go
@@ -15,20 +15,20 @@
 	Self *apiv1.Balancer
 	// Seeds are addresses of balancers to ask while none is known.
 	Seeds []string
-	// Pace is how often the store is read and how old knowledge may grow.
-	Pace Pace
-	// TreeWidth is how many balancers follow one.
-	TreeWidth int
+	// Timing is how often the store is read and how old knowledge may grow.
+	Timing Timing
+	// TreeFanout is how many balancers follow one.
+	TreeFanout int
 	// SharedOrderLimit is up to how many balancers share one order over all
 	// zones.
 	SharedOrderLimit int
-	// PeerPause is for how long a peer that failed is passed over.
-	PeerPause time.Duration
-	// BackoffLimit is the longest pause after a failed call to the store.
-	BackoffLimit time.Duration
-	// StartPatience is how long a balancer that knows nothing leaves the store
+	// PeerRetryDelay is for how long a peer that failed is passed over.
+	PeerRetryDelay time.Duration
+	// MaxBackoff is the longest pause after a failed call to the store.
+	MaxBackoff time.Duration
+	// StartupWait is how long a balancer that knows nothing leaves the store
 	// to others and waits for peers.
-	StartPatience time.Duration
+	StartupWait time.Duration
 	// AuditInterval is how often a large store is read whole all the same.
 	AuditInterval time.Duration
 }
@@ -39,9 +39,9 @@
 // The calls to the store.
 const (
 	PollNone Poll = iota
-	// PollPage reads the first page. A small store is read whole by it, which
+	// PollFirstPage reads the first page. A small store is read whole by it, which
 	// is cheaper and more certain than to wait for changes.
-	PollPage
+	PollFirstPage
 	// PollSnapshot reads all pages.
 	PollSnapshot
 	// PollChanges waits for the changes of a large store.
@@ -52,14 +52,14 @@
 	// of an old answer. A balancer that knows nothing so learns who should read
 	// the store, before all of them read it over links that may be narrow.
 	PollMembers
-	// PollOld reads all pages at the price of an old answer. It confirms
+	// PollStaleSnapshot reads all pages at the price of an old answer. It confirms
 	// nothing; what has changed since comes from a peer.
-	PollOld
+	PollStaleSnapshot
 )
 
-// DefaultTreeWidth suits readers that answer a few calls a second. The two
+// DefaultTreeFanout suits readers that answer a few calls a second. The two
 // strongest of a zone of 34 balancers then serve all others.
-const DefaultTreeWidth = 16
+const DefaultTreeFanout = 16
 
 // DefaultSharedOrderLimit bounds the traffic between zones that a shared order
 // costs.
@@ -153,7 +153,7 @@
 
 // SetBalancers takes the balancers that have an entry in the directory.
 func (c *Core) SetBalancers(known []*apiv1.Balancer, now time.Time) {
-	c.tree = newTree(c.config.Self, known, c.config.SharedOrderLimit, c.config.TreeWidth)
+	c.tree = newTree(c.config.Self, known, c.config.SharedOrderLimit, c.config.TreeFanout)
 	if c.spreads(known) {
 		c.tree.spread(c.config.Self)
 	}
@@ -177,18 +177,18 @@
 	maps.DeleteFunc(c.contacts, func(address string, _ *contact) bool { return !listed[address] })
 }
 
-// Reader tells whether this balancer reads the store for all. One that knows no
+// IsReader tells whether this balancer reads the store for all. One that knows no
 // other leaves that to its seeds.
-func (c *Core) Reader() bool {
+func (c *Core) IsReader() bool {
 	if c.tree.size > 1 {
 		return c.tree.rank() == 0
 	}
 	return len(c.config.Seeds) == 0 || slices.Contains(c.config.Seeds, c.config.Self.GetPeerAddress())
 }
 
-// Reads tells whether this balancer reads the store for others by now: it is the
+// ReadsStore tells whether this balancer reads the store for others by now: it is the
 // reader, or acts for it.
-func (c *Core) Reads() bool { return c.Reader() || c.acting() }
+func (c *Core) ReadsStore() bool { return c.IsReader() || c.acting() }
 
 // OrderSize is how many balancers share the order, this one included: those of
 // its zone, or all while they are few.
@@ -213,7 +213,7 @@
 // Stale tells whether the knowledge is too old to rely on others for it.
 func (c *Core) Stale(now time.Time) bool {
 	age, known := c.Age(now)
-	return !known || age > c.config.Pace.Stale
+	return !known || age > c.config.Timing.StaleAge
 }
 
 // Confirm takes that the store has confirmed everything as of a time. It tells
@@ -222,7 +222,7 @@
 	if !asOf.After(c.confirmedAt) {
 		return false
 	}
-	if c.knows() && asOf.Sub(c.confirmedAt) > c.config.Pace.Stale {
+	if c.knows() && asOf.Sub(c.confirmedAt) > c.config.Timing.StaleAge {
 		c.gap = Gap{From: c.confirmedAt, Until: asOf}
 	}
 	if !c.knows() {
@@ -253,12 +253,12 @@
 		return PollNone
 	case !c.knows():
 		return c.startPoll(now)
-	case c.Reads():
+	case c.ReadsStore():
 		return c.readerPoll(now)
 	case !c.standsIn(now):
 		return PollNone
 	case !c.large:
-		return PollPage
+		return PollFirstPage
 	case c.historyLost:
 		return PollSnapshot
 	}
@@ -269,7 +269,7 @@
 func (c *Core) readerPoll(now time.Time) Poll {
 	switch {
 	case !c.large:
-		return PollPage
+		return PollFirstPage
 	case c.historyLost || !now.Before(c.nextSnapshot):
 		return PollSnapshot
 	}
@@ -278,15 +278,15 @@
 
 // PollStarted spaces the next call from the start of this one.
 func (c *Core) PollStarted(poll Poll, now time.Time) {
-	c.nextPoll = now.Add(c.config.Pace.Poll)
+	c.nextPoll = now.Add(c.config.Timing.PollInterval)
 	switch poll {
 	case PollChanges:
-		c.nextPoll = now.Add(c.config.Pace.Gather)
+		c.nextPoll = now.Add(c.config.Timing.ChangesDelay)
 	case PollSnapshot:
 		c.snapshotAt = now
 		half := c.config.AuditInterval / 2
 		c.nextSnapshot = now.Add(half + time.Duration(c.chance.Int64N(int64(half)+1)))
-	case PollNone, PollPage, PollCatchUp, PollMembers, PollOld:
+	case PollNone, PollFirstPage, PollCatchUp, PollMembers, PollStaleSnapshot:
 	}
 }
 
@@ -295,13 +295,13 @@
 // which is then looked at again at once.
 func (c *Core) PollSucceeded(poll Poll, onePage bool, now time.Time) {
 	switch poll {
-	case PollMembers, PollOld:
+	case PollMembers, PollStaleSnapshot:
 		c.start.read(poll)
 		c.start.parentUntil = now.Add(parentTime)
 		c.start.patienceUntil = c.patience(now)
 		c.nextPoll = now
 		return
-	case PollPage:
+	case PollFirstPage:
 		if c.large == onePage {
 			c.nextPoll = now
 		}
@@ -311,12 +311,12 @@
 		c.historyLost = false
 		c.nextPoll = now
 		if onePage {
-			c.nextPoll = now.Add(c.config.Pace.Poll)
+			c.nextPoll = now.Add(c.config.Timing.PollInterval)
 		}
 	case PollNone, PollChanges, PollCatchUp:
 	}
 	c.failures = 0
-	c.alone = !c.Reader() && !c.startsAsHead()
+	c.alone = !c.IsReader() && !c.startsAsHead()
 }
 
 // HistoryLost makes the next call a snapshot: the store no longer has the
@@ -324,7 +324,7 @@
 func (c *Core) HistoryLost(now time.Time) {
 	c.historyLost = true
 	c.nextPoll = now
-	if next := c.snapshotAt.Add(c.config.Pace.Poll); next.After(now) {
+	if next := c.snapshotAt.Add(c.config.Timing.PollInterval); next.After(now) {
 		c.nextPoll = next
 	}
 }
@@ -343,7 +343,7 @@
 // PollFailed spaces the next call to the store after a failure: twice as long
 // each time, half of it by chance, so that balancers do not call together.
 func (c *Core) PollFailed(now time.Time) {
-	limit := c.config.BackoffLimit
+	limit := c.config.MaxBackoff
 	if c.confirmedAt.IsZero() && c.failures < eagerFailures {
 		limit = eagerLimit
 	}
--- a/internal/replication/core_test.go
+++ b/internal/replication/core_test.go
@@ -19,11 +19,11 @@
 
 func newCore(place int, seeds ...string) *Core {
 	return NewCore(Config{
-		Self:  &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)},
-		Seeds: seeds,
-		Pace:  NewPace(time.Second, 1400*time.Millisecond), TreeWidth: 2,
-		PeerPause: 2 * time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute,
+		Self:   &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)},
+		Seeds:  seeds,
+		Timing: NewTiming(time.Second, 1400*time.Millisecond), TreeFanout: 2,
+		PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
 	}, rand.New(rand.NewPCG(1, 2)), start)
 }
 
@@ -43,7 +43,7 @@
 	for place := range 20 {
 		core := newCore(place)
 		core.SetBalancers(zoneOf(20), start)
-		if core.Reader() {
+		if core.IsReader() {
 			readers++
 		}
 	}
@@ -57,7 +57,7 @@
 		core := newCore(place)
 		core.SetBalancers(zoneOf(count), start)
 		core.Confirm(after(0))
-		if core.Reader() {
+		if core.IsReader() {
 			continue
 		}
 		peer, found := core.NextPeer(after(100))
@@ -86,10 +86,10 @@
 	readers := 0
 	for place := range count {
 		core := newCore(place)
-		core.config.Self, core.config.TreeWidth = zone[place], DefaultTreeWidth
+		core.config.Self, core.config.TreeFanout = zone[place], DefaultTreeFanout
 		core.SetBalancers(zone, start)
 		core.Confirm(after(0))
-		if core.Reader() {
+		if core.IsReader() {
 			readers++
 			require.Contains(t, strong, address(place))
 			continue
@@ -115,9 +115,9 @@
 func TestStaleFollowersReadTheStore(t *testing.T) {
 	core := follower(t)
 	core.Confirm(after(0))
-	core.PollSucceeded(PollPage, true, after(0))
+	core.PollSucceeded(PollFirstPage, true, after(0))
 	require.Equal(t, PollNone, core.NextPoll(after(1400)))
-	require.Equal(t, PollPage, core.NextPoll(after(1401)))
+	require.Equal(t, PollFirstPage, core.NextPoll(after(1401)))
 }
 
 // follower makes a core that is not its zone's reader.
@@ -125,7 +125,7 @@
 	for place := range 3 {
 		core := newCore(place)
 		core.SetBalancers(zoneOf(3), start)
-		if !core.Reader() {
+		if !core.IsReader() {
 			return core
 		}
 	}
@@ -171,16 +171,16 @@
 		now = after(elapsed)
 		if core.NextPoll(now) != PollNone {
 			calls++
-			core.PollStarted(PollPage, now)
+			core.PollStarted(PollFirstPage, now)
 			core.PollFailed(now)
 		}
 	}
 	require.Less(t, calls, 25)
 	require.Greater(t, calls, 9, "it is tried at least once a second")
-	core.PollSucceeded(PollPage, true, now)
-	core.PollStarted(PollPage, now)
+	core.PollSucceeded(PollFirstPage, true, now)
+	core.PollStarted(PollFirstPage, now)
 	require.Equal(t, PollNone, core.NextPoll(now.Add(999*time.Millisecond)))
-	require.Equal(t, PollPage, core.NextPoll(now.Add(time.Second)))
+	require.Equal(t, PollFirstPage, core.NextPoll(now.Add(time.Second)))
 }
 
 // A balancer that knows nothing asks more eagerly, the store for a while only.
@@ -192,7 +192,7 @@
 		if core.NextPoll(after(elapsed)) == PollNone {
 			continue
 		}
-		core.PollStarted(PollPage, after(elapsed))
+		core.PollStarted(PollFirstPage, after(elapsed))
 		core.PollFailed(after(elapsed))
 		calls++
 		if elapsed > 20_000 {
@@ -209,7 +209,7 @@
 	again, found := core.NextPeer(after(100))
 	require.True(t, found)
 	require.Equal(t, one.Address, again.Address)
-	require.True(t, again.Everything)
+	require.True(t, again.Full)
 }
 
 // Confirmations never go back, whatever arrives late.
@@ -236,9 +236,9 @@
 	}
 	require.Equal(t, PollNone, core.NextPoll(after(10)), "peers are asked first")
 	require.Equal(t, PollNone, core.NextPoll(after(509)), "for half a second at least")
-	require.Equal(t, PollOld, core.NextPoll(after(longest)), "patience ends")
-	core.PollStarted(PollOld, after(longest))
-	core.PollSucceeded(PollOld, false, after(longest+10))
+	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "patience ends")
+	core.PollStarted(PollStaleSnapshot, after(longest))
+	core.PollSucceeded(PollStaleSnapshot, false, after(longest+10))
 	require.Equal(t, PollNone, core.NextPoll(after(longest+10)), "peers are asked for what is new")
 	require.Equal(t, PollSnapshot, core.NextPoll(after(2*longest+10)), "nobody has answered")
 }
@@ -249,9 +249,9 @@
 	core := newCore(1, address(7))
 	core.PollStarted(PollMembers, after(0))
 	core.PollSucceeded(PollMembers, false, after(10))
-	require.Equal(t, PollOld, core.NextPoll(after(10)))
-	core.PollStarted(PollOld, after(10))
-	core.PollSucceeded(PollOld, false, after(20))
+	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(10)))
+	core.PollStarted(PollStaleSnapshot, after(10))
+	core.PollSucceeded(PollStaleSnapshot, false, after(20))
 	require.Equal(t, PollNone, core.NextPoll(after(20)), "a seed is asked for what is new")
 	require.Equal(t, PollSnapshot, core.NextPoll(after(1020)), "nobody has answered")
 }
@@ -302,7 +302,7 @@
 	core.PollSucceeded(PollSnapshot, true, after(50))
 	core.Confirm(after(0))
 	require.Equal(t, PollNone, core.NextPoll(after(51)))
-	require.Equal(t, PollPage, core.NextPoll(after(1050)))
+	require.Equal(t, PollFirstPage, core.NextPoll(after(1050)))
 }
 
 // Everything is told once, not again by each new parent.
@@ -310,13 +310,13 @@
 	core := follower(t)
 	core.Confirm(after(0))
 	one, _ := core.NextPeer(after(10))
-	require.True(t, one.Everything)
+	require.True(t, one.Full)
 	core.PeerAnswered(one, after(5), after(10))
 	core.PeerFailed(one, after(20))
 	two, found := core.NextPeer(after(30))
 	require.True(t, found)
 	require.NotEqual(t, one.Address, two.Address)
-	require.False(t, two.Everything)
+	require.False(t, two.Full)
 }
 
 func TestReaderAsksForTombstonesOnceAtItsStart(t *testing.T) {
@@ -325,7 +325,7 @@
 	peer, found := core.NextPeer(after(1))
 	require.True(t, found)
 	require.Equal(t, address(7), peer.Address)
-	require.True(t, peer.Everything)
+	require.True(t, peer.Full)
 	core.PeerAnswered(peer, after(1), after(2))
 	_, found = core.NextPeer(after(3))
 	require.False(t, found)
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -93,7 +93,7 @@
 const fleetZones = 5
 
 // fleetPace is that of the large sites.
-func fleetPace() Pace { return NewPace(2*time.Second, 2800*time.Millisecond) }
+func fleetPace() Timing { return NewTiming(2*time.Second, 2800*time.Millisecond) }
 
 // newFleet starts balancers that nobody has listed, as on the first day.
 func newFleet(t *testing.T, count int) *fleet {
@@ -126,9 +126,9 @@
 
 func (f *fleet) start(node *fleetNode) {
 	node.core = NewCore(Config{
-		Self: node.entry, Seeds: f.seeds, Pace: fleetPace(), TreeWidth: DefaultTreeWidth,
-		SharedOrderLimit: DefaultSharedOrderLimit, PeerPause: 2 * time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute,
+		Self: node.entry, Seeds: f.seeds, Timing: fleetPace(), TreeFanout: DefaultTreeFanout,
+		SharedOrderLimit: DefaultSharedOrderLimit, PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
 	}, f.chance, f.now)
 	node.revision, node.listed, node.polling = 0, 0, false
 	node.alive, node.startAt = true, f.now
@@ -193,7 +193,7 @@
 		node.polling = true
 		node.core.PollStarted(poll, f.now)
 		f.polls = append(f.polls, &fleetPoll{node: node, started: node.started, poll: poll, sentAt: f.now})
-		if poll == PollMembers || poll == PollOld {
+		if poll == PollMembers || poll == PollStaleSnapshot {
 			f.old++
 		} else {
 			f.exact++
@@ -209,9 +209,9 @@
 			return
 		}
 		made := &fleetCall{from: node, to: f.byPlace[peer.Address], started: node.started, peer: peer, sentAt: f.now,
-			dialTime: node.core.DialTime(peer.Address)}
+			dialTime: node.core.DialTimeout(peer.Address)}
 		if peer.Purpose == PurposeFollow {
-			made.shown, made.silent = node.core.Shown(f.now), node.core.Silent(f.now)
+			made.shown, made.silent = node.core.UnlistedEntries(f.now), node.core.SilentBalancers(f.now)
 		}
 		f.calls = append(f.calls, made)
 	}
@@ -224,7 +224,7 @@
 		return
 	}
 	refused := f.refuses(node)
-	waits := poll.poll == PollChanges && f.now.Sub(poll.sentAt) < fleetPace().Wait && f.revision == node.revision
+	waits := poll.poll == PollChanges && f.now.Sub(poll.sentAt) < fleetPace().ChangesWait && f.revision == node.revision
 	if waits && !refused {
 		f.polls = append(f.polls, poll)
 		return
@@ -247,16 +247,16 @@
 	switch poll.poll {
 	case PollMembers:
 		if leads := f.leads[node.entry.GetZone()]; leads != nil {
-			node.core.StartsIn(int(leads.GetSize()))
+			node.core.SetZoneSize(int(leads.GetSize()))
 			node.core.SetBalancers(leads.GetFirst(), f.now)
 			return
 		}
 		f.named++
 		f.list(node, f.revision, node.entry.GetZone())
-	case PollOld:
+	case PollStaleSnapshot:
 		node.revision = f.revision
 		f.list(node, f.revision, "")
-	case PollPage:
+	case PollFirstPage:
 	case PollNone, PollSnapshot, PollChanges, PollCatchUp:
 		f.learn(node, f.revision, poll.sentAt)
 	}
@@ -264,7 +264,7 @@
 
 // read tells whether the store has been read as far as a call asks.
 func (f *fleet) read(poll *fleetPoll) bool {
-	if poll.poll != PollOld && poll.poll != PollSnapshot {
+	if poll.poll != PollStaleSnapshot && poll.poll != PollSnapshot {
 		return true
 	}
 	if poll.readAt.IsZero() {
@@ -304,10 +304,10 @@
 		return
 	}
 	f.revision++
-	for _, list := range write.Leads {
+	for _, list := range write.ZoneLeads {
 		f.leads[list.GetZone()] = list
 	}
-	if len(write.Leads) > 0 {
+	if len(write.ZoneLeads) > 0 {
 		f.listWrites++
 		return
 	}
@@ -391,15 +391,15 @@
 	}
 	age, knows := to.core.Age(f.now)
 	_, knew := from.core.Age(f.now)
-	younger := knows && (!knew || to.core.ConfirmedAt().Sub(from.core.ConfirmedAt()) >= fleetPace().Younger)
+	younger := knows && (!knew || to.core.ConfirmedAt().Sub(from.core.ConfirmedAt()) >= fleetPace().MinAdvance)
 	news := knows && to.revision > from.revision || younger
 	if call.peer.Waits() && waited < followTime && !news {
-		to.core.Heard(from.entry.GetPeerAddress(), f.now)
+		to.core.RecordActivity(from.entry.GetPeerAddress(), f.now)
 		return false
 	}
 	if !knows {
 		from.core.PeerAnswered(call.peer, f.now.Add(-1000*time.Hour), f.now)
-		from.core.Learned(to.core.Callers())
+		from.core.AddCallers(to.core.Callers())
 		return true
 	}
 	if !f.told(call) {
@@ -418,17 +418,17 @@
 
 func (f *fleet) arrive(call *fleetCall) {
 	age, knows := call.from.core.Age(f.now)
-	call.to.core.Called(Caller{Address: call.from.entry.GetPeerAddress(), Knows: knows, Revision: call.from.revision,
+	call.to.core.CallReceived(Caller{Address: call.from.entry.GetPeerAddress(), HasData: knows, Revision: call.from.revision,
 		ConfirmedAt: f.now.Add(-age)}, call.to.revision, f.now)
-	call.to.core.TakeShown(call.shown, f.now)
-	call.to.core.TakeSilent(call.silent, f.now)
+	call.to.core.AddUnlistedEntries(call.shown, f.now)
+	call.to.core.HandleSilentReport(call.silent, f.now)
 }
 
 // readers are the nodes that read the store for others by now.
 func (f *fleet) readers() []*fleetNode {
 	var found []*fleetNode
 	for _, node := range f.nodes {
-		if node.alive && node.core.Reads() {
+		if node.alive && node.core.ReadsStore() {
 			found = append(found, node)
 		}
 	}
@@ -551,7 +551,7 @@
 		for _, node := range f.nodes {
 			require.True(t, node.core.knows(), node.entry.GetName())
 			// Whose parent has not started yet is told by the next one above.
-			require.LessOrEqual(t, f.served[node], 2*widthFactor*DefaultTreeWidth, node.entry.GetName())
+			require.LessOrEqual(t, f.served[node], 2*widthFactor*DefaultTreeFanout, node.entry.GetName())
 		}
 		require.LessOrEqual(t, f.old, count, "nobody ran out of patience")
 	})
--- a/internal/replication/leads.go
+++ b/internal/replication/leads.go
@@ -2,10 +2,10 @@
 
 import apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 
-// Leads tells whether the balancer at an address may be told sums over this one and its
+// MayReportTo tells whether the balancer at an address may be told sums over this one and its
 // followers: it is above this one, and before it in an order that rests on nothing but
 // the two entries, so that sums don't go round even while balancers know different lists.
-func (c *Core) Leads(address string) bool {
+func (c *Core) MayReportTo(address string) bool {
 	own := rankingOf(c.config.Self)
 	for _, b := range c.tree.above {
 		if b.GetPeerAddress() == address {
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -38,7 +38,7 @@
 	writePause = time.Second
 	// silentAfter is the silence after which the entry of a balancer is removed
 	// that stands in the same zone. A restart takes a few seconds; followers of a
-	// dead parent lose a call to it every PeerPause.
+	// dead parent lose a call to it every PeerRetryDelay.
 	silentAfter = 20 * time.Second
 	// silentElsewhere is the same for a balancer of another zone. It may be cut
 	// off from this one only, and its own zone misses it sooner if it is dead.
@@ -51,14 +51,14 @@
 // Write is what to write to the store: entries of balancers to put, names to remove, the
 // first of large zones, or a policy that the store has lost.
 type Write struct {
-	Put    []*apiv1.Balancer
-	Remove []string
-	Leads  []*apiv1.ZoneLeads
-	Policy *directory.LostPolicy
+	Put       []*apiv1.Balancer
+	Remove    []string
+	ZoneLeads []*apiv1.ZoneLeads
+	Policy    *directory.LostPolicy
 }
 
 func (w Write) empty() bool {
-	return len(w.Put) == 0 && len(w.Remove) == 0 && len(w.Leads) == 0 && w.Policy == nil
+	return len(w.Put) == 0 && len(w.Remove) == 0 && len(w.ZoneLeads) == 0 && w.Policy == nil
 }
 
 // members are the balancers that the directory lists, and what is to be changed
@@ -117,9 +117,9 @@
 	return proto.Equal(m.listed[entry.GetName()], entry)
 }
 
-// Shown are the entries to show to the balancer that is called: this one's own,
+// UnlistedEntries are the entries to show to the balancer that is called: this one's own,
 // while it is not listed, and those that others have shown here.
-func (c *Core) Shown(now time.Time) []*apiv1.Balancer {
+func (c *Core) UnlistedEntries(now time.Time) []*apiv1.Balancer {
 	var entries []*apiv1.Balancer
 	if !c.members.lists(c.config.Self) {
 		entries = append(entries, c.config.Self)
@@ -136,8 +136,8 @@
 	return entries
 }
 
-// TakeShown takes entries that another balancer has shown.
-func (c *Core) TakeShown(entries []*apiv1.Balancer, now time.Time) {
+// AddUnlistedEntries takes entries that another balancer has shown.
+func (c *Core) AddUnlistedEntries(entries []*apiv1.Balancer, now time.Time) {
 	for _, entry := range entries {
 		if entry.GetName() == c.config.Self.GetName() || c.members.lists(entry) {
 			continue
@@ -149,9 +149,9 @@
 	}
 }
 
-// Silent are the names of balancers that this one, or one behind it, should hear
+// SilentBalancers are the names of balancers that this one, or one behind it, should hear
 // and has not heard for long.
-func (c *Core) Silent(now time.Time) []string {
+func (c *Core) SilentBalancers(now time.Time) []string {
 	var names []string
 	for _, b := range c.watched() {
 		if c.silentSince(b, now) {
@@ -198,8 +198,8 @@
 	return known == nil || now.Sub(known.heardAt) > limit
 }
 
-// TakeSilent takes the names that a follower has reported.
-func (c *Core) TakeSilent(names []string, now time.Time) {
+// HandleSilentReport takes the names that a follower has reported.
+func (c *Core) HandleSilentReport(names []string, now time.Time) {
 	for _, name := range names {
 		b := c.members.listed[name]
 		if b == nil || name == c.config.Self.GetName() {
@@ -219,10 +219,10 @@
 	if m.writing || now.Before(m.nextAt) || !c.knows() || c.Stale(now) {
 		return Write{}, false
 	}
-	if !c.Reads() {
+	if !c.ReadsStore() {
 		return c.ownWrite(now)
 	}
-	write := Write{Put: c.Shown(now)}
+	write := Write{Put: c.UnlistedEntries(now)}
 	if len(write.Put) > WriteLimit {
 		write.Put = write.Put[:WriteLimit]
 	}
@@ -230,11 +230,11 @@
 		write.Policy = &m.lost[c.chance.IntN(len(m.lost))]
 	}
 	if write.empty() {
-		write.Remove = c.Silent(now)
+		write.Remove = c.SilentBalancers(now)
 		write.Remove = write.Remove[:min(len(write.Remove), RemoveLimit)]
 	}
 	if write.empty() {
-		write.Leads = c.leadsToWrite(now)
+		write.ZoneLeads = c.leadsToWrite(now)
 	}
 	if write.empty() {
 		m.nextAt = now.Add(gatherEntries)
@@ -269,9 +269,9 @@
 	c.SetBalancers(known, now)
 }
 
-// SetLost takes the policies that the store has lost. Who reads the store writes them again, in
+// SetLostPolicies takes the policies that the store has lost. Who reads the store writes them again, in
 // no order: one whose write fails must not hold up the others.
-func (c *Core) SetLost(lost []directory.LostPolicy) { c.members.lost = lost }
+func (c *Core) SetLostPolicies(lost []directory.LostPolicy) { c.members.lost = lost }
 
 // WriteEnded takes the end of a write. What was written shows in the directory
 // soon after; until then it is not written again.
@@ -284,8 +284,8 @@
 		delete(m.silent, name)
 		m.belowSince[name] = now
 	}
-	if len(write.Leads) > 0 {
-		c.leadsWritten(write.Leads, failed, now)
+	if len(write.ZoneLeads) > 0 {
+		c.leadsWritten(write.ZoneLeads, failed, now)
 	}
 	if failed {
 		m.nextAt = now.Add(writePause)
--- a/internal/replication/members_test.go
+++ b/internal/replication/members_test.go
@@ -16,7 +16,7 @@
 		core := newCore(place)
 		core.SetBalancers(zoneOf(3), start)
 		core.Confirm(start)
-		if core.Reader() {
+		if core.IsReader() {
 			return core
 		}
 	}
@@ -28,9 +28,9 @@
 // balancer that starts again is still listed.
 func TestBalancerThatStartsAgainWritesNothing(t *testing.T) {
 	core := newCore(1)
-	require.Len(t, core.Shown(start), 1, "it does not know yet that it is listed")
+	require.Len(t, core.UnlistedEntries(start), 1, "it does not know yet that it is listed")
 	core.SetBalancers(zoneOf(3), start)
-	require.Empty(t, core.Shown(start))
+	require.Empty(t, core.UnlistedEntries(start))
 }
 
 func TestEntryThatIsNoLongerTrueIsShownAnew(t *testing.T) {
@@ -38,7 +38,7 @@
 	listed := zoneOf(3)
 	listed[1].PeerAddress = "10.0.9.9:1"
 	core.SetBalancers(listed, start)
-	require.Equal(t, []*apiv1.Balancer{core.config.Self}, core.Shown(start))
+	require.Equal(t, []*apiv1.Balancer{core.config.Self}, core.UnlistedEntries(start))
 }
 
 func TestReaderWritesManyEntriesAtOnce(t *testing.T) {
@@ -47,8 +47,8 @@
 	for place := range 50 {
 		joining = append(joining, &apiv1.Balancer{Name: name(100 + place), Zone: "maadi", PeerAddress: address(100 + place)})
 	}
-	core.TakeShown(joining, after(10))
-	core.TakeShown(joining[:5], after(20))
+	core.AddUnlistedEntries(joining, after(10))
+	core.AddUnlistedEntries(joining[:5], after(20))
 	first, found := core.NextWrite(after(500))
 	require.True(t, found)
 	require.Len(t, first.Put, WriteLimit)
@@ -101,7 +101,7 @@
 		core.Confirm(now)
 		core.NextPeer(now)
 		for _, other := range core.tree.below[1:] {
-			core.Heard(other.GetPeerAddress(), now)
+			core.RecordActivity(other.GetPeerAddress(), now)
 		}
 		write, found := core.NextWrite(now)
 		if !found {
@@ -121,12 +121,12 @@
 	below := core.tree.below
 	now := start.Add(time.Minute)
 	core.Confirm(now)
-	core.Heard(below[0].GetPeerAddress(), now)
-	core.TakeSilent([]string{below[0].GetName(), "edge-99", core.config.Self.GetName()}, now)
+	core.RecordActivity(below[0].GetPeerAddress(), now)
+	core.HandleSilentReport([]string{below[0].GetName(), "edge-99", core.config.Self.GetName()}, now)
 	require.Empty(t, core.members.silent, "one was heard here, one is not listed, one is this one")
-	core.TakeSilent([]string{below[1].GetName()}, now)
-	require.Equal(t, []string{below[1].GetName()}, core.Silent(now))
-	require.Empty(t, core.Silent(now.Add(2*showFor)), "a report is passed on for a while only")
+	core.HandleSilentReport([]string{below[1].GetName()}, now)
+	require.Equal(t, []string{below[1].GetName()}, core.SilentBalancers(now))
+	require.Empty(t, core.SilentBalancers(now.Add(2*showFor)), "a report is passed on for a while only")
 }
 
 // Story: a balancer's entry was written and the store had said so, but the store came back from an
@@ -138,16 +138,16 @@
 func TestEntryThatAStoreLosesIsWrittenAgain(t *testing.T) {
 	core := reader(t)
 	joining := []*apiv1.Balancer{{Name: name(100), Zone: "maadi", PeerAddress: address(100)}}
-	core.TakeShown(joining, after(10))
+	core.AddUnlistedEntries(joining, after(10))
 	first, found := core.NextWrite(after(500))
 	require.True(t, found)
 	core.WriteEnded(first, false, after(510))
-	core.TakeShown(joining, after(600))
+	core.AddUnlistedEntries(joining, after(600))
 	_, found = core.NextWrite(after(800))
 	require.False(t, found, "it is written")
 
 	core.StoreRestored(zoneOf(3), after(900))
-	core.TakeShown(joining, after(910))
+	core.AddUnlistedEntries(joining, after(910))
 	again, found := core.NextWrite(after(1200))
 	require.True(t, found)
 	require.Equal(t, joining, again.Put)
@@ -157,7 +157,7 @@
 func TestLostPoliciesAreWrittenByTheReader(t *testing.T) {
 	core := reader(t)
 	lost := []directory.LostPolicy{{Policy: &apiv1.Policy{Name: "one"}}, {Policy: &apiv1.Policy{Name: "two"}}}
-	core.SetLost(lost)
+	core.SetLostPolicies(lost)
 	tried := make(map[string]bool)
 	for now := after(500); len(tried) < 2; now = now.Add(2 * time.Second) {
 		core.Confirm(now)
@@ -167,7 +167,7 @@
 		core.WriteEnded(write, true, now)
 		require.Less(t, now.Sub(start), time.Minute)
 	}
-	core.SetLost(nil)
+	core.SetLostPolicies(nil)
 	core.Confirm(after(70_000))
 	_, found := core.NextWrite(after(70_000))
 	require.False(t, found)
--- a/internal/replication/order.go
+++ b/internal/replication/order.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// What a balancer needs to serve DefaultTreeWidth followers without its own
+// What a balancer needs to serve DefaultTreeFanout followers without its own
 // traffic being held up: a large table of routes goes out to all of them at
 // once, and a large store comes in whole.
 const (
--- a/internal/replication/outage_test.go
+++ b/internal/replication/outage_test.go
@@ -68,9 +68,9 @@
 func (o *outage) start(node *outageNode) {
 	node.core = NewCore(Config{
 		Self:  &apiv1.Balancer{Name: name(node.place), Zone: "maadi", PeerAddress: address(node.place)},
-		Seeds: o.seeds, Pace: NewPace(time.Second, 1400*time.Millisecond), TreeWidth: 16,
-		PeerPause: 2 * time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute,
+		Seeds: o.seeds, Timing: NewTiming(time.Second, 1400*time.Millisecond), TreeFanout: 16,
+		PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
 	}, o.chance, o.now)
 	node.core.SetBalancers(nil, start)
 	node.revision, node.alive, node.startAt = 0, true, o.now
@@ -136,7 +136,7 @@
 		// The connection of a balancer without power stays open at the other end.
 		over := !call.from.dark || !call.peer.Waits() || o.now.Sub(call.sentAt) >= followTime
 		if !over && call.arrived {
-			call.to.core.Heard(address(call.from.place), o.now)
+			call.to.core.RecordActivity(address(call.from.place), o.now)
 		}
 		return over
 	}
@@ -158,7 +158,7 @@
 	waits := call.peer.Waits() && o.now.Sub(call.sentAt) < followTime
 	news := call.to.revision > call.from.revision
 	if waits && !news {
-		call.to.core.Heard(address(call.from.place), o.now)
+		call.to.core.RecordActivity(address(call.from.place), o.now)
 		return false
 	}
 	o.answer(call)
@@ -168,10 +168,10 @@
 func (o *outage) arrive(call *outageCall) {
 	age, knows := call.from.core.Age(o.now)
 	shown := call.from.revision
-	if call.peer.Everything {
+	if call.peer.Full {
 		shown = 0
 	}
-	call.to.core.Called(Caller{Address: address(call.from.place), Knows: knows, Revision: shown,
+	call.to.core.CallReceived(Caller{Address: address(call.from.place), HasData: knows, Revision: shown,
 		ConfirmedAt: o.now.Add(-age)}, call.to.revision, o.now)
 }
 
@@ -179,7 +179,7 @@
 	age, knows := call.to.core.Age(o.now)
 	if !knows {
 		call.from.core.PeerAnswered(call.peer, o.now.Add(-1000*time.Hour), o.now)
-		call.from.core.Learned(call.to.core.Callers())
+		call.from.core.AddCallers(call.to.core.Callers())
 		return
 	}
 	call.from.core.PeerAnswered(call.peer, o.now.Add(-age), o.now)
@@ -274,7 +274,7 @@
 			// The store has answered this one alone.
 			if node.alive {
 				o.learn(node, uint64(second)+2, o.now)
-				node.core.PollSucceeded(PollPage, true, o.now)
+				node.core.PollSucceeded(PollFirstPage, true, o.now)
 			}
 		}
 	}
@@ -295,7 +295,7 @@
 				if !found {
 					break
 				}
-				if peer.Purpose == PurposeTell {
+				if peer.Purpose == PurposeAnnounce {
 					calls++
 				}
 				core.PeerFailed(peer, now)
@@ -316,11 +316,11 @@
 		now := after(elapsed)
 		core.Confirm(now)
 		if elapsed >= 5000 && elapsed < 10_000 {
-			core.Heard(below[0].GetPeerAddress(), now)
-			core.Heard(below[1].GetPeerAddress(), now)
+			core.RecordActivity(below[0].GetPeerAddress(), now)
+			core.RecordActivity(below[1].GetPeerAddress(), now)
 		}
 		peer, found := core.NextPeer(now)
-		if !found || peer.Purpose != PurposeTell {
+		if !found || peer.Purpose != PurposeAnnounce {
 			continue
 		}
 		if elapsed >= 10_000 && told[peer.Address] == 0 {
@@ -345,12 +345,12 @@
 			core.Confirm(now)
 			for other := range count {
 				if other != place {
-					core.Heard(address(other), now)
+					core.RecordActivity(address(other), now)
 				}
 			}
 			peer, found := core.NextPeer(now)
 			if found {
-				require.NotEqual(t, PurposeTell, peer.Purpose)
+				require.NotEqual(t, PurposeAnnounce, peer.Purpose)
 				core.PeerAnswered(peer, now, now)
 			}
 		}
@@ -368,7 +368,7 @@
 			if !found {
 				return len(asked)
 			}
-			require.Equal(t, PurposeAsk, peer.Purpose)
+			require.Equal(t, PurposeProbe, peer.Purpose)
 			require.True(t, peer.RevisionOnly)
 			asked = append(asked, peer)
 		}
@@ -380,7 +380,7 @@
 	core.PeerAnswered(asked[2], after(-5000), after(162))
 	peer, found := core.NextPeer(after(163))
 	require.True(t, found)
-	require.Equal(t, Peer{Address: address(8), Purpose: PurposeFetch, Everything: true}, peer)
+	require.Equal(t, Peer{Address: address(8), Purpose: PurposeFetch, Full: true}, peer)
 	core.PeerAnswered(peer, after(-5000), after(170))
 	core.Confirm(after(-5000))
 	for {
@@ -439,10 +439,10 @@
 		if core.tree.place >= startStandbys {
 			longest = 2510 + 40*1000/startReadsPerSecond
 		}
-		if core.NextPoll(after(3100)) == PollOld {
+		if core.NextPoll(after(3100)) == PollStaleSnapshot {
 			soon++
 		}
-		require.Equal(t, PollOld, core.NextPoll(after(longest)), "patience ends")
+		require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "patience ends")
 	}
 	require.Equal(t, 1, readers)
 	require.LessOrEqual(t, soon, 8, "two in a second, and the standbys")
--- a/internal/replication/pages.go
+++ b/internal/replication/pages.go
@@ -80,8 +80,8 @@
 // Reusable tells whether further followers may be given these pages.
 func (p *Pages) Reusable(now time.Time) bool { return now.Sub(p.madeAt) < pagesReused }
 
-// Old tells whether nobody needs these pages any more.
-func (p *Pages) Old(now time.Time) bool { return now.Sub(p.madeAt) >= pagesFor }
+// Expired tells whether nobody needs these pages any more.
+func (p *Pages) Expired(now time.Time) bool { return now.Sub(p.madeAt) >= pagesFor }
 
 // unpackPage returns the changes of a page.
 func unpackPage(page *apiv1.Page) ([]*apiv1.DirectoryChange, error) {
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -58,19 +58,19 @@
 // Client calls one other balancer at a time and keeps the connection to it.
 type Client struct {
 	logger *slog.Logger
-	// DialTime bounds the making of a connection.
-	DialTime   time.Duration
-	mutex      sync.Mutex
-	address    string
-	connection *drpcconn.Conn
+	// DialTimeout bounds the making of a connection.
+	DialTimeout time.Duration
+	mutex       sync.Mutex
+	address     string
+	connection  *drpcconn.Conn
 	// used is set once the connection has brought an answer.
 	used bool
-	// GivenUp counts connections that went silent.
-	GivenUp atomic.Uint64
+	// SilentConnections counts connections that went silent.
+	SilentConnections atomic.Uint64
 }
 
 // NewClient makes a client without a connection.
-func NewClient(logger *slog.Logger) *Client { return &Client{logger: logger, DialTime: dialTimeout} }
+func NewClient(logger *slog.Logger) *Client { return &Client{logger: logger, DialTimeout: dialTimeout} }
 
 // Follow calls the balancer at an address. A call that fails or takes too long
 // closes the connection. One that took too long on a connection that had brought
@@ -147,7 +147,7 @@
 	c.Close()
 	silent = used && ctx.Err() == nil && errors.Is(bounded.Err(), context.DeadlineExceeded)
 	if silent {
-		c.GivenUp.Add(1)
+		c.SilentConnections.Add(1)
 		c.logger.Info("Peers: connection is silent, a new one is tried.", "peer", address, "after", limit)
 	}
 	return silent, err
@@ -162,7 +162,7 @@
 		return c.connection, c.used, nil
 	}
 	c.closeLocked()
-	dialer := &net.Dialer{Timeout: c.DialTime}
+	dialer := &net.Dialer{Timeout: c.DialTimeout}
 	socket, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, false, errors.Wrapf(err, "peer %s: dial", address)
--- a/internal/replication/seek.go
+++ b/internal/replication/seek.go
@@ -49,8 +49,8 @@
 type Caller struct {
 	// Address is where it takes calls itself; empty when it did not say.
 	Address string
-	// Knows is set unless the caller knows nothing.
-	Knows bool
+	// HasData is set unless the caller knows nothing.
+	HasData bool
 	// Revision is up to where it knows everything. One that asks for everything
 	// shows 0.
 	Revision uint64
@@ -58,13 +58,13 @@
 	ConfirmedAt time.Time
 }
 
-// Called takes that another balancer has called. The revision is that of the
+// CallReceived takes that another balancer has called. The revision is that of the
 // knowledge here. A caller that knows more will be asked for it.
-func (c *Core) Called(caller Caller, revision uint64, now time.Time) {
+func (c *Core) CallReceived(caller Caller, revision uint64, now time.Time) {
 	if caller.Address == "" || caller.Address == c.config.Self.GetPeerAddress() {
 		return
 	}
-	c.Heard(caller.Address, now)
+	c.RecordActivity(caller.Address, now)
 	if !c.knows() {
 		c.callers = addBounded(c.callers, caller.Address, callersLimit)
 	}
@@ -73,8 +73,8 @@
 	}
 }
 
-// Learned takes addresses of balancers from one that knows nothing itself.
-func (c *Core) Learned(callers []string) {
+// AddCallers takes addresses of balancers from one that knows nothing itself.
+func (c *Core) AddCallers(callers []string) {
 	for _, address := range callers {
 		if c.knows() || address == c.config.Self.GetPeerAddress() {
 			return
@@ -88,14 +88,14 @@
 
 func (c *Core) knowsMore(caller Caller, revision uint64, now time.Time) bool {
 	switch {
-	case !caller.Knows:
+	case !caller.HasData:
 		return false
 	case !c.knows():
 		return true
 	case caller.Revision > revision:
 		return true
 	}
-	return c.Stale(now) && caller.ConfirmedAt.Sub(c.confirmedAt) >= c.config.Pace.Younger
+	return c.Stale(now) && caller.ConfirmedAt.Sub(c.confirmedAt) >= c.config.Timing.MinAdvance
 }
 
 // addBounded appends an address that is not there yet, if there is room.
@@ -109,9 +109,9 @@
 // knows tells whether anything is known here.
 func (c *Core) knows() bool { return !c.confirmedAt.IsZero() }
 
-// Heard takes a sign of life of another balancer: a call, an answer, or that its
+// RecordActivity takes a sign of life of another balancer: a call, an answer, or that its
 // call still waits here.
-func (c *Core) Heard(address string, now time.Time) {
+func (c *Core) RecordActivity(address string, now time.Time) {
 	c.contactOf(address).heardAt = now
 	c.heardAt = now
 }
@@ -240,7 +240,7 @@
 // told takes the answer of a balancer that was told. While those told know as
 // much, there is less hurry.
 func (c *Core) told(asOf time.Time) {
-	if c.confirmedAt.Sub(asOf) > c.config.Pace.Stale {
+	if c.confirmedAt.Sub(asOf) > c.config.Timing.StaleAge {
 		c.tellPause = tellShortest
 		return
 	}
--- a/internal/replication/silent_test.go
+++ b/internal/replication/silent_test.go
@@ -176,7 +176,7 @@
 		<-done
 	})
 	client := newQuietClient(t)
-	client.DialTime = 5 * time.Second
+	client.DialTimeout = 5 * time.Second
 	_, err := follow(client, listener.Addr().String(), 0)
 	require.NoError(t, err)
 	fill(t, listener.Addr().String())
@@ -245,7 +245,7 @@
 	_, err = follow(client, proxy.Address(), 0)
 	require.NoError(t, err)
 	require.Equal(t, 2, proxy.Accepted())
-	require.Zero(t, client.GivenUp.Load(), "it was not silent")
+	require.Zero(t, client.SilentConnections.Load(), "it was not silent")
 }
 
 // A follower that takes nothing does not hold the answer to it for good.
--- a/internal/replication/standby.go
+++ b/internal/replication/standby.go
@@ -46,14 +46,14 @@
 // turn has come. Who hears nobody has no turn to wait for.
 func (c *Core) standsIn(now time.Time) bool {
 	age, _ := c.Age(now)
-	if age <= c.config.Pace.Stale {
+	if age <= c.config.Timing.StaleAge {
 		return false
 	}
 	if now.Sub(c.heardAt) > isolatedAfter {
 		return true
 	}
 	if rank := c.tree.rank(); rank < standbys {
-		return age > c.config.Pace.Stale+time.Duration(rank)*c.config.Pace.Turn
+		return age > c.config.Timing.StaleAge+time.Duration(rank)*c.config.Timing.StandbyDelay
 	}
 	if c.drawnAt.IsZero() {
 		longest := time.Duration(c.tree.size) * time.Second / drawsPerSecond
--- a/internal/replication/start.go
+++ b/internal/replication/start.go
@@ -45,9 +45,9 @@
 	switch poll {
 	case PollMembers:
 		s.members = true
-	case PollOld:
+	case PollStaleSnapshot:
 		s.old = true
-	case PollNone, PollPage, PollSnapshot, PollChanges, PollCatchUp:
+	case PollNone, PollFirstPage, PollSnapshot, PollChanges, PollCatchUp:
 	}
 }
 
@@ -60,11 +60,11 @@
 		return PollSnapshot
 	case !c.start.old && c.tree.size == 1:
 		// Nobody is listed, so that all ask the seeds.
-		return PollOld
+		return PollStaleSnapshot
 	case now.Before(c.start.patienceUntil):
 		return PollNone
 	case !c.start.old:
-		return PollOld
+		return PollStaleSnapshot
 	}
 	return PollSnapshot
 }
@@ -74,7 +74,7 @@
 // listed, and so the only one of its zone.
 func (c *Core) readsFirst() bool {
 	if c.tree.size == 1 {
-		return c.Reader() || c.members.lists(c.config.Self)
+		return c.IsReader() || c.members.lists(c.config.Self)
 	}
 	return c.tree.place == 0 || len(c.tree.own()) <= togetherLimit
 }
@@ -92,10 +92,10 @@
 	return slices.ContainsFunc(first, func(b *apiv1.Balancer) bool { return b.GetPeerAddress() == address })
 }
 
-// DialTime is how long the connection to another balancer may take. Where nothing is
+// DialTimeout is how long the connection to another balancer may take. Where nothing is
 // known it doubles with each call to that one that failed in a row: its link may be
 // slow, and with the first time alone it was never reached.
-func (c *Core) DialTime(address string) time.Duration {
+func (c *Core) DialTimeout(address string) time.Duration {
 	failed := 0
 	if known := c.contacts[address]; known != nil {
 		failed = known.failed
@@ -133,9 +133,9 @@
 // patience is until when a balancer that knows nothing waits for peers: longer, by chance,
 // the more of its zone may wait besides.
 func (c *Core) patience(now time.Time) time.Time {
-	longest := c.config.StartPatience
+	longest := c.config.StartupWait
 	if c.tree != nil && c.tree.place >= startStandbys {
 		longest = max(longest, time.Duration(c.zoneSize())*time.Second/startReadsPerSecond)
 	}
-	return now.Add(c.config.StartPatience + time.Duration(c.chance.Int64N(int64(longest)+1)))
+	return now.Add(c.config.StartupWait + time.Duration(c.chance.Int64N(int64(longest)+1)))
 }
--- a/internal/replication/start_test.go
+++ b/internal/replication/start_test.go
@@ -21,17 +21,17 @@
 			continue
 		}
 		if peer.Address == address(7) {
-			times = append(times, core.DialTime(peer.Address))
+			times = append(times, core.DialTimeout(peer.Address))
 		}
 		core.PeerFailed(peer, after(elapsed))
 	}
 	require.Equal(t, []time.Duration{startDialTimeout, 2 * startDialTimeout, dialTimeout, dialTimeout}, times)
-	require.Equal(t, startDialTimeout, core.DialTime(address(9)), "another one, not tried yet")
+	require.Equal(t, startDialTimeout, core.DialTimeout(address(9)), "another one, not tried yet")
 
-	core.PeerAnswered(Peer{Address: address(7), Purpose: PurposeAsk}, after(2000), after(2000))
-	require.Equal(t, startDialTimeout, core.DialTime(address(7)), "it has answered")
+	core.PeerAnswered(Peer{Address: address(7), Purpose: PurposeProbe}, after(2000), after(2000))
+	require.Equal(t, startDialTimeout, core.DialTimeout(address(7)), "it has answered")
 	core.Confirm(after(2000))
-	require.Equal(t, dialTimeout, core.DialTime(address(9)), "no client waits")
+	require.Equal(t, dialTimeout, core.DialTimeout(address(9)), "no client waits")
 }
 
 // A head that does not answer has the next two of its zone read the store, each only
@@ -48,7 +48,7 @@
 			require.Equal(t, PollNone, core.NextPoll(after(11)), "the head may answer")
 		}
 		for _, above := range core.tree.above {
-			core.PeerFailed(Peer{Address: above.GetPeerAddress(), Purpose: PurposeAsk}, after(12))
+			core.PeerFailed(Peer{Address: above.GetPeerAddress(), Purpose: PurposeProbe}, after(12))
 		}
 		if core.NextPoll(after(13)) == PollSnapshot {
 			readers++
--- a/internal/replication/tree_test.go
+++ b/internal/replication/tree_test.go
@@ -35,7 +35,7 @@
 		parents := make(map[string][]string)
 		readers := 0
 		for _, self := range known {
-			made := newTree(self, known, DefaultSharedOrderLimit, DefaultTreeWidth)
+			made := newTree(self, known, DefaultSharedOrderLimit, DefaultTreeFanout)
 			trees[self.GetName()] = made
 			require.Equal(t, len(known), made.size)
 			require.Len(t, made.rest, len(known)-1-len(made.above))
@@ -71,8 +71,8 @@
 	for _, zone := range []string{"maadi", "nasr", "giza"} {
 		for _, limit := range []int{0, DefaultSharedOrderLimit} {
 			self := &apiv1.Balancer{Name: "edge-3", Zone: zone, ProcessorCores: 0.8, LinkMegabits: 200}
-			require.NotZero(t, newTree(self, known, limit, DefaultTreeWidth).rank())
-			require.Zero(t, newTree(self, append(known, self), limit, DefaultTreeWidth).rank())
+			require.NotZero(t, newTree(self, known, limit, DefaultTreeFanout).rank())
+			require.Zero(t, newTree(self, append(known, self), limit, DefaultTreeFanout).rank())
 		}
 	}
 }
@@ -88,8 +88,8 @@
 		}
 	}
 	for _, self := range zone {
-		made := newTree(self, zone, DefaultSharedOrderLimit, DefaultTreeWidth)
-		require.LessOrEqual(t, len(made.below), widthFactor*DefaultTreeWidth)
+		made := newTree(self, zone, DefaultSharedOrderLimit, DefaultTreeFanout)
+		require.LessOrEqual(t, len(made.below), widthFactor*DefaultTreeFanout)
 		if self.GetProcessorCores() < 0.1 {
 			require.Empty(t, made.below)
 		}
@@ -101,10 +101,10 @@
 func TestNobodyIsStaleAtAnyPace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		poll := time.Duration(rapid.IntRange(100, 60_000).Draw(t, "poll ms")) * time.Millisecond
-		pace := NewPace(poll, LeastStale(poll))
+		pace := NewTiming(poll, MinStaleAge(poll))
 		call := poll / 100
-		require.Less(t, pace.Oldest(call), pace.Stale)
-		require.Less(t, pace.Stale+standbys*pace.Turn, 2*poll, "the turns of the standbys end in time")
+		require.Less(t, pace.MaxAge(call), pace.StaleAge)
+		require.Less(t, pace.StaleAge+standbys*pace.StandbyDelay, 2*poll, "the turns of the standbys end in time")
 	})
 }
 
@@ -124,7 +124,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				newTree(known[size/2], known, DefaultSharedOrderLimit, DefaultTreeWidth)
+				newTree(known[size/2], known, DefaultSharedOrderLimit, DefaultTreeFanout)
 			}
 		})
 	}
--- a/internal/replication/zoneleads.go
+++ b/internal/replication/zoneleads.go
@@ -16,7 +16,7 @@
 
 const (
 	// leadsCount is how many balancers of a zone are listed: the strong ones of some 600,
-	// each with widthFactor*DefaultTreeWidth followers, and more where the first are dead.
+	// each with widthFactor*DefaultTreeFanout followers, and more where the first are dead.
 	// Smaller zones have no list; their names are read.
 	leadsCount = 32
 	// leadsPause is the least time between two writes of lists: at a first start zones grow
@@ -73,9 +73,9 @@
 	}
 }
 
-// StartsIn takes about how many balancers this one's zone has, of which only the first are
+// SetZoneSize takes about how many balancers this one's zone has, of which only the first are
 // listed; 0 lists all.
-func (c *Core) StartsIn(size int) { c.start.zoneSize = size }
+func (c *Core) SetZoneSize(size int) { c.start.zoneSize = size }
 
 // zoneSize is about how many balancers the zone has.
 func (c *Core) zoneSize() int { return max(len(c.tree.own()), c.start.zoneSize) }
--- a/internal/replication/zoneleads_test.go
+++ b/internal/replication/zoneleads_test.go
@@ -25,9 +25,9 @@
 }
 
 func startingCore(self *apiv1.Balancer) *Core {
-	return NewCore(Config{Self: self, Seeds: []string{"10.9.9.9:1"}, Pace: fleetPace(), TreeWidth: DefaultTreeWidth,
-		SharedOrderLimit: DefaultSharedOrderLimit, PeerPause: time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute}, rand.New(rand.NewPCG(1, 2)), start)
+	return NewCore(Config{Self: self, Seeds: []string{"10.9.9.9:1"}, Timing: fleetPace(), TreeFanout: DefaultTreeFanout,
+		SharedOrderLimit: DefaultSharedOrderLimit, PeerRetryDelay: time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute}, rand.New(rand.NewPCG(1, 2)), start)
 }
 
 // Who starts and knows the first of its zone only asks a strong one, and not all the same.
@@ -42,7 +42,7 @@
 	for place, self := range zone {
 		core := startingCore(self)
 		core.PollSucceeded(PollMembers, false, start)
-		core.StartsIn(int(list.GetSize()))
+		core.SetZoneSize(int(list.GetSize()))
 		core.SetBalancers(list.GetFirst(), start)
 		switch {
 		case core.tree.place == 0:
@@ -57,7 +57,7 @@
 	}
 	require.Len(t, asked, 10)
 	for name, count := range asked {
-		require.LessOrEqual(t, count, 2*DefaultTreeWidth, name)
+		require.LessOrEqual(t, count, 2*DefaultTreeFanout, name)
 	}
 }
 
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -107,7 +107,7 @@
 // pace of the settings.
 func leastStale(loaded *apiv1.BalancerSettings) uint32 {
 	poll := time.Duration(loaded.GetPollMilliseconds()) * time.Millisecond
-	return uint32(replication.LeastStale(poll).Milliseconds())
+	return uint32(replication.MinStaleAge(poll).Milliseconds())
 }
 
 // number checks a field that may be a fraction.
