--- a/internal/replication/pace.go
+++ b/internal/replication/pace.go
@@ -24,18 +24,18 @@
 }
 
 const (
-	// waitsInPoll and gathersInPoll are such that two waits, a pause and
-	// treeLevels confirmations that are passed on take less than stalePolls.
-	waitsInPoll   = 3
-	gathersInPoll = 8
-	// youngersInPoll and youngerLongest bound how much age a level of the tree
+	// waitsPerPoll and delaysPerPoll are such that two waits, a pause and
+	// treeLevels confirmations that are passed on take less than minStalePolls.
+	waitsPerPoll  = 3
+	delaysPerPoll = 8
+	// advancesPerPoll and advanceLimit bound how much age a level of the tree
 	// adds, against how often a quiet fleet talks.
-	youngersInPoll = 20
-	youngerLongest = 100 * time.Millisecond
-	// turnsInPoll gives the standby balancers their turns within half a poll.
-	turnsInPoll = 16
-	// stalePolls is the least age, in polls, that may count as stale.
-	stalePolls = 1.4
+	advancesPerPoll = 20
+	advanceLimit    = 100 * time.Millisecond
+	// standbyDelaysPerPoll gives the standby balancers their turns within half a poll.
+	standbyDelaysPerPoll = 16
+	// minStalePolls is the least age, in polls, that may count as stale.
+	minStalePolls = 1.4
 	// treeLevels is how deep the tree gets: heads of zones below the reader, then
 	// 1,200 balancers in a zone at 16 to 32 below each.
 	treeLevels = 4
@@ -47,16 +47,16 @@
 	return Timing{
 		PollInterval: poll,
 		StaleAge:     stale,
-		ChangesWait:  poll / waitsInPoll,
-		ChangesDelay: poll / gathersInPoll,
-		MinAdvance:   min(youngerLongest, poll/youngersInPoll),
-		StandbyDelay: poll / turnsInPoll,
+		ChangesWait:  poll / waitsPerPoll,
+		ChangesDelay: poll / delaysPerPoll,
+		MinAdvance:   min(advanceLimit, poll/advancesPerPoll),
+		StandbyDelay: poll / standbyDelaysPerPoll,
 	}
 }
 
 // MinStaleAge is the least age that may count as stale at a pace of reading.
 func MinStaleAge(poll time.Duration) time.Duration {
-	return time.Duration(float64(poll) * stalePolls)
+	return time.Duration(float64(poll) * minStalePolls)
 }
 
 // MaxAge is how old knowledge gets at the last level of the tree while nothing
