--- a/internal/replication/announce.go
+++ b/internal/replication/announce.go
@@ -117,12 +117,12 @@
 }
 
 func (c *Core) contactOf(address string) *contact {
-	known := c.contacts[address]
-	if known == nil {
-		known = &contact{}
-		c.contacts[address] = known
+	peerContact := c.contacts[address]
+	if peerContact == nil {
+		peerContact = &contact{}
+		c.contacts[address] = peerContact
 	}
-	return known
+	return peerContact
 }
 
 // nextFetch returns a balancer that has shown to know more. While the one to follow may
@@ -200,15 +200,15 @@
 	if address == s.core.config.Self.GetPeerAddress() {
 		return
 	}
-	known := s.contact(address)
-	if s.isRecent(known) {
+	c := s.contact(address)
+	if s.isRecent(c) {
 		return
 	}
 	switch {
-	case s.address == "" || known.announcedAt.Before(s.announcedAt):
-		s.address, s.announcedAt, s.ties = address, known.announcedAt, 1
-		s.activeSince = known.activeAt.After(known.announcedAt)
-	case known.announcedAt.Equal(s.announcedAt):
+	case s.address == "" || c.announcedAt.Before(s.announcedAt):
+		s.address, s.announcedAt, s.ties = address, c.announcedAt, 1
+		s.activeSince = c.activeAt.After(c.announcedAt)
+	case c.announcedAt.Equal(s.announcedAt):
 		s.ties++
 		if s.core.random.IntN(s.ties) == 0 {
 			s.address = address
@@ -219,8 +219,8 @@
 // contact returns what is noted of a balancer. After a start beside a store
 // that answers, the others have time to call; in an outage nobody has.
 func (s *silentSearch) contact(address string) contact {
-	if known := s.core.contacts[address]; known != nil {
-		return *known
+	if c := s.core.contacts[address]; c != nil {
+		return *c
 	}
 	if s.all {
 		return contact{}
@@ -229,12 +229,12 @@
 }
 
 // isRecent tells whether a balancer was heard or told too lately to be told.
-func (s *silentSearch) isRecent(known contact) bool {
+func (s *silentSearch) isRecent(c contact) bool {
 	pause := calmReannounceDelay
 	if s.all {
 		pause = reannounceDelay
 	}
-	return s.now.Sub(known.activeAt) < activityTimeout || s.now.Sub(known.announcedAt) < pause
+	return s.now.Sub(c.activeAt) < activityTimeout || s.now.Sub(c.announcedAt) < pause
 }
 
 // announceAnswered takes the answer of a balancer that was told. While those told know as
--- a/internal/replication/calls.go
+++ b/internal/replication/calls.go
@@ -125,24 +125,24 @@
 	if c.hasData() {
 		return "", false
 	}
-	above := addressesOf(c.tree.parentCandidates)
+	candidates := addressesOf(c.tree.parentCandidates)
 	if now.Before(c.startup.parentOnlyUntil) {
-		return c.firstProbe(above, now)
+		return c.firstProbe(candidates, now)
 	}
-	return c.firstAvailable(slices.Concat(above, c.fallbackAddresses(), c.callers), PurposeProbe, now)
+	return c.firstAvailable(slices.Concat(candidates, c.fallbackAddresses(), c.callers), PurposeProbe, now)
 }
 
 // firstProbe returns the one balancer to ask early in a start: the nearest above,
 // or a seed while none is known. Who should read the store itself asks nobody.
-func (c *Core) firstProbe(above []string, now time.Time) (string, bool) {
-	if len(above) == 0 {
-		above = c.config.Seeds
+func (c *Core) firstProbe(candidates []string, now time.Time) (string, bool) {
+	if len(candidates) == 0 {
+		candidates = c.config.Seeds
 	}
 	asking := func(address string) bool { return c.activeCalls[callKey{address, PurposeProbe}] }
-	if c.startup.membersRead && c.readsAtStartup() || slices.ContainsFunc(above, asking) {
+	if c.startup.membersRead && c.readsAtStartup() || slices.ContainsFunc(candidates, asking) {
 		return "", false
 	}
-	return c.firstAvailable(above, PurposeProbe, now)
+	return c.firstAvailable(candidates, PurposeProbe, now)
 }
 
 // firstAvailable returns the first of the addresses that is not passed over and not
@@ -219,9 +219,9 @@
 // here: it may be starting at this moment, as this balancer is.
 func (c *Core) PeerFailed(peer Peer, now time.Time) {
 	c.callEnded(peer)
-	known := c.contactOf(peer.Address)
-	known.unusable = true
-	known.failures++
+	peerContact := c.contactOf(peer.Address)
+	peerContact.unusable = true
+	peerContact.failures++
 	switch {
 	case peer.Purpose == PurposeAnnounce:
 		c.announceInterval = max(c.announceInterval/2, minAnnounceInterval)
--- a/internal/replication/core.go
+++ b/internal/replication/core.go
@@ -121,10 +121,10 @@
 }
 
 // NewCore makes the state of a balancer that knows nothing.
-func NewCore(config Config, chance *rand.Rand, now time.Time) *Core {
-	made := &Core{
+func NewCore(config Config, random *rand.Rand, now time.Time) *Core {
+	c := &Core{
 		config:           config,
-		random:           chance,
+		random:           random,
 		nextSnapshot:     now.Add(config.AuditInterval),
 		pausedUntil:      make(map[string]time.Time),
 		activeCalls:      make(map[callKey]bool),
@@ -132,10 +132,10 @@
 		announceInterval: minAnnounceInterval,
 		members:          newMembers(),
 	}
-	made.startup.waitUntil = made.startupDeadline(now)
-	made.startup.parentOnlyUntil = now.Add(singleSeedPeriod)
-	made.SetBalancers(nil, now)
-	return made
+	c.startup.waitUntil = c.startupDeadline(now)
+	c.startup.parentOnlyUntil = now.Add(singleSeedPeriod)
+	c.SetBalancers(nil, now)
+	return c
 }
 
 // SetSeeds replaces the addresses to ask while no balancer is known. They are
@@ -212,8 +212,8 @@
 
 // Stale tells whether the knowledge is too old to rely on others for it.
 func (c *Core) Stale(now time.Time) bool {
-	age, known := c.Age(now)
-	return !known || age > c.config.Timing.StaleAge
+	age, confirmed := c.Age(now)
+	return !confirmed || age > c.config.Timing.StaleAge
 }
 
 // Confirm takes that the store has confirmed everything as of a time. It tells
--- a/internal/replication/levels.go
+++ b/internal/replication/levels.go
@@ -31,10 +31,10 @@
 }
 
 // depth is how many steps a place is below the first one.
-func (t *tree) depth(place int) int {
+func (t *tree) depth(position int) int {
 	steps := 0
-	for place > 0 {
-		place = t.parentOf(place)
+	for position > 0 {
+		position = t.parentOf(position)
 		steps++
 	}
 	return steps
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -94,15 +94,15 @@
 }
 
 // update takes the balancers that the directory lists, and those below this one.
-func (m *members) update(known, below []*apiv1.Balancer, now time.Time) {
+func (m *members) update(known, followers []*apiv1.Balancer, now time.Time) {
 	m.listed = make(map[string]*apiv1.Balancer, len(known))
 	for _, b := range known {
 		m.listed[b.GetName()] = b
 	}
 	maps.DeleteFunc(m.unlisted, func(_ string, each unlistedEntry) bool { return m.isListed(each.entry) })
 	maps.DeleteFunc(m.silentReports, func(name string, _ time.Time) bool { return m.listed[name] == nil })
-	since := make(map[string]time.Time, len(below))
-	for _, b := range below {
+	since := make(map[string]time.Time, len(followers))
+	for _, b := range followers {
 		if at, found := m.followerSince[b.GetName()]; found {
 			since[b.GetName()] = at
 			continue
@@ -194,8 +194,8 @@
 	if found && now.Sub(since) <= limit {
 		return false
 	}
-	known := c.contacts[b.GetPeerAddress()]
-	return known == nil || now.Sub(known.activeAt) > limit
+	peerContact := c.contacts[b.GetPeerAddress()]
+	return peerContact == nil || now.Sub(peerContact.activeAt) > limit
 }
 
 // HandleSilentReport takes the names that a follower has reported.
@@ -205,7 +205,7 @@
 		if b == nil || name == c.config.Self.GetName() {
 			continue
 		}
-		if known := c.contacts[b.GetPeerAddress()]; known != nil && now.Sub(known.activeAt) <= removalTimeout {
+		if peerContact := c.contacts[b.GetPeerAddress()]; peerContact != nil && now.Sub(peerContact.activeAt) <= removalTimeout {
 			continue
 		}
 		c.members.silentReports[name] = now
@@ -264,9 +264,9 @@
 // StoreRestored takes that the store came back from a copy, with the balancers that it lists
 // now. What was written to it since is lost, whether the write was seen to take effect or not,
 // and is written again.
-func (c *Core) StoreRestored(known []*apiv1.Balancer, now time.Time) {
+func (c *Core) StoreRestored(listed []*apiv1.Balancer, now time.Time) {
 	c.members.zoneLeads.written = nil
-	c.SetBalancers(known, now)
+	c.SetBalancers(listed, now)
 }
 
 // SetLostPolicies takes the policies that the store has lost. Who reads the store writes them again, in
--- a/internal/replication/order.go
+++ b/internal/replication/order.go
@@ -23,13 +23,13 @@
 // sortByRank puts balancers in the order that all of them know: the strong ones
 // first, those that are about as strong by a hash of their names.
 func sortByRank(balancers []*apiv1.Balancer) {
-	order := make([]rankKey, 0, len(balancers))
+	keys := make([]rankKey, 0, len(balancers))
 	for _, b := range balancers {
-		order = append(order, rankKeyOf(b))
+		keys = append(keys, rankKeyOf(b))
 	}
-	slices.SortFunc(order, rankKey.compare)
-	for place, ranked := range order {
-		balancers[place] = ranked.balancer
+	slices.SortFunc(keys, rankKey.compare)
+	for index, key := range keys {
+		balancers[index] = key.balancer
 	}
 }
 
--- a/internal/replication/packing.go
+++ b/internal/replication/packing.go
@@ -24,7 +24,7 @@
 // Pack returns a batch in which a large table of routes is packed. The given
 // batch is not changed.
 func (p *Packer) Pack(batch *apiv1.DirectoryBatch) (*apiv1.DirectoryBatch, error) {
-	for place, change := range batch.GetChanges() {
+	for index, change := range batch.GetChanges() {
 		if len(change.GetRoutes().GetRoutes()) < minPackedRoutes {
 			continue
 		}
@@ -33,7 +33,7 @@
 			return nil, err
 		}
 		changes := append([]*apiv1.DirectoryChange(nil), batch.GetChanges()...)
-		changes[place] = packed
+		changes[index] = packed
 		return &apiv1.DirectoryBatch{Changes: changes, Revision: batch.GetRevision(), Complete: batch.GetComplete()}, nil
 	}
 	return batch, nil
--- a/internal/replication/pages.go
+++ b/internal/replication/pages.go
@@ -44,7 +44,7 @@
 
 // NewPages cuts a complete batch into pages.
 func NewPages(batch *apiv1.DirectoryBatch, confirmedAt, now time.Time) (*Pages, error) {
-	made := &Pages{Revision: batch.GetRevision(), ConfirmedAt: confirmedAt, ID: uint64(now.UnixNano()), createdAt: now}
+	pages := &Pages{Revision: batch.GetRevision(), ConfirmedAt: confirmedAt, ID: uint64(now.UnixNano()), createdAt: now}
 	page, size := &apiv1.DirectoryBatch{}, 0
 	for _, change := range batch.GetChanges() {
 		page.Changes = append(page.Changes, change)
@@ -52,12 +52,12 @@
 		if size < pageBytes {
 			continue
 		}
-		if err := made.add(page); err != nil {
+		if err := pages.add(page); err != nil {
 			return nil, err
 		}
 		page, size = &apiv1.DirectoryBatch{}, 0
 	}
-	return made, made.add(page)
+	return pages, pages.add(page)
 }
 
 func (p *Pages) add(page *apiv1.DirectoryBatch) error {
--- a/internal/replication/standby.go
+++ b/internal/replication/standby.go
@@ -37,8 +37,8 @@
 // isUnusable tells whether the last call to a balancer failed, or brought stale
 // knowledge.
 func (c *Core) isUnusable(b *apiv1.Balancer) bool {
-	known := c.contacts[b.GetPeerAddress()]
-	return known != nil && known.unusable
+	peerContact := c.contacts[b.GetPeerAddress()]
+	return peerContact != nil && peerContact.unusable
 }
 
 // standbyPollDue tells whether this balancer should try the store once although it
--- a/internal/replication/startup.go
+++ b/internal/replication/startup.go
@@ -99,8 +99,8 @@
 // slow, and with the first time alone it was never reached.
 func (c *Core) DialTimeout(address string) time.Duration {
 	failed := 0
-	if known := c.contacts[address]; known != nil {
-		failed = known.failures
+	if peerContact := c.contacts[address]; peerContact != nil {
+		failed = peerContact.failures
 	}
 	if c.hasData() {
 		return dialTimeout
--- a/internal/replication/tree.go
+++ b/internal/replication/tree.go
@@ -32,25 +32,25 @@
 // share one order; leastWidth of them follow one, or more where the strong ones
 // are few.
 func newTree(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit, leastWidth int) *tree {
-	made := &tree{zones: groupByZone(self, known, sharedLimit), sharedOrder: len(known) <= sharedLimit}
-	for zone, balancers := range made.zones {
-		made.size += len(balancers)
-		place := slices.IndexFunc(balancers, func(b *apiv1.Balancer) bool { return b.GetName() == self.GetName() })
-		if place >= 0 {
-			made.zoneIndex, made.position = zone, place
+	t := &tree{zones: groupByZone(self, known, sharedLimit), sharedOrder: len(known) <= sharedLimit}
+	for zone, balancers := range t.zones {
+		t.size += len(balancers)
+		position := slices.IndexFunc(balancers, func(b *apiv1.Balancer) bool { return b.GetName() == self.GetName() })
+		if position >= 0 {
+			t.zoneIndex, t.position = zone, position
 		}
 	}
-	made.fanout = fanoutOf(made.ownZone(), leastWidth)
-	made.parentCandidates = made.findParentCandidates()
-	made.followers = made.findFollowers()
-	made.others = made.allExcept(made.parentCandidates)
-	return made
+	t.fanout = fanoutOf(t.ownZone(), leastWidth)
+	t.parentCandidates = t.findParentCandidates()
+	t.followers = t.findFollowers()
+	t.others = t.allExcept(t.parentCandidates)
+	return t
 }
 
 // groupByZone groups balancers by zone and ranks zones and balancers. While this one is
 // not listed, the others do not know it, and it stands last whatever its strength.
 func groupByZone(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit int) [][]*apiv1.Balancer {
-	few := len(known) <= sharedLimit
+	sharedOrder := len(known) <= sharedLimit
 	listed := false
 	groups := make(map[string][]*apiv1.Balancer)
 	for _, b := range known {
@@ -58,7 +58,7 @@
 			b, listed = self, true
 		}
 		zone := b.GetZone()
-		if few {
+		if sharedOrder {
 			zone = self.GetZone()
 		}
 		groups[zone] = append(groups[zone], b)
@@ -67,9 +67,9 @@
 	if listed {
 		return ordered
 	}
-	for place, group := range ordered {
-		if few || group[0].GetZone() == self.GetZone() {
-			ordered[place] = append(group, self)
+	for position, group := range ordered {
+		if sharedOrder || group[0].GetZone() == self.GetZone() {
+			ordered[position] = append(group, self)
 			return ordered
 		}
 	}
@@ -118,7 +118,7 @@
 
 // parentOf is the place that a later place follows. It holds for the places in a
 // zone and for the zones themselves.
-func (t *tree) parentOf(place int) int { return (place - 1) / t.fanout }
+func (t *tree) parentOf(position int) int { return (position - 1) / t.fanout }
 
 // rank is the place of this balancer among all: the heads of the zones first,
 // then the second ones.
@@ -127,9 +127,9 @@
 func (t *tree) findParentCandidates() []*apiv1.Balancer {
 	own := t.ownZone()
 	var found []*apiv1.Balancer
-	for place := t.position; place > 0; {
-		place = t.parentOf(place)
-		found = append(found, own[place])
+	for position := t.position; position > 0; {
+		position = t.parentOf(position)
+		found = append(found, own[position])
 	}
 	for _, b := range own[:t.position] {
 		found = appendIfMissing(found, b)
@@ -161,8 +161,8 @@
 	var found []*apiv1.Balancer
 	own := t.ownZone()
 	first := t.position*t.fanout + 1
-	for place := first; place < min(first+t.fanout, len(own)); place++ {
-		found = append(found, own[place])
+	for position := first; position < min(first+t.fanout, len(own)); position++ {
+		found = append(found, own[position])
 	}
 	if t.position > 0 {
 		return found
