--- a/internal/replication/announce.go
+++ b/internal/replication/announce.go
@@ -5,61 +5,67 @@
 	"time"
 )
 
-// A balancer that has just started knows its seeds only, and these may have
-// started just now too. While the store answers none of them, what the others
-// know has to come from the others' side: whoever knows something calls the
-// balancers that it has not heard of late, at the addresses where they were. A
-// call shows the caller's revision, and who knows less asks the caller for the
-// rest. Balancers that were told tell others, so the time grows with the
-// logarithm of their number.
+// A balancer that has just started knows only its seeds, and these may have just
+// started too. While the store answers none of them, they depend on the others to pass
+// on the data: every balancer that has data calls the balancers from which it has
+// received nothing recently, at their last known addresses. A call carries the caller's
+// revision, and a balancer that has less data then requests the rest from the caller.
+// Balancers that have received the data announce it in turn, so the time to reach all
+// of them grows with the logarithm of their number.
 //
-// Whom to call is left to chance, among those whose last try is longest ago, so
-// that no agreement on who is lost or who else seeks is needed. With each of K
-// balancers trying one every maxAnnounceInterval, each of N lost ones is found by K/N
-// calls in that time; what one balancer spends is the same for any number.
+// The balancer to call is chosen at random among those whose last attempt is longest
+// ago, so balancers need not agree on who is silent or on who else is looking for them.
+// If each of K balancers calls one silent balancer every maxAnnounceInterval, each of N
+// silent ones receives K/N calls in that time. The cost to one balancer does not depend
+// on their number.
 
 const (
-	// activityTimeout is the silence after which a balancer counts as not heard. One
-	// that waits here for news is heard as long as it does.
+	// activityTimeout is the time without activity after which a balancer counts as
+	// silent. A balancer whose call waits here for updates is active for as long as it
+	// waits.
 	activityTimeout = 500 * time.Millisecond
-	// The pause between two calls that tell. It doubles when the one called knew
-	// as much, and halves when it did not answer.
+	// minAnnounceInterval and maxAnnounceInterval bound the pause between two
+	// announcements. The pause doubles when the peer already has the same data, and
+	// halves when it does not reply.
 	minAnnounceInterval = 60 * time.Millisecond
 	maxAnnounceInterval = 800 * time.Millisecond
 	// reannounceDelay is the pause between two calls to the same balancer, and
-	// calmReannounceDelay the one while others are in touch with the store.
+	// calmReannounceDelay the pause while others are in contact with the store.
 	reannounceDelay     = 200 * time.Millisecond
 	calmReannounceDelay = 500 * time.Millisecond
-	// callersLimit bounds the callers that a balancer remembers while it knows
-	// nothing, and fetchCandidatesLimit those it has yet to ask for what they know.
+	// callersLimit bounds the callers that a balancer remembers while it has no data,
+	// and fetchCandidatesLimit those from which it has yet to fetch data.
 	callersLimit         = 16
 	fetchCandidatesLimit = 4
 )
 
-// contact is when another balancer was last heard and last told.
+// contact records the last activity of another balancer and the last announcement to
+// it.
 type contact struct {
 	activeAt, announcedAt time.Time
-	// unusable is set when the last call to it failed, or brought stale knowledge.
+	// unusable is set if the last call to the balancer failed, or returned stale data.
 	unusable bool
-	// failures is how many calls to it have failed since the last that was answered.
+	// failures is the number of calls to the balancer that have failed since it last
+	// replied.
 	failures int
 }
 
-// Caller is another balancer as its call shows it.
+// Caller describes another balancer by what its call carries.
 type Caller struct {
-	// Address is where it takes calls itself; empty when it did not say.
+	// Address is where the caller accepts calls itself. It is empty if the caller did
+	// not say.
 	Address string
-	// HasData is set unless the caller knows nothing.
+	// HasData is set unless the caller has no data.
 	HasData bool
-	// Revision is up to where it knows everything. One that asks for everything
-	// shows 0.
+	// Revision is the revision up to which the caller's data is complete. A caller that
+	// requests the full state sends 0.
 	Revision uint64
-	// ConfirmedAt is when the store confirmed what it knows.
+	// ConfirmedAt is when the store confirmed the caller's data.
 	ConfirmedAt time.Time
 }
 
-// CallReceived takes that another balancer has called. The revision is that of the
-// knowledge here. A caller that knows more will be asked for it.
+// CallReceived records a call from another balancer. The revision is that of the data
+// here. If the caller has more data, it becomes a candidate to fetch from.
 func (c *Core) CallReceived(caller Caller, revision uint64, now time.Time) {
 	if caller.Address == "" || caller.Address == c.config.Self.GetPeerAddress() {
 		return
@@ -73,7 +79,7 @@
 	}
 }
 
-// AddCallers takes addresses of balancers from one that knows nothing itself.
+// AddCallers adds addresses of balancers that a peer without data has reported.
 func (c *Core) AddCallers(callers []string) {
 	for _, address := range callers {
 		if c.hasData() || address == c.config.Self.GetPeerAddress() {
@@ -83,7 +89,7 @@
 	}
 }
 
-// Callers are the balancers that called while nothing was known here.
+// Callers returns the balancers that called while this one had no data.
 func (c *Core) Callers() []string { return slices.Clone(c.callers) }
 
 func (c *Core) callerHasMore(caller Caller, revision uint64, now time.Time) bool {
@@ -98,7 +104,7 @@
 	return c.Stale(now) && caller.ConfirmedAt.Sub(c.confirmedAt) >= c.config.Timing.MinAdvance
 }
 
-// addBounded appends an address that is not there yet, if there is room.
+// addBounded appends an address unless it is present already or the limit is reached.
 func addBounded(addresses []string, address string, limit int) []string {
 	if len(addresses) >= limit || slices.Contains(addresses, address) {
 		return addresses
@@ -106,10 +112,10 @@
 	return append(addresses, address)
 }
 
-// hasData tells whether anything is known here.
+// hasData reports whether this balancer has any data.
 func (c *Core) hasData() bool { return !c.confirmedAt.IsZero() }
 
-// RecordActivity takes a sign of life of another balancer: a call, an answer, or that its
+// RecordActivity records activity of another balancer: a call, a reply, or that its
 // call still waits here.
 func (c *Core) RecordActivity(address string, now time.Time) {
 	c.contactOf(address).activeAt = now
@@ -125,8 +131,9 @@
 	return peerContact
 }
 
-// nextFetch returns a balancer that has shown to know more. While the one to follow may
-// soon tell everything, it is only one that reads in its place.
+// nextFetch returns a balancer that has been found to have more data. While the parent
+// may soon send the full state, only a balancer that reads the store in place of the
+// zone's head is considered.
 func (c *Core) nextFetch(now time.Time) (string, bool) {
 	next := 0
 	if c.awaitsParent(now) {
@@ -140,15 +147,16 @@
 	return address, true
 }
 
-// nextAnnounce returns a balancer to tell, and spaces the next one. One that was lost
-// since it was last told is told at the quickest pace, however calm it was before.
+// nextAnnounce returns the next balancer to announce to, and schedules the following
+// announcement. A balancer that became silent after the last announcement to it is
+// called at the shortest interval, even if the current interval is long.
 func (c *Core) nextAnnounce(now time.Time) (string, bool) {
 	if !c.hasData() || now.Before(c.nextSilentCheckAt) {
 		return "", false
 	}
 	c.nextSilentCheckAt = now.Add(c.withJitter(minAnnounceInterval))
-	address, fresh := c.silentPeer(now)
-	if address == "" || !fresh && now.Before(c.nextAnnounceAt) {
+	address, activeSince := c.silentPeer(now)
+	if address == "" || !activeSince && now.Before(c.nextAnnounceAt) {
 		return "", false
 	}
 	c.nextAnnounceAt = now.Add(c.withJitter(c.announceInterval))
@@ -156,16 +164,16 @@
 	return address, true
 }
 
-// withJitter is a pause of half to one and a half of the given one.
+// withJitter returns a random duration between 0.5 and 1.5 times the given one.
 func (c *Core) withJitter(pause time.Duration) time.Duration {
 	return pause/2 + time.Duration(c.random.Int64N(int64(pause)+1))
 }
 
-// silentPeer returns the balancer that was not heard of late and whose last try is
-// longest ago, and whether it was heard since that. While others are in touch with
-// the store, a balancer seeks those that should follow it, since each of the rest
-// has one that does.
-func (c *Core) silentPeer(now time.Time) (address string, fresh bool) {
+// silentPeer returns the balancer without recent activity whose last announcement is
+// longest ago, and whether it has been active since that announcement. While others are
+// in contact with the store, a balancer looks only for its own followers, since each of
+// the other balancers has a parent that looks for it.
+func (c *Core) silentPeer(now time.Time) (address string, activeSince bool) {
 	if c.dataSince.IsZero() {
 		c.dataSince = now
 	}
@@ -181,18 +189,20 @@
 	return search.address, search.activeSince
 }
 
-// silentSearch looks for the lost balancer that was told longest ago.
+// silentSearch finds the silent balancer whose last announcement is longest ago.
 type silentSearch struct {
 	core *Core
 	now  time.Time
-	// all is set where nobody else may be in touch with the store.
+	// all is set if all balancers are searched, since nobody else may be in contact
+	// with the store.
 	all         bool
 	address     string
 	announcedAt time.Time
-	// activeSince is set when the one found was heard since it was told.
+	// activeSince is set if the balancer found has been active since the last
+	// announcement to it.
 	activeSince bool
-	// ties is how many were told as long ago as the one found. Chance decides
-	// between them.
+	// ties is the number of balancers with the same announcement time as the one found.
+	// One of them is chosen at random.
 	ties int
 }
 
@@ -216,8 +226,8 @@
 	}
 }
 
-// contact returns what is noted of a balancer. After a start beside a store
-// that answers, the others have time to call; in an outage nobody has.
+// contact returns the record of a balancer. After a start while the store answers, the
+// other balancers are given time to call; during a store outage they are not.
 func (s *silentSearch) contact(address string) contact {
 	if c := s.core.contacts[address]; c != nil {
 		return *c
@@ -228,7 +238,8 @@
 	return contact{activeAt: s.core.dataSince}
 }
 
-// isRecent tells whether a balancer was heard or told too lately to be told.
+// isRecent reports whether the last activity or announcement of a balancer is too
+// recent for another announcement.
 func (s *silentSearch) isRecent(c contact) bool {
 	pause := calmReannounceDelay
 	if s.all {
@@ -237,8 +248,8 @@
 	return s.now.Sub(c.activeAt) < activityTimeout || s.now.Sub(c.announcedAt) < pause
 }
 
-// announceAnswered takes the answer of a balancer that was told. While those told know as
-// much, there is less hurry.
+// announceAnswered handles the reply to an announcement. While peers already have the
+// same data, announcements become less frequent.
 func (c *Core) announceAnswered(asOf time.Time) {
 	if c.confirmedAt.Sub(asOf) > c.config.Timing.StaleAge {
 		c.announceInterval = minAnnounceInterval
--- a/internal/replication/calls.go
+++ b/internal/replication/calls.go
@@ -7,41 +7,42 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Purpose is why another balancer is called. All purposes use the same call;
-// they differ in whom they call, how many are under way, and whether they wait.
+// Purpose is the reason for a call to another balancer. All purposes use the same call;
+// they differ in which balancers are called, in how many calls are in progress at once,
+// and in whether the calls wait.
 type Purpose uint8
 
-// The purposes.
+// These are the purposes of calls.
 const (
-	// PurposeFollow waits for news at the balancer that this one follows.
+	// PurposeFollow waits for updates from the parent.
 	PurposeFollow Purpose = iota
-	// PurposeProbe: a balancer that knows nothing asks several others at once
-	// whether they know anything, and waits at those that do not.
+	// PurposeProbe asks several balancers at once whether they have data, while this
+	// one has none, and waits at those that have none either.
 	PurposeProbe
-	// PurposeFetch brings what another balancer has shown to know.
+	// PurposeFetch fetches the data of a balancer that has been found to have more.
 	PurposeFetch
-	// PurposeAnnounce shows a balancer that was not heard of late what is known
-	// here. One that knows less then fetches it.
+	// PurposeAnnounce shows the revision of this balancer's data to a balancer without
+	// recent activity, which fetches the data if it has less.
 	PurposeAnnounce
 	purposeCount
 )
 
-// callLimits bound the calls of each purpose that are under way at once.
+// callLimits bounds the calls of each purpose that are in progress at once.
 var callLimits = [purposeCount]int{PurposeFollow: 1, PurposeProbe: 3, PurposeFetch: 1, PurposeAnnounce: 4}
 
-// Peer is a balancer to call next.
+// Peer is a balancer to call, with the parameters of the call.
 type Peer struct {
 	Address string
 	Purpose Purpose
-	// Full is set until a peer has told all that it holds, tombstones
-	// too, which the store does not have.
+	// Full requests the full state. It is set until a peer has sent all that it holds,
+	// including tombstones, which the store does not have.
 	Full bool
-	// RevisionOnly is set when the answer shall only tell whether the peer knows
-	// something, so that not all that are asked tell everything.
+	// RevisionOnly requests a reply that only shows whether the peer has data, so that
+	// not every peer that is probed sends its full state.
 	RevisionOnly bool
 }
 
-// Waits tells whether the call may wait at the peer until there is news.
+// Waits reports whether the call may wait at the peer until there are updates.
 func (p Peer) Waits() bool {
 	switch p.Purpose {
 	case PurposeFollow:
@@ -53,14 +54,14 @@
 	return false
 }
 
-// callKey names a call under way.
+// callKey identifies a call in progress.
 type callKey struct {
 	address string
 	purpose Purpose
 }
 
-// NextPeer returns the next balancer to call, and counts the call as under way
-// until PeerAnswered or PeerFailed.
+// NextPeer returns the next balancer to call. The call counts as in progress until
+// PeerAnswered or PeerFailed.
 func (c *Core) NextPeer(now time.Time) (Peer, bool) {
 	for purpose, next := range []func(time.Time) (string, bool){
 		PurposeFollow:   c.nextFollow,
@@ -88,12 +89,12 @@
 	return Peer{}, false
 }
 
-// isParent tells whether the balancer at an address is the one to follow.
+// isParent reports whether the balancer at an address is the parent of this one.
 func (c *Core) isParent(address string) bool {
 	return len(c.tree.parentCandidates) > 0 && c.tree.parentCandidates[0].GetPeerAddress() == address
 }
 
-// callEnded takes a call off those under way.
+// callEnded removes a call from those in progress.
 func (c *Core) callEnded(peer Peer) {
 	key := callKey{peer.Address, peer.Purpose}
 	if !c.activeCalls[key] {
@@ -103,8 +104,8 @@
 	c.activeCounts[peer.Purpose]--
 }
 
-// nextFollow returns the balancer to follow. The reader follows one only until
-// it has been told everything once, and while its own knowledge is stale.
+// nextFollow returns the balancer to follow. The reader follows another balancer only
+// until it has received the full state once, and while its own data is stale.
 func (c *Core) nextFollow(now time.Time) (string, bool) {
 	if !c.hasData() || c.IsReader() && c.caughtUp && !c.Stale(now) {
 		return "", false
@@ -118,9 +119,10 @@
 	return c.firstAvailable(c.fallbackAddresses(), PurposeFollow, now)
 }
 
-// nextProbe returns a balancer to ask while nothing is known here: one that is
-// known by now, a seed, or one that called. At first only the one to follow is
-// asked, so that not all take everything from the first of a zone, or a seed.
+// nextProbe returns a balancer to probe while there is no data here: a parent
+// candidate, another known balancer, a seed, or one that called. At first only the
+// parent is probed, so that not all balancers request the full state from the head of a
+// zone, or from a seed.
 func (c *Core) nextProbe(now time.Time) (string, bool) {
 	if c.hasData() {
 		return "", false
@@ -132,20 +134,21 @@
 	return c.firstAvailable(slices.Concat(candidates, c.fallbackAddresses(), c.callers), PurposeProbe, now)
 }
 
-// firstProbe returns the one balancer to ask early in a start: the nearest above,
-// or a seed while none is known. Who should read the store itself asks nobody.
+// firstProbe returns the one balancer to probe early after a start: the nearest parent
+// candidate, or a seed while no candidate is known. A balancer that should read the
+// store itself probes nobody.
 func (c *Core) firstProbe(candidates []string, now time.Time) (string, bool) {
 	if len(candidates) == 0 {
 		candidates = c.config.Seeds
 	}
-	asking := func(address string) bool { return c.activeCalls[callKey{address, PurposeProbe}] }
-	if c.startup.membersRead && c.readsAtStartup() || slices.ContainsFunc(candidates, asking) {
+	probing := func(address string) bool { return c.activeCalls[callKey{address, PurposeProbe}] }
+	if c.startup.membersRead && c.readsAtStartup() || slices.ContainsFunc(candidates, probing) {
 		return "", false
 	}
 	return c.firstAvailable(candidates, PurposeProbe, now)
 }
 
-// firstAvailable returns the first of the addresses that is not passed over and not
+// firstAvailable returns the first of the addresses that is not paused and not already
 // being called for the same purpose.
 func (c *Core) firstAvailable(addresses []string, purpose Purpose, now time.Time) (string, bool) {
 	for _, address := range addresses {
@@ -157,8 +160,8 @@
 	return "", false
 }
 
-// fallbackAddresses are the addresses to call when no balancer above this one can be
-// followed: all others, and the seeds.
+// fallbackAddresses returns the addresses to call when no parent candidate can be
+// followed: all other balancers, and the seeds.
 func (c *Core) fallbackAddresses() []string {
 	return append(addressesOf(c.tree.others), c.config.Seeds...)
 }
@@ -171,9 +174,9 @@
 	return addresses
 }
 
-// PeerAnswered takes a peer's answer: its knowledge was confirmed as of a time.
-// A peer that is itself stale is passed over for a while, and one that knows
-// nothing has yet to be asked for everything.
+// PeerAnswered handles the reply of a peer whose data was confirmed as of a time. A
+// peer whose data is stale is paused, and a peer without data is still to be asked for
+// the full state.
 func (c *Core) PeerAnswered(peer Peer, asOf, now time.Time) {
 	c.callEnded(peer)
 	c.RecordActivity(peer.Address, now)
@@ -199,8 +202,8 @@
 	}
 }
 
-// probeAnswered takes the answer of a balancer that was asked whether it knows
-// anything. Everything is fetched from the first one that does.
+// probeAnswered handles the reply to a probe. The full state is fetched from the first
+// balancer that has data.
 func (c *Core) probeAnswered(peer Peer, asOf, now time.Time) {
 	if c.hasData() {
 		return
@@ -211,12 +214,11 @@
 	}
 }
 
-// noDataAge is an age of knowledge that only a balancer tells that knows
-// nothing.
+// noDataAge is an age of data that only balancers without data report.
 const noDataAge = 500 * time.Hour
 
-// PeerFailed passes a peer over for a while, a short one while nothing is known
-// here: it may be starting at this moment, as this balancer is.
+// PeerFailed pauses calls to a peer. The pause is short while there is no data here,
+// since the peer may be starting at the same time as this balancer.
 func (c *Core) PeerFailed(peer Peer, now time.Time) {
 	c.callEnded(peer)
 	peerContact := c.contactOf(peer.Address)
--- a/internal/replication/client.go
+++ b/internal/replication/client.go
@@ -17,13 +17,13 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Handler answers the calls of other balancers.
+// Handler handles the calls of other balancers.
 type Handler interface {
 	Follow(ctx context.Context, request *apiv1.FollowRequest) (*apiv1.FollowReply, error)
 	Testify(ctx context.Context, request *apiv1.TestifyRequest) (*apiv1.TestifyReply, error)
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve handles calls on a listener until the context is done.
 func Serve(ctx context.Context, listener net.Listener, handler Handler) error {
 	mux := drpcmux.New()
 	if err := apiv1.DRPCRegisterDirectory(mux, handler); err != nil {
@@ -36,48 +36,53 @@
 	return errors.Wrap(err, "peers: serve")
 }
 
-// The limits of a call. A connection that has gone silent is given up after what the
-// call waits and the time for an answer, 1.5 s, and news comes on a new one within
-// 2 s, which leaves a second of the least time for changes.
+// These are the limits of a call. A connection that has gone silent is closed after the
+// time that the call waits plus the time for a reply, 1.5 s. Updates arrive over a new
+// connection within 2 s, which leaves one second of the shortest time allowed for
+// changes.
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = 300 * time.Millisecond
-	// startupDialTimeout bounds the first try of it by a balancer that knows nothing: its
-	// clients wait meanwhile, and a machine without power says nothing. The last of
-	// startupStandbys so finds the two above it without power within half of parentOnlyPeriod,
-	// with a fifth of that to spare; the other half is for reading and telling.
+	// startupDialTimeout bounds the first attempt to connect by a balancer that has no
+	// data: its clients wait meanwhile, and a host without power sends no reply. With
+	// it, the last of startupStandbys detects within half of parentOnlyPeriod, with a
+	// fifth of that to spare, that the two balancers above it have no power. The other
+	// half is for reading the store and sending the data.
 	startupDialTimeout = 80 * time.Millisecond
-	// replyTimeout is what a call may take beyond the time it asks to wait.
+	// replyTimeout is the time that a call may take beyond the time that it asks the
+	// peer to wait.
 	replyTimeout = 500 * time.Millisecond
-	// FollowWait is how long a call to a peer waits for news. While the store
-	// answers there is some twice a second, so the wait ends calls in its outages
-	// only.
+	// FollowWait is how long a call waits at a peer for updates. While the store
+	// answers, there are updates about twice a second, so calls reach this limit only
+	// during store outages.
 	FollowWait = time.Second
 )
 
-// Client calls one other balancer at a time and keeps the connection to it.
+// Client calls one other balancer at a time and keeps the connection open between
+// calls.
 type Client struct {
 	logger *slog.Logger
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
 	mutex       sync.Mutex
 	address     string
 	connection  *drpcconn.Conn
-	// hasReplied is set once the connection has brought an answer.
+	// hasReplied is set once a call on the connection has received a reply.
 	hasReplied bool
-	// SilentConnections counts connections that went silent.
+	// SilentConnections counts the connections that were closed because they went
+	// silent.
 	SilentConnections atomic.Uint64
 }
 
-// NewClient makes a client without a connection.
+// NewClient returns a client that is not connected yet.
 func NewClient(logger *slog.Logger) *Client { return &Client{logger: logger, DialTimeout: dialTimeout} }
 
-// Follow calls the balancer at an address. A call that fails or takes too long
-// closes the connection. One that took too long on a connection that had brought
-// answers before is made once more on a new one, without a wait: what it tells is
-// the state of this balancer, and may be told twice. It returns when the call left
-// that was answered: from the first of the two, the answer's age seemed 1.5 s more,
-// and its balancer stale.
+// Follow calls the balancer at an address. A call that fails or takes too long closes
+// the connection. If a call times out on a connection over which replies have arrived
+// before, it is made once more on a new connection, without waiting for updates; a
+// repetition is harmless, since the request describes the state of this balancer.
+// Follow returns the time at which the call that was answered was sent: measured from
+// the first of the two calls, the data would seem 1.5 s older, and the peer stale.
 func (c *Client) Follow(ctx context.Context, address string, given *apiv1.FollowRequest) (reply *apiv1.FollowReply, sentAt time.Time, err error) {
 	request := proto.CloneOf(given)
 	request.TakesPacked, request.TakesPages = true, true
@@ -103,9 +108,9 @@
 	return reply, sentAt, nil
 }
 
-// Testify tells the balancer at an address what was seen of back ends. Statements
-// that were told before are not new to it, so a call whose answer never came is
-// made once more, as with Follow.
+// Testify reports to the balancer at an address what was observed of back ends. A
+// repeated report adds nothing new, so a call that times out is made once more, as in
+// Follow.
 func (c *Client) Testify(ctx context.Context, address string, request *apiv1.TestifyRequest) error {
 	call := func(ctx context.Context, directory apiv1.DRPCDirectoryClient) error {
 		_, err := directory.Testify(ctx, request)
@@ -118,9 +123,9 @@
 	return errors.Wrapf(err, "peer %s: testify", address)
 }
 
-// retry makes the second of two calls, whose connection is new: dial and answer
-// together take replyTimeout, so that news comes within 2 s also where the dial is
-// slow.
+// retry makes the second of two calls on a new connection. The dial and the reply
+// together take at most replyTimeout, so that updates arrive within 2 s even if the
+// dial is slow.
 func (c *Client) retry(ctx context.Context, address string, call func(context.Context, apiv1.DRPCDirectoryClient) error) error {
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
@@ -128,9 +133,9 @@
 	return err
 }
 
-// attempt makes a call once, within a limit, and closes the connection if it fails. It
-// tells whether the connection may have gone silent: it had brought answers before,
-// and now none in time.
+// attempt makes a call once, within a time limit, and closes the connection if the call
+// fails. It reports whether the connection may have gone silent: earlier calls on it
+// received replies, and this one timed out.
 func (c *Client) attempt(ctx context.Context, address string, limit time.Duration,
 	call func(context.Context, apiv1.DRPCDirectoryClient) error) (silent bool, err error) {
 	connection, used, err := c.connect(ctx, address)
@@ -153,7 +158,7 @@
 	return silent, err
 }
 
-// connect returns the connection to a balancer, and whether it brought an answer
+// connect returns the connection to a balancer, and whether a reply has arrived over it
 // before.
 func (c *Client) connect(ctx context.Context, address string) (*drpcconn.Conn, bool, error) {
 	c.mutex.Lock()
@@ -171,7 +176,7 @@
 	return c.connection, false, nil
 }
 
-// isClosed tells whether the other side has closed a connection meanwhile.
+// isClosed reports whether the other side has closed a connection.
 func isClosed(connection *drpcconn.Conn) bool {
 	select {
 	case <-connection.Closed():
@@ -187,7 +192,7 @@
 	c.hasReplied = true
 }
 
-// Close closes the connection; the next call opens one.
+// Close closes the connection. The next call opens a new one.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -199,7 +204,7 @@
 		return
 	}
 	if err := c.connection.Close(); err != nil {
-		c.logger.Debug("Connection did not close cleanly.", "peer", c.address, "error", err)
+		c.logger.Debug("Peers: connection did not close cleanly.", "peer", c.address, "error", err)
 	}
 	c.connection = nil
 }
--- a/internal/replication/core.go
+++ b/internal/replication/core.go
@@ -9,118 +9,120 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Config is what the pace of replication depends on.
+// Config holds the parameters of replication.
 type Config struct {
-	// Self is the entry of this balancer.
+	// Self is the directory entry of this balancer.
 	Self *apiv1.Balancer
-	// Seeds are addresses of balancers to ask while none is known.
+	// Seeds are the addresses of balancers to call while no others are known.
 	Seeds []string
-	// Timing is how often the store is read and how old knowledge may grow.
+	// Timing sets how often the store is read and how old data may become.
 	Timing Timing
-	// TreeFanout is how many balancers follow one.
+	// TreeFanout is the number of followers of a balancer.
 	TreeFanout int
-	// SharedOrderLimit is up to how many balancers share one order over all
-	// zones.
+	// SharedOrderLimit is the number of balancers up to which all zones share one
+	// order.
 	SharedOrderLimit int
-	// PeerRetryDelay is for how long a peer that failed is passed over.
+	// PeerRetryDelay is the time for which a peer is not called after a call to it
+	// failed.
 	PeerRetryDelay time.Duration
 	// MaxBackoff is the longest pause after a failed call to the store.
 	MaxBackoff time.Duration
-	// StartupWait is how long a balancer that knows nothing leaves the store
-	// to others and waits for peers.
+	// StartupWait is how long a balancer without data leaves the store to others and
+	// waits for peers.
 	StartupWait time.Duration
-	// AuditInterval is how often a large store is read whole all the same.
+	// AuditInterval is how often a large store is read in full although its changes are
+	// being read.
 	AuditInterval time.Duration
 }
 
-// Poll is a call to the store.
+// Poll is a kind of call to the store.
 type Poll uint8
 
-// The calls to the store.
+// These are the kinds of calls to the store.
 const (
 	PollNone Poll = iota
-	// PollFirstPage reads the first page. A small store is read whole by it, which
-	// is cheaper and more certain than to wait for changes.
+	// PollFirstPage reads the first page. It covers a small store in full, which is
+	// cheaper and more reliable than waiting for changes.
 	PollFirstPage
 	// PollSnapshot reads all pages.
 	PollSnapshot
 	// PollChanges waits for the changes of a large store.
 	PollChanges
-	// PollCatchUp takes the changes of a large store that there are by now.
+	// PollCatchUp reads the changes of a large store that are available, without
+	// waiting.
 	PollCatchUp
-	// PollMembers reads the entries of this zone's balancers only, at the price
-	// of an old answer. A balancer that knows nothing so learns who should read
-	// the store, before all of them read it over links that may be narrow.
+	// PollMembers reads only the entries of the balancers of this zone, at the price of
+	// a stale read. With it a balancer without data learns which balancers should read
+	// the store, before all of them read it over links that may be slow.
 	PollMembers
-	// PollStaleSnapshot reads all pages at the price of an old answer. It confirms
-	// nothing; what has changed since comes from a peer.
+	// PollStaleSnapshot reads all pages at the price of a stale read. It confirms
+	// nothing; later changes come from a peer.
 	PollStaleSnapshot
 )
 
-// DefaultTreeFanout suits readers that answer a few calls a second. The two
-// strongest of a zone of 34 balancers then serve all others.
+// DefaultTreeFanout suits readers that handle a few calls a second. With it, the two
+// strongest balancers of a zone of 34 serve all the others.
 const DefaultTreeFanout = 16
 
-// DefaultSharedOrderLimit bounds the traffic between zones that a shared order
-// costs.
+// DefaultSharedOrderLimit bounds the traffic between zones that a shared order causes.
 const DefaultSharedOrderLimit = 16
 
-// Core is the state of one balancer's replication. It belongs to one
-// goroutine.
+// Core holds the replication state of one balancer. It must be used by one goroutine
+// only.
 type Core struct {
 	config Config
 	random *rand.Rand
-	// configuredSeeds are the seeds as they were given.
+	// configuredSeeds are the seeds in the order of the configuration.
 	configuredSeeds []string
-	// tree is who follows whom among the balancers that are known.
+	// tree is the replication tree of the known balancers.
 	tree *tree
-	// confirmedAt is when the store last confirmed what is known; the zero time
-	// is never.
+	// confirmedAt is when the store last confirmed the data here. It is zero if there
+	// is no data.
 	confirmedAt  time.Time
 	nextPoll     time.Time
 	pollFailures int
 	startup      startupState
-	// multiPage is set when the store has more than one page.
+	// multiPage is set if the store has more than one page.
 	multiPage    bool
 	nextSnapshot time.Time
-	// lastSnapshotAt is when the last read of everything began.
+	// lastSnapshotAt is when the last full read of the store began.
 	lastSnapshotAt time.Time
-	// historyLost is set when the store has forgotten the changes after what is
-	// known here.
+	// historyLost is set if the store no longer has the changes that follow the data
+	// here.
 	historyLost bool
-	// randomPollAt is when this balancer tries a store that those before it do not
-	// read; the zero time is not drawn.
+	// randomPollAt is when this balancer tries a store that the standby balancers do
+	// not read. It is zero until a time has been chosen.
 	randomPollAt time.Time
 	pausedUntil  map[string]time.Time
-	// activeCalls are those to other balancers that are under way, and activeCounts how
-	// many there are of each purpose.
+	// activeCalls are the calls to other balancers in progress, and activeCounts their
+	// number for each purpose.
 	activeCalls  map[callKey]bool
 	activeCounts [purposeCount]int
-	// contacts are the other balancers by address.
+	// contacts holds the state of the other balancers by address.
 	contacts map[string]*contact
-	// lastActivityAt is when any other balancer was last heard.
+	// lastActivityAt is the time of the last activity of any other balancer.
 	lastActivityAt time.Time
-	// fetchCandidates are addresses of balancers that have shown to know more, callers
-	// of those that called while nothing was known here.
+	// fetchCandidates are the addresses of balancers found to have more data. callers
+	// are those of balancers that called while there was no data here.
 	fetchCandidates, callers []string
-	// dataSince is when something was first known here.
+	// dataSince is when this balancer first had data.
 	dataSince      time.Time
 	nextAnnounceAt time.Time
-	// nextSilentCheckAt is when lost balancers are looked for again.
+	// nextSilentCheckAt is when silent balancers are next looked for.
 	nextSilentCheckAt time.Time
 	announceInterval  time.Duration
-	// readAsStandby is set when this balancer had to read the store although another one
-	// should have, until it follows one again that has younger knowledge.
+	// readAsStandby is set if this balancer had to read the store although another one
+	// should have, until it again follows a balancer that has newer data.
 	readAsStandby bool
-	// lastGap is the last time in which knowledge had gone stale.
+	// lastGap is the last period in which the data became stale.
 	lastGap Gap
-	// caughtUp is set once a peer has told everything that it holds. From then
-	// on, what is new after a revision is enough, whoever tells it.
+	// caughtUp is set once a peer has sent its full state. From then on, the changes
+	// since a revision suffice, from whichever peer.
 	caughtUp bool
 	members  members
 }
 
-// NewCore makes the state of a balancer that knows nothing.
+// NewCore returns the state of a balancer that has no data.
 func NewCore(config Config, random *rand.Rand, now time.Time) *Core {
 	c := &Core{
 		config:           config,
@@ -138,8 +140,8 @@
 	return c
 }
 
-// SetSeeds replaces the addresses to ask while no balancer is known. They are
-// taken in an order of this balancer's own, so that not all follow the first.
+// SetSeeds replaces the addresses to call while no balancer is known. Each balancer
+// shuffles them, so that not all follow the first one.
 func (c *Core) SetSeeds(seeds []string) {
 	if slices.Equal(seeds, c.configuredSeeds) {
 		return
@@ -151,21 +153,21 @@
 	})
 }
 
-// SetBalancers takes the balancers that have an entry in the directory.
+// SetBalancers replaces the balancers that have an entry in the directory.
 func (c *Core) SetBalancers(known []*apiv1.Balancer, now time.Time) {
 	c.tree = newTree(c.config.Self, known, c.config.SharedOrderLimit, c.config.TreeFanout)
 	if c.hasPartialZone(known) {
 		c.tree.choosePartialZoneParents(c.config.Self)
 	}
 	if !c.hasData() && c.startup.membersRead {
-		// How long to wait rests on how many wait besides.
+		// The time to wait depends on how many others wait.
 		c.startup.waitUntil = c.startupDeadline(now)
 	}
 	c.members.update(known, c.tree.followers, now)
 	c.pruneContacts(known)
 }
 
-// pruneContacts drops what is noted of balancers that have no entry.
+// pruneContacts drops the contacts that have no entry in the directory.
 func (c *Core) pruneContacts(known []*apiv1.Balancer) {
 	if len(c.contacts) <= 2*len(known)+callersLimit {
 		return
@@ -177,8 +179,8 @@
 	maps.DeleteFunc(c.contacts, func(address string, _ *contact) bool { return !listed[address] })
 }
 
-// IsReader tells whether this balancer reads the store for all. One that knows no
-// other leaves that to its seeds.
+// IsReader reports whether this balancer reads the store for all. A balancer that knows
+// no other leaves that to its seeds.
 func (c *Core) IsReader() bool {
 	if c.tree.size > 1 {
 		return c.tree.rank() == 0
@@ -186,20 +188,21 @@
 	return len(c.config.Seeds) == 0 || slices.Contains(c.config.Seeds, c.config.Self.GetPeerAddress())
 }
 
-// ReadsStore tells whether this balancer reads the store for others by now: it is the
-// reader, or acts for it.
+// ReadsStore reports whether this balancer currently reads the store for others, as the
+// reader or in its place.
 func (c *Core) ReadsStore() bool { return c.IsReader() || c.isActingReader() }
 
-// OrderSize is how many balancers share the order, this one included: those of
-// its zone, or all while they are few.
+// OrderSize returns the number of balancers that share this one's order, including
+// itself: those of its zone, or all of them while they are few.
 func (c *Core) OrderSize() int { return len(c.tree.ownZone()) }
 
-// SharesOrder tells whether the balancer at an address shares the order.
+// SharesOrder reports whether the balancer at an address shares this one's order.
 func (c *Core) SharesOrder(address string) bool {
 	return slices.ContainsFunc(c.tree.ownZone(), func(b *apiv1.Balancer) bool { return b.GetPeerAddress() == address })
 }
 
-// Age is the time since the store confirmed what is known.
+// Age returns the time since the store confirmed the data here, and whether there is
+// data.
 func (c *Core) Age(now time.Time) (time.Duration, bool) {
 	if c.confirmedAt.IsZero() {
 		return 0, false
@@ -207,17 +210,18 @@
 	return now.Sub(c.confirmedAt), true
 }
 
-// ConfirmedAt is when the store last confirmed what is known.
+// ConfirmedAt returns when the store last confirmed the data here.
 func (c *Core) ConfirmedAt() time.Time { return c.confirmedAt }
 
-// Stale tells whether the knowledge is too old to rely on others for it.
+// Stale reports whether the data is too old for this balancer to rely on others to keep
+// it current.
 func (c *Core) Stale(now time.Time) bool {
 	age, confirmed := c.Age(now)
 	return !confirmed || age > c.config.Timing.StaleAge
 }
 
-// Confirm takes that the store has confirmed everything as of a time. It tells
-// whether that is later than what was known.
+// Confirm records that the store has confirmed all data as of a time. It reports
+// whether that is later than the last confirmation.
 func (c *Core) Confirm(asOf time.Time) bool {
 	if !asOf.After(c.confirmedAt) {
 		return false
@@ -226,7 +230,7 @@
 		c.lastGap = Gap{From: c.confirmedAt, Until: asOf}
 	}
 	if !c.hasData() {
-		// Who answered meanwhile knows hardly more.
+		// The candidates found meanwhile hardly have more data.
 		c.fetchCandidates = nil
 	}
 	c.confirmedAt = asOf
@@ -234,16 +238,16 @@
 	return true
 }
 
-// Gap is a time between two confirmations by the store that was long enough for
-// knowledge to go stale. The zero value is none.
+// Gap is a period between two confirmations by the store that was long enough for the
+// data to become stale. The zero value stands for none.
 type Gap struct {
 	From, Until time.Time
 }
 
-// Length is the time between the two confirmations.
+// Length returns the time between the two confirmations.
 func (g Gap) Length() time.Duration { return g.Until.Sub(g.From) }
 
-// LastGap returns the last gap in what the store confirmed to this balancer.
+// LastGap returns the last gap between confirmations by the store.
 func (c *Core) LastGap() Gap { return c.lastGap }
 
 // NextPoll returns the call to make to the store now.
@@ -265,7 +269,7 @@
 	return PollCatchUp
 }
 
-// readerPoll is the call of a balancer that reads the store for others.
+// readerPoll returns the call of a balancer that reads the store for others.
 func (c *Core) readerPoll(now time.Time) Poll {
 	switch {
 	case !c.multiPage:
@@ -276,7 +280,7 @@
 	return PollChanges
 }
 
-// PollStarted spaces the next call from the start of this one.
+// PollStarted schedules the next call relative to the start of this one.
 func (c *Core) PollStarted(poll Poll, now time.Time) {
 	c.nextPoll = now.Add(c.config.Timing.PollInterval)
 	switch poll {
@@ -290,9 +294,9 @@
 	}
 }
 
-// PollSucceeded ends a back-off. onePage tells of a read of pages that the first
-// one was all of them; a first page that was not all makes the store a large one,
-// which is then looked at again at once.
+// PollSucceeded ends the back-off. For a call that reads pages, onePage reports whether
+// the first page was the whole store. If it was not, the store counts as large, and is
+// read again immediately.
 func (c *Core) PollSucceeded(poll Poll, onePage bool, now time.Time) {
 	switch poll {
 	case PollMembers, PollStaleSnapshot:
@@ -319,8 +323,9 @@
 	c.readAsStandby = !c.IsReader() && !c.startsAsHead()
 }
 
-// HistoryLost makes the next call a snapshot: the store no longer has the
-// changes after what is known. It comes at once, unless the last one was just now.
+// HistoryLost makes the next call a snapshot, because the store no longer has the
+// changes that follow the data here. The call is due immediately, unless the last
+// snapshot was less than a poll interval ago.
 func (c *Core) HistoryLost(now time.Time) {
 	c.historyLost = true
 	c.nextPoll = now
@@ -329,19 +334,20 @@
 	}
 }
 
-// initialBackoff is the pause after one failed call; it doubles with each.
+// initialBackoff is the pause after the first failed call. It doubles with each further
+// failure.
 const initialBackoff = 100 * time.Millisecond
 
-// A balancer that knows nothing can serve nobody, so it asks the store and its
-// peers at a quicker pace, the store for a bounded number of calls.
+// A balancer without data cannot serve traffic, so it calls the store and its peers
+// more often. For the store, the number of such calls is bounded.
 const (
 	eagerMaxFailures = 30
 	eagerMaxBackoff  = 250 * time.Millisecond
 	eagerRetryDelay  = 100 * time.Millisecond
 )
 
-// PollFailed spaces the next call to the store after a failure: twice as long
-// each time, half of it by chance, so that balancers do not call together.
+// PollFailed schedules the next call to the store after a failure. The pause doubles
+// each time, and half of it is random, so that balancers do not call at the same time.
 func (c *Core) PollFailed(now time.Time) {
 	limit := c.config.MaxBackoff
 	if c.confirmedAt.IsZero() && c.pollFailures < eagerMaxFailures {
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -1,38 +1,40 @@
-// Package replication decides from whom a balancer learns: from the store, or
+// Package replication decides where a balancer gets its data from: from the store, or
 // from which other balancer.
 //
-// The store answers only so many calls a second, and every call has its price,
-// so not every balancer reads it. All of them know the same order (order.go), and
-// by it form a tree (tree.go): the head of each zone follows the head of an earlier
-// one, the others follow one before them in their zone, and the head of the first
-// zone, the reader, reads the store at a fixed pace (pace.go). A follower's call
-// waits at its parent until there is news, so a change passes down the tree in a
-// few milliseconds a level.
+// The store handles a limited number of calls a second, and every call has a price, so
+// not every balancer reads it. All balancers compute the same order (order.go), which
+// forms a tree (tree.go): the head of each zone follows the head of an earlier zone,
+// the others follow an earlier balancer of their zone, and the head of the first zone,
+// the reader, reads the store at a fixed interval (timing.go). The call of a follower
+// waits at its parent until there are updates, so a change takes a few milliseconds for
+// each level of the tree.
 //
-// Nothing rests on this order being the same everywhere. It only saves calls.
-// What counts is the age of a balancer's knowledge: the time since the store
-// confirmed it, which each answer carries along and each level adds to. Whoever
-// can follow nobody takes the reader's place if it is among the first of the order;
-// when the age passes a limit, those take turns, and of the others some try by lot,
-// so that the store is not called by all at once (standby.go). Who hears nobody
-// reads the store at once. The calls to a store that does not answer are spaced by
-// a back-off with jitter.
+// Correctness does not depend on the order being the same everywhere; the order only
+// saves calls. What matters is the age of a balancer's data: the time since the store
+// confirmed it, which every reply carries and to which every level adds. A balancer
+// that can follow nobody takes the reader's place if it is among the first of the
+// order. When the age exceeds a limit, those read the store one after another, and some
+// of the others try it at random times, so that they do not call the store all at once
+// (standby.go). A balancer that receives nothing from any other reads the store
+// immediately. Calls to a store that does not answer are spaced by a back-off with
+// jitter.
 //
-// How a balancer that knows nothing begins is in start.go, and how the store comes
-// to hold the list of balancers, without leases, in members.go.
+// startup.go covers the start of a balancer without data, and members.go how the list
+// of balancers gets into the store without leases.
 //
-// Knowledge outlives those who have it. A call shows what its caller knows, and
-// who is called and knows less asks the caller (Core.Called). A balancer calls
-// those that it has not heard of late (seek.go), so that one that started while
-// the store is silent is found, although it knows nobody but its seeds.
+// Data survives as long as one balancer has it. A call carries the revision of the
+// caller's data, and a balancer that is called and has less requests the rest from the
+// caller (Core.CallReceived). A balancer calls those from which it has received nothing
+// recently (announce.go), so that one that started during a store outage is found
+// although it knows only its seeds.
 //
-// Core holds the decisions. It does no I/O; time is an argument and chance
-// comes from a source that is passed in. Server and Client carry the calls.
+// Core makes the decisions. It does no I/O: the time is a parameter, and random numbers
+// come from a source that the caller provides. Serve and Client carry the calls.
 //
 // # Usage
 //
 //	for {
-//		peer, found := core.NextPeer(now) // counted as under way
+//		peer, found := core.NextPeer(now) // counted as in progress
 //		if !found {
 //			break
 //		}
--- a/internal/replication/levels.go
+++ b/internal/replication/levels.go
@@ -2,9 +2,10 @@
 
 import apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 
-// MayReportTo tells whether the balancer at an address may be told sums over this one and its
-// followers: it is above this one, and before it in an order that rests on nothing but
-// the two entries, so that sums don't go round even while balancers know different lists.
+// MayReportTo reports whether aggregates over this balancer and its followers may be
+// sent to the balancer at an address. That balancer must be a parent candidate, and
+// precede this one in an order that depends on the two entries only, so that aggregates
+// do not circulate while balancers have different lists.
 func (c *Core) MayReportTo(address string) bool {
 	own := rankKeyOf(c.config.Self)
 	for _, b := range c.tree.parentCandidates {
@@ -19,8 +20,8 @@
 	return rankKey{balancer: b, tier: tier(b), nameHash: nameHash(b.GetName())}
 }
 
-// Levels is how many levels of balancers are above this one, and how many there are below
-// the reader.
+// Levels returns the number of levels above this balancer, and the number of levels
+// below the reader.
 func (c *Core) Levels() (above, all int) {
 	t := c.tree
 	above = t.depth(t.position) + t.depth(t.zoneIndex)
@@ -30,7 +31,7 @@
 	return above, all
 }
 
-// depth is how many steps a place is below the first one.
+// depth returns the number of levels between a position and the first one.
 func (t *tree) depth(position int) int {
 	steps := 0
 	for position > 0 {
--- a/internal/replication/listener.go
+++ b/internal/replication/listener.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// idleTimeout is the silence after which a follower's connection is given up,
-// with the call that may still wait on it. One that lives calls again after
-// FollowWait and the time for an answer; the rest is for machines that stand still
-// while they build a table.
+// idleTimeout is the time without traffic after which the connection of a follower is
+// closed, together with a call that may still wait on it. A live follower calls again
+// after FollowWait and the time for a reply; the rest allows for hosts that stall while
+// they build a table.
 const idleTimeout = 5 * time.Second
 
-// idleTimeoutListener takes connections that are given up when they bring nothing, or
-// take nothing, for idleTimeout.
+// idleTimeoutListener accepts connections whose reads and writes fail after idleTimeout
+// without progress.
 type idleTimeoutListener struct {
 	net.Listener
 }
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -11,45 +11,47 @@
 	"github.com/indigobarrow/indigobarrow/internal/directory"
 )
 
-// Which balancers there are stands in the store, so that one that knows nobody
-// finds them. They do not write it themselves: whoever is not listed shows its
-// entry to the balancer that it follows, which passes it up the tree, and the
-// reader writes many entries with one call. No lease holds them, so that none
-// vanishes in an outage. A balancer that its parent has not heard for long is
-// passed up as silent, and the reader removes its entry, if it is still the one
-// that the reader knows. Who was removed and lives shows itself again.
+// The list of balancers is kept in the store, so that a balancer that knows nobody can
+// find the others. Balancers do not write their own entries: one that is not listed
+// sends its entry to the balancer that it follows, which forwards it up the tree, and
+// the reader writes many entries with one call. Entries have no leases, so that none
+// disappears during an outage. If a parent has received nothing from a balancer for a
+// long time, the balancer is reported up the tree as silent, and the reader removes its
+// entry, provided that it is still the one that the reader knows. A live balancer whose
+// entry was removed sends it again.
 
 const (
-	// WriteLimit is how many entries one call to the store may write.
+	// WriteLimit is the number of entries that one call to the store may write.
 	WriteLimit = 32
-	// RemoveLimit is the same for entries that are removed: each counts twice,
-	// once with the revision that is expected.
+	// RemoveLimit is the number of entries that one call may remove: each counts twice,
+	// once with the expected revision.
 	RemoveLimit = WriteLimit / 2
-	// forwardTTL is how long an entry that was shown is passed on; its balancer
-	// shows it with each call.
+	// forwardTTL is how long a received entry is forwarded. Its balancer sends it with
+	// each call.
 	forwardTTL = 5 * time.Second
-	// unlistedLimit bounds the entries that a balancer keeps to pass on.
+	// unlistedLimit bounds the entries that a balancer keeps to forward.
 	unlistedLimit = 512
-	// forwardLimit bounds those in one call.
+	// forwardLimit bounds the entries in one call.
 	forwardLimit = 128
-	// writeDelay is how long entries gather before they are written.
+	// writeDelay is how long entries are collected before they are written.
 	writeDelay = 200 * time.Millisecond
 	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = time.Second
-	// removalTimeout is the silence after which the entry of a balancer is removed
-	// that stands in the same zone. A restart takes a few seconds; followers of a
-	// dead parent lose a call to it every PeerRetryDelay.
+	// removalTimeout is the time without activity after which the entry of a balancer
+	// of the same zone is removed. A restart takes a few seconds; followers of a dead
+	// parent lose a call to it every PeerRetryDelay.
 	removalTimeout = 20 * time.Second
-	// otherZoneRemovalTimeout is the same for a balancer of another zone. It may be cut
-	// off from this one only, and its own zone misses it sooner if it is dead.
+	// otherZoneRemovalTimeout is the same for a balancer of another zone. It may be
+	// partitioned only from this one, and if it is dead, its own zone detects that
+	// sooner.
 	otherZoneRemovalTimeout = 10 * time.Minute
-	// ownWriteDelay is when a balancer that is still not listed writes its entry
-	// itself, or up to twice as late.
+	// ownWriteDelay is the time after which a balancer that is still not listed writes
+	// its entry itself. The actual delay is random, up to twice as long.
 	ownWriteDelay = 5 * time.Second
 )
 
-// Write is what to write to the store: entries of balancers to put, names to remove, the
-// first of large zones, or a policy that the store has lost.
+// Write is a write to the store: entries of balancers to put, names to remove, lists of
+// the first balancers of large zones, or a policy that the store has lost.
 type Write struct {
 	Put       []*apiv1.Balancer
 	Remove    []string
@@ -61,15 +63,16 @@
 	return len(w.Put) == 0 && len(w.Remove) == 0 && len(w.ZoneLeads) == 0 && w.Policy == nil
 }
 
-// members are the balancers that the directory lists, and what is to be changed
-// about them.
+// members holds the balancers that the directory lists, and the pending changes to that
+// list.
 type members struct {
 	listed map[string]*apiv1.Balancer
-	// unlisted are entries that are not listed, by name.
+	// unlisted are the received entries that the directory does not list, by name.
 	unlisted map[string]unlistedEntry
-	// silentReports are the balancers that followers have reported, and when.
+	// silentReports are the balancers that followers have reported as silent, with the
+	// time of the report.
 	silentReports map[string]time.Time
-	// followerSince is since when each of the balancers below is there.
+	// followerSince is when each follower became a follower of this balancer.
 	followerSince map[string]time.Time
 	// ownWriteAt is when this balancer writes its own entry.
 	ownWriteAt  time.Time
@@ -93,7 +96,8 @@
 	}
 }
 
-// update takes the balancers that the directory lists, and those below this one.
+// update replaces the balancers that the directory lists, and the followers of this
+// one.
 func (m *members) update(known, followers []*apiv1.Balancer, now time.Time) {
 	m.listed = make(map[string]*apiv1.Balancer, len(known))
 	for _, b := range known {
@@ -112,13 +116,13 @@
 	m.followerSince = since
 }
 
-// isListed tells whether the directory has exactly this entry.
+// isListed reports whether the directory has exactly this entry.
 func (m *members) isListed(entry *apiv1.Balancer) bool {
 	return proto.Equal(m.listed[entry.GetName()], entry)
 }
 
-// UnlistedEntries are the entries to show to the balancer that is called: this one's own,
-// while it is not listed, and those that others have shown here.
+// UnlistedEntries returns the entries to send to the balancer that is called: this
+// balancer's own while it is not listed, and those received from others.
 func (c *Core) UnlistedEntries(now time.Time) []*apiv1.Balancer {
 	var entries []*apiv1.Balancer
 	if !c.members.isListed(c.config.Self) {
@@ -136,7 +140,7 @@
 	return entries
 }
 
-// AddUnlistedEntries takes entries that another balancer has shown.
+// AddUnlistedEntries adds entries that another balancer has sent.
 func (c *Core) AddUnlistedEntries(entries []*apiv1.Balancer, now time.Time) {
 	for _, entry := range entries {
 		if entry.GetName() == c.config.Self.GetName() || c.members.isListed(entry) {
@@ -149,8 +153,8 @@
 	}
 }
 
-// SilentBalancers are the names of balancers that this one, or one behind it, should hear
-// and has not heard for long.
+// SilentBalancers returns the names of balancers from which this one, or a follower of
+// it, should receive calls and has not for a long time.
 func (c *Core) SilentBalancers(now time.Time) []string {
 	var names []string
 	for _, b := range c.monitored() {
@@ -170,8 +174,8 @@
 	return names
 }
 
-// monitored are the balancers that this one misses when it does not hear them:
-// those below it, and if none before it in its order can be followed, those.
+// monitored returns the balancers that this one reports if they are silent: its
+// followers, and also those before it in its order if none of them can be followed.
 func (c *Core) monitored() []*apiv1.Balancer {
 	before := c.tree.ownZone()[:c.tree.position]
 	useful := func(b *apiv1.Balancer) bool { return !c.isUnusable(b) }
@@ -181,7 +185,7 @@
 	return slices.Concat(c.tree.followers, before)
 }
 
-// isSilent tells whether a balancer was not heard for too long.
+// isSilent reports whether a balancer has been inactive for too long.
 func (c *Core) isSilent(b *apiv1.Balancer, now time.Time) bool {
 	limit := removalTimeout
 	if b.GetZone() != c.config.Self.GetZone() {
@@ -198,7 +202,7 @@
 	return peerContact == nil || now.Sub(peerContact.activeAt) > limit
 }
 
-// HandleSilentReport takes the names that a follower has reported.
+// HandleSilentReport records the names that a follower has reported as silent.
 func (c *Core) HandleSilentReport(names []string, now time.Time) {
 	for _, name := range names {
 		b := c.members.listed[name]
@@ -212,8 +216,8 @@
 	}
 }
 
-// NextWrite returns what to write to the store now. It counts as under way until
-// WriteEnded.
+// NextWrite returns what to write to the store now. The write counts as in progress
+// until WriteEnded.
 func (c *Core) NextWrite(now time.Time) (Write, bool) {
 	m := &c.members
 	if m.writing || now.Before(m.nextWriteAt) || !c.hasData() || c.Stale(now) {
@@ -244,7 +248,8 @@
 	return write, true
 }
 
-// ownWrite writes the entry of a balancer that nobody has written for long.
+// ownWrite returns a write of this balancer's own entry if nobody has written it for a
+// long time.
 func (c *Core) ownWrite(now time.Time) (Write, bool) {
 	m := &c.members
 	if m.isListed(c.config.Self) {
@@ -261,26 +266,28 @@
 	return Write{Put: []*apiv1.Balancer{c.config.Self}}, true
 }
 
-// StoreRestored takes that the store came back from a copy, with the balancers that it lists
-// now. What was written to it since is lost, whether the write was seen to take effect or not,
-// and is written again.
+// StoreRestored handles the restoration of the store from a backup, which lists the
+// given balancers. Everything that was written since the backup is lost, whether or not
+// the write was seen to take effect, and is written again.
 func (c *Core) StoreRestored(listed []*apiv1.Balancer, now time.Time) {
 	c.members.zoneLeads.written = nil
 	c.SetBalancers(listed, now)
 }
 
-// SetLostPolicies takes the policies that the store has lost. Who reads the store writes them again, in
-// no order: one whose write fails must not hold up the others.
+// SetLostPolicies replaces the policies that the store has lost. The balancer that
+// reads the store writes them again, in random order: one whose write fails must not
+// block the others.
 func (c *Core) SetLostPolicies(lost []directory.LostPolicy) { c.members.lostPolicies = lost }
 
-// WriteEnded takes the end of a write. What was written shows in the directory
-// soon after; until then it is not written again.
+// WriteEnded handles the end of a write. What was written appears in the directory soon
+// afterwards; until then it is not written again.
 func (c *Core) WriteEnded(write Write, failed bool, now time.Time) {
 	m := &c.members
 	m.writing = false
 	m.ownWriteAt = time.Time{}
 	for _, name := range write.Remove {
-		// Whether it was removed or has just written anew: it has its time again.
+		// Whether the balancer was removed or has just written its entry again, its
+		// timeout starts anew.
 		delete(m.silentReports, name)
 		m.followerSince[name] = now
 	}
--- a/internal/replication/order.go
+++ b/internal/replication/order.go
@@ -9,19 +9,19 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// What a balancer needs to serve DefaultTreeFanout followers without its own
-// traffic being held up: a large table of routes goes out to all of them at
-// once, and a large store comes in whole.
+// servingCores and servingMegabits are what a balancer needs to serve DefaultTreeFanout
+// followers without delaying its own traffic: a large route table is sent to all of
+// them at once, and a large store is received in full.
 const (
 	servingCores    = 0.1
 	servingMegabits = 100
 )
 
-// unknownTier ranks balancers whose strength is unknown behind the others.
+// unknownTier ranks balancers of unknown strength last.
 const unknownTier = math.MinInt32
 
-// sortByRank puts balancers in the order that all of them know: the strong ones
-// first, those that are about as strong by a hash of their names.
+// sortByRank sorts balancers into the order that all of them compute: by strength, with
+// the strongest first, and by a hash of their names among those of similar strength.
 func sortByRank(balancers []*apiv1.Balancer) {
 	keys := make([]rankKey, 0, len(balancers))
 	for _, b := range balancers {
@@ -33,7 +33,7 @@
 	}
 }
 
-// rankKey is what the order of balancers goes by, worked out once for each.
+// rankKey is the sort key of a balancer, computed once.
 type rankKey struct {
 	balancer *apiv1.Balancer
 	tier     int
@@ -48,8 +48,8 @@
 	)
 }
 
-// tier groups balancers by strength: each tier is twice as strong as the one
-// below, by whichever of processor and link is the scarcer one.
+// tier groups balancers by strength: each tier is twice as strong as the one below. The
+// strength is limited by the scarcer of processor and link.
 func tier(b *apiv1.Balancer) int {
 	strength := min(b.GetProcessorCores()/servingCores, b.GetLinkMegabits()/servingMegabits)
 	if strength <= 0 {
--- a/internal/replication/packing.go
+++ b/internal/replication/packing.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// minPackedRoutes is from how many routes on a table is packed.
+	// minPackedRoutes is the number of routes from which a table is compressed.
 	minPackedRoutes = 32
-	// unpackedLimit bounds the size in bytes of a table that is unpacked.
+	// unpackedLimit bounds the size in bytes of a decompressed table.
 	unpackedLimit = 64 << 20
 )
 
-// Packer packs large tables of routes in batches for followers. A table goes
-// to many followers, so the last one is kept packed.
+// Packer compresses large route tables in batches for followers. A table is sent to
+// many followers, so the last one is kept compressed.
 type Packer struct {
 	packedFrom, packed *apiv1.DirectoryChange
 }
 
-// Pack returns a batch in which a large table of routes is packed. The given
-// batch is not changed.
+// Pack returns a batch in which a large route table is compressed. It does not modify
+// the given batch.
 func (p *Packer) Pack(batch *apiv1.DirectoryBatch) (*apiv1.DirectoryBatch, error) {
 	for index, change := range batch.GetChanges() {
 		if len(change.GetRoutes().GetRoutes()) < minPackedRoutes {
@@ -56,7 +56,7 @@
 	return p.packed, nil
 }
 
-// Unpack replaces packed tables of routes in a batch by what they hold.
+// Unpack replaces the compressed route tables in a batch by their contents.
 func Unpack(batch *apiv1.DirectoryBatch) error {
 	for _, change := range batch.GetChanges() {
 		packed, isPacked := change.GetEntry().(*apiv1.DirectoryChange_PackedRoutes)
--- a/internal/replication/pages.go
+++ b/internal/replication/pages.go
@@ -11,38 +11,42 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// All that is known does not fit into one answer where back ends are many: with ten thousand
-// it is some 0.8 MB, which a strong balancer sends to 21 followers in 0.7 s, and none of them
-// waits longer than replyTimeout. Then each began anew, and nobody was ever told: after a
-// kill of all 985 balancers none served for the 6 s that were played. So it is sent in pages, each within the
-// time of an answer whatever there is to tell: the time of a page rests on the link and the
-// number of followers, and their number alone on the size. They are packed once for all
-// followers.
+// With many back ends the full state does not fit into one reply: with 10,000 it is
+// about 0.8 MB, which a strong balancer sends to 21 followers in 0.7 s, while none of
+// them waits longer than replyTimeout. Every follower then started over, and none ever
+// received the full state: after all 985 balancers were killed, none served in the 6 s
+// that were simulated. The state is therefore sent in pages, each of which arrives
+// within the time for a reply however large the state is: the time for a page depends
+// on the link and on the number of followers, and only the number of pages on the size.
+// The pages are compressed once for all followers.
 
 const (
-	// pageBytes is up to how many bytes of changes make a page, before it is packed. The 32
-	// followers of one at 20 Mbit/s, a weak one, get pages of half as much within 0.42 s.
+	// pageBytes is the size in bytes of the changes in a page before compression. The
+	// 32 followers of a weak balancer with 20 Mbit/s receive pages of half that size
+	// within 0.42 s.
 	pageBytes = 64 << 10
-	// pagesTTL is for how long pages are kept: their followers are weak, and many.
+	// pagesTTL is how long pages are kept, since there are many followers and they are
+	// weak.
 	pagesTTL = 5 * time.Second
-	// pagesReuseTTL is for how long pages are given to further followers, though there is
-	// news since, which they are told next.
+	// pagesReuseTTL is how long pages are given to further followers although there are
+	// newer changes, which these followers receive next.
 	pagesReuseTTL = time.Second
 )
 
-// Pages is all that was known at one time, cut into pages. It is immutable.
+// Pages holds the full state as of one time, divided into pages. It is immutable.
 type Pages struct {
-	// Revision and ConfirmedAt are those of the knowledge.
+	// Revision and ConfirmedAt are those of the state.
 	Revision    uint64
 	ConfirmedAt time.Time
-	// ID tells these pages from others of the same revision, whose changes may come in
-	// another order, and from those of an earlier process at the same address.
+	// ID distinguishes these pages from others of the same revision, whose changes may
+	// be in a different order, and from those of an earlier process at the same
+	// address.
 	ID        uint64
 	createdAt time.Time
 	packed    [][]byte
 }
 
-// NewPages cuts a complete batch into pages.
+// NewPages divides a complete batch into pages.
 func NewPages(batch *apiv1.DirectoryBatch, confirmedAt, now time.Time) (*Pages, error) {
 	pages := &Pages{Revision: batch.GetRevision(), ConfirmedAt: confirmedAt, ID: uint64(now.UnixNano()), createdAt: now}
 	page, size := &apiv1.DirectoryBatch{}, 0
@@ -69,7 +73,7 @@
 	return nil
 }
 
-// Page returns one page, or nil when there is none of the number.
+// Page returns the page with the given number, or nil if there is none.
 func (p *Pages) Page(number uint32) *apiv1.Page {
 	if int(number) >= len(p.packed) {
 		return nil
@@ -77,10 +81,10 @@
 	return &apiv1.Page{Of: p.ID, Number: number, Count: uint32(len(p.packed)), Packed: p.packed[number]}
 }
 
-// Reusable tells whether further followers may be given these pages.
+// Reusable reports whether these pages may be given to further followers.
 func (p *Pages) Reusable(now time.Time) bool { return now.Sub(p.createdAt) < pagesReuseTTL }
 
-// Expired tells whether nobody needs these pages any more.
+// Expired reports whether these pages are no longer needed.
 func (p *Pages) Expired(now time.Time) bool { return now.Sub(p.createdAt) >= pagesTTL }
 
 // unpackPage returns the changes of a page.
@@ -103,10 +107,10 @@
 	return batch.GetChanges(), nil
 }
 
-// pageAttempts is how often one page is asked for.
+// pageAttempts is how often one page is requested.
 const pageAttempts = 2
 
-// fetchPages completes an answer of which the first page has come.
+// fetchPages completes a reply that contains the first page.
 func (c *Client) fetchPages(ctx context.Context, address string, reply *apiv1.FollowReply) error {
 	page := reply.GetPage()
 	if page == nil {
@@ -128,8 +132,8 @@
 	}
 }
 
-// fetchPage asks for one page. It costs the called balancer little, so a lost one is asked
-// for once more before everything is.
+// fetchPage requests one page. A page costs the peer little, so a lost one is requested
+// once more before the full state is requested again.
 func (c *Client) fetchPage(ctx context.Context, address string, of uint64, number uint32) (*apiv1.Page, error) {
 	var page *apiv1.Page
 	call := func(ctx context.Context, directory apiv1.DRPCDirectoryClient) error {
--- a/internal/replication/standby.go
+++ b/internal/replication/standby.go
@@ -7,25 +7,28 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Whoever should read the store may be dead, cut off or refused. Others stand in,
-// in a number that does not grow with the fleet: what all of them tried would
-// reach a store that has just come back all at once.
+// The balancer that should read the store may be dead, partitioned or refused by the
+// store. Others then read it, in a number that does not grow with the number of
+// balancers: the calls of all of them together would reach a store that has just
+// recovered at once.
 
 const (
-	// standbyCount is how many balancers, the reader included, take turns in the
-	// order. The heads of up to ten zones come first, then the second ones.
+	// standbyCount is the number of balancers, including the reader, that try the store
+	// one after another. With up to ten zones, the heads of the zones come first,
+	// followed by the second of each zone.
 	standbyCount = 8
-	// randomPollsPerSecond is about how often one of all the others tries. With a third
-	// of them refused, a try succeeds within a quarter of a second on average.
+	// randomPollsPerSecond is about how often any of the other balancers tries the
+	// store. If a third of them is refused, an attempt succeeds within a quarter of a
+	// second on average.
 	randomPollsPerSecond = 4
-	// isolationTimeout is the silence after which a balancer takes itself for cut
-	// off from the others: a call that waits is answered sooner.
+	// isolationTimeout is the time without activity of any other balancer after which a
+	// balancer considers itself partitioned: a call that waits is answered sooner.
 	isolationTimeout = 2 * time.Second
 )
 
-// isActingReader tells whether this balancer reads the store in the reader's place, since
-// it can follow nobody: all balancers above it are out of reach, or have stale
-// knowledge themselves.
+// isActingReader reports whether this balancer reads the store in place of the reader
+// because it can follow nobody: all parent candidates are unreachable or have stale
+// data themselves.
 func (c *Core) isActingReader() bool {
 	if len(c.tree.parentCandidates) == 0 || c.tree.rank() >= standbyCount {
 		return false
@@ -34,16 +37,16 @@
 	return !slices.ContainsFunc(c.tree.parentCandidates, useful)
 }
 
-// isUnusable tells whether the last call to a balancer failed, or brought stale
-// knowledge.
+// isUnusable reports whether the last call to a balancer failed, or returned stale
+// data.
 func (c *Core) isUnusable(b *apiv1.Balancer) bool {
 	peerContact := c.contacts[b.GetPeerAddress()]
 	return peerContact != nil && peerContact.unusable
 }
 
-// standbyPollDue tells whether this balancer should try the store once although it
-// neither reads for all nor acts for the reader: its knowledge is stale, and its
-// turn has come. Who hears nobody has no turn to wait for.
+// standbyPollDue reports whether this balancer should try the store once although it is
+// neither the reader nor an acting reader: its data is stale, and its delay has passed.
+// A balancer that receives nothing from the others does not wait for its delay.
 func (c *Core) standbyPollDue(now time.Time) bool {
 	age, _ := c.Age(now)
 	if age <= c.config.Timing.StaleAge {
--- a/internal/replication/startup.go
+++ b/internal/replication/startup.go
@@ -7,40 +7,42 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// A balancer that starts knows nothing, and often all of them start at once. It
-// reads the names of its zone's balancers, which is little. If it is the first of
-// them, or they are few, it reads the store; the others wait for the one that they
-// are to follow. Who was not told in time reads an old copy of the store, which
-// has no share in the store's rate, and asks on; the last resort is an exact read.
+// A balancer has no data when it starts, and often all balancers start at once. A
+// starting balancer reads the names of the balancers of its zone, which are few bytes.
+// If it is the first of them, or if they are few, it reads the store; otherwise it
+// waits for its parent. A balancer that does not receive the data in time reads a stale
+// snapshot, which does not count towards the rate limit of the store, and continues to
+// call peers. An exact read is the last resort.
 
 const (
-	// smallZoneSize is up to how many balancers of a zone read the store at
-	// once: an answer then costs less than the wait for a peer.
+	// smallZoneSize is the number of balancers up to which all balancers of a zone read
+	// the store at once: a reply then costs less than the wait for a peer.
 	smallZoneSize = 8
-	// parentOnlyPeriod is for how long at a start only the balancer to follow is
-	// asked: it takes two levels about that long to read and to tell.
+	// parentOnlyPeriod is how long after a start only the parent is called: two levels
+	// take about that long to read the store and to send the data.
 	parentOnlyPeriod = 400 * time.Millisecond
-	// startupStandbys is how many of a zone, its head included, may read the store at a
-	// start when those above do not answer.
+	// startupStandbys is the number of balancers of a zone, including its head, that
+	// may read the store at a start if those above them do not answer.
 	startupStandbys = 3
-	// singleSeedPeriod is for how long at a start one seed is asked and not three.
+	// singleSeedPeriod is how long after a start one seed is called instead of three.
 	singleSeedPeriod = 150 * time.Millisecond
 )
 
-// startupState is how far a balancer that knows nothing has come.
+// startupState is the progress of a balancer that has no data.
 type startupState struct {
-	// membersRead and old tell that the names of the balancers and an old copy of
-	// the store were read.
+	// membersRead and staleSnapshotRead are set once the names of the balancers and a
+	// stale snapshot of the store have been read.
 	membersRead, staleSnapshotRead bool
-	// waitUntil is when it stops to wait for peers.
+	// waitUntil is when the balancer stops waiting for peers.
 	waitUntil time.Time
-	// parentOnlyUntil is until when only the balancer to follow is asked.
+	// parentOnlyUntil is until when only the parent is called.
 	parentOnlyUntil time.Time
-	// zoneSize is about how many balancers the zone has, where only the first are listed.
+	// zoneSize is the approximate number of balancers in the zone, if only the first
+	// are listed.
 	zoneSize int
 }
 
-// markRead takes that a call of a start was answered.
+// markRead records that a call to the store at startup was answered.
 func (s *startupState) markRead(poll Poll) {
 	switch poll {
 	case PollMembers:
@@ -51,7 +53,7 @@
 	}
 }
 
-// startupPoll returns the call to the store of a balancer that knows nothing.
+// startupPoll returns the call to the store of a balancer that has no data.
 func (c *Core) startupPoll(now time.Time) Poll {
 	switch {
 	case !c.startup.membersRead:
@@ -59,7 +61,7 @@
 	case c.readsAtStartup() || c.readsForSilentHead():
 		return PollSnapshot
 	case !c.startup.staleSnapshotRead && c.tree.size == 1:
-		// Nobody is listed, so that all ask the seeds.
+		// No balancer is listed, so all of them call the seeds.
 		return PollStaleSnapshot
 	case now.Before(c.startup.waitUntil):
 		return PollNone
@@ -69,9 +71,9 @@
 	return PollSnapshot
 }
 
-// readsAtStartup tells whether this balancer should read the store at a start
-// before others tell it. Who knows nobody leaves it to the seeds, unless it is
-// listed, and so the only one of its zone.
+// readsAtStartup reports whether this balancer should read the store at a start before
+// others send it the data. A balancer that knows nobody leaves that to the seeds,
+// unless it is listed, and therefore the only one of its zone.
 func (c *Core) readsAtStartup() bool {
 	if c.tree.size == 1 {
 		return c.IsReader() || c.members.isListed(c.config.Self)
@@ -79,24 +81,24 @@
 	return c.tree.position == 0 || len(c.tree.ownZone()) <= smallZoneSize
 }
 
-// readsForSilentHead tells whether this balancer should read the store at a start in the
-// place of the head of its zone: all above it have failed to answer. Machines that lose
-// power together are back some tenths of a second apart. What it gains: the first table
-// of a zone whose head is the last, 0.5 s sooner.
+// readsForSilentHead reports whether this balancer should read the store at a start in
+// place of the head of its zone, because all balancers above it have failed to answer.
+// After a power failure hosts are back some tenths of a second apart. If the head of a
+// zone is the last of them, the zone gets its first table 0.5 s sooner this way.
 func (c *Core) readsForSilentHead() bool {
 	return c.tree.position < startupStandbys && c.isActingReader()
 }
 
-// mayReadForSilentHead tells whether the balancer at an address is among those of this zone
-// that read the store at a start when their head does not.
+// mayReadForSilentHead reports whether the balancer at an address is among those of
+// this zone that read the store at a start if their head does not.
 func (c *Core) mayReadForSilentHead(address string) bool {
 	first := c.tree.ownZone()[:min(startupStandbys, len(c.tree.ownZone()))]
 	return slices.ContainsFunc(first, func(b *apiv1.Balancer) bool { return b.GetPeerAddress() == address })
 }
 
-// DialTimeout is how long the connection to another balancer may take. Where nothing is
-// known it doubles with each call to that one that failed in a row: its link may be
-// slow, and with the first time alone it was never reached.
+// DialTimeout returns how long connecting to another balancer may take. While there is
+// no data here, it doubles with each call to that balancer that failed in a row: with
+// the first timeout alone, a balancer behind a slow link was never reached.
 func (c *Core) DialTimeout(address string) time.Duration {
 	failed := 0
 	if peerContact := c.contacts[address]; peerContact != nil {
@@ -108,10 +110,11 @@
 	return min(startupDialTimeout<<min(failed, 10), dialTimeout)
 }
 
-// awaitsParent tells whether a balancer that knows nothing should soon be told
-// everything by the one to follow or another one above, or learn from the store who
-// they are. Many start at once, and all know the same few seeds; a first call to the
-// one to follow may fail because that starts some milliseconds later.
+// awaitsParent reports whether a balancer without data can expect to receive the full
+// state soon from its parent or another parent candidate, or to learn from the store
+// which balancers these are. When many start at once, all of them know the same few
+// seeds, and the first call to the parent may fail because the parent starts some
+// milliseconds later.
 func (c *Core) awaitsParent(now time.Time) bool {
 	if c.hasData() || !now.Before(c.startup.parentOnlyUntil) {
 		return false
@@ -122,18 +125,19 @@
 	return slices.ContainsFunc(c.tree.parentCandidates, func(b *apiv1.Balancer) bool { return !c.isUnusable(b) })
 }
 
-// startsAsHead tells whether this balancer has just read the store for the first
-// time, as the first of its zone should. Those that wait for it need not be sought.
+// startsAsHead reports whether this balancer has just read the store for the first time
+// as the head of its zone. Those that wait for it need not be looked for.
 func (c *Core) startsAsHead() bool { return !c.hasData() && c.tree.size > 1 && c.tree.position == 0 }
 
-// startupReadsPerSecond is about how many of a zone read the whole store in a second because
-// they were not told in time. One that has read it tells others, and they tell on; if all of
-// them read, the store's link is full for as long as the number of balancers times that of
-// back ends takes: 985 times 3.4 MB.
+// startupReadsPerSecond is about how many balancers of a zone read the whole store in a
+// second because they did not receive the data in time. A balancer that has read it
+// sends it to others, which pass it on. If all of them read, the link of the store is
+// saturated for a time proportional to the number of balancers times the number of back
+// ends: 985 times 3.4 MB.
 const startupReadsPerSecond = 2
 
-// startupDeadline is until when a balancer that knows nothing waits for peers: longer, by chance,
-// the more of its zone may wait besides.
+// startupDeadline returns until when a balancer without data waits for peers. The wait
+// is random, and longer the more balancers of its zone may be waiting as well.
 func (c *Core) startupDeadline(now time.Time) time.Time {
 	longest := c.config.StartupWait
 	if c.tree != nil && c.tree.position >= startupStandbys {
--- a/internal/replication/tree.go
+++ b/internal/replication/tree.go
@@ -6,32 +6,34 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// tree is who follows whom. In each zone the balancers stand in an order that
-// all of them know, the strong ones first, and each follows one before it. The
-// first of a zone, its head, follows the head of an earlier zone, and the head of
-// the first zone reads the store for all. While balancers are few, all zones
-// share one order.
+// tree defines which balancer follows which. The balancers of each zone are in an order
+// that all of them compute, the strong ones first, and each follows an earlier one. The
+// first of a zone, its head, follows the head of an earlier zone, and the head of the
+// first zone reads the store for all. While there are few balancers, all zones share
+// one order.
 type tree struct {
-	// zones are the balancers by zone, each zone and the zones by rank.
+	// zones holds the balancers of each zone. The zones, and the balancers of each, are
+	// sorted by rank.
 	zones [][]*apiv1.Balancer
-	// zoneIndex and place are where this balancer stands, and width is how many
-	// follow one.
+	// zoneIndex and position locate this balancer in zones, and fanout is the number of
+	// followers of a balancer.
 	zoneIndex, position, fanout int
 	size                        int
 	// sharedOrder is set while all zones share one order.
 	sharedOrder bool
 	// parentCandidates are the balancers that this one may follow, the best first: its
-	// parent, its parents, those before it in its zone, heads of earlier zones.
-	// Who is above whom has no cycles.
+	// parent, the ancestors of its parent, the others before it in its zone, and the
+	// heads of earlier zones. The relation has no cycles.
 	parentCandidates []*apiv1.Balancer
-	// followers are those whose parent this one is, and rest all that are not above.
+	// followers are the balancers whose parent this one is, and others all that are not
+	// parent candidates.
 	followers, others []*apiv1.Balancer
 }
 
-// newTree orders the known balancers and this one. Up to sharedLimit of them
-// share one order; leastWidth of them follow one, or more where the strong ones
-// are few.
-func newTree(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit, leastWidth int) *tree {
+// newTree builds the tree of the known balancers and this one. Up to sharedLimit of
+// them share one order. Each has leastFanout followers, or more if there are few strong
+// balancers.
+func newTree(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit, leastFanout int) *tree {
 	t := &tree{zones: groupByZone(self, known, sharedLimit), sharedOrder: len(known) <= sharedLimit}
 	for zone, balancers := range t.zones {
 		t.size += len(balancers)
@@ -40,15 +42,16 @@
 			t.zoneIndex, t.position = zone, position
 		}
 	}
-	t.fanout = fanoutOf(t.ownZone(), leastWidth)
+	t.fanout = fanoutOf(t.ownZone(), leastFanout)
 	t.parentCandidates = t.findParentCandidates()
 	t.followers = t.findFollowers()
 	t.others = t.allExcept(t.parentCandidates)
 	return t
 }
 
-// groupByZone groups balancers by zone and ranks zones and balancers. While this one is
-// not listed, the others do not know it, and it stands last whatever its strength.
+// groupByZone groups balancers by zone, and sorts the zones and the balancers of each
+// by rank. While this balancer is not listed, the others do not know it, and it is last
+// whatever its strength.
 func groupByZone(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit int) [][]*apiv1.Balancer {
 	sharedOrder := len(known) <= sharedLimit
 	listed := false
@@ -76,8 +79,8 @@
 	return append(ordered, []*apiv1.Balancer{self})
 }
 
-// sortGroups puts the balancers of each group by rank, and the groups by their first
-// ones.
+// sortGroups sorts the balancers of each group by rank, and the groups by their first
+// balancers.
 func sortGroups(groups map[string][]*apiv1.Balancer) [][]*apiv1.Balancer {
 	heads := make([]*apiv1.Balancer, 0, len(groups))
 	byHead := make(map[*apiv1.Balancer][]*apiv1.Balancer, len(groups))
@@ -94,8 +97,8 @@
 	return ordered
 }
 
-// fanoutOf is how many balancers of a zone follow one. Where the strong ones are
-// few, each takes more, so that weak ones need not serve others.
+// fanoutOf returns the number of followers of a balancer of a zone. If there are few
+// strong balancers, each has more followers, so that weak ones need not serve others.
 func fanoutOf(zone []*apiv1.Balancer, least int) int {
 	strong := 0
 	for _, b := range zone {
@@ -109,19 +112,19 @@
 	return min(max(least, (len(zone)-1+strong-1)/strong), maxFanoutFactor*least)
 }
 
-// maxFanoutFactor bounds how many more balancers follow a strong one than is usual.
+// maxFanoutFactor bounds how many more followers than usual a strong balancer has.
 const maxFanoutFactor = 2
 
 func (t *tree) ownZone() []*apiv1.Balancer { return t.zones[t.zoneIndex] }
 
 func (t *tree) head(zone int) *apiv1.Balancer { return t.zones[zone][0] }
 
-// parentOf is the place that a later place follows. It holds for the places in a
-// zone and for the zones themselves.
+// parentOf returns the position that a later position follows. It applies to the
+// positions in a zone and to the zones themselves.
 func (t *tree) parentOf(position int) int { return (position - 1) / t.fanout }
 
-// rank is the place of this balancer among all: the heads of the zones first,
-// then the second ones.
+// rank returns the position of this balancer among all: the heads of the zones come
+// first, followed by the second of each zone.
 func (t *tree) rank() int { return t.position*len(t.zones) + t.zoneIndex }
 
 func (t *tree) findParentCandidates() []*apiv1.Balancer {
@@ -174,7 +177,7 @@
 	return found
 }
 
-// allExcept are all other balancers that are not in a list, those of this zone
+// allExcept returns all other balancers that are not in a list, those of this zone
 // first.
 func (t *tree) allExcept(list []*apiv1.Balancer) []*apiv1.Balancer {
 	listed := make(map[*apiv1.Balancer]bool, len(list)+1)
--- a/internal/replication/zoneleads.go
+++ b/internal/replication/zoneleads.go
@@ -9,31 +9,34 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// A balancer that starts has to know whom of its zone to ask. Where each reads the entries of
-// all of its zone, the store sends N x N / Z of them at a start of everything: 50 MB at 985
-// balancers in 5 zones, 210 MB at 2,000. So the reader keeps a list of the first of each large
-// zone, and who starts reads that alone: 32 entries whatever the size.
+// A starting balancer has to know which balancers of its zone to call. If each reads
+// the entries of its whole zone, the store sends N x N / Z of them when all start at
+// once: 50 MB with 985 balancers in 5 zones, 210 MB with 2,000. Therefore the reader
+// maintains a list of the first balancers of each large zone, and a starting balancer
+// reads only that: 32 entries whatever the size.
 
 const (
-	// zoneLeadsCount is how many balancers of a zone are listed: the strong ones of some 600,
-	// each with maxFanoutFactor*DefaultTreeFanout followers, and more where the first are dead.
-	// Smaller zones have no list; their names are read.
+	// zoneLeadsCount is the number of balancers of a zone that are listed: the strong
+	// ones of a zone of about 600, each with maxFanoutFactor*DefaultTreeFanout
+	// followers, and more in case the first are dead. For smaller zones there is no
+	// list, and all names are read.
 	zoneLeadsCount = 32
-	// zoneLeadsWriteInterval is the least time between two writes of lists: at a first start zones grow
-	// by WriteLimit entries at a time.
+	// zoneLeadsWriteInterval is the least time between two writes of lists: when all
+	// start for the first time, zones grow by WriteLimit entries at a time.
 	zoneLeadsWriteInterval = 2 * time.Second
-	// zoneLeadsRefreshInterval is after what time a list is written again as it was. A zone that was cut
-	// off may have written its own.
+	// zoneLeadsRefreshInterval is the time after which an unchanged list is written
+	// again. A zone that was partitioned may have written its own.
 	zoneLeadsRefreshInterval = time.Minute
 )
 
-// zoneLeadLists are the lists that this balancer has written.
+// zoneLeadLists holds the lists that this balancer has written.
 type zoneLeadLists struct {
 	written   map[string]*apiv1.ZoneLeads
 	writtenAt time.Time
 }
 
-// zoneLeadsToWrite returns the lists that are not in the store as this balancer has written them.
+// zoneLeadsToWrite returns the lists that the store does not have as this balancer last
+// wrote them.
 func (c *Core) zoneLeadsToWrite(now time.Time) []*apiv1.ZoneLeads {
 	l := &c.members.zoneLeads
 	since := now.Sub(l.writtenAt)
@@ -57,8 +60,8 @@
 	return changed
 }
 
-// zoneLeadsWriteEnded takes the end of a write of lists. Those of a write that failed are written
-// again.
+// zoneLeadsWriteEnded handles the end of a write of lists. The lists of a failed write
+// are written again.
 func (c *Core) zoneLeadsWriteEnded(lists []*apiv1.ZoneLeads, failed bool, now time.Time) {
 	l := &c.members.zoneLeads
 	l.writtenAt = now
@@ -73,37 +76,39 @@
 	}
 }
 
-// SetZoneSize takes about how many balancers this one's zone has, of which only the first are
-// listed; 0 lists all.
+// SetZoneSize sets the approximate number of balancers in the zone of this one, if only
+// the first are listed. 0 means that all are listed.
 func (c *Core) SetZoneSize(size int) { c.startup.zoneSize = size }
 
-// zoneSize is about how many balancers the zone has.
+// zoneSize returns the approximate number of balancers in the zone.
 func (c *Core) zoneSize() int { return max(len(c.tree.ownZone()), c.startup.zoneSize) }
 
-// hasPartialZone tells whether only the first of this balancer's zone are known, and it is none of
-// them. In the order it would stand just behind them, as would all others.
+// hasPartialZone reports whether only the first balancers of this one's zone are known,
+// and it is not one of them. In the order, it and all others like it would directly
+// follow those.
 func (c *Core) hasPartialZone(known []*apiv1.Balancer) bool {
 	if c.hasData() || c.startup.zoneSize <= len(c.tree.ownZone()) || c.tree.position == 0 {
 		return false
 	}
-	itself := func(b *apiv1.Balancer) bool { return b.GetName() == c.config.Self.GetName() }
-	return !slices.ContainsFunc(known, itself)
+	isSelf := func(b *apiv1.Balancer) bool { return b.GetName() == c.config.Self.GetName() }
+	return !slices.ContainsFunc(known, isSelf)
 }
 
-// choosePartialZoneParents lets a balancer that knows only the first of its zone ask one of them by a hash of
-// names, a strong one if there is any, and the others after it.
+// choosePartialZoneParents sets the parent candidates of a balancer that knows only the
+// first of its zone. By a hash of its name it starts with one of them, a strong one if
+// there is any, followed by the others.
 func (t *tree) choosePartialZoneParents(self *apiv1.Balancer) {
 	before := t.ownZone()[:t.position]
-	carriers := 0
-	for carriers < len(before) && tier(before[carriers]) >= 0 {
-		carriers++
+	strong := 0
+	for strong < len(before) && tier(before[strong]) >= 0 {
+		strong++
 	}
-	if carriers == 0 {
-		carriers = len(before)
+	if strong == 0 {
+		strong = len(before)
 	}
-	first := int(nameHash(self.GetName()) % uint64(carriers))
-	var above []*apiv1.Balancer
-	above = append(above, before[first:carriers]...)
-	above = append(above, before[:first]...)
-	t.parentCandidates = append(above, before[carriers:]...)
+	first := int(nameHash(self.GetName()) % uint64(strong))
+	var candidates []*apiv1.Balancer
+	candidates = append(candidates, before[first:strong]...)
+	candidates = append(candidates, before[:first]...)
+	t.parentCandidates = append(candidates, before[strong:]...)
 }
