--- a/internal/replication/client_test.go
+++ b/internal/replication/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// waitingHandler answers a call after the time that it asks to wait.
+// waitingHandler replies to a call after the time that the call asks to wait.
 type waitingHandler struct {
 	mutex    sync.Mutex
 	calls    []*apiv1.FollowRequest
@@ -51,8 +51,8 @@
 	return len(h.calls), h.canceled
 }
 
-// startProxiedPeer is a balancer that answers calls, behind connections that can go
-// silent.
+// startProxiedPeer starts a balancer that handles calls, behind a proxy whose
+// connections can go silent.
 func startProxiedPeer(t *testing.T) (*waitingHandler, *swallow.Proxy) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -76,7 +76,7 @@
 	return client
 }
 
-// followFor makes a call that waits for so long.
+// followFor makes a call that waits for the given time.
 func followFor(client *Client, address string, wait time.Duration) (*apiv1.FollowReply, error) {
 	reply, _, err := client.Follow(context.Background(), address, followRequest(wait))
 	return reply, err
@@ -86,8 +86,9 @@
 	return &apiv1.FollowRequest{WaitMilliseconds: uint32(wait.Milliseconds())}
 }
 
-// A connection that goes silent under a call that waits is given up after its wait
-// and the time for an answer, and the same call brings news on a new one.
+// Guards against updates that are delayed by a silent connection: a connection that
+// goes silent during a call that waits is closed after its wait and the time for a
+// reply, and the same call returns the updates over a new connection.
 func TestFollowRetriesOverNewConnection(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
@@ -108,7 +109,7 @@
 	require.Zero(t, handler.calls[2].GetWaitMilliseconds(), "the second call does not wait")
 }
 
-// The caller's request is as it was, also after a second call.
+// Follow does not modify the caller's request, even if it makes a second call.
 func TestFollowDoesNotModifyRequest(t *testing.T) {
 	_, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
@@ -121,7 +122,7 @@
 	require.True(t, proto.Equal(followRequest(100*time.Millisecond), request))
 }
 
-// onceListener takes one connection and no more, so that later ones are not made.
+// onceListener accepts a single connection, so that later ones are not established.
 type onceListener struct {
 	net.Listener
 	accepted atomic.Bool
@@ -136,7 +137,7 @@
 	return l.Listener.Accept()
 }
 
-// listenWithMinimalBacklog listens, with room for one connection that is not yet taken.
+// listenWithMinimalBacklog listens with a backlog of one connection.
 func listenWithMinimalBacklog(t *testing.T) net.Listener {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -150,7 +151,7 @@
 	return listener
 }
 
-// fillBacklog makes connections until one more is not made.
+// fillBacklog opens connections until no more can be established.
 func fillBacklog(t *testing.T, address string) {
 	for range 10 {
 		socket, err := net.DialTimeout("tcp4", address, 100*time.Millisecond)
@@ -162,8 +163,8 @@
 	require.Fail(t, "all connections are made")
 }
 
-// The second call's dial counts to its limit: one that takes all the time for dials
-// left its answer 0.5 s more, and news came after 2.3 s.
+// Guards against a retry whose dial does not count towards its limit: a dial that took
+// all of its own timeout left the reply 0.5 s more, and updates arrived after 2.3 s.
 func TestRetryBoundsDialAndReply(t *testing.T) {
 	listener := listenWithMinimalBacklog(t)
 	once := &onceListener{Listener: listener, closed: make(chan struct{})}
@@ -201,8 +202,8 @@
 	require.Equal(t, 2, proxy.Accepted())
 }
 
-// A peer that is dead, and not only silent on a connection, costs one call on a new
-// connection and no more.
+// A peer that is dead, rather than silent on one connection, costs a single call on a
+// new connection.
 func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
@@ -213,8 +214,8 @@
 	require.Equal(t, 1, calls)
 }
 
-// A follower that has fallen silent leaves nothing behind at the one that it
-// followed: neither the call that waits nor the connection.
+// A follower that has gone silent leaves neither its waiting call nor its connection
+// open at the balancer that it followed.
 func TestSilentFollowerIsDisconnected(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
@@ -229,8 +230,8 @@
 	require.Less(t, time.Since(began), idleTimeout+time.Second)
 }
 
-// A connection that the other side has ended meanwhile, as when it restarts, costs no
-// call: the next one is made on a new connection.
+// A connection that the other side has closed, for example by a restart, causes no
+// failed call: the next call uses a new connection.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	_, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
@@ -248,7 +249,7 @@
 	require.Zero(t, client.SilentConnections.Load(), "it was not silent")
 }
 
-// A follower that takes nothing does not hold the answer to it for good.
+// A follower that reads nothing does not block the reply to it forever.
 func TestBlockedReplyTimesOut(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/replication/core_test.go
+++ b/internal/replication/core_test.go
@@ -17,9 +17,9 @@
 	return startTime.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-func newCore(place int, seeds ...string) *Core {
+func newCore(index int, seeds ...string) *Core {
 	return NewCore(Config{
-		Self:   &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)},
+		Self:   &apiv1.Balancer{Name: name(index), Zone: "maadi", PeerAddress: address(index)},
 		Seeds:  seeds,
 		Timing: NewTiming(time.Second, 1400*time.Millisecond), TreeFanout: 2,
 		PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
@@ -27,21 +27,21 @@
 	}, rand.New(rand.NewPCG(1, 2)), startTime)
 }
 
-func name(place int) string    { return fmt.Sprintf("edge-%d", place) }
-func address(place int) string { return fmt.Sprintf("10.0.%d.%d:8166", place/250, place%250) }
+func name(index int) string    { return fmt.Sprintf("edge-%d", index) }
+func address(index int) string { return fmt.Sprintf("10.0.%d.%d:8166", index/250, index%250) }
 
 func newZone(count int) []*apiv1.Balancer {
 	var found []*apiv1.Balancer
-	for place := range count {
-		found = append(found, &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)})
+	for index := range count {
+		found = append(found, &apiv1.Balancer{Name: name(index), Zone: "maadi", PeerAddress: address(index)})
 	}
 	return found
 }
 
 func TestExactlyOneReader(t *testing.T) {
 	readers := 0
-	for place := range 20 {
-		core := newCore(place)
+	for index := range 20 {
+		core := newCore(index)
 		core.SetBalancers(newZone(20), startTime)
 		if core.IsReader() {
 			readers++
@@ -53,8 +53,8 @@
 func TestFollowersFormTree(t *testing.T) {
 	const count = 20
 	followers := make(map[string]int)
-	for place := range count {
-		core := newCore(place)
+	for index := range count {
+		core := newCore(index)
 		core.SetBalancers(newZone(count), startTime)
 		core.Confirm(after(0))
 		if core.IsReader() {
@@ -62,7 +62,7 @@
 		}
 		peer, found := core.NextPeer(after(100))
 		require.True(t, found)
-		require.NotEqual(t, address(place), peer.Address)
+		require.NotEqual(t, address(index), peer.Address)
 		followers[peer.Address]++
 	}
 	for parent, count := range followers {
@@ -70,28 +70,28 @@
 	}
 }
 
-// On the grown sites, most balancers have a link of 10 Mbit/s and 0.027 to 0.2
-// cores. One of those that read for a zone, and sent it a large configuration,
-// held up its own traffic for a second.
+// Guards against weak balancers serving others. On large sites most balancers have a
+// link of 10 Mbit/s and 0.027 to 0.2 cores. One of these that read the store for its
+// zone, and sent the zone a large configuration, delayed its own traffic for a second.
 func TestStrongBalancersServeOthers(t *testing.T) {
 	const count = 25
 	zone := newZone(count)
-	for place, balancer := range zone {
+	for index, balancer := range zone {
 		balancer.ProcessorCores, balancer.LinkMegabits = 0.027, 10
-		if place == 7 || place == 19 {
+		if index == 7 || index == 19 {
 			balancer.ProcessorCores, balancer.LinkMegabits = 0.8, 200
 		}
 	}
 	strong := []string{address(7), address(19)}
 	readers := 0
-	for place := range count {
-		core := newCore(place)
-		core.config.Self, core.config.TreeFanout = zone[place], DefaultTreeFanout
+	for index := range count {
+		core := newCore(index)
+		core.config.Self, core.config.TreeFanout = zone[index], DefaultTreeFanout
 		core.SetBalancers(zone, startTime)
 		core.Confirm(after(0))
 		if core.IsReader() {
 			readers++
-			require.Contains(t, strong, address(place))
+			require.Contains(t, strong, address(index))
 			continue
 		}
 		peer, found := core.NextPeer(after(100))
@@ -120,10 +120,10 @@
 	require.Equal(t, PollFirstPage, core.NextPoll(after(1401)))
 }
 
-// newFollower makes a core that is not its zone's reader.
+// newFollower returns a core that is not the reader.
 func newFollower(t *testing.T) *Core {
-	for place := range 3 {
-		core := newCore(place)
+	for index := range 3 {
+		core := newCore(index)
 		core.SetBalancers(newZone(3), startTime)
 		if !core.IsReader() {
 			return core
@@ -159,8 +159,8 @@
 	require.NotEqual(t, one.Address, two.Address)
 }
 
-// A throttled store is called ever less often, within a bound, and again at
-// the usual pace once it answers.
+// A throttled store is called less and less often, within a bound, and again at the
+// usual interval once it answers.
 func TestStoreBackoff(t *testing.T) {
 	core := newCore(1)
 	core.SetBalancers(nil, startTime)
@@ -183,7 +183,8 @@
 	require.Equal(t, PollFirstPage, core.NextPoll(now.Add(time.Second)))
 }
 
-// A balancer that knows nothing asks more eagerly, the store for a while only.
+// A balancer that has no data retries more often, for the store only a bounded number
+// of times.
 func TestRetriesAreFasterWithoutData(t *testing.T) {
 	core := newCore(1, address(7), address(8))
 	core.SetBalancers(nil, startTime)
@@ -212,13 +213,13 @@
 	require.True(t, again.Full)
 }
 
-// Confirmations never go back, whatever arrives late.
+// The confirmation time never goes back, even if replies arrive late.
 func TestConfirmationIsMonotonic(t *testing.T) {
 	core := newCore(1)
 	require.True(t, core.Confirm(after(100)))
 	require.False(t, core.Confirm(after(50)))
-	age, known := core.Age(after(300))
-	require.True(t, known)
+	age, confirmed := core.Age(after(300))
+	require.True(t, confirmed)
 	require.Equal(t, 200*time.Millisecond, age)
 }
 
@@ -228,8 +229,8 @@
 	core.PollStarted(PollMembers, after(0))
 	core.SetBalancers(newZone(20), after(10))
 	core.PollSucceeded(PollMembers, false, after(10))
-	// Half a second, and by chance up to as much again for each balancer of the zone but
-	// for the first three, which read in the head's place.
+	// Half a second, plus a random time of up to as much again for each balancer of the
+	// zone, except for the first three, which read in place of the head.
 	longest := 1010
 	if core.tree.position >= startupStandbys {
 		longest = 510 + 20*1000/startupReadsPerSecond
@@ -243,8 +244,9 @@
 	require.Equal(t, PollSnapshot, core.NextPoll(after(2*longest+10)), "nobody has answered")
 }
 
-// On the first day nobody is listed, and 300 balancers of which each had everything
-// from one of three seeds cost a seed 51 MB and its link.
+// Guards against the overload of seeds at the first start, when no balancer is listed:
+// with 300 balancers, each of which received the full state from one of three seeds, a
+// seed sent 51 MB and its link was saturated.
 func TestUnlistedBalancerReadsStaleSnapshot(t *testing.T) {
 	core := newCore(1, address(7))
 	core.PollStarted(PollMembers, after(0))
@@ -273,8 +275,8 @@
 	require.Equal(t, PollSnapshot, core.NextPoll(after(1000)))
 }
 
-// A store that keeps hardly any history answers each call for changes with that. It
-// is then read whole at the usual pace, and not again and again.
+// A store that keeps hardly any history answers every call for changes with the loss of
+// the history. It is then read in full at the usual interval, rather than continuously.
 func TestStoreWithoutHistoryIsReadAtPollInterval(t *testing.T) {
 	core := newCore(1, address(1))
 	snapshots := 0
@@ -305,7 +307,7 @@
 	require.Equal(t, PollFirstPage, core.NextPoll(after(1050)))
 }
 
-// Everything is told once, not again by each new parent.
+// The full state is received once, rather than again from each new parent.
 func TestFollowersRequestFullStateOnce(t *testing.T) {
 	core := newFollower(t)
 	core.Confirm(after(0))
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -11,9 +11,9 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// fleet is balancers in zones beside a store that counts its calls, in virtual
-// time. One step is ten milliseconds, which is also what a message takes. What
-// the store holds is its revision and the entries of the balancers.
+// fleet simulates balancers in zones, and a store that counts the calls to it, in
+// virtual time. One step is ten milliseconds, which is also the delay of a message. The
+// store consists of its revision and the entries of the balancers.
 type fleet struct {
 	t         *testing.T
 	now       time.Time
@@ -21,34 +21,39 @@
 	nodes     []*fleetNode
 	byAddress map[string]*fleetNode
 	seeds     []string
-	// revision is the store's, and lists are the balancers as of revisions.
+	// revision is the revision of the store, and lists are the listed balancers by
+	// revision.
 	revision uint64
 	lists    []listing
-	// storeRefuses tells which nodes the store does not answer.
+	// storeRefuses reports whether the store refuses the calls of a node.
 	storeRefuses func(*fleetNode) bool
-	// isCut tells between which nodes messages are lost.
+	// isCut reports whether messages between two nodes are lost.
 	isCut func(a, b *fleetNode) bool
-	// poweredOff is set while nodes that are not alive have no power, and say nothing.
+	// poweredOff is set if nodes that are not alive have no power, so that they do not
+	// refuse connections either.
 	poweredOff bool
-	// fullReplyTime is what the link of a strong balancer needs to tell everything once, a weak one
-	// ten times as long, and reading what the store's needs for a whole read. Who tells or
-	// reads more at a time shares the link.
+	// fullReplyTime is the time that the link of a strong balancer needs for one full
+	// reply; a weak one needs ten times as long. snapshotTime is the time that the link
+	// of the store needs for one snapshot. Transfers over the same link are sent one
+	// after another.
 	fullReplyTime, snapshotTime time.Duration
 	linkFreeAt                  map[*fleetNode]time.Time
 	storeFreeAt                 time.Time
-	// snapshotReads counts the whole reads of the store, and named the reads of all names of a zone.
+	// snapshotReads counts the snapshots read from the store, and zoneMemberReads the
+	// reads of all names of a zone.
 	snapshotReads, zoneMemberReads int
 	// zoneLeads are the lists of the first balancers of zones in the store.
 	zoneLeads map[string]*apiv1.ZoneLeads
 	// listWrites counts the writes of such lists.
 	listWrites int
-	// exactCalls and old count the calls at full price and at that of an old answer.
+	// exactCalls counts the calls at full price, and staleCalls those at the price of a
+	// stale read.
 	exactCalls, staleCalls int
 	polls                  []*fleetPoll
 	calls                  []*fleetCall
-	// fullReplies counts whom a node has told everything.
+	// fullReplies counts the full replies that a node has sent.
 	fullReplies map[*fleetNode]int
-	// maxStale is the largest number of nodes whose knowledge was stale at once.
+	// maxStale is the largest number of nodes that had stale data at the same time.
 	maxStale int
 }
 
@@ -92,12 +97,12 @@
 
 const fleetZones = 5
 
-// fleetPace is that of the large sites.
-func fleetPace() Timing { return NewTiming(2*time.Second, 2800*time.Millisecond) }
+// fleetTiming returns the timing of large sites.
+func fleetTiming() Timing { return NewTiming(2*time.Second, 2800*time.Millisecond) }
 
-// newFleet starts balancers that nobody has listed, as on the first day.
+// newFleet starts balancers none of which is listed, as at the first start of a site.
 func newFleet(t *testing.T, count int) *fleet {
-	made := &fleet{
+	f := &fleet{
 		t: t, now: startTime, random: rand.New(rand.NewPCG(uint64(count), 1)), revision: 1,
 		byAddress: make(map[string]*fleetNode), linkFreeAt: make(map[*fleetNode]time.Time),
 		zoneLeads:    make(map[string]*apiv1.ZoneLeads),
@@ -105,28 +110,28 @@
 		storeRefuses: func(*fleetNode) bool { return false },
 		isCut:        func(_, _ *fleetNode) bool { return false },
 	}
-	for place := range count {
-		entry := &apiv1.Balancer{Name: name(place), Zone: fmt.Sprintf("zone-%d", place%fleetZones),
-			PeerAddress: address(place), ProcessorCores: 0.06, LinkMegabits: 20}
-		if place < max(3*fleetZones, count/20) {
+	for index := range count {
+		entry := &apiv1.Balancer{Name: name(index), Zone: fmt.Sprintf("zone-%d", index%fleetZones),
+			PeerAddress: address(index), ProcessorCores: 0.06, LinkMegabits: 20}
+		if index < max(3*fleetZones, count/20) {
 			entry.ProcessorCores, entry.LinkMegabits = 0.8, 200
 		}
-		node := &fleetNode{entry: entry, index: place}
-		made.nodes = append(made.nodes, node)
-		made.byAddress[entry.GetPeerAddress()] = node
+		node := &fleetNode{entry: entry, index: index}
+		f.nodes = append(f.nodes, node)
+		f.byAddress[entry.GetPeerAddress()] = node
 	}
-	for _, place := range []int{count / 2, count / 3, count - 1} {
-		made.seeds = append(made.seeds, address(place))
+	for _, index := range []int{count / 2, count / 3, count - 1} {
+		f.seeds = append(f.seeds, address(index))
 	}
-	for _, node := range made.nodes {
-		made.start(node)
+	for _, node := range f.nodes {
+		f.start(node)
 	}
-	return made
+	return f
 }
 
 func (f *fleet) start(node *fleetNode) {
 	node.core = NewCore(Config{
-		Self: node.entry, Seeds: f.seeds, Timing: fleetPace(), TreeFanout: DefaultTreeFanout,
+		Self: node.entry, Seeds: f.seeds, Timing: fleetTiming(), TreeFanout: DefaultTreeFanout,
 		SharedOrderLimit: DefaultSharedOrderLimit, PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
 		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
 	}, f.random, f.now)
@@ -135,7 +140,8 @@
 	node.starts++
 }
 
-// kill ends a node, which starts again after a pause; 0 is never.
+// kill stops a node, which starts again after a pause. With a pause of 0 it does not
+// start again.
 func (f *fleet) kill(node *fleetNode, pause time.Duration) {
 	node.alive, node.startAt = false, time.Time{}
 	if pause > 0 {
@@ -149,7 +155,7 @@
 	}
 }
 
-// countExactCalls runs for a time and returns the calls at full price meanwhile.
+// countExactCalls runs for a time and returns the number of calls at full price.
 func (f *fleet) countExactCalls(length time.Duration) int {
 	f.exactCalls, f.staleCalls, f.maxStale = 0, 0, 0
 	f.fullReplies = make(map[*fleetNode]int)
@@ -187,7 +193,7 @@
 	f.calls = kept
 }
 
-// startCalls makes the calls of a node that are due.
+// startCalls starts the calls of a node that are due.
 func (f *fleet) startCalls(node *fleetNode) {
 	if poll := node.core.NextPoll(f.now); poll != PollNone && !node.polling {
 		node.polling = true
@@ -208,23 +214,23 @@
 		if !found {
 			return
 		}
-		made := &fleetCall{from: node, to: f.byAddress[peer.Address], starts: node.starts, peer: peer, sentAt: f.now,
+		call := &fleetCall{from: node, to: f.byAddress[peer.Address], starts: node.starts, peer: peer, sentAt: f.now,
 			dialTime: node.core.DialTimeout(peer.Address)}
 		if peer.Purpose == PurposeFollow {
-			made.unlisted, made.silent = node.core.UnlistedEntries(f.now), node.core.SilentBalancers(f.now)
+			call.unlisted, call.silent = node.core.UnlistedEntries(f.now), node.core.SilentBalancers(f.now)
 		}
-		f.calls = append(f.calls, made)
+		f.calls = append(f.calls, call)
 	}
 }
 
-// answerPoll answers a call to the store, or lets it wait on.
+// answerPoll answers a call to the store, or leaves it waiting.
 func (f *fleet) answerPoll(poll *fleetPoll) {
 	node := poll.node
 	if !node.alive || node.starts != poll.starts {
 		return
 	}
 	refused := f.storeRefuses(node)
-	waits := poll.poll == PollChanges && f.now.Sub(poll.sentAt) < fleetPace().ChangesWait && f.revision == node.revision
+	waits := poll.poll == PollChanges && f.now.Sub(poll.sentAt) < fleetTiming().ChangesWait && f.revision == node.revision
 	if waits && !refused {
 		f.polls = append(f.polls, poll)
 		return
@@ -262,7 +268,8 @@
 	}
 }
 
-// readFinished tells whether the store has been read as far as a call asks.
+// readFinished reports whether the transfer from the store that a call needs is
+// complete.
 func (f *fleet) readFinished(poll *fleetPoll) bool {
 	if poll.poll != PollStaleSnapshot && poll.poll != PollSnapshot {
 		return true
@@ -275,7 +282,8 @@
 	return !f.now.Before(poll.finishedAt)
 }
 
-// fullReplySent tells whether all that a node knows has been told to a caller who knows nothing.
+// fullReplySent reports whether the full state has been sent to a caller that has no
+// data.
 func (f *fleet) fullReplySent(call *fleetCall) bool {
 	if f.fullReplyTime == 0 || call.from.revision != 0 || call.peer.RevisionOnly {
 		return true
@@ -323,19 +331,19 @@
 	for _, name := range write.Remove {
 		delete(kept, name)
 	}
-	made := listing{revision: f.revision}
+	updated := listing{revision: f.revision}
 	for _, node := range f.nodes {
 		if entry := kept[node.entry.GetName()]; entry != nil {
-			made.entries = append(made.entries, entry)
+			updated.entries = append(updated.entries, entry)
 		}
 	}
-	f.lists = append(f.lists, made)
+	f.lists = append(f.lists, updated)
 }
 
-// applyListing lets a node take the balancers that are listed as of a revision.
+// applyListing gives a node the balancers that are listed as of a revision.
 func (f *fleet) applyListing(node *fleetNode, revision uint64, zone string) {
-	for place := len(f.lists) - 1; place >= 0; place-- {
-		found := f.lists[place]
+	for index := len(f.lists) - 1; index >= 0; index-- {
+		found := f.lists[index]
 		if found.revision > revision {
 			continue
 		}
@@ -366,7 +374,7 @@
 	}
 }
 
-// advanceCall tells whether a call between balancers has ended.
+// advanceCall reports whether a call between balancers has ended.
 func (f *fleet) advanceCall(call *fleetCall) bool {
 	from, to := call.from, call.to
 	if !from.alive || from.starts != call.starts {
@@ -389,15 +397,15 @@
 		f.deliver(call)
 		return false
 	}
-	age, knows := to.core.Age(f.now)
-	_, knew := from.core.Age(f.now)
-	younger := knows && (!knew || to.core.ConfirmedAt().Sub(from.core.ConfirmedAt()) >= fleetPace().MinAdvance)
-	news := knows && to.revision > from.revision || younger
-	if call.peer.Waits() && waited < followTime && !news {
+	age, hasData := to.core.Age(f.now)
+	_, hadData := from.core.Age(f.now)
+	newer := hasData && (!hadData || to.core.ConfirmedAt().Sub(from.core.ConfirmedAt()) >= fleetTiming().MinAdvance)
+	updates := hasData && to.revision > from.revision || newer
+	if call.peer.Waits() && waited < followTime && !updates {
 		to.core.RecordActivity(from.entry.GetPeerAddress(), f.now)
 		return false
 	}
-	if !knows {
+	if !hasData {
 		from.core.PeerAnswered(call.peer, f.now.Add(-1000*time.Hour), f.now)
 		from.core.AddCallers(to.core.Callers())
 		return true
@@ -417,14 +425,14 @@
 }
 
 func (f *fleet) deliver(call *fleetCall) {
-	age, knows := call.from.core.Age(f.now)
-	call.to.core.CallReceived(Caller{Address: call.from.entry.GetPeerAddress(), HasData: knows, Revision: call.from.revision,
+	age, hasData := call.from.core.Age(f.now)
+	call.to.core.CallReceived(Caller{Address: call.from.entry.GetPeerAddress(), HasData: hasData, Revision: call.from.revision,
 		ConfirmedAt: f.now.Add(-age)}, call.to.revision, f.now)
 	call.to.core.AddUnlistedEntries(call.unlisted, f.now)
 	call.to.core.HandleSilentReport(call.silent, f.now)
 }
 
-// readers are the nodes that read the store for others by now.
+// readers returns the nodes that currently read the store for others.
 func (f *fleet) readers() []*fleetNode {
 	var found []*fleetNode
 	for _, node := range f.nodes {
@@ -435,7 +443,7 @@
 	return found
 }
 
-// listedEntries are the entries in the store.
+// listedEntries returns the entries in the store.
 func (f *fleet) listedEntries() []*apiv1.Balancer {
 	if len(f.lists) == 0 {
 		return nil
@@ -443,13 +451,13 @@
 	return f.lists[len(f.lists)-1].entries
 }
 
-// newSettledFleet starts a fleet and runs it until all are listed.
+// newSettledFleet starts a fleet and runs it until all balancers are listed.
 func newSettledFleet(t *testing.T, count int) *fleet {
-	made := newFleet(t, count)
-	made.run(15 * time.Second)
-	require.Len(t, made.listedEntries(), count)
-	require.Len(t, made.readers(), 1)
-	return made
+	f := newFleet(t, count)
+	f.run(15 * time.Second)
+	require.Len(t, f.listedEntries(), count)
+	require.Len(t, f.readers(), 1)
+	return f
 }
 
 // runForSizes runs a test for fleets of several sizes.
@@ -463,9 +471,9 @@
 	}
 }
 
-// All 295 to 351 balancers of kayalpath-edge-large read the store in six single
-// seconds of a quiet day: their knowledge grew stale at the same moment, since a
-// call waited longer for changes than knowledge may be old.
+// Guards against data that becomes stale everywhere at the same moment. Because a call
+// waited longer for changes than data may be old, all 295 to 351 balancers of a large
+// site read the store in six single seconds of a day without changes.
 func TestQuietMinuteCostsOneReadersCalls(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
@@ -474,7 +482,8 @@
 	}, 1000)
 }
 
-// Each start made a lease and an entry, and read the store whole.
+// Guards against a start at which each balancer creates a lease and an entry, and reads
+// the whole store.
 func TestColdStartCausesFewStoreCalls(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newFleet(t, count)
@@ -502,13 +511,15 @@
 	})
 }
 
-// All start at once before ten back ends for each of them, which take their time to be told
-// and to be read. Where each that was not told within a second read the store itself, its
-// link was full for as long as all of them read: 985 times 3.4 MB.
+// Guards against the saturation of the store's link when all balancers start at once,
+// with ten back ends for each of them, so that full replies and snapshots take long.
+// When each balancer that did not receive the data within a second read the store
+// itself, the link of the store was saturated until all had read it: 985 times 3.4 MB.
 func TestFewSnapshotReadsWithSlowFullReplies(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
-		// 350 bytes of a back end's entry over 125 MB a second, 35 packed over 25 MB a second.
+		// 350 bytes for a back end's entry at 125 MB a second, or 35 bytes compressed
+		// at 25 MB a second.
 		f.snapshotTime = time.Duration(10*count*350/125) * time.Microsecond
 		f.fullReplyTime = time.Duration(10*count*35/25) * time.Microsecond
 		for _, node := range f.nodes {
@@ -516,20 +527,20 @@
 		}
 		f.snapshotReads, f.zoneMemberReads = 0, 0
 		f.countExactCalls(time.Second)
-		// What is to be told grows with the fleet, and so does the time.
+		// The data to send grows with the fleet, and so does the time.
 		limit := 3 * time.Second * time.Duration(max(1000, count)) / 1000
 		for waited := time.Duration(0); ; waited += 100 * time.Millisecond {
-			knowing := 0
+			withData := 0
 			for _, node := range f.nodes {
 				if node.alive && node.core.hasData() {
-					knowing++
+					withData++
 				}
 			}
-			if knowing == count {
+			if withData == count {
 				t.Logf("all know %v after their start, %d whole reads", waited, f.snapshotReads)
 				break
 			}
-			require.Less(t, waited, limit, "%d know", knowing)
+			require.Less(t, waited, limit, "%d know", withData)
 			f.run(100 * time.Millisecond)
 		}
 		if count > zoneLeadsCount*fleetZones {
@@ -539,8 +550,9 @@
 	}, 1000, 2000)
 }
 
-// After a loss of power, 241 of 295 balancers asked a seed, a weak one, for
-// everything at once and got nothing within half a second.
+// Guards against the overload of seeds: after a power failure, 241 of 295 balancers
+// requested the full state from one seed, a weak one, at once and received nothing
+// within half a second.
 func TestFullReplyComesFromParent(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
@@ -550,16 +562,17 @@
 		f.countExactCalls(1500 * time.Millisecond)
 		for _, node := range f.nodes {
 			require.True(t, node.core.hasData(), node.entry.GetName())
-			// Whose parent has not started yet is told by the next one above.
+			// A balancer whose parent has not started yet is served by the next parent
+			// candidate.
 			require.LessOrEqual(t, f.fullReplies[node], 2*maxFanoutFactor*DefaultTreeFanout, node.entry.GetName())
 		}
 		require.LessOrEqual(t, f.staleCalls, count, "nobody ran out of patience")
 	})
 }
 
-// After a loss of power machines are back some tenths of a second apart. Where the head
-// of a zone was the last, the others waited for its connection, and dropped their
-// clients' packets for 0.5 s.
+// Guards against a zone that waits for its head. After a power failure, hosts are back
+// some tenths of a second apart. When the head of a zone was the last, the others
+// waited to connect to it, and dropped their clients' packets for 0.5 s.
 func TestZoneIsServedByStandbyWhenHeadReturnsLast(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
@@ -577,7 +590,7 @@
 				require.True(t, node.core.hasData(), node.entry.GetName())
 			}
 		}
-		// Where a zone has few, all of them read.
+		// In a small zone, all balancers read the store.
 		most := fleetZones * startupStandbys
 		if len(f.nodes[0].core.tree.ownZone()) <= smallZoneSize {
 			most = count
@@ -586,9 +599,10 @@
 	})
 }
 
-// Many start some milliseconds before the one that they are to follow, and the call to
-// it fails. Another one above tells them then, not the seeds: in one of fifteen draws
-// up to 72 of 300 took everything from one weak seed.
+// Guards against the overload of seeds when many balancers start some milliseconds
+// before their parent and the call to it fails. Another parent candidate serves them
+// then, rather than the seeds: with one of fifteen random sequences, up to 72 of 300
+// balancers received the full state from one weak seed.
 func TestSeedsAreSparedWhileParentCandidatesRemain(t *testing.T) {
 	for draw := range 8 {
 		t.Run(fmt.Sprint(draw), func(t *testing.T) {
@@ -623,7 +637,7 @@
 	})
 }
 
-// The store refuses a third of the balancers, the readers among them.
+// The store refuses a third of the balancers, including the readers.
 func TestRefusedReadersAreReplaced(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
@@ -651,7 +665,7 @@
 	})
 }
 
-// A zone that is cut off from the others reads the store itself.
+// A zone that is partitioned from the others reads the store itself.
 func TestPartitionedZoneReadsStoreItself(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
--- a/internal/replication/members_test.go
+++ b/internal/replication/members_test.go
@@ -10,10 +10,10 @@
 	"github.com/indigobarrow/indigobarrow/internal/directory"
 )
 
-// newReader makes the core that reads for three balancers.
+// newReader returns the core that reads the store for three balancers.
 func newReader(t *testing.T) *Core {
-	for place := range 3 {
-		core := newCore(place)
+	for index := range 3 {
+		core := newCore(index)
 		core.SetBalancers(newZone(3), startTime)
 		core.Confirm(startTime)
 		if core.IsReader() {
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// On warraq-nile-grown 127 starts cost 254 calls for leases and entries. A
-// balancer that starts again is still listed.
+// Guards against writes at restarts: 127 starts on a large site cost 254 calls for
+// leases and entries. A balancer that restarts is still listed.
 func TestRestartedBalancerWritesNothing(t *testing.T) {
 	core := newCore(1)
 	require.Len(t, core.UnlistedEntries(startTime), 1, "it does not know yet that it is listed")
@@ -44,8 +44,8 @@
 func TestReaderWritesEntriesInBatches(t *testing.T) {
 	core := newReader(t)
 	var joining []*apiv1.Balancer
-	for place := range 50 {
-		joining = append(joining, &apiv1.Balancer{Name: name(100 + place), Zone: "maadi", PeerAddress: address(100 + place)})
+	for index := range 50 {
+		joining = append(joining, &apiv1.Balancer{Name: name(100 + index), Zone: "maadi", PeerAddress: address(100 + index)})
 	}
 	core.AddUnlistedEntries(joining, after(10))
 	core.AddUnlistedEntries(joining[:5], after(20))
@@ -70,7 +70,7 @@
 	require.ElementsMatch(t, second.Put, again.Put, "nothing is lost by a write that failed")
 }
 
-// Nobody passes the entry on, or it was lost on the way: in the end the balancer
+// If nobody forwards the entry, or it is lost on the way, the balancer eventually
 // writes it itself.
 func TestUnlistedBalancerWritesOwnEntry(t *testing.T) {
 	core := newCore(7)
@@ -90,8 +90,8 @@
 	require.Equal(t, 1, writes)
 }
 
-// A balancer that its parent does not hear is removed once, and not while it is
-// only restarted or just listed.
+// A balancer from which its parent receives nothing is removed once, but not if it has
+// only restarted or has just been listed.
 func TestSilentBalancerIsRemoved(t *testing.T) {
 	core := newReader(t)
 	dead := core.tree.followers[0]
@@ -129,12 +129,12 @@
 	require.Empty(t, core.SilentBalancers(now.Add(2*forwardTTL)), "a report is passed on for a while only")
 }
 
-// Story: a balancer's entry was written and the store had said so, but the store came back from an
-// older copy before anybody read it. The reader took the entry for listed and passed over each
-// showing of it, so the balancer stood in no list until some other one changed.
-//
-// Evidence: what was written counts as listed until the directory lists something new; a copy that
-// lacks it brings nothing new.
+// Guards against a balancer that stays unlisted after a restoration of the store. Its
+// entry was written and acknowledged, but the store was restored from an older backup
+// before anybody read the entry. A written entry counts as listed until the directory
+// lists something new, and a backup without it brings nothing new. The reader therefore
+// ignored every new report of the entry, and the balancer was not listed until another
+// one changed.
 func TestEntryLostByRestoreIsWrittenAgain(t *testing.T) {
 	core := newReader(t)
 	joining := []*apiv1.Balancer{{Name: name(100), Zone: "maadi", PeerAddress: address(100)}}
@@ -153,7 +153,8 @@
 	require.Equal(t, joining, again.Put)
 }
 
-// Lost policies are written one at a time, and one that can't be written holds up no other.
+// Lost policies are written one at a time, and one that cannot be written does not
+// block the others.
 func TestReaderWritesLostPolicies(t *testing.T) {
 	core := newReader(t)
 	lost := []directory.LostPolicy{{Policy: &apiv1.Policy{Name: "one"}}, {Policy: &apiv1.Policy{Name: "two"}}}
--- a/internal/replication/outage_test.go
+++ b/internal/replication/outage_test.go
@@ -12,8 +12,8 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// storeOutage is balancers beside a store that answers nobody, in virtual time. One
-// step is ten milliseconds, which is also what a message takes.
+// storeOutage simulates balancers and a store that does not answer, in virtual time.
+// One step is ten milliseconds, which is also the delay of a message.
 type storeOutage struct {
 	now   time.Time
 	nodes []*outageNode
@@ -28,8 +28,8 @@
 	index    int
 	core     *Core
 	revision uint64
-	// startAt is when the node starts or has started; dark tells that nothing
-	// answers for it until then.
+	// startAt is when the node starts or has started. If poweredOff is set, nothing
+	// replies for it until then.
 	startAt    time.Time
 	alive      bool
 	poweredOff bool
@@ -47,22 +47,22 @@
 
 const (
 	simulationStep = 10 * time.Millisecond
-	// followTime is how long a call may wait for news.
+	// followTime is how long a call may wait for updates.
 	followTime = FollowWait
 )
 
 func newStoreOutage(count int, seed uint64) *storeOutage {
-	made := &storeOutage{now: startTime, cutUntil: make(map[[2]int]time.Time), random: rand.New(rand.NewPCG(seed, 1))}
-	for place := range min(count, 3) {
-		made.seeds = append(made.seeds, address(place))
+	o := &storeOutage{now: startTime, cutUntil: make(map[[2]int]time.Time), random: rand.New(rand.NewPCG(seed, 1))}
+	for index := range min(count, 3) {
+		o.seeds = append(o.seeds, address(index))
 	}
-	for place := range count {
-		node := &outageNode{index: place}
-		made.nodes = append(made.nodes, node)
-		made.start(node)
-		made.apply(node, 1, startTime)
+	for index := range count {
+		node := &outageNode{index: index}
+		o.nodes = append(o.nodes, node)
+		o.start(node)
+		o.apply(node, 1, startTime)
 	}
-	return made
+	return o
 }
 
 func (o *storeOutage) start(node *outageNode) {
@@ -90,7 +90,7 @@
 	return o.now.Before(o.cutUntil[[2]int{from.index, to.index}])
 }
 
-// step makes the calls that are due and moves those under way.
+// step starts the calls that are due and advances those in progress.
 func (o *storeOutage) step() {
 	o.now = o.now.Add(simulationStep)
 	for _, node := range o.nodes {
@@ -118,19 +118,19 @@
 }
 
 func (o *storeOutage) startCall(node *outageNode, peer Peer) {
-	made := &outageCall{from: node, starts: node.starts, peer: peer, sentAt: o.now, deadline: o.now.Add(replyTimeout)}
+	call := &outageCall{from: node, starts: node.starts, peer: peer, sentAt: o.now, deadline: o.now.Add(replyTimeout)}
 	if peer.Waits() {
-		made.deadline = o.now.Add(followTime + replyTimeout)
+		call.deadline = o.now.Add(followTime + replyTimeout)
 	}
 	for _, node := range o.nodes {
 		if address(node.index) == peer.Address {
-			made.to = node
+			call.to = node
 		}
 	}
-	o.calls = append(o.calls, made)
+	o.calls = append(o.calls, call)
 }
 
-// advanceCall tells whether a call has ended.
+// advanceCall reports whether a call has ended.
 func (o *storeOutage) advanceCall(call *outageCall) bool {
 	if !call.from.alive || call.from.starts != call.starts {
 		// The connection of a balancer without power stays open at the other end.
@@ -156,8 +156,8 @@
 		return false
 	}
 	waits := call.peer.Waits() && o.now.Sub(call.sentAt) < followTime
-	news := call.to.revision > call.from.revision
-	if waits && !news {
+	updates := call.to.revision > call.from.revision
+	if waits && !updates {
 		call.to.core.RecordActivity(address(call.from.index), o.now)
 		return false
 	}
@@ -166,18 +166,18 @@
 }
 
 func (o *storeOutage) deliver(call *outageCall) {
-	age, knows := call.from.core.Age(o.now)
+	age, hasData := call.from.core.Age(o.now)
 	shown := call.from.revision
 	if call.peer.Full {
 		shown = 0
 	}
-	call.to.core.CallReceived(Caller{Address: address(call.from.index), HasData: knows, Revision: shown,
+	call.to.core.CallReceived(Caller{Address: address(call.from.index), HasData: hasData, Revision: shown,
 		ConfirmedAt: o.now.Add(-age)}, call.to.revision, o.now)
 }
 
 func (o *storeOutage) answer(call *outageCall) {
-	age, knows := call.to.core.Age(o.now)
-	if !knows {
+	age, hasData := call.to.core.Age(o.now)
+	if !hasData {
 		call.from.core.PeerAnswered(call.peer, o.now.Add(-1000*time.Hour), o.now)
 		call.from.core.AddCallers(call.to.core.Callers())
 		return
@@ -189,7 +189,8 @@
 	o.apply(call.from, call.to.revision, o.now.Add(-age))
 }
 
-// connectedFor tells whether two nodes have lived and reached each other for a time.
+// connectedFor reports whether two nodes have been alive and able to reach each other
+// for a time.
 func (o *storeOutage) connectedFor(a, b *outageNode, since time.Duration) bool {
 	for _, node := range []*outageNode{a, b} {
 		if !node.alive || o.now.Sub(node.startAt) < since {
@@ -199,18 +200,19 @@
 	return o.now.Sub(o.cutUntil[[2]int{a.index, b.index}]) >= since && o.now.Sub(o.cutUntil[[2]int{b.index, a.index}]) >= since
 }
 
-// The times within which a balancer that knows nothing learns from one in
-// reach, and one that knows less catches up with it: knowledge may be as old as
-// StaleAfter before anybody looks for younger one.
+// firstDataTime is the time within which a balancer that has no data receives it from
+// one that it can reach, and catchUpTime the time within which a balancer that has less
+// data catches up: data may become as old as StaleAge before a balancer looks for newer
+// data.
 const (
 	firstDataTime = time.Second
 	catchUpTime   = firstDataTime + 1400*time.Millisecond
 )
 
-// describeBehind describes a node that does not know what another one in reach has
-// known for long enough, or is empty.
-func (o *storeOutage) describeBehind(knownSince map[int]time.Time) string {
-	for _, knower := range o.nodes {
+// describeBehind describes a node that lacks data that another one in reach has had for
+// long enough. It is empty if there is none.
+func (o *storeOutage) describeBehind(since map[int]time.Time) string {
+	for _, source := range o.nodes {
 		for _, other := range o.nodes {
 			limit := catchUpTime
 			switch {
@@ -219,47 +221,48 @@
 			case other.revision == 0:
 				limit = firstDataTime + followTime
 			}
-			known := knower.alive && o.now.Sub(knownSince[knower.index]) >= limit
-			if known && other.revision < knower.revision && o.connectedFor(knower, other, limit) {
+			hasData := source.alive && o.now.Sub(since[source.index]) >= limit
+			if hasData && other.revision < source.revision && o.connectedFor(source, other, limit) {
 				return fmt.Sprintf("at %v edge-%d knows %d, edge-%d beside it %d", o.now.Sub(startTime),
-					knower.index, knower.revision, other.index, other.revision)
+					source.index, source.revision, other.index, other.revision)
 			}
 		}
 	}
 	return ""
 }
 
-// Whatever is killed, cut off or started again while the store answers nobody,
-// seeds included: who lives beside one that knows comes to know as much.
+// Whichever balancers are killed, partitioned or restarted while the store does not
+// answer, including seeds: one that can reach a balancer with more data receives that
+// data.
 func TestDataSpreadsDuringOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 9).Draw(t, "balancers")
-		world := newStoreOutage(count, rapid.Uint64().Draw(t, "chance"))
-		knownSince := make(map[int]time.Time)
+		outage := newStoreOutage(count, rapid.Uint64().Draw(t, "chance"))
+		since := make(map[int]time.Time)
 		revisions := make(map[int]uint64)
 		most := 0
 		for second := range rapid.IntRange(2, 10).Draw(t, "seconds") {
-			world.injectFaults(t, second)
-			before := len(world.calls)
+			outage.injectFaults(t, second)
+			before := len(outage.calls)
 			for range 100 {
-				world.step()
-				for _, node := range world.nodes {
+				outage.step()
+				for _, node := range outage.nodes {
 					if revisions[node.index] != node.revision {
-						revisions[node.index], knownSince[node.index] = node.revision, world.now
+						revisions[node.index], since[node.index] = node.revision, outage.now
 					}
 				}
-				require.Empty(t, world.describeBehind(knownSince))
+				require.Empty(t, outage.describeBehind(since))
 			}
-			most = max(most, len(world.calls)-before)
+			most = max(most, len(outage.calls)-before)
 		}
 		require.LessOrEqual(t, most, 10*count, "calls under way stay few")
 	})
 }
 
-// injectFaults kills, cuts or informs some of the balancers.
+// injectFaults kills or partitions some of the balancers, or gives them data.
 func (o *storeOutage) injectFaults(t *rapid.T, second int) {
-	for place, node := range o.nodes {
-		label := fmt.Sprintf("%d s edge-%d", second, place)
+	for index, node := range o.nodes {
+		label := fmt.Sprintf("%d s edge-%d", second, index)
 		switch rapid.IntRange(0, 9).Draw(t, label) {
 		case 0, 1, 2:
 			node.alive, node.poweredOff = false, rapid.Bool().Draw(t, label+" dark")
@@ -269,9 +272,9 @@
 		case 3:
 			other := rapid.IntRange(0, len(o.nodes)-1).Draw(t, label+" cut from")
 			length := rapid.IntRange(0, 2500).Draw(t, label+" cut ms")
-			o.cutUntil[[2]int{place, other}] = o.now.Add(time.Duration(length) * time.Millisecond)
+			o.cutUntil[[2]int{index, other}] = o.now.Add(time.Duration(length) * time.Millisecond)
 		case 4:
-			// The store has answered this one alone.
+			// The store has answered this balancer alone.
 			if node.alive {
 				o.apply(node, uint64(second)+2, o.now)
 				node.core.PollSucceeded(PollFirstPage, true, o.now)
@@ -280,8 +283,8 @@
 	}
 }
 
-// What a balancer spends on telling does not grow with the number of those that
-// it does not hear.
+// The number of announcements of a balancer does not grow with the number of silent
+// balancers.
 func TestAnnouncementsAreBounded(t *testing.T) {
 	for _, count := range []int{7, 2000} {
 		core := newCore(0)
@@ -305,13 +308,14 @@
 	}
 }
 
-// A balancer that has had nobody to seek for long finds one that was lost just now
-// as fast as in a hurry. At a calm pace it was 1.2 s later, and the second of two
-// lost ones later still (found once by TestDataSpreadsDuringOutage).
+// Guards against slow announcements after a long time without silent balancers: one
+// that has just become silent must be called as fast as at the shortest interval. At
+// the longest interval it was called 1.2 s later, and the second of two silent ones
+// later still. TestDataSpreadsDuringOutage can find this fault too
 func TestNewlySilentBalancersAreAnnouncedToPromptly(t *testing.T) {
 	core := newReader(t)
 	below := core.tree.followers
-	told := make(map[string]int)
+	announcedAt := make(map[string]int)
 	for elapsed := 0; elapsed < 20_000; elapsed += 10 {
 		now := after(elapsed)
 		core.Confirm(now)
@@ -323,28 +327,29 @@
 		if !found || peer.Purpose != PurposeAnnounce {
 			continue
 		}
-		if elapsed >= 10_000 && told[peer.Address] == 0 {
-			told[peer.Address] = elapsed
+		if elapsed >= 10_000 && announcedAt[peer.Address] == 0 {
+			announcedAt[peer.Address] = elapsed
 		}
-		// It knows as much already, so that there is no hurry.
+		// The peer has the same data, so the interval grows.
 		core.PeerAnswered(peer, now, now)
 	}
 	for _, b := range below {
-		require.Less(t, told[b.GetPeerAddress()], 10_000+int(activityTimeout.Milliseconds())+200, b.GetName())
+		require.Less(t, announcedAt[b.GetPeerAddress()], 10_000+int(activityTimeout.Milliseconds())+200, b.GetName())
 	}
 }
 
-// A calm day costs no call that tells, as long as the calls of followers wait.
+// While nothing fails, there are no announcements, as long as the calls of followers
+// wait.
 func TestNoAnnouncementsWhileAllAreActive(t *testing.T) {
 	const count = 12
-	for place := range count {
-		core := newCore(place)
+	for index := range count {
+		core := newCore(index)
 		core.SetBalancers(newZone(count), startTime)
 		for elapsed := 0; elapsed < 30_000; elapsed += 50 {
 			now := after(elapsed)
 			core.Confirm(now)
 			for other := range count {
-				if other != place {
+				if other != index {
 					core.RecordActivity(address(other), now)
 				}
 			}
@@ -357,27 +362,28 @@
 	}
 }
 
-// Asking brings word of who knows; everything is fetched from one of them.
+// Probes find the balancers that have data, and the full state is fetched from one of
+// them.
 func TestNewBalancerFetchesFullStateOnce(t *testing.T) {
 	core := newCore(1, address(7), address(8), address(9))
 	core.SetBalancers(nil, startTime)
-	var asked []Peer
-	ask := func(now time.Time) int {
+	var probed []Peer
+	probe := func(now time.Time) int {
 		for {
 			peer, found := core.NextPeer(now)
 			if !found {
-				return len(asked)
+				return len(probed)
 			}
 			require.Equal(t, PurposeProbe, peer.Purpose)
 			require.True(t, peer.RevisionOnly)
-			asked = append(asked, peer)
+			probed = append(probed, peer)
 		}
 	}
-	require.Equal(t, 1, ask(after(0)), "the store may answer too")
-	require.Equal(t, 3, ask(after(150)))
-	core.PeerAnswered(asked[0], after(-1_000_000_000_000), after(160))
-	core.PeerAnswered(asked[1], after(-5000), after(161))
-	core.PeerAnswered(asked[2], after(-5000), after(162))
+	require.Equal(t, 1, probe(after(0)), "the store may answer too")
+	require.Equal(t, 3, probe(after(150)))
+	core.PeerAnswered(probed[0], after(-1_000_000_000_000), after(160))
+	core.PeerAnswered(probed[1], after(-5000), after(161))
+	core.PeerAnswered(probed[2], after(-5000), after(162))
 	peer, found := core.NextPeer(after(163))
 	require.True(t, found)
 	require.Equal(t, Peer{Address: address(8), Purpose: PurposeFetch, Full: true}, peer)
@@ -392,15 +398,15 @@
 	}
 }
 
-// What a seed knows is fetched from it at once where the store has refused to say
-// whom to follow, and not while it may.
+// The data of a seed is fetched immediately if the store has refused to list the parent
+// candidates, but not while it may still do so.
 func TestSeedIsFetchedFromOnlyWithoutStore(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		core := newCore(1, address(7))
 		core.PollStarted(PollMembers, after(0))
-		asked, found := core.NextPeer(after(0))
+		probed, found := core.NextPeer(after(0))
 		require.True(t, found)
-		core.PeerAnswered(asked, after(-100), after(10))
+		core.PeerAnswered(probed, after(-100), after(10))
 		if refused {
 			core.PollFailed(after(10))
 		}
@@ -417,12 +423,13 @@
 	}
 }
 
-// After an outage, all balancers of a large site read the whole store, each over
-// its own link, and served 2 s later than the store did.
+// Guards against a rush on the store after an outage: all balancers of a large site
+// read the whole store, each over its own link, and served 2 s later than the store
+// answered.
 func TestOnlyReadersReadStoreAfterOutageOfLargeSite(t *testing.T) {
 	readers, soon := 0, 0
-	for place := range 40 {
-		core := newCore(place, address(1))
+	for index := range 40 {
+		core := newCore(index, address(1))
 		core.config.SharedOrderLimit = 16
 		core.PollStarted(PollMembers, after(0))
 		core.PollFailed(after(1000))
--- a/internal/replication/packing_test.go
+++ b/internal/replication/packing_test.go
@@ -12,9 +12,9 @@
 
 func routesBatch(count int) *apiv1.DirectoryBatch {
 	table := &apiv1.RouteTable{Version: 9, IdleMilliseconds: 12000}
-	for place := range count {
+	for index := range count {
 		table.Routes = append(table.Routes, &apiv1.ServiceRoute{
-			Name: fmt.Sprintf("route-%x", place*2654435761), Address: 0xc6120001 + uint32(place), Port: 443,
+			Name: fmt.Sprintf("route-%x", index*2654435761), Address: 0xc6120001 + uint32(index), Port: 443,
 			Pools: []*apiv1.PoolShare{{Pool: "loan-session", Weight: 1000}},
 		})
 	}
@@ -24,16 +24,16 @@
 	}}
 }
 
-// A configuration of 3,000 routes filled the link of a balancer that sent it to
-// its followers, 150 KB to each.
+// Guards against large transfers: a configuration of 3,000 routes, 150 KB for each
+// follower, saturated the link of a balancer that sent it.
 func TestLargeTablesArePacked(t *testing.T) {
 	batch := routesBatch(3000)
-	whole := proto.Size(batch)
+	fullSize := proto.Size(batch)
 	kept := proto.CloneOf(batch)
 	packer := &Packer{}
 	packed, err := packer.Pack(batch)
 	require.NoError(t, err)
-	require.Less(t, proto.Size(packed), whole/3)
+	require.Less(t, proto.Size(packed), fullSize/3)
 	require.True(t, proto.Equal(kept, batch), "the directory's own entries stay as they are")
 	again, err := packer.Pack(batch)
 	require.NoError(t, err)
--- a/internal/replication/startup_test.go
+++ b/internal/replication/startup_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first try at a balancer is short, since a machine without power says nothing; a
-// link whose queues take longer is reached by the third one at the latest. With the
-// first time alone a balancer that knows nothing never reached anybody over such links.
+// The first attempt to connect to a balancer is short, since a host without power sends
+// no reply. A link with a longer queueing delay is reached by the third attempt at the
+// latest; with the first timeout alone, a balancer without data never reached anybody
+// over such links.
 func TestDialTimeoutGrowsWithFailures(t *testing.T) {
 	core := newCore(1, address(7), address(8))
 	core.PollStarted(PollMembers, after(0))
@@ -34,13 +35,13 @@
 	require.Equal(t, dialTimeout, core.DialTimeout(address(9)), "no client waits")
 }
 
-// A head that does not answer has the next two of its zone read the store, each only
-// when all above it have failed; the others wait for them.
+// If the head of a zone does not answer, the next two of the zone read the store, each
+// only once all above it have failed. The others wait for them.
 func TestOnlyNextTwoReadForSilentHead(t *testing.T) {
 	const count = 20
 	readers := 0
-	for place := range count {
-		core := newCore(place)
+	for index := range count {
+		core := newCore(index)
 		core.PollStarted(PollMembers, after(0))
 		core.SetBalancers(newZone(count), startTime)
 		core.PollSucceeded(PollMembers, false, after(10))
--- a/internal/replication/tree_test.go
+++ b/internal/replication/tree_test.go
@@ -15,9 +15,9 @@
 func drawBalancers(t *rapid.T) []*apiv1.Balancer {
 	zones := rapid.IntRange(1, 10).Draw(t, "zones")
 	var found []*apiv1.Balancer
-	for place := range rapid.IntRange(1, 120).Draw(t, "balancers") {
+	for index := range rapid.IntRange(1, 120).Draw(t, "balancers") {
 		found = append(found, &apiv1.Balancer{
-			Name: name(place), PeerAddress: address(place),
+			Name: name(index), PeerAddress: address(index),
 			Zone:           fmt.Sprintf("zone-%d", rapid.IntRange(0, zones-1).Draw(t, "zone")),
 			ProcessorCores: rapid.SampledFrom([]float64{0, 0.06, 0.8}).Draw(t, "cores"),
 			LinkMegabits:   rapid.SampledFrom([]float64{0, 20, 200}).Draw(t, "link"),
@@ -26,8 +26,9 @@
 	return found
 }
 
-// All balancers see the same tree: one reads for all, each of the others is below
-// exactly one, whom it would follow first, and nobody is above one that is above it.
+// All balancers compute the same tree: one is the reader, each of the others is the
+// follower of exactly one, which is its first parent candidate, and no two balancers
+// are parent candidates of each other.
 func TestTreesOfAllBalancersAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := drawBalancers(t)
@@ -35,34 +36,34 @@
 		parents := make(map[string][]string)
 		readers := 0
 		for _, self := range known {
-			made := newTree(self, known, DefaultSharedOrderLimit, DefaultTreeFanout)
-			trees[self.GetName()] = made
-			require.Equal(t, len(known), made.size)
-			require.Len(t, made.others, len(known)-1-len(made.parentCandidates))
-			if made.rank() == 0 {
+			built := newTree(self, known, DefaultSharedOrderLimit, DefaultTreeFanout)
+			trees[self.GetName()] = built
+			require.Equal(t, len(known), built.size)
+			require.Len(t, built.others, len(known)-1-len(built.parentCandidates))
+			if built.rank() == 0 {
 				readers++
 			}
-			for _, follower := range made.followers {
+			for _, follower := range built.followers {
 				parents[follower.GetName()] = append(parents[follower.GetName()], self.GetName())
 			}
 		}
 		require.Equal(t, 1, readers)
-		for name, made := range trees {
-			if made.rank() == 0 {
-				require.Empty(t, made.parentCandidates)
+		for name, built := range trees {
+			if built.rank() == 0 {
+				require.Empty(t, built.parentCandidates)
 				require.Empty(t, parents[name])
 				continue
 			}
-			require.Equal(t, []string{made.parentCandidates[0].GetName()}, parents[name])
-			for _, b := range made.parentCandidates {
-				require.NotContains(t, trees[b.GetName()].parentCandidates, made.ownZone()[made.position])
+			require.Equal(t, []string{built.parentCandidates[0].GetName()}, parents[name])
+			for _, b := range built.parentCandidates {
+				require.NotContains(t, trees[b.GetName()].parentCandidates, built.ownZone()[built.position])
 			}
 		}
 	})
 }
 
-// Until the others know a balancer, it reads for nobody, however strong it is. At
-// a first start each of 300 otherwise took itself for the reader.
+// Until the others know a balancer, it reads the store for nobody, however strong it
+// is. Otherwise each of 300 balancers considered itself the reader at a first start.
 func TestUnlistedBalancerRanksLast(t *testing.T) {
 	known := []*apiv1.Balancer{
 		{Name: "edge-1", Zone: "maadi", ProcessorCores: 0.06, LinkMegabits: 20},
@@ -77,27 +78,27 @@
 	}
 }
 
-// Three strong balancers of a zone of 63 serve all others of it, so that none
+// Three strong balancers of a zone of 63 serve all others of it, so that no balancer
 // with a link of 20 Mbit/s has to.
 func TestFewStrongBalancersServeMoreFollowers(t *testing.T) {
 	zone := newZone(63)
-	for place, b := range zone {
+	for index, b := range zone {
 		b.ProcessorCores, b.LinkMegabits = 0.061, 20
-		if place%30 == 0 {
+		if index%30 == 0 {
 			b.ProcessorCores, b.LinkMegabits = 0.8, 200
 		}
 	}
 	for _, self := range zone {
-		made := newTree(self, zone, DefaultSharedOrderLimit, DefaultTreeFanout)
-		require.LessOrEqual(t, len(made.followers), maxFanoutFactor*DefaultTreeFanout)
+		built := newTree(self, zone, DefaultSharedOrderLimit, DefaultTreeFanout)
+		require.LessOrEqual(t, len(built.followers), maxFanoutFactor*DefaultTreeFanout)
 		if self.GetProcessorCores() < 0.1 {
-			require.Empty(t, made.followers)
+			require.Empty(t, built.followers)
 		}
 	}
 }
 
-// With the settings that are accepted, knowledge is never stale while nothing
-// fails: the figures of a pace fit each other by construction.
+// With any accepted settings, data does not become stale while nothing fails: the
+// values of a Timing are consistent by construction.
 func TestDataStaysFreshAtAnyPollInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		poll := time.Duration(rapid.IntRange(100, 60_000).Draw(t, "poll ms")) * time.Millisecond
@@ -108,19 +109,19 @@
 	})
 }
 
-// BenchmarkTree is the cost of taking a list of balancers in which one has changed,
-// at today's largest size and at that of two years.
+// BenchmarkTree measures the update of a list of balancers in which one has changed, at
+// a size of 300 and at one of 12,000, which is expected in two years.
 func BenchmarkTree(b *testing.B) {
 	for _, size := range []int{300, 12_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var known []*apiv1.Balancer
-			for place := range size {
+			for index := range size {
 				strength := 0.5
-				if place%20 == 0 {
+				if index%20 == 0 {
 					strength = 4
 				}
-				known = append(known, &apiv1.Balancer{Name: name(place), PeerAddress: address(place),
-					Zone: fmt.Sprintf("zone-%d", place%10), ProcessorCores: 0.1 * strength, LinkMegabits: 100 * strength})
+				known = append(known, &apiv1.Balancer{Name: name(index), PeerAddress: address(index),
+					Zone: fmt.Sprintf("zone-%d", index%10), ProcessorCores: 0.1 * strength, LinkMegabits: 100 * strength})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/replication/zoneleads_test.go
+++ b/internal/replication/zoneleads_test.go
@@ -11,12 +11,13 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// newLargeZone is a zone of so many balancers, the first of them strong.
+// newLargeZone returns a zone of the given number of balancers, the first of which are
+// strong.
 func newLargeZone(strong, count int) []*apiv1.Balancer {
 	var zone []*apiv1.Balancer
-	for place := range count {
-		entry := &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", place), Zone: "maadi", PeerAddress: address(place), ProcessorCores: 0.2, LinkMegabits: 20}
-		if place < strong {
+	for index := range count {
+		entry := &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", index), Zone: "maadi", PeerAddress: address(index), ProcessorCores: 0.2, LinkMegabits: 20}
+		if index < strong {
 			entry.ProcessorCores, entry.LinkMegabits = 0.8, 200
 		}
 		zone = append(zone, entry)
@@ -25,21 +26,22 @@
 }
 
 func newStartingCore(self *apiv1.Balancer) *Core {
-	return NewCore(Config{Self: self, Seeds: []string{"10.9.9.9:1"}, Timing: fleetPace(), TreeFanout: DefaultTreeFanout,
+	return NewCore(Config{Self: self, Seeds: []string{"10.9.9.9:1"}, Timing: fleetTiming(), TreeFanout: DefaultTreeFanout,
 		SharedOrderLimit: DefaultSharedOrderLimit, PeerRetryDelay: time.Second, MaxBackoff: time.Second,
 		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute}, rand.New(rand.NewPCG(1, 2)), startTime)
 }
 
-// Who starts and knows the first of its zone only asks a strong one, and not all the same.
+// A starting balancer that knows only the first of its zone calls a strong one, and not
+// all call the same one.
 func TestStartingBalancersAreSpreadOverStrongOnes(t *testing.T) {
 	zone := newLargeZone(10, 200)
-	asked := make(map[string]int)
+	chosen := make(map[string]int)
 	reader := newStartingCore(zone[0])
 	reader.SetBalancers(zone, startTime)
 	list := reader.zoneLeadsToWrite(startTime.Add(time.Hour))[0]
 	require.Len(t, list.GetFirst(), zoneLeadsCount)
 	require.Equal(t, uint32(224), list.GetSize())
-	for place, self := range zone {
+	for index, self := range zone {
 		core := newStartingCore(self)
 		core.PollSucceeded(PollMembers, false, startTime)
 		core.SetZoneSize(int(list.GetSize()))
@@ -47,21 +49,21 @@
 		switch {
 		case core.tree.position == 0:
 			require.True(t, core.readsAtStartup(), "the head reads")
-		case place >= 10 && core.hasPartialZone(list.GetFirst()):
+		case index >= 10 && core.hasPartialZone(list.GetFirst()):
 			parent := core.tree.parentCandidates[0]
 			require.Equal(t, 0.8, parent.GetProcessorCores())
 			require.Len(t, core.tree.parentCandidates, zoneLeadsCount)
-			asked[parent.GetName()]++
+			chosen[parent.GetName()]++
 			require.False(t, core.readsAtStartup() || core.readsForSilentHead())
 		}
 	}
-	require.Len(t, asked, 10)
-	for name, count := range asked {
+	require.Len(t, chosen, 10)
+	for name, count := range chosen {
 		require.LessOrEqual(t, count, 2*DefaultTreeFanout, name)
 	}
 }
 
-// A list is written when it changes, again when the write failed, and each minute.
+// A list is written when it changes, again if the write failed, and once a minute.
 func TestZoneLeadsAreWrittenWhenChanged(t *testing.T) {
 	zone := newLargeZone(10, 100)
 	core := newStartingCore(zone[0])
