--- a/internal/replication/client_test.go
+++ b/internal/replication/client_test.go
@@ -99,8 +99,8 @@
 	reply, sentAt, err := client.Follow(context.Background(), proxy.Address(), followRequest(FollowWait))
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), reply.GetBatch().GetRevision())
-	require.Less(t, time.Since(began), FollowWait+2*replyTimeout, "news within 2 s")
-	require.GreaterOrEqual(t, sentAt.Sub(began), FollowWait+replyTimeout, "the call that was answered")
+	require.Less(t, time.Since(began), FollowWait+2*replyTimeout, "updates arrive within 2 s")
+	require.GreaterOrEqual(t, sentAt.Sub(began), FollowWait+replyTimeout, "sent time of the call that was answered")
 	require.Equal(t, 2, proxy.Accepted())
 	handler.mutex.Lock()
 	defer handler.mutex.Unlock()
@@ -160,7 +160,7 @@
 		}
 		t.Cleanup(func() { _ = socket.Close() })
 	}
-	require.Fail(t, "all connections are made")
+	require.Fail(t, "the backlog did not fill up")
 }
 
 // Guards against a retry whose dial does not count towards its limit: a dial that took
@@ -188,7 +188,7 @@
 	began := time.Now()
 	given, err := client.attempt(context.Background(), listener.Addr().String(), replyTimeout, silent)
 	require.Error(t, err)
-	require.True(t, given, "it had brought an answer")
+	require.True(t, given, "the connection had carried a reply before")
 	require.Error(t, client.retry(context.Background(), listener.Addr().String(), silent))
 	require.Less(t, time.Since(began), 3*replyTimeout)
 }
@@ -241,12 +241,12 @@
 	select {
 	case <-client.connection.Closed():
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the end is not seen")
+		require.Fail(t, "the close of the connection was not detected")
 	}
 	_, err = followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
 	require.Equal(t, 2, proxy.Accepted())
-	require.Zero(t, client.SilentConnections.Load(), "it was not silent")
+	require.Zero(t, client.SilentConnections.Load(), "the connection was closed, not silent")
 }
 
 // A follower that reads nothing does not block the reply to it forever.
@@ -274,6 +274,6 @@
 	case err := <-outcome:
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	case <-time.After(idleTimeout + 2*time.Second):
-		require.Fail(t, "the answer still waits to leave")
+		require.Fail(t, "the write is still blocked")
 	}
 }
--- a/internal/replication/core_test.go
+++ b/internal/replication/core_test.go
@@ -105,10 +105,10 @@
 	of := func(cores, megabits float64) int {
 		return tier(&apiv1.Balancer{ProcessorCores: cores, LinkMegabits: megabits})
 	}
-	require.Equal(t, of(0.8, 200), of(0.9, 220), "about as strong")
+	require.Equal(t, of(0.8, 200), of(0.9, 220), "similar strength")
 	require.Greater(t, of(0.8, 200), of(0.8, 10), "the link counts")
 	require.Greater(t, of(0.8, 200), of(0.027, 200), "the processor counts")
-	require.Greater(t, of(0.027, 10), of(0, 10), "unknown comes last")
+	require.Greater(t, of(0.027, 10), of(0, 10), "unknown strength ranks last")
 	require.Equal(t, of(0, 0), of(4, 0))
 }
 
@@ -176,7 +176,7 @@
 		}
 	}
 	require.Less(t, calls, 25)
-	require.Greater(t, calls, 9, "it is tried at least once a second")
+	require.Greater(t, calls, 9, "the store is tried at least once a second")
 	core.PollSucceeded(PollFirstPage, true, now)
 	core.PollStarted(PollFirstPage, now)
 	require.Equal(t, PollNone, core.NextPoll(now.Add(999*time.Millisecond)))
@@ -235,13 +235,13 @@
 	if core.tree.position >= startupStandbys {
 		longest = 510 + 20*1000/startupReadsPerSecond
 	}
-	require.Equal(t, PollNone, core.NextPoll(after(10)), "peers are asked first")
+	require.Equal(t, PollNone, core.NextPoll(after(10)), "peers are called first")
 	require.Equal(t, PollNone, core.NextPoll(after(509)), "for half a second at least")
-	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "patience ends")
+	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "the wait for peers ends")
 	core.PollStarted(PollStaleSnapshot, after(longest))
 	core.PollSucceeded(PollStaleSnapshot, false, after(longest+10))
-	require.Equal(t, PollNone, core.NextPoll(after(longest+10)), "peers are asked for what is new")
-	require.Equal(t, PollSnapshot, core.NextPoll(after(2*longest+10)), "nobody has answered")
+	require.Equal(t, PollNone, core.NextPoll(after(longest+10)), "peers are called for newer changes")
+	require.Equal(t, PollSnapshot, core.NextPoll(after(2*longest+10)), "no peer has replied")
 }
 
 // Guards against the overload of seeds at the first start, when no balancer is listed:
@@ -254,8 +254,8 @@
 	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(10)))
 	core.PollStarted(PollStaleSnapshot, after(10))
 	core.PollSucceeded(PollStaleSnapshot, false, after(20))
-	require.Equal(t, PollNone, core.NextPoll(after(20)), "a seed is asked for what is new")
-	require.Equal(t, PollSnapshot, core.NextPoll(after(1020)), "nobody has answered")
+	require.Equal(t, PollNone, core.NextPoll(after(20)), "a seed is called for newer changes")
+	require.Equal(t, PollSnapshot, core.NextPoll(after(1020)), "no peer has replied")
 }
 
 func TestSeedReadsStoreImmediately(t *testing.T) {
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -477,7 +477,7 @@
 func TestQuietMinuteCostsOneReadersCalls(t *testing.T) {
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
-		require.LessOrEqual(t, f.countExactCalls(time.Minute), 100, "two calls each 1.4 s")
+		require.LessOrEqual(t, f.countExactCalls(time.Minute), 100, "two calls every 1.4 s")
 		require.Zero(t, f.maxStale)
 	}, 1000)
 }
@@ -504,7 +504,7 @@
 				}
 			}
 			calls := f.countExactCalls(20 * time.Second)
-			require.LessOrEqual(t, calls, 70, "every %d. restarts", part)
+			require.LessOrEqual(t, calls, 70, "one of every %d restarts", part)
 			require.LessOrEqual(t, f.staleCalls, 2*count/part+1)
 			require.Len(t, f.readers(), 1)
 		}
@@ -537,16 +537,16 @@
 				}
 			}
 			if withData == count {
-				t.Logf("all know %v after their start, %d whole reads", waited, f.snapshotReads)
+				t.Logf("all have data %v after their start, %d snapshot reads", waited, f.snapshotReads)
 				break
 			}
-			require.Less(t, waited, limit, "%d know", withData)
+			require.Less(t, waited, limit, "%d have data", withData)
 			f.run(100 * time.Millisecond)
 		}
 		if count > zoneLeadsCount*fleetZones {
-			require.Zero(t, f.zoneMemberReads, "the names of a large zone are read by nobody")
+			require.Zero(t, f.zoneMemberReads, "no balancer reads all names of a large zone")
 		}
-		require.LessOrEqual(t, f.snapshotReads, 40, "the heads, those that stand in for them, some by lot")
+		require.LessOrEqual(t, f.snapshotReads, 40, "the heads, their standbys, and some at random")
 	}, 1000, 2000)
 }
 
@@ -566,7 +566,7 @@
 			// candidate.
 			require.LessOrEqual(t, f.fullReplies[node], 2*maxFanoutFactor*DefaultTreeFanout, node.entry.GetName())
 		}
-		require.LessOrEqual(t, f.staleCalls, count, "nobody ran out of patience")
+		require.LessOrEqual(t, f.staleCalls, count, "no balancer stopped waiting for peers")
 	})
 }
 
@@ -632,7 +632,7 @@
 			require.Len(t, f.readers(), 1)
 		}
 		if count > 2*fleetZones {
-			require.Len(t, f.listedEntries(), count-3, "each zone misses its own")
+			require.Len(t, f.listedEntries(), count-3, "each zone removes its own dead balancer")
 		}
 	})
 }
@@ -656,7 +656,7 @@
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
 		f.storeRefuses = func(*fleetNode) bool { return true }
-		require.LessOrEqual(t, f.countExactCalls(10*time.Second), 250, "standbys once a second, the others together eight times")
+		require.LessOrEqual(t, f.countExactCalls(10*time.Second), 250, "standbys once a second, all others together eight times")
 		f.storeRefuses = func(*fleetNode) bool { return false }
 		f.run(2 * time.Second)
 		for _, node := range f.nodes {
@@ -677,9 +677,9 @@
 		}
 		entries, revision, lists := f.listedEntries(), f.revision, f.listWrites
 		f.run(40 * time.Second)
-		require.Len(t, f.listedEntries(), len(entries), "who cannot be heard from another zone may live")
+		require.Len(t, f.listedEntries(), len(entries), "a balancer that another zone cannot reach may be alive")
 		lists = f.listWrites - lists
-		require.Equal(t, revision, f.revision-uint64(lists), "nothing else is written than lists of the first of zones")
+		require.Equal(t, revision, f.revision-uint64(lists), "only the lists of the first balancers of zones are written")
 		require.LessOrEqual(t, lists, 4, "by two readers, once a minute")
 	})
 }
--- a/internal/replication/members_test.go
+++ b/internal/replication/members_test.go
@@ -28,7 +28,7 @@
 // leases and entries. A balancer that restarts is still listed.
 func TestRestartedBalancerWritesNothing(t *testing.T) {
 	core := newCore(1)
-	require.Len(t, core.UnlistedEntries(startTime), 1, "it does not know yet that it is listed")
+	require.Len(t, core.UnlistedEntries(startTime), 1, "the balancer does not know yet that it is listed")
 	core.SetBalancers(newZone(3), startTime)
 	require.Empty(t, core.UnlistedEntries(startTime))
 }
@@ -53,7 +53,7 @@
 	require.True(t, found)
 	require.Len(t, first.Put, WriteLimit)
 	_, found = core.NextWrite(after(501))
-	require.False(t, found, "one at a time")
+	require.False(t, found, "one write at a time")
 	core.WriteEnded(first, false, after(510))
 	second, found := core.NextWrite(after(510 + 200))
 	require.True(t, found)
@@ -62,12 +62,12 @@
 	_, found = core.NextWrite(after(730))
 	require.False(t, found)
 	again, found := core.NextWrite(after(1720))
-	require.False(t, found, "stale knowledge may not tell who is listed")
+	require.False(t, found, "stale data may not show who is listed")
 	require.Empty(t, again.Put)
 	core.Confirm(after(1720))
 	again, found = core.NextWrite(after(1721))
 	require.True(t, found)
-	require.ElementsMatch(t, second.Put, again.Put, "nothing is lost by a write that failed")
+	require.ElementsMatch(t, second.Put, again.Put, "a failed write loses no entries")
 }
 
 // If nobody forwards the entry, or it is lost on the way, the balancer eventually
@@ -108,7 +108,7 @@
 			continue
 		}
 		require.Equal(t, []string{dead.GetName()}, write.Remove)
-		require.Equal(t, -1, removedAt, "it is not removed again at once")
+		require.Equal(t, -1, removedAt, "the balancer is not removed again immediately")
 		removedAt = elapsed
 		core.WriteEnded(write, true, now)
 	}
@@ -123,10 +123,10 @@
 	core.Confirm(now)
 	core.RecordActivity(below[0].GetPeerAddress(), now)
 	core.HandleSilentReport([]string{below[0].GetName(), "edge-99", core.config.Self.GetName()}, now)
-	require.Empty(t, core.members.silentReports, "one was heard here, one is not listed, one is this one")
+	require.Empty(t, core.members.silentReports, "one was active here, one is not listed, one is this balancer")
 	core.HandleSilentReport([]string{below[1].GetName()}, now)
 	require.Equal(t, []string{below[1].GetName()}, core.SilentBalancers(now))
-	require.Empty(t, core.SilentBalancers(now.Add(2*forwardTTL)), "a report is passed on for a while only")
+	require.Empty(t, core.SilentBalancers(now.Add(2*forwardTTL)), "a report is forwarded for a limited time")
 }
 
 // Guards against a balancer that stays unlisted after a restoration of the store. Its
@@ -144,7 +144,7 @@
 	core.WriteEnded(first, false, after(510))
 	core.AddUnlistedEntries(joining, after(600))
 	_, found = core.NextWrite(after(800))
-	require.False(t, found, "it is written")
+	require.False(t, found, "the entry has been written")
 
 	core.StoreRestored(newZone(3), after(900))
 	core.AddUnlistedEntries(joining, after(910))
--- a/internal/replication/outage_test.go
+++ b/internal/replication/outage_test.go
@@ -223,7 +223,7 @@
 			}
 			hasData := source.alive && o.now.Sub(since[source.index]) >= limit
 			if hasData && other.revision < source.revision && o.connectedFor(source, other, limit) {
-				return fmt.Sprintf("at %v edge-%d knows %d, edge-%d beside it %d", o.now.Sub(startTime),
+				return fmt.Sprintf("at %v edge-%d has revision %d, edge-%d in reach of it %d", o.now.Sub(startTime),
 					source.index, source.revision, other.index, other.revision)
 			}
 		}
@@ -255,7 +255,7 @@
 			}
 			most = max(most, len(outage.calls)-before)
 		}
-		require.LessOrEqual(t, most, 10*count, "calls under way stay few")
+		require.LessOrEqual(t, most, 10*count, "number of calls in progress is bounded")
 	})
 }
 
@@ -311,7 +311,7 @@
 // Guards against slow announcements after a long time without silent balancers: one
 // that has just become silent must be called as fast as at the shortest interval. At
 // the longest interval it was called 1.2 s later, and the second of two silent ones
-// later still. TestDataSpreadsDuringOutage can find this fault too
+// later still. TestDataSpreadsDuringOutage can find this fault too.
 func TestNewlySilentBalancersAreAnnouncedToPromptly(t *testing.T) {
 	core := newReader(t)
 	below := core.tree.followers
@@ -379,7 +379,7 @@
 			probed = append(probed, peer)
 		}
 	}
-	require.Equal(t, 1, probe(after(0)), "the store may answer too")
+	require.Equal(t, 1, probe(after(0)), "the store may still answer")
 	require.Equal(t, 3, probe(after(150)))
 	core.PeerAnswered(probed[0], after(-1_000_000_000_000), after(160))
 	core.PeerAnswered(probed[1], after(-5000), after(161))
@@ -449,14 +449,14 @@
 		if core.NextPoll(after(3100)) == PollStaleSnapshot {
 			soon++
 		}
-		require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "patience ends")
+		require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "the wait for peers ends")
 	}
 	require.Equal(t, 1, readers)
-	require.LessOrEqual(t, soon, 8, "two in a second, and the standbys")
+	require.LessOrEqual(t, soon, 8, "two a second, and the standbys")
 	small := newCore(1, address(1))
 	small.config.SharedOrderLimit = 16
 	small.PollFailed(after(0))
 	small.SetBalancers(newZone(8), startTime)
 	small.PollSucceeded(PollMembers, false, after(2010))
-	require.Equal(t, PollSnapshot, small.NextPoll(after(2011)), "a small site reads at once")
+	require.Equal(t, PollSnapshot, small.NextPoll(after(2011)), "balancers of a small site read the store immediately")
 }
--- a/internal/replication/startup_test.go
+++ b/internal/replication/startup_test.go
@@ -27,10 +27,10 @@
 		core.PeerFailed(peer, after(elapsed))
 	}
 	require.Equal(t, []time.Duration{startupDialTimeout, 2 * startupDialTimeout, dialTimeout, dialTimeout}, times)
-	require.Equal(t, startupDialTimeout, core.DialTimeout(address(9)), "another one, not tried yet")
+	require.Equal(t, startupDialTimeout, core.DialTimeout(address(9)), "a balancer not called before")
 
 	core.PeerAnswered(Peer{Address: address(7), Purpose: PurposeProbe}, after(2000), after(2000))
-	require.Equal(t, startupDialTimeout, core.DialTimeout(address(7)), "it has answered")
+	require.Equal(t, startupDialTimeout, core.DialTimeout(address(7)), "the balancer has replied")
 	core.Confirm(after(2000))
 	require.Equal(t, dialTimeout, core.DialTimeout(address(9)), "no client waits")
 }
@@ -46,7 +46,7 @@
 		core.SetBalancers(newZone(count), startTime)
 		core.PollSucceeded(PollMembers, false, after(10))
 		if core.tree.position > 0 {
-			require.Equal(t, PollNone, core.NextPoll(after(11)), "the head may answer")
+			require.Equal(t, PollNone, core.NextPoll(after(11)), "the head may still reply")
 		}
 		for _, above := range core.tree.parentCandidates {
 			core.PeerFailed(Peer{Address: above.GetPeerAddress(), Purpose: PurposeProbe}, after(12))
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -64,8 +64,8 @@
 
 // MaxAge returns the age that data reaches at the last level of the tree while nothing
 // fails and each call takes the given time in addition to its wait.
-func (p Timing) MaxAge(call time.Duration) time.Duration {
-	byChanges := 2*(p.ChangesWait+call) + p.ChangesDelay
-	byPages := p.PollInterval + call
-	return max(byChanges, byPages) + treeLevels*(p.MinAdvance+call)
+func (t Timing) MaxAge(call time.Duration) time.Duration {
+	byChanges := 2*(t.ChangesWait+call) + t.ChangesDelay
+	byPages := t.PollInterval + call
+	return max(byChanges, byPages) + treeLevels*(t.MinAdvance+call)
 }
--- a/internal/replication/tree_test.go
+++ b/internal/replication/tree_test.go
@@ -102,10 +102,10 @@
 func TestDataStaysFreshAtAnyPollInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		poll := time.Duration(rapid.IntRange(100, 60_000).Draw(t, "poll ms")) * time.Millisecond
-		pace := NewTiming(poll, MinStaleAge(poll))
+		timing := NewTiming(poll, MinStaleAge(poll))
 		call := poll / 100
-		require.Less(t, pace.MaxAge(call), pace.StaleAge)
-		require.Less(t, pace.StaleAge+standbyCount*pace.StandbyDelay, 2*poll, "the turns of the standbys end in time")
+		require.Less(t, timing.MaxAge(call), timing.StaleAge)
+		require.Less(t, timing.StaleAge+standbyCount*timing.StandbyDelay, 2*poll, "all standbys have tried within the time")
 	})
 }
 
