--- a/internal/replication/core.go
+++ b/internal/replication/core.go
@@ -40,6 +40,7 @@
 
 // These are the kinds of calls to the store.
 const (
+	// PollNone stands for no call.
 	PollNone Poll = iota
 	// PollFirstPage reads the first page. It covers a small store in full, which is
 	// cheaper and more reliable than waiting for changes.
--- a/internal/replication/zoneleads.go
+++ b/internal/replication/zoneleads.go
@@ -35,8 +35,8 @@
 	writtenAt time.Time
 }
 
-// zoneLeadsToWrite returns the lists that the store does not have as this balancer last
-// wrote them.
+// zoneLeadsToWrite returns the lists that differ from those that this balancer last
+// wrote, or all lists when they are due to be written again.
 func (c *Core) zoneLeadsToWrite(now time.Time) []*apiv1.ZoneLeads {
 	l := &c.members.zoneLeads
 	since := now.Sub(l.writtenAt)
