--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -213,9 +213,9 @@
 	summary := c.balancer.traffic.latestSummary.Load()
 	changed := c.observed.update(summary, now)
 	c.updateAdmission(summary, now)
-	c.findings.own = nil
+	c.findings.local = nil
 	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
-		c.findings.own = summary.Findings
+		c.findings.local = summary.Findings
 	}
 	changed = c.updateHealth(now) || changed
 	changed = c.planZoneShares(now) || changed
