--- a/internal/replication/members_test.go
+++ b/internal/replication/members_test.go
@@ -10,10 +10,10 @@
 	"github.com/indigobarrow/indigobarrow/internal/directory"
 )
 
-// newReader makes the core that reads for three balancers.
+// newReader returns the core that reads the store for three balancers.
 func newReader(t *testing.T) *Core {
-	for place := range 3 {
-		core := newCore(place)
+	for index := range 3 {
+		core := newCore(index)
 		core.SetBalancers(newZone(3), startTime)
 		core.Confirm(startTime)
 		if core.IsReader() {
@@ -24,11 +24,11 @@
 	return nil
 }
 
-// On warraq-nile-grown 127 starts cost 254 calls for leases and entries. A
-// balancer that starts again is still listed.
+// Guards against writes at restarts: 127 starts on a large site cost 254 calls for
+// leases and entries. A balancer that restarts is still listed.
 func TestRestartedBalancerWritesNothing(t *testing.T) {
 	core := newCore(1)
-	require.Len(t, core.UnlistedEntries(startTime), 1, "it does not know yet that it is listed")
+	require.Len(t, core.UnlistedEntries(startTime), 1, "the balancer does not know yet that it is listed")
 	core.SetBalancers(newZone(3), startTime)
 	require.Empty(t, core.UnlistedEntries(startTime))
 }
@@ -44,8 +44,8 @@
 func TestReaderWritesEntriesInBatches(t *testing.T) {
 	core := newReader(t)
 	var joining []*apiv1.Balancer
-	for place := range 50 {
-		joining = append(joining, &apiv1.Balancer{Name: name(100 + place), Zone: "maadi", PeerAddress: address(100 + place)})
+	for index := range 50 {
+		joining = append(joining, &apiv1.Balancer{Name: name(100 + index), Zone: "maadi", PeerAddress: address(100 + index)})
 	}
 	core.AddUnlistedEntries(joining, after(10))
 	core.AddUnlistedEntries(joining[:5], after(20))
@@ -53,7 +53,7 @@
 	require.True(t, found)
 	require.Len(t, first.Put, WriteLimit)
 	_, found = core.NextWrite(after(501))
-	require.False(t, found, "one at a time")
+	require.False(t, found, "one write at a time")
 	core.WriteEnded(first, false, after(510))
 	second, found := core.NextWrite(after(510 + 200))
 	require.True(t, found)
@@ -62,15 +62,15 @@
 	_, found = core.NextWrite(after(730))
 	require.False(t, found)
 	again, found := core.NextWrite(after(1720))
-	require.False(t, found, "stale knowledge may not tell who is listed")
+	require.False(t, found, "stale data may not show who is listed")
 	require.Empty(t, again.Put)
 	core.Confirm(after(1720))
 	again, found = core.NextWrite(after(1721))
 	require.True(t, found)
-	require.ElementsMatch(t, second.Put, again.Put, "nothing is lost by a write that failed")
+	require.ElementsMatch(t, second.Put, again.Put, "a failed write loses no entries")
 }
 
-// Nobody passes the entry on, or it was lost on the way: in the end the balancer
+// If nobody forwards the entry, or it is lost on the way, the balancer eventually
 // writes it itself.
 func TestUnlistedBalancerWritesOwnEntry(t *testing.T) {
 	core := newCore(7)
@@ -90,8 +90,8 @@
 	require.Equal(t, 1, writes)
 }
 
-// A balancer that its parent does not hear is removed once, and not while it is
-// only restarted or just listed.
+// A balancer from which its parent receives nothing is removed once, but not if it has
+// only restarted or has just been listed.
 func TestSilentBalancerIsRemoved(t *testing.T) {
 	core := newReader(t)
 	dead := core.tree.followers[0]
@@ -108,7 +108,7 @@
 			continue
 		}
 		require.Equal(t, []string{dead.GetName()}, write.Remove)
-		require.Equal(t, -1, removedAt, "it is not removed again at once")
+		require.Equal(t, -1, removedAt, "the balancer is not removed again immediately")
 		removedAt = elapsed
 		core.WriteEnded(write, true, now)
 	}
@@ -123,18 +123,18 @@
 	core.Confirm(now)
 	core.RecordActivity(below[0].GetPeerAddress(), now)
 	core.HandleSilentReport([]string{below[0].GetName(), "edge-99", core.config.Self.GetName()}, now)
-	require.Empty(t, core.members.silentReports, "one was heard here, one is not listed, one is this one")
+	require.Empty(t, core.members.silentReports, "one was active here, one is not listed, one is this balancer")
 	core.HandleSilentReport([]string{below[1].GetName()}, now)
 	require.Equal(t, []string{below[1].GetName()}, core.SilentBalancers(now))
-	require.Empty(t, core.SilentBalancers(now.Add(2*forwardTTL)), "a report is passed on for a while only")
+	require.Empty(t, core.SilentBalancers(now.Add(2*forwardTTL)), "a report is forwarded for a limited time")
 }
 
-// Story: a balancer's entry was written and the store had said so, but the store came back from an
-// older copy before anybody read it. The reader took the entry for listed and passed over each
-// showing of it, so the balancer stood in no list until some other one changed.
-//
-// Evidence: what was written counts as listed until the directory lists something new; a copy that
-// lacks it brings nothing new.
+// Guards against a balancer that stays unlisted after a restoration of the store. Its
+// entry was written and acknowledged, but the store was restored from an older backup
+// before anybody read the entry. A written entry counts as listed until the directory
+// lists something new, and a backup without it brings nothing new. The reader therefore
+// ignored every new report of the entry, and the balancer was not listed until another
+// one changed.
 func TestEntryLostByRestoreIsWrittenAgain(t *testing.T) {
 	core := newReader(t)
 	joining := []*apiv1.Balancer{{Name: name(100), Zone: "maadi", PeerAddress: address(100)}}
@@ -144,7 +144,7 @@
 	core.WriteEnded(first, false, after(510))
 	core.AddUnlistedEntries(joining, after(600))
 	_, found = core.NextWrite(after(800))
-	require.False(t, found, "it is written")
+	require.False(t, found, "the entry has been written")
 
 	core.StoreRestored(newZone(3), after(900))
 	core.AddUnlistedEntries(joining, after(910))
@@ -153,7 +153,8 @@
 	require.Equal(t, joining, again.Put)
 }
 
-// Lost policies are written one at a time, and one that can't be written holds up no other.
+// Lost policies are written one at a time, and one that cannot be written does not
+// block the others.
 func TestReaderWritesLostPolicies(t *testing.T) {
 	core := newReader(t)
 	lost := []directory.LostPolicy{{Policy: &apiv1.Policy{Name: "one"}}, {Policy: &apiv1.Policy{Name: "two"}}}
--- a/internal/replication/start_test.go
+++ b/internal/replication/startup_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first try at a balancer is short, since a machine without power says nothing; a
-// link whose queues take longer is reached by the third one at the latest. With the
-// first time alone a balancer that knows nothing never reached anybody over such links.
+// The first attempt to connect to a balancer is short, since a host without power sends
+// no reply. A link with a longer queueing delay is reached by the third attempt at the
+// latest; with the first timeout alone, a balancer without data never reached anybody
+// over such links.
 func TestDialTimeoutGrowsWithFailures(t *testing.T) {
 	core := newCore(1, address(7), address(8))
 	core.PollStarted(PollMembers, after(0))
@@ -26,26 +27,26 @@
 		core.PeerFailed(peer, after(elapsed))
 	}
 	require.Equal(t, []time.Duration{startupDialTimeout, 2 * startupDialTimeout, dialTimeout, dialTimeout}, times)
-	require.Equal(t, startupDialTimeout, core.DialTimeout(address(9)), "another one, not tried yet")
+	require.Equal(t, startupDialTimeout, core.DialTimeout(address(9)), "a balancer not called before")
 
 	core.PeerAnswered(Peer{Address: address(7), Purpose: PurposeProbe}, after(2000), after(2000))
-	require.Equal(t, startupDialTimeout, core.DialTimeout(address(7)), "it has answered")
+	require.Equal(t, startupDialTimeout, core.DialTimeout(address(7)), "the balancer has replied")
 	core.Confirm(after(2000))
 	require.Equal(t, dialTimeout, core.DialTimeout(address(9)), "no client waits")
 }
 
-// A head that does not answer has the next two of its zone read the store, each only
-// when all above it have failed; the others wait for them.
+// If the head of a zone does not answer, the next two of the zone read the store, each
+// only once all above it have failed. The others wait for them.
 func TestOnlyNextTwoReadForSilentHead(t *testing.T) {
 	const count = 20
 	readers := 0
-	for place := range count {
-		core := newCore(place)
+	for index := range count {
+		core := newCore(index)
 		core.PollStarted(PollMembers, after(0))
 		core.SetBalancers(newZone(count), startTime)
 		core.PollSucceeded(PollMembers, false, after(10))
 		if core.tree.position > 0 {
-			require.Equal(t, PollNone, core.NextPoll(after(11)), "the head may answer")
+			require.Equal(t, PollNone, core.NextPoll(after(11)), "the head may still reply")
 		}
 		for _, above := range core.tree.parentCandidates {
 			core.PeerFailed(Peer{Address: above.GetPeerAddress(), Purpose: PurposeProbe}, after(12))
