--- a/internal/aside/aside_test.go
+++ b/internal/aside/aside_test.go
@@ -12,7 +12,7 @@
 
 // machine is a balancer in virtual time. What it opens in each look is given.
 type machine struct {
-	core   *Core
+	core   *Detector
 	counts Counts
 	zone   Zone
 	now    time.Time
@@ -21,14 +21,14 @@
 }
 
 func newMachine(place, size int) *machine {
-	return &machine{core: New(), zone: Zone{Place: place, Size: size, Heard: true}, now: time.Unix(1000, 0)}
+	return &machine{core: New(), zone: Zone{Rank: place, Size: size, ReportsComplete: true}, now: time.Unix(1000, 0)}
 }
 
 // opened are flows that opened within so many milliseconds each.
 func opened(prompt, slow, missed uint64) Counts {
-	made := Counts{Missed: missed}
-	made.Opened[StepOf(2*time.Millisecond)] = prompt
-	made.Opened[StepOf(60*time.Millisecond)] = slow
+	made := Counts{Unanswered: missed}
+	made.Opened[BucketOf(2*time.Millisecond)] = prompt
+	made.Opened[BucketOf(60*time.Millisecond)] = slow
 	return made
 }
 
@@ -45,14 +45,14 @@
 
 // pass lets time pass in which each look sees the same. One that is aside sees nothing.
 func (m *machine) pass(each Counts, length time.Duration) {
-	for end := m.now.Add(length); m.now.Before(end); m.now = m.now.Add(LookInterval) {
-		if !m.core.Aside() {
+	for end := m.now.Add(length); m.now.Before(end); m.now = m.now.Add(SampleInterval) {
+		if !m.core.Withdrawn() {
 			for step, count := range each.Opened {
 				m.counts.Opened[step] += count
 			}
-			m.counts.Missed += each.Missed
+			m.counts.Unanswered += each.Unanswered
 		}
-		if m.core.Look(m.counts, m.zone, m.now) && m.core.Aside() {
+		if m.core.Observe(m.counts, m.zone, m.now) && m.core.Withdrawn() {
 			m.left++
 		}
 	}
@@ -61,14 +61,14 @@
 func TestSlowMachineStepsAsideAndReturns(t *testing.T) {
 	machine := newMachine(0, 12)
 	machine.pass(well, 10*time.Second)
-	require.False(t, machine.core.Aside())
-	machine.pass(slow, looksNeeded*LookInterval)
-	require.False(t, machine.core.Aside(), "the others may not have heard yet")
-	machine.pass(slow, LookInterval)
-	require.True(t, machine.core.Aside())
-	require.Equal(t, Seen{Prompt: 2, Slow: 7, Missed: 3}, machine.core.Seen(), "the log says why")
-	machine.pass(nothing, shortest)
-	require.False(t, machine.core.Aside())
+	require.False(t, machine.core.Withdrawn())
+	machine.pass(slow, badSampleThreshold*SampleInterval)
+	require.False(t, machine.core.Withdrawn(), "the others may not have heard yet")
+	machine.pass(slow, SampleInterval)
+	require.True(t, machine.core.Withdrawn())
+	require.Equal(t, Sample{OnTime: 2, Slow: 7, Unanswered: 3}, machine.core.LastSample(), "the log says why")
+	machine.pass(nothing, minWithdrawal)
+	require.False(t, machine.core.Withdrawn())
 	machine.pass(well, time.Minute)
 	require.Equal(t, 1, machine.left)
 }
@@ -80,7 +80,7 @@
 		machine := newMachine(0, 12)
 		machine.pass(well, 5*time.Second)
 		for range 20 {
-			machine.pass(slow, time.Duration(looks)*LookInterval)
+			machine.pass(slow, time.Duration(looks)*SampleInterval)
 			machine.pass(well, 5*time.Second)
 		}
 		require.Zero(t, machine.left)
@@ -93,13 +93,13 @@
 	machine := newMachine(0, 12)
 	machine.pass(well, 5*time.Second)
 	for range 60 {
-		machine.pass(slow, LookInterval)
-		machine.pass(well, LookInterval)
+		machine.pass(slow, SampleInterval)
+		machine.pass(well, SampleInterval)
 	}
 	require.Zero(t, machine.left)
 	for range 3 {
-		machine.pass(slow, 2*LookInterval)
-		machine.pass(well, LookInterval)
+		machine.pass(slow, 2*SampleInterval)
+		machine.pass(well, SampleInterval)
 	}
 	require.Equal(t, 1, machine.left)
 }
@@ -108,12 +108,12 @@
 func TestQuietLooksSayNothing(t *testing.T) {
 	machine := newMachine(0, 12)
 	machine.pass(well, 5*time.Second)
-	for range looksNeeded {
-		machine.pass(nothing, 3*LookInterval)
-		require.False(t, machine.core.Aside())
-		machine.pass(slow, LookInterval)
+	for range badSampleThreshold {
+		machine.pass(nothing, 3*SampleInterval)
+		require.False(t, machine.core.Withdrawn())
+		machine.pass(slow, SampleInterval)
 	}
-	require.True(t, machine.core.Aside())
+	require.True(t, machine.core.Withdrawn())
 }
 
 func TestBackendsThatAnswerNobodyAreNotItsOwnFault(t *testing.T) {
@@ -137,10 +137,10 @@
 	machine := newMachine(0, 12)
 	machine.pass(opened(0, 12, 4), time.Minute)
 	require.Zero(t, machine.left)
-	far := Counts{Missed: 4}
-	far.Opened[StepOf(130*time.Millisecond)] = 12
-	machine.pass(far, (looksNeeded+1)*LookInterval)
-	require.True(t, machine.core.Aside())
+	far := Counts{Unanswered: 4}
+	far.Opened[BucketOf(130*time.Millisecond)] = 12
+	machine.pass(far, (badSampleThreshold+1)*SampleInterval)
+	require.True(t, machine.core.Withdrawn())
 }
 
 func TestMachineThatStaysSlowDoesNotFlap(t *testing.T) {
@@ -148,18 +148,18 @@
 	machine.pass(well, 5*time.Second)
 	machine.pass(slow, 2*time.Minute)
 	require.LessOrEqual(t, machine.left, 7)
-	require.Equal(t, longest, machine.core.Stay())
-	machine.pass(well, longest+relapseTime+time.Second)
-	machine.pass(slow, (looksNeeded+1)*LookInterval)
-	require.Equal(t, shortest, machine.core.Stay(), "an old relapse is forgotten")
+	require.Equal(t, maxWithdrawal, machine.core.WithdrawalDuration())
+	machine.pass(well, maxWithdrawal+relapseWindow+time.Second)
+	machine.pass(slow, (badSampleThreshold+1)*SampleInterval)
+	require.Equal(t, minWithdrawal, machine.core.WithdrawalDuration(), "an old relapse is forgotten")
 }
 
 // fleet is a zone in virtual time, with messages that take a while.
 type fleet struct {
 	machines []*machine
-	pictures []Picture
+	pictures []ReportSet
 	// under are statements under way, by the looks that they still take.
-	under map[int][]Statement
+	under map[int][]Report
 }
 
 // deliveryLooks is the longest that a statement is under way: two calls up and down a
@@ -167,7 +167,7 @@
 const deliveryLooks = 2
 
 func newFleet(size int) *fleet {
-	made := &fleet{machines: make([]*machine, size), pictures: make([]Picture, size), under: make(map[int][]Statement)}
+	made := &fleet{machines: make([]*machine, size), pictures: make([]ReportSet, size), under: make(map[int][]Report)}
 	for place := range made.machines {
 		made.machines[place] = newMachine(place, size)
 		made.machines[place].pass(well, 2*time.Second)
@@ -187,22 +187,22 @@
 	for place, machine := range f.machines {
 		for _, statement := range arrived {
 			if statement.Name != nameOf(place) {
-				f.pictures[place].Take(statement)
+				f.pictures[place].Add(statement)
 			}
 		}
-		machine.zone.Others = nil
-		for _, statement := range f.pictures[place].Now(machine.now) {
+		machine.zone.Struggling = nil
+		for _, statement := range f.pictures[place].Current(machine.now) {
 			var other int
 			_, _ = fmt.Sscanf(statement.Name, "edge-%d", &other)
-			machine.zone.Others = append(machine.zone.Others, Other{Place: other, Away: statement.Away})
+			machine.zone.Struggling = append(machine.zone.Struggling, Peer{Rank: other, Withdrawn: statement.Withdrawn})
 		}
 		at := machine.now
-		machine.pass(seen(place), LookInterval)
-		if machine.core.Struggles() {
+		machine.pass(seen(place), SampleInterval)
+		if machine.core.Struggling() {
 			looks := delay() - 1
-			f.under[looks] = append(f.under[looks], Statement{Name: nameOf(place), Away: machine.core.Aside(), At: at})
+			f.under[looks] = append(f.under[looks], Report{Name: nameOf(place), Withdrawn: machine.core.Withdrawn(), At: at})
 		}
-		if machine.core.Aside() {
+		if machine.core.Withdrawn() {
 			away++
 		}
 	}
@@ -221,9 +221,9 @@
 				func(int) Counts { return rapid.SampledFrom(kinds).Draw(t, "seen") },
 				func() int { return rapid.IntRange(1, deliveryLooks).Draw(t, "delay") })
 			require.LessOrEqual(t, 2*away, size, "more than half")
-			require.True(t, size >= leastZone || away == 0)
+			require.True(t, size >= minZoneSize || away == 0)
 			for _, machine := range fleet.machines {
-				machine.zone.Heard = rapid.Bool().Draw(t, "heard")
+				machine.zone.ReportsComplete = rapid.Bool().Draw(t, "heard")
 			}
 		}
 	})
@@ -267,7 +267,7 @@
 	away := 0
 	for place := range 15 {
 		machine := newMachine(place, 15)
-		machine.zone.Heard = false
+		machine.zone.ReportsComplete = false
 		machine.pass(well, 5*time.Second)
 		machine.pass(slow, 3*time.Second)
 		away += machine.left
@@ -277,15 +277,15 @@
 
 func TestPictureHoldsTheLatestAndFades(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var picture Picture
-	picture.Take(Statement{Name: "edge-1", Away: true, At: at})
-	picture.Take(Statement{Name: "edge-1", At: at.Add(-time.Second)})
-	require.Equal(t, []Statement{{Name: "edge-1", Away: true, At: at}}, picture.Now(at.Add(pictureFor)))
-	require.Empty(t, picture.Now(at.Add(pictureFor+time.Millisecond)))
-	for number := range 2 * pictureLimit {
-		picture.Take(Statement{Name: nameOf(number), At: at})
+	var picture ReportSet
+	picture.Add(Report{Name: "edge-1", Withdrawn: true, At: at})
+	picture.Add(Report{Name: "edge-1", At: at.Add(-time.Second)})
+	require.Equal(t, []Report{{Name: "edge-1", Withdrawn: true, At: at}}, picture.Current(at.Add(reportLifetime)))
+	require.Empty(t, picture.Current(at.Add(reportLifetime+time.Millisecond)))
+	for number := range 2 * maxReports {
+		picture.Add(Report{Name: nameOf(number), At: at})
 	}
-	require.Len(t, picture.Now(at), pictureLimit)
+	require.Len(t, picture.Current(at), maxReports)
 }
 
 func TestMachineThatTheOthersDoNotKnowStays(t *testing.T) {
@@ -298,19 +298,19 @@
 // most, and the zone seems to have room. All 1,200 of one went.
 func TestLargeZoneKeepsMostThoughMessagesLeaveSomeOut(t *testing.T) {
 	for _, size := range []int{100, 150, 1200} {
-		var picture Picture
+		var picture ReportSet
 		at := time.Unix(1000, 0)
 		for place := range size {
-			picture.Take(Statement{Name: nameOf(place), Away: true, At: at})
+			picture.Add(Report{Name: nameOf(place), Withdrawn: true, At: at})
 		}
-		var others []Other
-		for place := range picture.Now(at) {
-			others = append(others, Other{Place: size - 1 - place, Away: false})
+		var others []Peer
+		for place := range picture.Current(at) {
+			others = append(others, Peer{Rank: size - 1 - place, Withdrawn: false})
 		}
 		away := 0
 		for place := range size {
-			zone := Zone{Place: place, Size: size, Others: others, Heard: picture.Whole()}
-			if zone.mayGo(pictureTime) {
+			zone := Zone{Rank: place, Size: size, Struggling: others, ReportsComplete: picture.Complete()}
+			if zone.mayWithdraw(propagationTime) {
 				away++
 			}
 		}
@@ -321,7 +321,7 @@
 // Two machines of 20 are down: with those aside, half is left in.
 func TestRoomLeavesSomeForThoseThatAreGone(t *testing.T) {
 	for _, size := range []int{10, 15, 20, 30, 60, 1200} {
-		left := size - size/spareOf - Zone{Size: size}.room()
+		left := size - size/spareDivisor - Zone{Size: size}.maxWithdrawn()
 		require.GreaterOrEqual(t, 2*left, size)
 	}
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -40,7 +40,7 @@
 		_, _ = writer.Write(line)
 	}
 	require.Less(t, time.Since(began), time.Second)
-	require.Positive(t, writer.LeftOut())
+	require.Positive(t, writer.Dropped())
 	close(output.released)
 	writer.Close(5 * time.Second)
 	require.Contains(t, output.taken.String(), "Log lines left out.")
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -171,7 +171,7 @@
 	if failure != nil {
 		news.Error = failure.Error()
 	}
-	err := c.balancer.bus.Publish(events.Event{Kind: events.KindNews, Body: news})
+	err := c.balancer.bus.Publish(events.Event{Kind: events.KindDirectoryNews, Body: news})
 	if err != nil && ctx.Err() == nil {
 		c.balancer.logger.Error("Control: event lost.", "error", err)
 	}
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -92,7 +92,7 @@
 	c.rebuildNeeded = true
 	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.replica.OverrideCount())
+		"known_to", revision.Format(before), "held", c.replica.OverrideCount())
 }
 
 // countUnreadable counts the entries of the store that could not be read.
@@ -165,7 +165,7 @@
 	batch := news.GetBatch()
 	if c.replica.Contradicts(batch) {
 		c.balancer.logger.Info("Control: orders have changed unseen, the store is read whole.",
-			"revision", revision.Text(batch.GetOrdersRevision()))
+			"revision", revision.Format(batch.GetOrdersRevision()))
 		c.core.HistoryLost(now)
 	}
 	if batch != nil {
--- a/internal/change/writer_test.go
+++ b/internal/change/writer_test.go
@@ -84,7 +84,7 @@
 				request := &apiv1.ChangeRequest{OperationId: id, Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: policy}}
 				call := time.Now()
 				for range 20 {
-					answer, _, err := writer.Apply(context.Background(), request, Context{Now: time.Now()})
+					answer, _, err := writer.Apply(context.Background(), request, Environment{Now: time.Now()})
 					if err == nil {
 						record(operator, id, call, answer.GetRevision())
 						break
--- a/internal/incarnation/incarnation_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -24,6 +24,6 @@
 		{"a start that is not told", 0, time.Hour, false},
 		{"a start ahead of this clock", Start(now.Add(time.Second).UnixMilli()), time.Hour, false},
 	} {
-		require.Equal(t, each.want, each.start.Outlived(each.age, now), each.name)
+		require.Equal(t, each.want, each.start.PrecededBy(each.age, now), each.name)
 	}
 }
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -32,6 +32,6 @@
 func TestText(t *testing.T) {
 	joined, err := Join(3, 52)
 	require.NoError(t, err)
-	require.Equal(t, "3:52", Text(joined))
-	require.Equal(t, "52", Text(52))
+	require.Equal(t, "3:52", Format(joined))
+	require.Equal(t, "52", Format(52))
 }
