--- a/internal/incarnation/incarnation_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -9,7 +9,7 @@
 
 // A flow of the new start must never be taken for one of an earlier start, and clocks
 // differ.
-func TestOnlyWhatIsSurelyOlderIsOutlived(t *testing.T) {
+func TestPrecededByAllowsForClockSkew(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	start := Start(now.Add(-2 * time.Second).UnixMilli())
 	for _, each := range []struct {
