--- a/internal/aside/aside.go
+++ b/internal/aside/aside.go
@@ -1,154 +1,161 @@
-// Package aside decides when a balancer that can't carry its share steps aside: when
-// its link is full, its processor starved, or its machine slow. It is a core without
-// I/O: counts and times in, a state out.
+// Package aside decides when a balancer that cannot carry its share withdraws, that is,
+// reports itself as not ready: when its link is congested, its processor starved, or its
+// machine slow. It does no I/O: counters and times go in, a state comes out.
 //
-// A balancer can't see how long a packet waited before it was read. But a new flow
-// takes two passes through it: its first packet, and what its client sends once a
-// back end has answered. The time between the two is that of the network, some
-// milliseconds, and what the packets waited here. Back ends answer before they work,
-// so that time does not grow with their load; those that are dead or full answer
-// nobody, whoever forwards, which is why what was not answered at all counts only
-// beside what was answered late.
+// A balancer cannot see how long a packet waited before it was read. But a new flow
+// passes through it twice: with its first packet, and with what its client sends once a
+// back end has answered. The time between the two is the network's, some milliseconds,
+// plus the time the packets waited on this balancer. Back ends answer before they work,
+// so that time does not grow with their load. Back ends that are down or full do not
+// answer, whichever balancer forwards to them, so unanswered packets count only together
+// with late answers.
 //
 // Invariants:
 //
-//   - Two bad looks never suffice: a machine that stood still once stays.
-//   - Less than half of a zone is ever aside, and nobody asks for leave: the first
-//     places of an order that all know may go, the others where the picture of who
-//     struggles leaves room (Zone). Where nearly all struggle, or few are known, all stay.
-//   - Who comes back and goes again stays aside longer each time, so nobody flaps.
+//   - Two bad samples never suffice: a machine that stalled once does not withdraw.
+//   - Less than half of a zone is ever withdrawn, and no balancer asks for permission: the
+//     first ranks of an order that all balancers know may withdraw, the others if the
+//     reports of struggling balancers leave room (Zone). Where nearly all struggle, or
+//     only a few balancers are known, all stay.
+//   - A balancer that returns and withdraws again stays withdrawn longer each time, so
+//     that it does not flap.
 //
 // # Usage
 //
-//	core := aside.New()
-//	core.Look(counts, aside.Zone{Place: 3, Size: 14, Others: others, Heard: true}, now)
-//	if core.Aside() { ... }
+//	detector := aside.New()
+//	zone := aside.Zone{Rank: 3, Size: 14, Struggling: peers, ReportsComplete: true}
+//	detector.Observe(counts, zone, now)
+//	if detector.Withdrawn() { ... }
 package aside
 
 import "time"
 
 const (
-	// SampleInterval is the time between two looks: routers ask twice a second, and
-	// clients repeat first packets after 200 ms, so that each look takes in whole
-	// tries.
+	// SampleInterval is the time between two samples. Routers probe readiness twice a
+	// second, and clients retransmit first packets after 200 ms, so each sample covers
+	// whole attempts.
 	SampleInterval = 500 * time.Millisecond
-	// slowMargin is how much longer than usual a flow must take to open to count as
-	// slow. An upload takes some five such round trips; at 25 ms more each, half of
-	// the tightest target, 250 ms, is lost here.
+	// slowMargin is how far above the baseline the time to open a flow must be for the
+	// flow to count as slow. An upload takes about five such round trips; at 25 ms more
+	// each, it loses half of the tightest latency target, 250 ms, on this balancer.
 	slowMargin = 25 * time.Millisecond
-	// baselineGrowth is by what part of itself what is usual may rise from one look to
-	// the next: it doubles in a minute, as when callers come from further away.
+	// baselineGrowth is the fraction by which the baseline may grow from one sample to
+	// the next: it doubles in a minute, which allows for callers from further away.
 	baselineGrowth = 0.006
-	// minAttempts is how many flows must have been opened, or tried, in a look.
+	// minAttempts is how many flows must have been opened, or attempted, in a sample
+	// for it to count.
 	minAttempts = 4
-	// badSampleThreshold is how many bad looks it takes, less the good ones among them: a
-	// narrow link is full by fits and starts. A pause for the collection of garbage
-	// or the building of a table lies within one or two.
+	// badSampleThreshold is how many more bad samples than good ones it takes to
+	// withdraw: a slow link is congested intermittently. A pause for garbage collection
+	// or for building a table affects one or two samples only.
 	badSampleThreshold = 3
-	// propagationTime is how long a balancer has said that it struggles before it goes
-	// by what others say: longer than that takes to reach all of a zone.
+	// propagationTime is how long a balancer must have reported that it struggles
+	// before it relies on the reports of others. It exceeds the time that a report takes
+	// to reach the whole zone.
 	propagationTime = 1400 * time.Millisecond
-	// minWithdrawal and longest are for how long a balancer stays aside; each relapse
-	// within relapseWindow doubles it.
+	// minWithdrawal and maxWithdrawal bound how long a balancer stays withdrawn; each
+	// relapse within relapseWindow doubles the duration.
 	minWithdrawal = 4 * time.Second
 	maxWithdrawal = 32 * time.Second
 	relapseWindow = 30 * time.Second
 )
 
-// Detector is the state of one balancer. It belongs to one goroutine.
+// Detector holds the state of one balancer. It must be used by one goroutine only.
 type Detector struct {
 	previous  Counts
 	sampledAt time.Time
-	// badSamples counts up with each bad look, and down with each good one.
+	// badSamples is incremented by each bad sample and decremented by each good one.
 	badSamples int
-	// strugglingSince is when the first of them was.
+	// strugglingSince is the time of the first of the current bad samples.
 	strugglingSince time.Time
-	// baseline is how long a flow takes to open while nothing is wrong; 0 is not known.
+	// baseline is how long a flow takes to open under normal conditions; 0 means unknown.
 	baseline time.Duration
-	// lastSample is what the last look saw.
+	// lastSample is the result of the last sample.
 	lastSample Sample
-	// withdrawnUntil is up to when it is aside; returnedAt is when it last came back, and stay
-	// how long it stayed.
+	// withdrawnUntil is when the current withdrawal ends. returnedAt is when the last one
+	// ended, and withdrawalDuration is the length of the latest.
 	withdrawnUntil, returnedAt time.Time
 	withdrawalDuration         time.Duration
 	withdrawn                  bool
 }
 
-// New makes the state of a balancer that carries its share.
+// New returns the detector of a balancer that is not withdrawn.
 func New() *Detector { return &Detector{} }
 
-// Withdrawn tells whether the balancer is aside.
-func (c *Detector) Withdrawn() bool { return c.withdrawn }
+// Withdrawn reports whether the balancer is withdrawn.
+func (d *Detector) Withdrawn() bool { return d.withdrawn }
 
-// Struggling tells whether late looks were bad more often than good, or the balancer is
-// aside.
-func (c *Detector) Struggling() bool { return c.withdrawn || c.badSamples > 0 }
+// Struggling reports whether recent samples were bad more often than good, or the
+// balancer is withdrawn.
+func (d *Detector) Struggling() bool { return d.withdrawn || d.badSamples > 0 }
 
-// LastSample is what the last look saw.
-func (c *Detector) LastSample() Sample { return c.lastSample }
+// LastSample returns the result of the last sample.
+func (d *Detector) LastSample() Sample { return d.lastSample }
 
-// WithdrawalDuration is for how long the balancer last stepped aside.
-func (c *Detector) WithdrawalDuration() time.Duration { return c.withdrawalDuration }
+// WithdrawalDuration returns the duration of the latest withdrawal.
+func (d *Detector) WithdrawalDuration() time.Duration { return d.withdrawalDuration }
 
-// Observe takes the counts as they are now, each SampleInterval at most, and tells whether
-// the balancer has stepped aside or come back by it.
-func (c *Detector) Observe(counts Counts, zone Zone, now time.Time) bool {
-	if c.withdrawn {
-		return c.endWithdrawal(counts, now)
+// Observe takes the current counters, sampling them at most once per SampleInterval, and
+// reports whether the balancer has withdrawn or returned as a result.
+func (d *Detector) Observe(counts Counts, zone Zone, now time.Time) bool {
+	if d.withdrawn {
+		return d.endWithdrawal(counts, now)
 	}
-	if now.Sub(c.sampledAt) < SampleInterval {
+	if now.Sub(d.sampledAt) < SampleInterval {
 		return false
 	}
-	seen := counts.since(c.previous)
-	c.previous, c.sampledAt = counts, now
-	c.updateBaseline(seen)
-	c.lastSample = seen.classify(c.baseline + slowMargin)
+	interval := counts.since(d.previous)
+	d.previous, d.sampledAt = counts, now
+	d.updateBaseline(interval)
+	d.lastSample = interval.classify(d.baseline + slowMargin)
 	switch {
-	case c.lastSample.slowHere():
-		if c.badSamples == 0 {
-			c.strugglingSince = now
+	case d.lastSample.locallySlow():
+		if d.badSamples == 0 {
+			d.strugglingSince = now
 		}
-		c.badSamples++
-	case c.lastSample.OnTime > 0:
-		c.badSamples = max(c.badSamples-1, 0)
+		d.badSamples++
+	case d.lastSample.OnTime > 0:
+		d.badSamples = max(d.badSamples-1, 0)
 	}
-	if c.badSamples < badSampleThreshold || !zone.mayWithdraw(now.Sub(c.strugglingSince)) {
+	if d.badSamples < badSampleThreshold || !zone.mayWithdraw(now.Sub(d.strugglingSince)) {
 		return false
 	}
-	c.withdraw(now)
+	d.withdraw(now)
 	return true
 }
 
-// updateBaseline takes what is usual: the median of a look, or a little more than before.
-func (c *Detector) updateBaseline(seen Counts) {
-	if seen.answered() < minAttempts {
+// updateBaseline sets the baseline to the median of a sample, but raises it by no more
+// than baselineGrowth.
+func (d *Detector) updateBaseline(interval Counts) {
+	if interval.answered() < minAttempts {
 		return
 	}
-	median := seen.median()
-	if c.baseline == 0 || median < c.baseline {
-		c.baseline = median
+	median := interval.median()
+	if d.baseline == 0 || median < d.baseline {
+		d.baseline = median
 		return
 	}
-	c.baseline = min(median, c.baseline+time.Duration(baselineGrowth*float64(c.baseline)))
+	d.baseline = min(median, d.baseline+time.Duration(baselineGrowth*float64(d.baseline)))
 }
 
-func (c *Detector) withdraw(now time.Time) {
-	c.badSamples = 0
-	c.withdrawn = true
-	if c.returnedAt.IsZero() || now.Sub(c.returnedAt) > relapseWindow {
-		c.withdrawalDuration = minWithdrawal
+func (d *Detector) withdraw(now time.Time) {
+	d.badSamples = 0
+	d.withdrawn = true
+	if d.returnedAt.IsZero() || now.Sub(d.returnedAt) > relapseWindow {
+		d.withdrawalDuration = minWithdrawal
 	} else {
-		c.withdrawalDuration = min(2*c.withdrawalDuration, maxWithdrawal)
+		d.withdrawalDuration = min(2*d.withdrawalDuration, maxWithdrawal)
 	}
-	c.withdrawnUntil = now.Add(c.withdrawalDuration)
+	d.withdrawnUntil = now.Add(d.withdrawalDuration)
 }
 
-// endWithdrawal ends the time aside. What passed meanwhile says nothing of what comes.
-func (c *Detector) endWithdrawal(counts Counts, now time.Time) bool {
-	if now.Before(c.withdrawnUntil) {
+// endWithdrawal returns the balancer to service once its time is up. The counts of the
+// withdrawal are skipped, since they do not predict what follows.
+func (d *Detector) endWithdrawal(counts Counts, now time.Time) bool {
+	if now.Before(d.withdrawnUntil) {
 		return false
 	}
-	c.withdrawn, c.returnedAt = false, now
-	c.previous, c.sampledAt = counts, now
+	d.withdrawn, d.returnedAt = false, now
+	d.previous, d.sampledAt = counts, now
 	return true
 }
--- a/internal/aside/aside_test.go
+++ b/internal/aside/aside_test.go
@@ -10,30 +10,33 @@
 	"pgregory.net/rapid"
 )
 
-// testBalancer is a balancer in virtual time. What it opens in each look is given.
+// testBalancer is a balancer in virtual time. The flows that it opens in each sample are
+// given.
 type testBalancer struct {
 	detector *Detector
 	counts   Counts
 	zone     Zone
 	now      time.Time
-	// withdrawals counts how often it stepped aside.
+	// withdrawals counts how often it withdrew.
 	withdrawals int
 }
 
-func newTestBalancer(place, size int) *testBalancer {
-	return &testBalancer{detector: New(), zone: Zone{Rank: place, Size: size, ReportsComplete: true}, now: time.Unix(1000, 0)}
+func newTestBalancer(rank, size int) *testBalancer {
+	return &testBalancer{detector: New(), zone: Zone{Rank: rank, Size: size, ReportsComplete: true}, now: time.Unix(1000, 0)}
 }
 
-// countsOf are flows that opened within so many milliseconds each.
-func countsOf(prompt, slow, missed uint64) Counts {
-	made := Counts{Unanswered: missed}
-	made.Opened[BucketOf(2*time.Millisecond)] = prompt
-	made.Opened[BucketOf(60*time.Millisecond)] = slow
-	return made
+// countsOf returns the counts of flows that opened within 2 ms, of flows that opened within
+// 60 ms, and of unanswered first packets.
+func countsOf(onTime, slow, unanswered uint64) Counts {
+	counts := Counts{Unanswered: unanswered}
+	counts.Opened[BucketOf(2*time.Millisecond)] = onTime
+	counts.Opened[BucketOf(60*time.Millisecond)] = slow
+	return counts
 }
 
-// What a machine sees in a look: one that is well, one whose packets wait, one beside
-// back ends of which half answer nobody, and one to whom nobody answers.
+// What a balancer counts in one sample: when it is healthy, when its packets are delayed,
+// when half of the back ends do not answer, when none does, without flows, and when a
+// quarter of the flows are slow.
 var (
 	healthyCounts  = countsOf(12, 0, 0)
 	slowCounts     = countsOf(2, 7, 3)
@@ -43,285 +46,291 @@
 	quarterSlow    = countsOf(9, 3, 0)
 )
 
-// observe lets time pass in which each look sees the same. One that is aside sees nothing.
-func (m *testBalancer) observe(each Counts, length time.Duration) {
-	for end := m.now.Add(length); m.now.Before(end); m.now = m.now.Add(SampleInterval) {
-		if !m.detector.Withdrawn() {
-			for step, count := range each.Opened {
-				m.counts.Opened[step] += count
+// observe lets time pass in which each sample counts the same. A withdrawn balancer counts
+// nothing.
+func (b *testBalancer) observe(perSample Counts, length time.Duration) {
+	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(SampleInterval) {
+		if !b.detector.Withdrawn() {
+			for bucket, count := range perSample.Opened {
+				b.counts.Opened[bucket] += count
 			}
-			m.counts.Unanswered += each.Unanswered
+			b.counts.Unanswered += perSample.Unanswered
 		}
-		if m.detector.Observe(m.counts, m.zone, m.now) && m.detector.Withdrawn() {
-			m.withdrawals++
+		if b.detector.Observe(b.counts, b.zone, b.now) && b.detector.Withdrawn() {
+			b.withdrawals++
 		}
 	}
 }
 
 func TestSlowBalancerWithdrawsAndReturns(t *testing.T) {
-	machine := newTestBalancer(0, 12)
-	machine.observe(healthyCounts, 10*time.Second)
-	require.False(t, machine.detector.Withdrawn())
-	machine.observe(slowCounts, badSampleThreshold*SampleInterval)
-	require.False(t, machine.detector.Withdrawn(), "the others may not have heard yet")
-	machine.observe(slowCounts, SampleInterval)
-	require.True(t, machine.detector.Withdrawn())
-	require.Equal(t, Sample{OnTime: 2, Slow: 7, Unanswered: 3}, machine.detector.LastSample(), "the log says why")
-	machine.observe(noFlows, minWithdrawal)
-	require.False(t, machine.detector.Withdrawn())
-	machine.observe(healthyCounts, time.Minute)
-	require.Equal(t, 1, machine.withdrawals)
+	balancer := newTestBalancer(0, 12)
+	balancer.observe(healthyCounts, 10*time.Second)
+	require.False(t, balancer.detector.Withdrawn())
+	balancer.observe(slowCounts, badSampleThreshold*SampleInterval)
+	require.False(t, balancer.detector.Withdrawn(), "the reports may not have reached the others yet")
+	balancer.observe(slowCounts, SampleInterval)
+	require.True(t, balancer.detector.Withdrawn())
+	require.Equal(t, Sample{OnTime: 2, Slow: 7, Unanswered: 3}, balancer.detector.LastSample(), "the sample is available for the log")
+	balancer.observe(noFlows, minWithdrawal)
+	require.False(t, balancer.detector.Withdrawn())
+	balancer.observe(healthyCounts, time.Minute)
+	require.Equal(t, 1, balancer.withdrawals)
 }
 
-// Clients repeat after 200 ms, so a machine that stands still for a while has one or
-// two looks full of late openings.
+// Clients retransmit after 200 ms, so a machine that stalls for a while has one or two
+// samples full of slow openings.
 func TestBalancerThatStalledOnceDoesNotWithdraw(t *testing.T) {
-	for looks := range 3 { // up to a second
-		machine := newTestBalancer(0, 12)
-		machine.observe(healthyCounts, 5*time.Second)
+	for samples := range 3 { // up to a second
+		balancer := newTestBalancer(0, 12)
+		balancer.observe(healthyCounts, 5*time.Second)
 		for range 20 {
-			machine.observe(slowCounts, time.Duration(looks)*SampleInterval)
-			machine.observe(healthyCounts, 5*time.Second)
+			balancer.observe(slowCounts, time.Duration(samples)*SampleInterval)
+			balancer.observe(healthyCounts, 5*time.Second)
 		}
-		require.Zero(t, machine.withdrawals)
+		require.Zero(t, balancer.withdrawals)
 	}
 }
 
-// A narrow link is full by fits and starts: two bad looks for each good one are enough,
-// one for each is not.
+// A slow link is congested intermittently: two bad samples for each good one suffice for a
+// withdrawal, one for each does not.
 func TestBadSamplesMustOutweighGoodOnes(t *testing.T) {
-	machine := newTestBalancer(0, 12)
-	machine.observe(healthyCounts, 5*time.Second)
+	balancer := newTestBalancer(0, 12)
+	balancer.observe(healthyCounts, 5*time.Second)
 	for range 60 {
-		machine.observe(slowCounts, SampleInterval)
-		machine.observe(healthyCounts, SampleInterval)
+		balancer.observe(slowCounts, SampleInterval)
+		balancer.observe(healthyCounts, SampleInterval)
 	}
-	require.Zero(t, machine.withdrawals)
+	require.Zero(t, balancer.withdrawals)
 	for range 3 {
-		machine.observe(slowCounts, 2*SampleInterval)
-		machine.observe(healthyCounts, SampleInterval)
+		balancer.observe(slowCounts, 2*SampleInterval)
+		balancer.observe(healthyCounts, SampleInterval)
 	}
-	require.Equal(t, 1, machine.withdrawals)
+	require.Equal(t, 1, balancer.withdrawals)
 }
 
-// A look without a new flow says nothing, and ends no series.
+// A sample without new flows carries no information and does not end a series of bad ones.
 func TestSamplesWithoutFlowsAreIgnored(t *testing.T) {
-	machine := newTestBalancer(0, 12)
-	machine.observe(healthyCounts, 5*time.Second)
+	balancer := newTestBalancer(0, 12)
+	balancer.observe(healthyCounts, 5*time.Second)
 	for range badSampleThreshold {
-		machine.observe(noFlows, 3*SampleInterval)
-		require.False(t, machine.detector.Withdrawn())
-		machine.observe(slowCounts, SampleInterval)
+		balancer.observe(noFlows, 3*SampleInterval)
+		require.False(t, balancer.detector.Withdrawn())
+		balancer.observe(slowCounts, SampleInterval)
 	}
-	require.True(t, machine.detector.Withdrawn())
+	require.True(t, balancer.detector.Withdrawn())
 }
 
+// Flows that back ends do not answer must not make the balancer withdraw.
 func TestUnansweringBackendsCauseNoWithdrawal(t *testing.T) {
-	for _, each := range []Counts{halfUnanswered, allUnanswered, quarterSlow, countsOf(0, 2, 1)} {
-		machine := newTestBalancer(0, 12)
-		machine.observe(each, time.Minute)
-		require.Zero(t, machine.withdrawals, "%+v", each)
+	for _, counts := range []Counts{halfUnanswered, allUnanswered, quarterSlow, countsOf(0, 2, 1)} {
+		balancer := newTestBalancer(0, 12)
+		balancer.observe(counts, time.Minute)
+		require.Zero(t, balancer.withdrawals, "%+v", counts)
 	}
 }
 
-// What is late, but in time, costs clients no repetition.
+// Flows that open slowly, but before the clients retransmit, are not worth a withdrawal.
 func TestSlowButAnsweredFlowsCauseNoWithdrawal(t *testing.T) {
-	machine := newTestBalancer(0, 12)
-	machine.observe(healthyCounts, 5*time.Second)
-	machine.observe(countsOf(0, 12, 1), time.Minute)
-	require.Zero(t, machine.withdrawals)
+	balancer := newTestBalancer(0, 12)
+	balancer.observe(healthyCounts, 5*time.Second)
+	balancer.observe(countsOf(0, 12, 1), time.Minute)
+	require.Zero(t, balancer.withdrawals)
 }
 
-// Callers that are far away take long to open a flow through anybody.
+// Distant callers take long to open a flow through any balancer.
 func TestSlownessIsRelativeToBaseline(t *testing.T) {
-	machine := newTestBalancer(0, 12)
-	machine.observe(countsOf(0, 12, 4), time.Minute)
-	require.Zero(t, machine.withdrawals)
-	far := Counts{Unanswered: 4}
-	far.Opened[BucketOf(130*time.Millisecond)] = 12
-	machine.observe(far, (badSampleThreshold+1)*SampleInterval)
-	require.True(t, machine.detector.Withdrawn())
+	balancer := newTestBalancer(0, 12)
+	balancer.observe(countsOf(0, 12, 4), time.Minute)
+	require.Zero(t, balancer.withdrawals)
+	slower := Counts{Unanswered: 4}
+	slower.Opened[BucketOf(130*time.Millisecond)] = 12
+	balancer.observe(slower, (badSampleThreshold+1)*SampleInterval)
+	require.True(t, balancer.detector.Withdrawn())
 }
 
+// Relapses double the duration of the withdrawal.
 func TestPersistentlySlowBalancerDoesNotFlap(t *testing.T) {
-	machine := newTestBalancer(0, 12)
-	machine.observe(healthyCounts, 5*time.Second)
-	machine.observe(slowCounts, 2*time.Minute)
-	require.LessOrEqual(t, machine.withdrawals, 7)
-	require.Equal(t, maxWithdrawal, machine.detector.WithdrawalDuration())
-	machine.observe(healthyCounts, maxWithdrawal+relapseWindow+time.Second)
-	machine.observe(slowCounts, (badSampleThreshold+1)*SampleInterval)
-	require.Equal(t, minWithdrawal, machine.detector.WithdrawalDuration(), "an old relapse is forgotten")
+	balancer := newTestBalancer(0, 12)
+	balancer.observe(healthyCounts, 5*time.Second)
+	balancer.observe(slowCounts, 2*time.Minute)
+	require.LessOrEqual(t, balancer.withdrawals, 7)
+	require.Equal(t, maxWithdrawal, balancer.detector.WithdrawalDuration())
+	balancer.observe(healthyCounts, maxWithdrawal+relapseWindow+time.Second)
+	balancer.observe(slowCounts, (badSampleThreshold+1)*SampleInterval)
+	require.Equal(t, minWithdrawal, balancer.detector.WithdrawalDuration(), "a withdrawal long ago does not count as a relapse")
 }
 
-// testZone is a zone in virtual time, with messages that take a while.
+// testZone is a zone in virtual time, with reports that are delayed.
 type testZone struct {
 	balancers []*testBalancer
 	reports   []ReportSet
-	// inFlight are statements under way, by the looks that they still take.
+	// inFlight are undelivered reports, by the number of samples until they arrive.
 	inFlight map[int][]Report
 }
 
-// maxDeliverySamples is the longest that a statement is under way: two calls up and down a
+// maxDeliverySamples is the longest delay of a report, in samples: two calls up and down a
 // tree, of half a second each.
 const maxDeliverySamples = 2
 
 func newTestZone(size int) *testZone {
-	made := &testZone{balancers: make([]*testBalancer, size), reports: make([]ReportSet, size), inFlight: make(map[int][]Report)}
-	for place := range made.balancers {
-		made.balancers[place] = newTestBalancer(place, size)
-		made.balancers[place].observe(healthyCounts, 2*time.Second)
+	zone := &testZone{balancers: make([]*testBalancer, size), reports: make([]ReportSet, size), inFlight: make(map[int][]Report)}
+	for rank := range zone.balancers {
+		zone.balancers[rank] = newTestBalancer(rank, size)
+		zone.balancers[rank].observe(healthyCounts, 2*time.Second)
 	}
-	return made
+	return zone
 }
 
-func nameOf(place int) string { return fmt.Sprintf("edge-%02d", place) }
+func nameOf(rank int) string { return fmt.Sprintf("edge-%02d", rank) }
 
-// step lets all machines look once. The delay of each statement is given.
-func (f *testZone) step(seen func(place int) Counts, delay func() int) (away int) {
-	arrived := f.inFlight[0]
-	for looks := range maxDeliverySamples {
-		f.inFlight[looks] = f.inFlight[looks+1]
+// step takes one sample on each balancer and returns how many are withdrawn. The counts and
+// the delay of each report are given.
+func (z *testZone) step(countsAt func(rank int) Counts, delay func() int) (withdrawn int) {
+	arrived := z.inFlight[0]
+	for samples := range maxDeliverySamples {
+		z.inFlight[samples] = z.inFlight[samples+1]
 	}
-	f.inFlight[maxDeliverySamples] = nil
-	for place, machine := range f.balancers {
-		for _, statement := range arrived {
-			if statement.Name != nameOf(place) {
-				f.reports[place].Add(statement)
+	z.inFlight[maxDeliverySamples] = nil
+	for rank, balancer := range z.balancers {
+		for _, report := range arrived {
+			if report.Name != nameOf(rank) {
+				z.reports[rank].Add(report)
 			}
 		}
-		machine.zone.Struggling = nil
-		for _, statement := range f.reports[place].Current(machine.now) {
+		balancer.zone.Struggling = nil
+		for _, report := range z.reports[rank].Current(balancer.now) {
 			var other int
-			_, _ = fmt.Sscanf(statement.Name, "edge-%d", &other)
-			machine.zone.Struggling = append(machine.zone.Struggling, Peer{Rank: other, Withdrawn: statement.Withdrawn})
+			_, _ = fmt.Sscanf(report.Name, "edge-%d", &other)
+			balancer.zone.Struggling = append(balancer.zone.Struggling, Peer{Rank: other, Withdrawn: report.Withdrawn})
 		}
-		at := machine.now
-		machine.observe(seen(place), SampleInterval)
-		if machine.detector.Struggling() {
-			looks := delay() - 1
-			f.inFlight[looks] = append(f.inFlight[looks], Report{Name: nameOf(place), Withdrawn: machine.detector.Withdrawn(), At: at})
+		at := balancer.now
+		balancer.observe(countsAt(rank), SampleInterval)
+		if balancer.detector.Struggling() {
+			samples := delay() - 1
+			z.inFlight[samples] = append(z.inFlight[samples], Report{Name: nameOf(rank), Withdrawn: balancer.detector.Withdrawn(), At: at})
 		}
-		if machine.detector.Withdrawn() {
-			away++
+		if balancer.detector.Withdrawn() {
+			withdrawn++
 		}
 	}
-	return away
+	return withdrawn
 }
 
-// A zone all of whose machines are slow keeps most of them, whatever each sees, when,
-// and however late it hears of the others; a zone of few keeps all.
+// A zone keeps at least half of its balancers in service, whatever each of them counts and
+// however late it receives the reports of the others; a small zone keeps all.
 func TestZoneKeepsMostOfItsBalancers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "size")
-		fleet := newTestZone(size)
-		kinds := []Counts{slowCounts, slowCounts, slowCounts, healthyCounts, noFlows}
+		zone := newTestZone(size)
+		choices := []Counts{slowCounts, slowCounts, slowCounts, healthyCounts, noFlows}
 		for range rapid.IntRange(1, 60).Draw(t, "looks") {
-			away := fleet.step(
-				func(int) Counts { return rapid.SampledFrom(kinds).Draw(t, "seen") },
+			withdrawn := zone.step(
+				func(int) Counts { return rapid.SampledFrom(choices).Draw(t, "seen") },
 				func() int { return rapid.IntRange(1, maxDeliverySamples).Draw(t, "delay") })
-			require.LessOrEqual(t, 2*away, size, "more than half")
-			require.True(t, size >= minZoneSize || away == 0)
-			for _, machine := range fleet.balancers {
-				machine.zone.ReportsComplete = rapid.Bool().Draw(t, "heard")
+			require.LessOrEqual(t, 2*withdrawn, size, "more than half of the zone is withdrawn")
+			require.True(t, size >= minZoneSize || withdrawn == 0)
+			for _, balancer := range zone.balancers {
+				balancer.zone.ReportsComplete = rapid.Bool().Draw(t, "heard")
 			}
 		}
 	})
 }
 
-// A third of a zone is slow, wherever in the order: most of it goes within 2 s.
+// If a third of a zone is slow, whatever its ranks, most of that third withdraws within 2 s.
 func TestMostSlowBalancersWithdraw(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
-	went, slowOnes := 0, 0
+	random := rand.New(rand.NewPCG(1, 2))
+	withdrew, slow := 0, 0
 	for range 100 {
-		fleet := newTestZone(15)
-		bad := make(map[int]bool)
-		for _, place := range chance.Perm(15)[:5] {
-			bad[place] = true
+		zone := newTestZone(15)
+		slowRanks := make(map[int]bool)
+		for _, rank := range random.Perm(15)[:5] {
+			slowRanks[rank] = true
 		}
-		away := 0
+		withdrawn := 0
 		for range 4 {
-			away = fleet.step(func(place int) Counts {
-				if bad[place] {
+			withdrawn = zone.step(func(rank int) Counts {
+				if slowRanks[rank] {
 					return slowCounts
 				}
 				return healthyCounts
-			}, func() int { return 1 + chance.IntN(maxDeliverySamples) })
+			}, func() int { return 1 + random.IntN(maxDeliverySamples) })
 		}
-		went, slowOnes = went+away, slowOnes+5
+		withdrew, slow = withdrew+withdrawn, slow+5
 	}
-	require.Greater(t, float64(went)/float64(slowOnes), 0.75)
+	require.Greater(t, float64(withdrew)/float64(slow), 0.75)
 }
 
-// A zone that has too much to do as a whole keeps all: who went would leave it to the
-// rest.
+// A zone that is overloaded as a whole keeps all its balancers: those that withdrew would
+// leave their load to the rest.
 func TestOverloadedZoneKeepsAllBalancers(t *testing.T) {
-	fleet := newTestZone(15)
+	zone := newTestZone(15)
 	for range 60 {
-		require.Zero(t, fleet.step(func(int) Counts { return slowCounts }, func() int { return maxDeliverySamples }))
+		require.Zero(t, zone.step(func(int) Counts { return slowCounts }, func() int { return maxDeliverySamples }))
 	}
 }
 
-// Without a picture only the first places go, a quarter of the zone.
+// Without reports from others only the first ranks withdraw, a quarter of the zone.
 func TestWithoutReportsOnlyFirstRanksWithdraw(t *testing.T) {
-	away := 0
-	for place := range 15 {
-		machine := newTestBalancer(place, 15)
-		machine.zone.ReportsComplete = false
-		machine.observe(healthyCounts, 5*time.Second)
-		machine.observe(slowCounts, 3*time.Second)
-		away += machine.withdrawals
+	withdrawn := 0
+	for rank := range 15 {
+		balancer := newTestBalancer(rank, 15)
+		balancer.zone.ReportsComplete = false
+		balancer.observe(healthyCounts, 5*time.Second)
+		balancer.observe(slowCounts, 3*time.Second)
+		withdrawn += balancer.withdrawals
 	}
-	require.Equal(t, 3, away)
+	require.Equal(t, 3, withdrawn)
 }
 
 func TestReportSetKeepsTheLatestAndExpires(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var picture ReportSet
-	picture.Add(Report{Name: "edge-1", Withdrawn: true, At: at})
-	picture.Add(Report{Name: "edge-1", At: at.Add(-time.Second)})
-	require.Equal(t, []Report{{Name: "edge-1", Withdrawn: true, At: at}}, picture.Current(at.Add(reportLifetime)))
-	require.Empty(t, picture.Current(at.Add(reportLifetime+time.Millisecond)))
+	var reports ReportSet
+	reports.Add(Report{Name: "edge-1", Withdrawn: true, At: at})
+	reports.Add(Report{Name: "edge-1", At: at.Add(-time.Second)})
+	require.Equal(t, []Report{{Name: "edge-1", Withdrawn: true, At: at}}, reports.Current(at.Add(reportLifetime)))
+	require.Empty(t, reports.Current(at.Add(reportLifetime+time.Millisecond)))
 	for number := range 2 * maxReports {
-		picture.Add(Report{Name: nameOf(number), At: at})
+		reports.Add(Report{Name: nameOf(number), At: at})
 	}
-	require.Len(t, picture.Current(at), maxReports)
+	require.Len(t, reports.Current(at), maxReports)
 }
 
 func TestUnlistedBalancerDoesNotWithdraw(t *testing.T) {
-	machine := newTestBalancer(0, 0)
-	machine.observe(slowCounts, time.Minute)
-	require.Zero(t, machine.withdrawals)
+	balancer := newTestBalancer(0, 0)
+	balancer.observe(slowCounts, time.Minute)
+	require.Zero(t, balancer.withdrawals)
 }
 
-// In a zone of many, messages hold a part of those that struggle only: each knows of 64 at
-// most, and the zone seems to have room. All 1,200 of one went.
+// In a large zone messages hold only some of the struggling balancers: each balancer knows
+// of 64 at most, and the zone seems to have room for more withdrawals. Unless incomplete
+// reports are recognized, all 1,200 balancers of a zone withdraw.
 func TestTruncatedReportsLimitWithdrawalInLargeZones(t *testing.T) {
 	for _, size := range []int{100, 150, 1200} {
-		var picture ReportSet
+		var reports ReportSet
 		at := time.Unix(1000, 0)
-		for place := range size {
-			picture.Add(Report{Name: nameOf(place), Withdrawn: true, At: at})
+		for rank := range size {
+			reports.Add(Report{Name: nameOf(rank), Withdrawn: true, At: at})
 		}
-		var others []Peer
-		for place := range picture.Current(at) {
-			others = append(others, Peer{Rank: size - 1 - place, Withdrawn: false})
+		var struggling []Peer
+		for rank := range reports.Current(at) {
+			struggling = append(struggling, Peer{Rank: size - 1 - rank, Withdrawn: false})
 		}
-		away := 0
-		for place := range size {
-			zone := Zone{Rank: place, Size: size, Struggling: others, ReportsComplete: picture.Complete()}
+		withdrawn := 0
+		for rank := range size {
+			zone := Zone{Rank: rank, Size: size, Struggling: struggling, ReportsComplete: reports.Complete()}
 			if zone.mayWithdraw(propagationTime) {
-				away++
+				withdrawn++
 			}
 		}
-		require.LessOrEqual(t, 4*away, size, "the first places only")
+		require.LessOrEqual(t, 4*withdrawn, size, "only the first ranks may withdraw")
 	}
 }
 
-// Two machines of 20 are down: with those aside, half is left in.
+// With a tenth of a zone down, such as two balancers of 20, and the maximum withdrawn, half
+// of it is still in service.
 func TestMaxWithdrawnLeavesSpareForFailures(t *testing.T) {
 	for _, size := range []int{10, 15, 20, 30, 60, 1200} {
-		left := size - size/spareDivisor - Zone{Size: size}.maxWithdrawn()
-		require.GreaterOrEqual(t, 2*left, size)
+		remaining := size - size/spareDivisor - Zone{Size: size}.maxWithdrawn()
+		require.GreaterOrEqual(t, 2*remaining, size)
 	}
 }
--- a/internal/aside/counts.go
+++ b/internal/aside/counts.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Buckets is how many steps the times are counted in.
+// Buckets is the number of histogram buckets for the times that flows take to open.
 const Buckets = 16
 
-// bucketBounds are the upper ends of the steps; what took longer counts in the last one.
-var bucketBounds = func() (made [Buckets]time.Duration) {
+// bucketBounds are the upper bounds of the buckets; longer times count in the last one.
+var bucketBounds = func() (bounds [Buckets]time.Duration) {
 	bound := time.Millisecond
-	for step := range made {
-		made[step] = bound
+	for bucket := range bounds {
+		bounds[bucket] = bound
 		bound += bound / 2
 	}
-	return made
+	return bounds
 }()
 
-// BucketOf is the step in which a time counts.
-func BucketOf(took time.Duration) int {
-	for step, bound := range bucketBounds {
-		if took <= bound {
-			return step
+// BucketOf returns the bucket in which an opening time counts.
+func BucketOf(openingTime time.Duration) int {
+	for bucket, bound := range bucketBounds {
+		if openingTime <= bound {
+			return bucket
 		}
 	}
 	return Buckets - 1
 }
 
-// Counts are the flows of a balancer since its start.
+// Counts are the flow counters of a balancer since its start.
 type Counts struct {
-	// Opened are those that opened, by the step of the time that it took.
+	// Opened counts the flows that opened, by the bucket of the time that it took.
 	Opened [Buckets]uint64
-	// Unanswered are first packets that were not answered in time.
+	// Unanswered counts first packets that were not answered in time.
 	Unanswered uint64
 }
 
-func (c Counts) since(before Counts) Counts {
-	for step := range c.Opened {
-		c.Opened[step] -= before.Opened[step]
+func (c Counts) since(previous Counts) Counts {
+	for bucket := range c.Opened {
+		c.Opened[bucket] -= previous.Opened[bucket]
 	}
-	c.Unanswered -= before.Unanswered
+	c.Unanswered -= previous.Unanswered
 	return c
 }
 
@@ -49,44 +49,45 @@
 	return sum
 }
 
-// median is the upper end of the step in which the median lies.
+// median returns the upper bound of the bucket that holds the median.
 func (c Counts) median() time.Duration {
 	half, sum := (c.answered()+1)/2, uint64(0)
-	for step, count := range c.Opened {
+	for bucket, count := range c.Opened {
 		sum += count
 		if sum >= half {
-			return bucketBounds[step]
+			return bucketBounds[bucket]
 		}
 	}
 	return bucketBounds[Buckets-1]
 }
 
-// classify tells what took longer than a bound from the rest.
+// classify separates the flows that took longer than a bound to open from the others.
 func (c Counts) classify(bound time.Duration) Sample {
-	seen := Sample{Unanswered: c.Unanswered}
-	for step, count := range c.Opened {
-		if bucketBounds[step] > bound {
-			seen.Slow += count
+	sample := Sample{Unanswered: c.Unanswered}
+	for bucket, count := range c.Opened {
+		if bucketBounds[bucket] > bound {
+			sample.Slow += count
 		} else {
-			seen.OnTime += count
+			sample.OnTime += count
 		}
 	}
-	return seen
+	return sample
 }
 
-// Sample is what a look saw: flows that opened in the usual time, those that took much
-// longer, and first packets that were not answered in time.
+// Sample counts the flows of one interval: those that opened within the usual time, those
+// that took much longer, and first packets that were not answered in time.
 type Sample struct {
 	OnTime, Slow, Unanswered uint64
 }
 
-// slowHere tells whether this balancer is slow, and callers pay for it. Of the flows that
-// back ends answered more than a third came late, and with those that nobody answered
-// half of all tries: that is how it differs from back ends that answer nobody. A tenth
-// of all were not answered in time, and cost their clients a repetition, 200 ms: what
-// is only late costs them less than another path may.
-func (s Sample) slowHere() bool {
+// locallySlow reports whether this balancer is slow, and callers suffer from it. More than a
+// third of the answered flows must be slow, and the slow and unanswered ones together must
+// be half of all attempts: that tells a slow balancer from back ends that do not answer.
+// A tenth of all attempts must be unanswered, each of which costs its client a
+// retransmission, 200 ms: flows that are merely late cost clients less than moving them to
+// another path may.
+func (s Sample) locallySlow() bool {
 	answered := s.OnTime + s.Slow
-	tries := answered + s.Unanswered
-	return tries >= minAttempts && 3*s.Slow > answered && 2*(s.Slow+s.Unanswered) >= tries && 10*s.Unanswered >= tries
+	attempts := answered + s.Unanswered
+	return attempts >= minAttempts && 3*s.Slow > answered && 2*(s.Slow+s.Unanswered) >= attempts && 10*s.Unanswered >= attempts
 }
--- a/internal/aside/reports.go
+++ b/internal/aside/reports.go
@@ -7,57 +7,58 @@
 )
 
 const (
-	// reportLifetime is how long a statement holds that is not renewed. Followers call
-	// twice a second, and each balancer renews its own with each call.
+	// reportLifetime is how long a report stays valid unless it is renewed. Followers
+	// call twice a second, and each balancer renews its own report with each call.
 	reportLifetime = 3 * time.Second
-	// maxReports bounds the statements in one message, to some 2 KB.
+	// maxReports bounds the reports in one message, to about 2 KB.
 	maxReports = 64
 )
 
-// Report is that a balancer struggles.
+// Report states that a balancer is struggling.
 type Report struct {
 	Name      string
 	Withdrawn bool
-	// At is when it said so.
+	// At is when the balancer made the report.
 	At time.Time
 }
 
-// ReportSet is who struggles, by name, so that nobody counts twice whoever passes it on;
-// the latest statement holds, and each fades.
+// ReportSet holds the reports of struggling balancers by name, so that no balancer counts
+// twice however its report arrives. The latest report of a balancer replaces earlier ones,
+// and each expires.
 type ReportSet struct {
 	reports map[string]Report
 }
 
-// Add takes a statement. One that is older than what is known says nothing.
-func (p *ReportSet) Add(statement Report) {
-	if known, found := p.reports[statement.Name]; found && !statement.At.After(known.At) {
+// Add adds a report. A report that is not newer than the known one is ignored.
+func (s *ReportSet) Add(report Report) {
+	if known, found := s.reports[report.Name]; found && !report.At.After(known.At) {
 		return
 	}
-	if p.reports == nil {
-		p.reports = make(map[string]Report)
+	if s.reports == nil {
+		s.reports = make(map[string]Report)
 	}
-	p.reports[statement.Name] = statement
+	s.reports[report.Name] = report
 }
 
-// Remove takes that a balancer carries its share, as it says itself.
-func (p *ReportSet) Remove(name string) { delete(p.reports, name) }
+// Remove removes the report of a balancer that says itself that it carries its share.
+func (s *ReportSet) Remove(name string) { delete(s.reports, name) }
 
-// Current returns the statements that hold, the latest first.
-func (p *ReportSet) Current(now time.Time) []Report {
-	var found []Report
-	for name, statement := range p.reports {
-		if now.Sub(statement.At) > reportLifetime {
-			delete(p.reports, name)
+// Current returns the valid reports, the latest first.
+func (s *ReportSet) Current(now time.Time) []Report {
+	var current []Report
+	for name, report := range s.reports {
+		if now.Sub(report.At) > reportLifetime {
+			delete(s.reports, name)
 			continue
 		}
-		found = append(found, statement)
+		current = append(current, report)
 	}
-	slices.SortFunc(found, func(a, b Report) int {
+	slices.SortFunc(current, func(a, b Report) int {
 		return cmp.Or(b.At.Compare(a.At), cmp.Compare(a.Name, b.Name))
 	})
-	return found[:min(len(found), maxReports)]
+	return current[:min(len(current), maxReports)]
 }
 
-// Complete tells whether all that struggle may be known: where so many do that messages leave
-// some out, what is known says too little to go by.
-func (p *ReportSet) Complete() bool { return len(p.reports) < maxReports }
+// Complete reports whether the set may hold all struggling balancers. Where so many
+// struggle that messages omit some, the set is not a basis for decisions.
+func (s *ReportSet) Complete() bool { return len(s.reports) < maxReports }
--- a/internal/aside/zone.go
+++ b/internal/aside/zone.go
@@ -3,56 +3,59 @@
 import "time"
 
 const (
-	// minZoneSize is the least size of a zone of which one may step aside.
+	// minZoneSize is the minimum size of a zone of which a balancer may withdraw.
 	minZoneSize = 5
-	// overloadNumerator of overloadDenominator of a zone that struggle are no fault of each: the zone has
-	// too much to do, and who stepped aside would leave it to the rest.
+	// overloadNumerator / overloadDenominator is the fraction of a zone above which
+	// struggling balancers are not at fault one by one: the zone as a whole is
+	// overloaded, and those that withdrew would leave its load to the rest.
 	overloadNumerator, overloadDenominator = 2, 3
 )
 
 // Zone is what a balancer knows of its zone.
 type Zone struct {
-	// Rank is its place in the order of the zone, from 0, and Size how many the
-	// zone has.
+	// Rank is the position of the balancer in the order of the zone, from 0, and Size
+	// is the number of balancers in the zone.
 	Rank, Size int
-	// Struggling are those of the zone that struggle, as far as is known.
+	// Struggling are the other balancers of the zone that are known to struggle.
 	Struggling []Peer
-	// ReportsComplete is set while others of the zone are heard that tell who struggles, and all that
-	// do are known, so that Others says something.
+	// ReportsComplete is set while the balancer receives reports from others of the zone,
+	// and those include all that struggle, so that Struggling can be relied on.
 	ReportsComplete bool
 }
 
-// Peer is another balancer that can't carry its share.
+// Peer is another balancer of the zone that cannot carry its share.
 type Peer struct {
 	Rank int
-	// Withdrawn is set when it has stepped aside.
+	// Withdrawn is set when it has withdrawn.
 	Withdrawn bool
 }
 
-// spareDivisor: one part in so many of a zone is left for those that are stopped or gone.
+// spareDivisor reserves one in so many balancers of a zone for those that are stopped or
+// down.
 const spareDivisor = 10
 
-// maxWithdrawn is how many may be aside at once: routers that find fewer than half of a zone
-// ready use all of it, so more would help nobody.
+// maxWithdrawn returns how many balancers may be withdrawn at once. Routers that find
+// fewer than half of a zone ready use all of it, so more withdrawals would not help.
 func (z Zone) maxWithdrawn() int { return max(z.Size-1, 0)/2 - z.Size/spareDivisor }
 
-// mayWithdraw tells whether a balancer that has struggled for a time may step aside. By
-// then its picture shows all that began to struggle as it did. The first places, half
-// of the room, may always go, also where nobody is heard. Of the others the first in
-// order do, and nobody while those away fill the room. Two that decide within the time
-// that a picture takes have seen each other struggle, and the later one of any other
-// two has seen the first away, so together they never take more than the room.
-func (z Zone) mayWithdraw(struggled time.Duration) bool {
-	if z.Size < minZoneSize || struggled < propagationTime || overloadDenominator*(len(z.Struggling)+1) > overloadNumerator*z.Size {
+// mayWithdraw reports whether a balancer that has been struggling for the given time may
+// withdraw. By then it has received the reports of all that began to struggle when it did.
+// The first ranks, about half of the maximum, may always withdraw, even where no reports are
+// received. Of the others, the lowest ranks may, and none while withdrawn balancers take
+// up the maximum. Two balancers that decide within the time a report takes to propagate
+// have each seen the other struggle; of any other two, the later one has seen the first
+// withdrawn. So together they never exceed the maximum.
+func (z Zone) mayWithdraw(struggling time.Duration) bool {
+	if z.Size < minZoneSize || struggling < propagationTime || overloadDenominator*(len(z.Struggling)+1) > overloadNumerator*z.Size {
 		return false
 	}
-	always := max(z.Size-1, 0) / 4
-	if z.Rank < always {
+	unconditional := max(z.Size-1, 0) / 4
+	if z.Rank < unconditional {
 		return true
 	}
-	taken := always
-	for _, other := range z.Struggling {
-		if other.Rank >= always && (other.Withdrawn || other.Rank < z.Rank) {
+	taken := unconditional
+	for _, peer := range z.Struggling {
+		if peer.Rank >= unconditional && (peer.Withdrawn || peer.Rank < z.Rank) {
 			taken++
 		}
 	}
