--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -1,6 +1,8 @@
-// Package change applies operators' changes to a configuration. Apply is a pure
-// function; the caller writes the result under compare-and-swap, so a change is
-// accepted exactly when that write holds.
+// Package change applies operators' changes to a configuration.
+//
+// Apply is a pure function that returns the next configuration or a Problem. A Writer
+// applies a change to the configuration in the store: it writes the result with
+// compare-and-swap, so a change is accepted if and only if that write succeeds.
 package change
 
 import (
@@ -13,24 +15,24 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// maxAuditRecords bounds the audit records kept in the configuration.
+// maxAuditRecords bounds the audit records of changes in the configuration.
 const maxAuditRecords = 128
 
-// Environment is what a change needs to know besides the configuration.
+// Environment holds what a change depends on besides the configuration and the request.
 type Environment struct {
 	Now time.Time
-	// MarkIncarnations are the incarnations of the known leaving marks.
+	// MarkIncarnations holds the incarnation of each known leaving mark, by back end.
 	MarkIncarnations map[uint32]uint64
-	// SettledRevision is the revision that every node has settled, before
-	// which released addresses are free again.
+	// SettledRevision is the revision that every node has settled. Addresses
+	// released up to it may be used again.
 	SettledRevision uint64
-	// WaitingFor are the nodes that hold up the settling.
+	// WaitingFor names the nodes that have yet to settle the configuration.
 	WaitingFor []string
-	// CheckPolicy checks a policy program; nil skips the check.
+	// CheckPolicy validates a policy program; nil skips the validation.
 	CheckPolicy func(*apiv1.Policy) error
 }
 
-// FindOperation returns the record of an operation that was accepted before, or nil.
+// FindOperation returns the record of an operation that has already been accepted, or nil.
 func FindOperation(configuration *apiv1.Configuration, operation string) *apiv1.Change {
 	for _, accepted := range configuration.GetChanges() {
 		if operation != "" && accepted.GetOperationId() == operation {
@@ -40,9 +42,9 @@
 	return nil
 }
 
-// Apply returns the next configuration. The given one is not changed; it may
-// be nil for the first change.
-func Apply(configuration *apiv1.Configuration, request *apiv1.ChangeRequest, context Environment) (*apiv1.Configuration, *Problem) {
+// Apply returns the configuration that results from a change. It does not modify the
+// given configuration, which may be nil for the first change.
+func Apply(configuration *apiv1.Configuration, request *apiv1.ChangeRequest, environment Environment) (*apiv1.Configuration, *Problem) {
 	if problem := checkRequest(configuration, request); problem != nil {
 		return nil, problem
 	}
@@ -51,11 +53,11 @@
 		next = proto.CloneOf(configuration)
 	}
 	next.Revision++
-	summary, problem := applyEdit(next, request, context)
+	summary, problem := applyEdit(next, request, environment)
 	if problem != nil {
 		return nil, problem
 	}
-	if problem := checkLimits(next, request, context); problem != nil {
+	if problem := checkLimits(next, request, environment); problem != nil {
 		return nil, problem
 	}
 	next.Changes = append(next.Changes, &apiv1.Change{
@@ -63,7 +65,7 @@
 		Revision:         next.GetRevision(),
 		Author:           request.GetAuthor(),
 		Summary:          summary,
-		UnixMilliseconds: context.Now.UnixMilli(),
+		UnixMilliseconds: environment.Now.UnixMilli(),
 	})
 	if excess := len(next.GetChanges()) - maxAuditRecords; excess > 0 {
 		next.Changes = next.GetChanges()[excess:]
@@ -73,7 +75,7 @@
 
 func checkRequest(configuration *apiv1.Configuration, request *apiv1.ChangeRequest) *Problem {
 	if request.GetOperationId() == "" {
-		return invalid("operation_id", "", "is missing", "send a fresh ID with each change, the same one when you retry it")
+		return invalid("operation_id", "", "is missing", "send a new ID with each change, and the same one when you retry it")
 	}
 	base, current := request.GetBaseRevision(), configuration.GetRevision()
 	if base == 0 || base == current {
@@ -81,7 +83,7 @@
 	}
 	conflict := NewProblem(CodeConflict, "base_revision", strconv.FormatUint(base, 10),
 		fmt.Sprintf("the configuration is at revision %d", current),
-		"read it again, look whether your change still fits, and send it with that revision")
+		"read it again, check that your change still applies, and send it with that revision")
 	conflict.CurrentRevision = current
 	if changes := configuration.GetChanges(); len(changes) > 0 {
 		conflict.ChangedBy = changes[len(changes)-1].GetAuthor()
@@ -89,16 +91,16 @@
 	return conflict
 }
 
-func applyEdit(next *apiv1.Configuration, request *apiv1.ChangeRequest, context Environment) (string, *Problem) {
+func applyEdit(next *apiv1.Configuration, request *apiv1.ChangeRequest, environment Environment) (string, *Problem) {
 	switch change := request.GetChange().(type) {
 	case *apiv1.ChangeRequest_PutService:
-		return "put service " + change.PutService.GetName(), putService(next, change.PutService, context)
+		return "put service " + change.PutService.GetName(), putService(next, change.PutService, environment)
 	case *apiv1.ChangeRequest_DeleteService:
 		return "delete service " + change.DeleteService, deleteService(next, change.DeleteService)
 	case *apiv1.ChangeRequest_PutPolicy:
-		return "put policy " + change.PutPolicy.GetName(), putPolicy(next, change.PutPolicy, context)
+		return "put policy " + change.PutPolicy.GetName(), putPolicy(next, change.PutPolicy, environment)
 	case *apiv1.ChangeRequest_Drain:
-		return drainSummary(change.Drain), drain(next, change.Drain, context)
+		return drainSummary(change.Drain), drain(next, change.Drain, environment)
 	case *apiv1.ChangeRequest_RollbackPolicy:
 		return "roll back policy " + change.RollbackPolicy, rollbackPolicy(next, change.RollbackPolicy)
 	case *apiv1.ChangeRequest_PutTeam:
@@ -106,10 +108,10 @@
 	case *apiv1.ChangeRequest_PutToken:
 		return "put token " + change.PutToken.GetName(), putToken(next, change.PutToken)
 	}
-	return "", invalid("change", "", "is missing or not known", "name exactly one change")
+	return "", invalid("change", "", "is missing or not known", "set exactly one change")
 }
 
-// FindService returns a service by name, or nil.
+// FindService returns the service with the given name, or nil.
 func FindService(configuration *apiv1.Configuration, name string) *apiv1.Service {
 	for _, service := range configuration.GetServices() {
 		if service.GetName() == name {
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// FindBackend returns a service's back end by name, or nil.
+// FindBackend returns the back end of a service with the given name, or nil.
 func FindBackend(service *apiv1.Service, name string) *apiv1.Backend {
 	for _, backend := range service.GetBackends() {
 		if backend.GetName() == name {
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// FindPolicy returns a policy by name, or nil.
+// FindPolicy returns the policy with the given name, or nil.
 func FindPolicy(configuration *apiv1.Configuration, name string) *apiv1.Policy {
 	for _, policy := range configuration.GetPolicies() {
 		if policy.GetName() == name {
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -23,29 +23,29 @@
 		Drain: &apiv1.DrainRequest{Service: "lending", Backend: backend, Leaving: leaving}}}
 }
 
-func mustApply(t *testing.T, configuration *apiv1.Configuration, request *apiv1.ChangeRequest, made Environment) *apiv1.Configuration {
-	next, problem := Apply(configuration, request, made)
+func mustApply(t *testing.T, configuration *apiv1.Configuration, request *apiv1.ChangeRequest, environment Environment) *apiv1.Configuration {
+	next, problem := Apply(configuration, request, environment)
 	require.Nil(t, problem)
 	return next
 }
 
 func TestApply(t *testing.T) {
-	made := Environment{Now: time.Unix(1000, 0), MarkIncarnations: map[uint32]uint64{1: 4}}
-	first := mustApply(t, nil, putRequest("one", lendingService()), made)
+	environment := Environment{Now: time.Unix(1000, 0), MarkIncarnations: map[uint32]uint64{1: 4}}
+	first := mustApply(t, nil, putRequest("one", lendingService()), environment)
 	require.Equal(t, uint64(1), first.GetRevision())
 	require.Equal(t, uint32(1), first.GetServices()[0].GetBackends()[0].GetId())
-	drained := mustApply(t, first, drainRequest("two", "lending-0", true), made)
+	drained := mustApply(t, first, drainRequest("two", "lending-0", true), environment)
 	require.True(t, drained.GetServices()[0].GetBackends()[0].GetLeaving())
-	require.False(t, first.GetServices()[0].GetBackends()[0].GetLeaving(), "the old configuration is not changed")
-	back := mustApply(t, drained, drainRequest("three", "lending-0", false), made)
+	require.False(t, first.GetServices()[0].GetBackends()[0].GetLeaving(), "Apply modified its input")
+	back := mustApply(t, drained, drainRequest("three", "lending-0", false), environment)
 	require.Equal(t, uint64(4), back.GetServices()[0].GetBackends()[0].GetClearedMark())
 	require.Equal(t, uint64(2), FindOperation(back, "two").GetRevision())
 	require.Nil(t, FindOperation(back, "four"))
 }
 
 func TestProblems(t *testing.T) {
-	made := Environment{Now: time.Unix(1000, 0)}
-	base := mustApply(t, nil, putRequest("one", lendingService()), made)
+	environment := Environment{Now: time.Unix(1000, 0)}
+	base := mustApply(t, nil, putRequest("one", lendingService()), environment)
 	changed := func(edit func(*apiv1.Service)) *apiv1.ChangeRequest {
 		service := lendingService()
 		edit(service)
@@ -74,7 +74,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, problem := Apply(base, test.request, made)
+			_, problem := Apply(base, test.request, environment)
 			require.NotNil(t, problem)
 			require.Equal(t, test.code, problem.GetCode())
 			require.Equal(t, test.field, problem.GetField())
@@ -90,8 +90,8 @@
 	require.Equal(t, "is the last one that takes new flows", problem.GetMessage())
 }
 
-// TestReleasedAddressIsReusedOnlyWhenSettled: an address goes to another service only when every
-// node has settled the configuration without it.
+// A released address may go to another service only when every node has settled the
+// configuration without the old one.
 func TestReleasedAddressIsReusedOnlyWhenSettled(t *testing.T) {
 	base := mustApply(t, nil, putRequest("one", lendingService()), Environment{})
 	for _, backend := range base.GetServices()[0].GetBackends() {
--- a/internal/change/policy.go
+++ b/internal/change/policy.go
@@ -6,23 +6,23 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-func putPolicy(next *apiv1.Configuration, policy *apiv1.Policy, context Environment) *Problem {
+func putPolicy(next *apiv1.Configuration, policy *apiv1.Policy, environment Environment) *Problem {
 	if policy.GetName() == "" {
 		return invalid("name", "", "is missing", "name the policy")
 	}
-	if context.CheckPolicy != nil {
-		if err := context.CheckPolicy(policy); err != nil {
-			return invalid("policy", policy.GetName(), err.Error(), "mend the expression; \"indigobarrow policy check\" tries it")
+	if environment.CheckPolicy != nil {
+		if err := environment.CheckPolicy(policy); err != nil {
+			return invalid("policy", policy.GetName(), err.Error(), "correct the expression; \"indigobarrow policy check\" validates it")
 		}
 	}
 	replacePolicy(next, policy)
 	return nil
 }
 
-// maxPolicyHistory bounds the replaced policies that are kept.
+// maxPolicyHistory bounds the replaced policies that are kept for a rollback.
 const maxPolicyHistory = 32
 
-// replacePolicy puts a policy in place and keeps the one it replaces.
+// replacePolicy stores a policy and moves the one it replaces to the history.
 func replacePolicy(next *apiv1.Configuration, policy *apiv1.Policy) {
 	old := FindPolicy(next, policy.GetName())
 	if old == nil {
@@ -37,14 +37,14 @@
 	proto.Merge(old, policy)
 }
 
-// rollbackPolicy puts the policy back that the present one has replaced. It is
-// a change like any other, with a revision of its own.
+// rollbackPolicy restores the policy that the current one has replaced. A rollback is a
+// change like any other, with a revision of its own.
 func rollbackPolicy(next *apiv1.Configuration, name string) *Problem {
 	history := next.GetPolicyHistory()
-	for place := len(history) - 1; place >= 0; place-- {
-		if history[place].GetName() == name {
-			next.PolicyHistory = append(history[:place:place], history[place+1:]...)
-			replacePolicy(next, history[place])
+	for index := len(history) - 1; index >= 0; index-- {
+		if history[index].GetName() == name {
+			next.PolicyHistory = append(history[:index:index], history[index+1:]...)
+			replacePolicy(next, history[index])
 			return nil
 		}
 	}
--- a/internal/change/problem.go
+++ b/internal/change/problem.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// The codes of problems.
+// The codes of a Problem.
 const (
 	CodeInvalid      = "invalid"
 	CodeConflict     = "conflict"
@@ -18,13 +18,13 @@
 	CodeUnknown      = "unknown"
 )
 
-// Problem is an error that an operator sees. It names the field, the value and
+// Problem is an error that is shown to an operator. It names the field, the value and
 // the remedy.
 type Problem struct {
 	*apiv1.Problem
 }
 
-// Error gives the problem in one line.
+// Error returns the problem as one line of text.
 func (problem *Problem) Error() string {
 	if problem.GetField() == "" {
 		return fmt.Sprintf("%s; %s", problem.GetMessage(), problem.GetRemedy())
@@ -33,7 +33,7 @@
 		problem.GetField(), problem.GetValue(), problem.GetMessage(), problem.GetRemedy())
 }
 
-// NewProblem makes a problem.
+// NewProblem returns a Problem with the given code and texts.
 func NewProblem(code, field, value, message, remedy string) *Problem {
 	return &Problem{&apiv1.Problem{Code: code, Field: field, Value: value, Message: message, Remedy: remedy}}
 }
--- a/internal/change/service.go
+++ b/internal/change/service.go
@@ -10,40 +10,40 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-func putService(next *apiv1.Configuration, service *apiv1.Service, context Environment) *Problem {
-	if problem := checkService(next, service, context); problem != nil {
+func putService(next *apiv1.Configuration, service *apiv1.Service, environment Environment) *Problem {
+	if problem := checkService(next, service, environment); problem != nil {
 		return problem
 	}
-	wanted := proto.CloneOf(service)
+	desired := proto.CloneOf(service)
 	old := FindService(next, service.GetName())
-	if problem := assignBackendIDs(next, old, wanted); problem != nil {
+	if problem := assignBackendIDs(next, old, desired); problem != nil {
 		return problem
 	}
 	if old == nil {
-		next.Services = append(next.Services, wanted)
+		next.Services = append(next.Services, desired)
 		return nil
 	}
-	if old.GetAddress() != wanted.GetAddress() || old.GetPort() != wanted.GetPort() {
-		return invalid("address", wanted.GetAddress(), "a service keeps its address for life",
-			"create a second service, move the callers, then delete this one")
+	if old.GetAddress() != desired.GetAddress() || old.GetPort() != desired.GetPort() {
+		return invalid("address", desired.GetAddress(), "the address of a service cannot be changed",
+			"create a second service, move the callers to it, then delete this one")
 	}
 	proto.Reset(old)
-	proto.Merge(old, wanted)
+	proto.Merge(old, desired)
 	return nil
 }
 
-// assignBackendIDs gives new back ends their numbers and keeps those of known
-// ones. A known back end may be left out only when it is leaving.
-func assignBackendIDs(next *apiv1.Configuration, old, wanted *apiv1.Service) *Problem {
-	for _, backend := range wanted.GetBackends() {
-		known := FindBackend(old, backend.GetName())
-		if known != nil && known.GetTunnelAddress() == backend.GetTunnelAddress() {
-			backend.Id = known.GetId()
-			backend.Leaving = known.GetLeaving()
-			backend.ClearedMark = known.GetClearedMark()
+// assignBackendIDs assigns IDs to new back ends and keeps those of existing ones. An
+// existing back end may be omitted only when it is leaving.
+func assignBackendIDs(next *apiv1.Configuration, old, desired *apiv1.Service) *Problem {
+	for _, backend := range desired.GetBackends() {
+		existing := FindBackend(old, backend.GetName())
+		if existing != nil && existing.GetTunnelAddress() == backend.GetTunnelAddress() {
+			backend.Id = existing.GetId()
+			backend.Leaving = existing.GetLeaving()
+			backend.ClearedMark = existing.GetClearedMark()
 			continue
 		}
-		if known != nil && !known.GetLeaving() {
+		if existing != nil && !existing.GetLeaving() {
 			return invalid("tunnel_address", backend.GetTunnelAddress(),
 				"back end "+backend.GetName()+" has open flows at its old address",
 				"drain it first, or add the machine under another name")
@@ -51,16 +51,16 @@
 		backend.Id = next.GetNextBackendId()
 		next.NextBackendId++
 	}
-	for _, known := range old.GetBackends() {
-		if FindBackend(wanted, known.GetName()) == nil && !known.GetLeaving() {
-			return invalid("backends", known.GetName(), "is in service and cannot be removed",
+	for _, existing := range old.GetBackends() {
+		if FindBackend(desired, existing.GetName()) == nil && !existing.GetLeaving() {
+			return invalid("backends", existing.GetName(), "is in service and cannot be removed",
 				"drain it, wait until its flows have ended, then remove it")
 		}
 	}
 	return nil
 }
 
-func checkService(next *apiv1.Configuration, service *apiv1.Service, context Environment) *Problem {
+func checkService(next *apiv1.Configuration, service *apiv1.Service, environment Environment) *Problem {
 	if service.GetName() == "" {
 		return invalid("name", "", "is missing", "name the service")
 	}
@@ -74,7 +74,7 @@
 			return invalid("address", address.String(), "is used by service "+other.GetName(), "choose another address or port")
 		}
 	}
-	if problem := checkReleasedAddress(next, service, context); problem != nil {
+	if problem := checkReleasedAddress(next, service, environment); problem != nil {
 		return problem
 	}
 	if service.GetPolicy() != "" && FindPolicy(next, service.GetPolicy()) == nil {
@@ -83,17 +83,17 @@
 	return checkBackends(service)
 }
 
-// checkReleasedAddress refuses an address that another service has left until every
-// node has settled a configuration without it.
-func checkReleasedAddress(next *apiv1.Configuration, service *apiv1.Service, context Environment) *Problem {
+// checkReleasedAddress rejects an address that another service has released until every
+// node has settled a configuration without that service.
+func checkReleasedAddress(next *apiv1.Configuration, service *apiv1.Service, environment Environment) *Problem {
 	kept := next.GetReleasedAddresses()[:0:0]
 	for _, released := range next.GetReleasedAddresses() {
 		same := released.GetAddress() == service.GetAddress() && released.GetPort() == service.GetPort()
-		free := context.SettledRevision >= released.GetRevision()
+		free := environment.SettledRevision >= released.GetRevision()
 		if same && !free && released.GetService() != service.GetName() {
 			return NewProblem(CodeUnavailable, "address", service.GetAddress(),
-				fmt.Sprintf("service %s has left it in revision %d, which not every node has confirmed; waiting for %v",
-					released.GetService(), released.GetRevision(), context.WaitingFor),
+				fmt.Sprintf("service %s released it in revision %d, which not every node has confirmed; waiting for %v",
+					released.GetService(), released.GetRevision(), environment.WaitingFor),
 				"try again when \"indigobarrow status --wait\" reports the revision in force")
 		}
 		if !same {
@@ -108,7 +108,7 @@
 	names := make(map[string]bool)
 	for _, backend := range service.GetBackends() {
 		if backend.GetName() == "" || names[backend.GetName()] {
-			return invalid("backends.name", backend.GetName(), "is missing or used twice", "give each back end a name of its own")
+			return invalid("backends.name", backend.GetName(), "is missing or used twice", "give each back end a unique name")
 		}
 		names[backend.GetName()] = true
 		parsed, err := netip.ParseAddrPort(backend.GetTunnelAddress())
@@ -154,8 +154,9 @@
 	return verb + " " + request.GetService() + "/" + request.GetBackend()
 }
 
-// drain sets or ends a drain. Draining a draining back end is no error.
-func drain(next *apiv1.Configuration, request *apiv1.DrainRequest, context Environment) *Problem {
+// drain starts or ends the draining of a back end. Draining a back end that is already
+// draining is not an error.
+func drain(next *apiv1.Configuration, request *apiv1.DrainRequest, environment Environment) *Problem {
 	service := FindService(next, request.GetService())
 	if service == nil {
 		return NewProblem(CodeNotFound, "service", request.GetService(), "there is no such service",
@@ -172,8 +173,8 @@
 	}
 	backend.Leaving = request.GetLeaving()
 	if !request.GetLeaving() {
-		// A mark that no node remembers any more had the next incarnation.
-		backend.ClearedMark = max(backend.GetClearedMark()+1, context.MarkIncarnations[backend.GetId()])
+		// A leaving mark that no node remembers any more had the next incarnation.
+		backend.ClearedMark = max(backend.GetClearedMark()+1, environment.MarkIncarnations[backend.GetId()])
 	}
 	return nil
 }
--- a/internal/change/team.go
+++ b/internal/change/team.go
@@ -13,10 +13,10 @@
 	if team.GetName() == "" {
 		return invalid("name", "", "is missing", "name the team")
 	}
-	for _, known := range next.GetTeams() {
-		if known.GetName() == team.GetName() {
-			proto.Reset(known)
-			proto.Merge(known, team)
+	for _, existing := range next.GetTeams() {
+		if existing.GetName() == team.GetName() {
+			proto.Reset(existing)
+			proto.Merge(existing, team)
 			return nil
 		}
 	}
@@ -24,19 +24,20 @@
 	return nil
 }
 
+// tokenHashSize is the size of a SHA-256 hash in bytes.
 const tokenHashSize = 32
 
 func putToken(next *apiv1.Configuration, token *apiv1.Token) *Problem {
 	if token.GetName() == "" || len(token.GetSha256()) != tokenHashSize {
-		return invalid("token", token.GetName(), "lacks a name or a hash of 32 bytes", "send the name and the SHA-256 of the token's text")
+		return invalid("token", token.GetName(), "has no name or no hash of 32 bytes", "send the name and the SHA-256 of the token's text")
 	}
 	if token.GetRole() == apiv1.Role_ROLE_EDITOR && token.GetTeam() == "" {
-		return invalid("team", "", "an editor belongs to a team", "name the team")
+		return invalid("team", "", "an editor must belong to a team", "name the team")
 	}
-	for _, known := range next.GetTokens() {
-		if known.GetName() == token.GetName() {
-			proto.Reset(known)
-			proto.Merge(known, token)
+	for _, existing := range next.GetTokens() {
+		if existing.GetName() == token.GetName() {
+			proto.Reset(existing)
+			proto.Merge(existing, token)
 			return nil
 		}
 	}
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// checkLimits applies the limits of the team whose service is changed.
-func checkLimits(next *apiv1.Configuration, request *apiv1.ChangeRequest, context Environment) *Problem {
+// checkLimits enforces the limits of the team whose service is changed.
+func checkLimits(next *apiv1.Configuration, request *apiv1.ChangeRequest, environment Environment) *Problem {
 	name := request.GetPutService().GetTeam()
 	for _, team := range next.GetTeams() {
 		if team.GetName() != name {
@@ -64,7 +65,7 @@
 		if exceeds(backends, team.GetMaximumBackends()) {
 			return limitProblem("backends", backends, team)
 		}
-		if recent := recentChanges(next, request.GetAuthor(), context.Now); exceeds(recent+1, team.GetMaximumChangesPerMinute()) {
+		if recent := recentChanges(next, request.GetAuthor(), environment.Now); exceeds(recent+1, team.GetMaximumChangesPerMinute()) {
 			return limitProblem("changes a minute", recent+1, team)
 		}
 	}
--- a/internal/change/writer.go
+++ b/internal/change/writer.go
@@ -13,15 +13,15 @@
 	"github.com/indigobarrow/indigobarrow/internal/store"
 )
 
-// Store is the platform's key-value service as a Writer uses it.
+// Store is the part of the platform's key-value service that a Writer uses.
 type Store interface {
 	Get(ctx context.Context, key string) (store.Value, error)
 	CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error
 }
 
-// Writer carries changes into the store. A change is accepted exactly when its
-// write held; a write whose fate is unknown is found out by looking for the
-// operation in what stands.
+// Writer applies changes to the configuration in the store. A change is accepted if and
+// only if its write succeeds. When the outcome of a write is unknown, the Writer finds out
+// by looking for the operation in the stored configuration.
 type Writer struct {
 	Store  Store
 	Key    string
@@ -33,13 +33,13 @@
 	minRetryDelay = 50 * time.Millisecond
 )
 
-// ErrStoreRead marks errors of reads: nothing was changed.
-var ErrStoreRead = errors.New("the store does not answer")
+// ErrStoreRead marks errors of reading the store before anything was changed.
+var ErrStoreRead = errors.New("reading the store failed")
 
-// Apply applies a change. It returns the answer and the configuration written,
-// nil when the operation had been accepted before. Errors are a *Problem, or
-// marked with ErrStoreRead.
-func (writer *Writer) Apply(ctx context.Context, request *apiv1.ChangeRequest, made Environment) (*apiv1.ChangeAnswer, *apiv1.Configuration, error) {
+// Apply applies a change. It returns the answer and the configuration that was written,
+// which is nil if the operation had already been accepted. An error is a *Problem or
+// is marked with ErrStoreRead, unless the new configuration cannot be encoded.
+func (writer *Writer) Apply(ctx context.Context, request *apiv1.ChangeRequest, environment Environment) (*apiv1.ChangeAnswer, *apiv1.Configuration, error) {
 	for attempt := range maxAttempts {
 		current, err := writer.read(ctx)
 		if err != nil {
@@ -52,7 +52,7 @@
 			return &apiv1.ChangeAnswer{Revision: accepted.GetRevision(), RepeatedOperation: true,
 				Message: "this operation had been accepted before"}, nil, nil
 		}
-		next, problem := Apply(current, request, made)
+		next, problem := Apply(current, request, environment)
 		if problem != nil {
 			return nil, nil, problem
 		}
@@ -64,7 +64,7 @@
 		if err == nil {
 			return &apiv1.ChangeAnswer{Revision: next.GetRevision(), Message: "accepted"}, next, nil
 		}
-		writer.Logger.Warn("Configuration not written.", "error", err)
+		writer.Logger.Warn("Control: writing the configuration failed.", "error", err)
 		time.Sleep(minRetryDelay + time.Duration(rand.Int64N(int64(minRetryDelay))))
 	}
 	return nil, nil, NewProblem(CodeUnknown, "operation_id", request.GetOperationId(),
--- a/internal/change/writer_test.go
+++ b/internal/change/writer_test.go
@@ -18,43 +18,44 @@
 	"github.com/indigobarrow/indigobarrow/internal/store"
 )
 
-// operation is one step of a history: a change by ID, or a read for "".
+// operation is one operation of a history: a change with an ID, or a read if the ID is empty.
 type operation struct{ id string }
 
-// historyState is the revision and the revision of each accepted operation.
+// historyState holds the revision of the configuration and those of the accepted operations.
 type historyState struct {
 	revision uint64
 	accepted string
 }
 
-// model: a change adds the next revision once; a repeat finds its own; a read
-// sees the newest revision.
+// model is the sequential specification: a change creates the next revision once, its
+// repetitions return that same revision, and a read returns the newest revision.
 var model = porcupine.Model{
 	Init: func() any { return historyState{} },
 	Step: func(state, input, output any) (bool, any) {
-		held, id, revision := state.(historyState), input.(operation).id, output.(uint64)
+		current, id, revision := state.(historyState), input.(operation).id, output.(uint64)
 		if id == "" {
-			return revision == held.revision, held
+			return revision == current.revision, current
 		}
 		mark := fmt.Sprintf("|%s=%d|", id, revision)
-		if strings.Contains(held.accepted, "|"+id+"=") {
-			return strings.Contains(held.accepted, mark), held
+		if strings.Contains(current.accepted, "|"+id+"=") {
+			return strings.Contains(current.accepted, mark), current
 		}
-		return revision == held.revision+1, historyState{revision: revision, accepted: held.accepted + mark}
+		return revision == current.revision+1, historyState{revision: revision, accepted: current.accepted + mark}
 	},
 }
 
-// noCompareStore drops the compare, for the red run. Before it writes, it lets the
-// other operators write, which on a busy machine happens by chance only.
+// noCompareStore writes without comparing, to prove that the check detects it. Before it
+// writes, it waits for the other operators to write, which on a busy machine would
+// otherwise happen by chance only.
 type noCompareStore struct{ Store }
 
-// concurrentWriteDelay is long against a call on loopback.
+// concurrentWriteDelay is long compared with a call over loopback.
 const concurrentWriteDelay = 5 * time.Millisecond
 
-func (lossy noCompareStore) CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error {
+func (s noCompareStore) CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error {
 	time.Sleep(concurrentWriteDelay)
-	value, _ := lossy.Get(ctx, key)
-	return lossy.Store.CompareAndSwap(ctx, key, value.Version, data)
+	value, _ := s.Get(ctx, key)
+	return s.Store.CompareAndSwap(ctx, key, value.Version, data)
 }
 
 func runHistory(t *testing.T, wrap func(Store) Store) []porcupine.Operation {
@@ -78,9 +79,9 @@
 		go func() {
 			defer group.Done()
 			writer := &Writer{Store: client, Key: "configuration", Logger: slog.New(slog.DiscardHandler)}
-			for turn := range 5 {
-				id := fmt.Sprintf("operator-%d-%d", operator, turn)
-				policy := &apiv1.Policy{Name: "shared", Weight: fmt.Sprintf("0.%d", turn+1)}
+			for round := range 5 {
+				id := fmt.Sprintf("operator-%d-%d", operator, round)
+				policy := &apiv1.Policy{Name: "shared", Weight: fmt.Sprintf("0.%d", round+1)}
 				request := &apiv1.ChangeRequest{OperationId: id, Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: policy}}
 				call := time.Now()
 				for range 20 {
@@ -101,7 +102,7 @@
 	return operations
 }
 
-// TestChangesAreLinearizable checks histories of three racing operators with a
+// TestChangesAreLinearizable checks the history of three concurrent operators with about a
 // third of the answers lost.
 func TestChangesAreLinearizable(t *testing.T) {
 	operations := runHistory(t, func(client Store) Store { return client })
@@ -109,13 +110,13 @@
 	require.True(t, porcupine.CheckOperations(model, operations))
 }
 
-// TestWritesWithoutCompareAreNotLinearizable is the red run: the check must notice a
-// store that does not compare.
+// TestWritesWithoutCompareAreNotLinearizable proves that the check detects a store that
+// writes without comparing.
 func TestWritesWithoutCompareAreNotLinearizable(t *testing.T) {
 	for range 10 {
 		if !porcupine.CheckOperations(model, runHistory(t, func(client Store) Store { return noCompareStore{client} })) {
 			return
 		}
 	}
-	require.Fail(t, "ten histories without compare looked linearizable")
+	require.Fail(t, "ten histories of a store that does not compare were accepted as linearizable")
 }
