--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,12 @@
-// Package asynclog writes log lines in a goroutine of its own, so that an
-// output that stalls costs lines and never time. Lines wait in a bounded queue;
-// those that find no room are left out, counted, and told of.
+// Package asynclog writes log lines asynchronously, so that an output that stalls loses
+// lines but never blocks the program. Lines wait in a bounded queue; lines that do not fit
+// are dropped and counted, and their number is logged.
+//
+// # Usage
+//
+//	writer := asynclog.New(os.Stderr)
+//	defer writer.Close(time.Second)
+//	logger := slog.New(slog.NewTextHandler(writer, nil))
 package asynclog
 
 import (
@@ -12,15 +18,15 @@
 )
 
 const (
-	// queueLimit bounds the lines that wait.
+	// queueLimit bounds the number of queued lines.
 	queueLimit = 2048
-	// flushInterval is how long a line waits at most for others to be written
-	// with it.
+	// flushInterval is the longest time that a line waits for others to be written
+	// in the same call.
 	flushInterval = 50 * time.Millisecond
 	bufferSize    = 32 << 10
 )
 
-// Writer is an io.Writer that never blocks. Each Write is one line.
+// Writer is an io.Writer that never blocks. Each call of Write passes one line.
 type Writer struct {
 	output  *bufio.Writer
 	queue   chan []byte
@@ -29,19 +35,19 @@
 	dropped atomic.Uint64
 }
 
-// New starts a writer to an output.
+// New starts a Writer to an output. Close stops it.
 func New(output io.Writer) *Writer {
-	made := &Writer{
+	writer := &Writer{
 		output:  bufio.NewWriterSize(output, bufferSize),
 		queue:   make(chan []byte, queueLimit),
 		stop:    make(chan struct{}),
 		stopped: make(chan struct{}),
 	}
-	go made.run()
-	return made
+	go writer.run()
+	return writer
 }
 
-// Write queues a copy of a line, or leaves it out. It never fails.
+// Write queues a copy of a line, or drops it if the queue is full. It never fails.
 func (writer *Writer) Write(line []byte) (int, error) {
 	select {
 	case writer.queue <- append([]byte(nil), line...):
@@ -51,11 +57,11 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines left out since the start.
+// Dropped returns the number of lines dropped since the start.
 func (writer *Writer) Dropped() uint64 { return writer.dropped.Load() }
 
-// Close writes what waits and ends the goroutine. It gives up on an output that
-// stalls for longer than the limit.
+// Close writes the queued lines and stops the writer. It returns after the limit even if
+// the output still stalls.
 func (writer *Writer) Close(limit time.Duration) {
 	close(writer.stop)
 	select {
@@ -66,7 +72,7 @@
 
 func (writer *Writer) run() {
 	defer close(writer.stopped)
-	told := uint64(0)
+	reported := uint64(0)
 	for {
 		select {
 		case line := <-writer.queue:
@@ -77,15 +83,15 @@
 			_ = writer.output.Flush()
 			return
 		}
-		if left := writer.Dropped(); left != told {
-			_, _ = fmt.Fprintf(writer.output, "level=WARN msg=\"Log lines left out.\" lines=%d\n", left-told)
-			told = left
+		if dropped := writer.Dropped(); dropped != reported {
+			_, _ = fmt.Fprintf(writer.output, "level=WARN msg=\"Log lines left out.\" lines=%d\n", dropped-reported)
+			reported = dropped
 		}
 		_ = writer.output.Flush()
 	}
 }
 
-// writeBatch lets more lines come, so that they are written in one call.
+// writeBatch waits for more lines, so that they are written to the output in one call.
 func (writer *Writer) writeBatch() {
 	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
@@ -96,6 +102,7 @@
 	writer.writeQueued()
 }
 
+// writeQueued writes the lines that are in the queue to the buffer.
 func (writer *Writer) writeQueued() {
 	for {
 		select {
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -20,17 +20,18 @@
 	require.Equal(t, "one\ntwo\nthree\n", output.String())
 }
 
-// stalledWriter is an output that takes nothing until it is released.
+// stalledWriter is an output whose writes block until it is released.
 type stalledWriter struct {
 	released chan struct{}
 	written  bytes.Buffer
 }
 
-func (stalled *stalledWriter) Write(content []byte) (int, error) {
-	<-stalled.released
-	return stalled.written.Write(content)
+func (w *stalledWriter) Write(content []byte) (int, error) {
+	<-w.released
+	return w.written.Write(content)
 }
 
+// Writing to a stalled output must not block; the lost lines are counted and logged.
 func TestStalledOutputDropsLinesWithoutBlocking(t *testing.T) {
 	output := &stalledWriter{released: make(chan struct{})}
 	writer := New(output)
--- a/internal/compile/compile.go
+++ b/internal/compile/compile.go
@@ -1,5 +1,6 @@
-// Package compile turns the operators' configuration into the rules of an
-// epoch.
+// Package compile turns the operators' configuration into the rules of an epoch. Rules
+// compiles them for given weights of the back ends; NewestWeights and EpochWeights read the
+// weights that are in use.
 package compile
 
 import (
@@ -11,15 +12,15 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// FullWeight is the weight of a back end that takes its full share.
+// FullWeight is the weight of a back end that takes its full share of new flows.
 const FullWeight = 100
 
-// Weights gives the weight of a back end, 0 to rule.MaximumWeight. Back ends
-// that it does not name have FullWeight.
+// Weights maps back ends to their weights, 0 to rule.MaximumWeight. Back ends that are not
+// in the map have FullWeight.
 type Weights map[uint32]uint32
 
-// NewestWeights reads the weights of a document's newest epoch. A node that does not
-// decide weights wants those.
+// NewestWeights returns the weights in the newest epoch of a document, the pending one if
+// there is one. Nodes that do not decide weights themselves use them.
 func NewestWeights(document *apiv1.EpochDocument) Weights {
 	epoch := document.GetSettled()
 	if document.GetPending() != nil {
@@ -28,7 +29,7 @@
 	return EpochWeights(epoch)
 }
 
-// EpochWeights reads the weights of an epoch.
+// EpochWeights returns the weights in an epoch.
 func EpochWeights(epoch *apiv1.Epoch) Weights {
 	weights := make(Weights)
 	for _, service := range epoch.GetServices() {
@@ -39,9 +40,9 @@
 	return weights
 }
 
-// Rules compiles a configuration with the given weights. Services are sorted by
-// name. The result depends on nothing else, so that all nodes that know the
-// same facts want the same rules.
+// Rules compiles a configuration with the given weights. The rules are sorted by the name
+// of the service. The result depends on nothing else, so that all nodes with the same
+// input compile the same rules.
 func Rules(configuration *apiv1.Configuration, weights Weights) []*apiv1.ServiceRule {
 	rules := make([]*apiv1.ServiceRule, 0, len(configuration.GetServices()))
 	for _, service := range configuration.GetServices() {
@@ -73,8 +74,8 @@
 	return compiled
 }
 
-// ClearedMarks gives, by back end, the incarnation of the last leaving mark
-// that the operators have ended.
+// ClearedMarks returns, by back end, the incarnation of the last leaving mark that the
+// operators have cleared.
 func ClearedMarks(configuration *apiv1.Configuration) map[uint32]uint64 {
 	cleared := make(map[uint32]uint64)
 	for _, service := range configuration.GetServices() {
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,6 +1,13 @@
-// Package events carries control events to the control goroutine of a node,
-// over watermill's in-process publisher and subscriber. Per-packet work and
-// questions about flows never pass here.
+// Package events carries control events to the control goroutine of a node, over
+// watermill's in-process publish/subscribe channel. Per-packet work and queries about flows
+// do not use it.
+//
+// # Usage
+//
+//	bus := events.NewBus()
+//	messages, err := bus.Subscribe(ctx) // in the control goroutine
+//	err = bus.Publish(events.Event{Kind: events.KindConfiguration, Body: configuration})
+//	event, err := events.Decode(<-messages)
 package events
 
 import (
@@ -15,27 +22,27 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Kind says what an event is about.
+// Kind is the kind of an event.
 type Kind string
 
 const (
-	// KindDocument: the group's document as it stands in the store.
+	// KindDocument carries the group's document as it is in the store.
 	KindDocument Kind = "document"
-	// KindConfiguration: the configuration as it stands in the store.
+	// KindConfiguration carries the configuration as it is in the store.
 	KindConfiguration Kind = "configuration"
-	// KindLeavingMark: a back end is to leave.
+	// KindLeavingMark carries the mark of a back end that must leave.
 	KindLeavingMark Kind = "mark"
-	// KindMember: another node of the group may exist.
+	// KindMember reports another node of the group that may exist.
 	KindMember Kind = "machine"
-	// KindRules: the rules that the policies ask for have changed.
+	// KindRules carries the rules that result from the policies after a change.
 	KindRules Kind = "rules"
-	// KindWritten: a write of the document has ended.
+	// KindWritten reports that a write of the document has ended.
 	KindWritten Kind = "written"
-	// KindAlive: the group's sign of life in the store has changed.
+	// KindAlive reports that the group's alive entry in the store has changed.
 	KindAlive Kind = "alive"
-	// KindDirectoryNews: the store or a peer answered a balancer, or failed to.
+	// KindDirectoryNews reports that the store or a peer answered a balancer, or failed to.
 	KindDirectoryNews Kind = "news"
-	// KindStop: this node is to stop as planned.
+	// KindStop requests a planned stop of this node.
 	KindStop Kind = "leave"
 )
 
@@ -46,26 +53,28 @@
 	resultKey  = "result"
 )
 
-// Event is one control event. Body depends on the kind and may be nil.
+// Event is one control event.
 type Event struct {
-	Kind      Kind
-	Body      proto.Message
+	Kind Kind
+	// Body depends on the kind and may be nil.
+	Body proto.Message
+	// Succeeded is the outcome of the write for KindWritten.
 	Succeeded bool
 }
 
-// Bus carries events from many publishers to one subscriber.
+// Bus transports events from many publishers to one subscriber.
 type Bus struct {
 	channel *gochannel.GoChannel
 }
 
-// NewBus makes a bus. Its buffer is bounded; a publisher waits when the
-// control goroutine is that far behind.
+// NewBus returns a bus. Its buffer is bounded: Publish blocks while the control goroutine is
+// that many events behind.
 func NewBus() *Bus {
 	config := gochannel.Config{OutputChannelBuffer: bufferSize}
 	return &Bus{channel: gochannel.NewGoChannel(config, watermill.NopLogger{})}
 }
 
-// Close ends the bus.
+// Close closes the bus and its subscriptions.
 func (bus *Bus) Close() error { return bus.channel.Close() }
 
 // Publish sends an event to the control goroutine.
@@ -78,32 +87,32 @@
 		}
 		payload = encoded
 	}
-	carried := message.NewMessage(watermill.NewShortUUID(), payload)
-	carried.Metadata.Set(kindKey, string(event.Kind))
+	msg := message.NewMessage(watermill.NewShortUUID(), payload)
+	msg.Metadata.Set(kindKey, string(event.Kind))
 	if event.Succeeded {
-		carried.Metadata.Set(resultKey, "true")
+		msg.Metadata.Set(resultKey, "true")
 	}
-	return errors.Wrapf(bus.channel.Publish(topic, carried), "event %s: publish", event.Kind)
+	return errors.Wrapf(bus.channel.Publish(topic, msg), "event %s: publish", event.Kind)
 }
 
-// Subscribe returns the events' messages; each must be decoded with Decode.
+// Subscribe returns the messages that carry the events; each must be passed to Decode.
 func (bus *Bus) Subscribe(ctx context.Context) (<-chan *message.Message, error) {
 	messages, err := bus.channel.Subscribe(ctx, topic)
 	return messages, errors.Wrap(err, "events: subscribe")
 }
 
-// Decode reads an event and acknowledges its message.
-func Decode(carried *message.Message) (Event, error) {
-	defer carried.Ack()
+// Decode returns the event that a message carries, and acknowledges the message.
+func Decode(msg *message.Message) (Event, error) {
+	defer msg.Ack()
 	event := Event{
-		Kind:      Kind(carried.Metadata.Get(kindKey)),
-		Succeeded: carried.Metadata.Get(resultKey) != "",
+		Kind:      Kind(msg.Metadata.Get(kindKey)),
+		Succeeded: msg.Metadata.Get(resultKey) != "",
 	}
 	event.Body = newBody(event.Kind)
 	if event.Body == nil {
 		return event, nil
 	}
-	err := proto.Unmarshal(carried.Payload, event.Body)
+	err := proto.Unmarshal(msg.Payload, event.Body)
 	return event, errors.Wrapf(err, "event %s: decode", event.Kind)
 }
 
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging makes the loggers of the programs: text or JSON by setting,
-// one line each, with a level that may change while the program runs.
+// Package logging creates the loggers of the programs. They write text or JSON, one line
+// per record, with a level that may be changed while the program runs.
 //
-// Usage:
+// # Usage
 //
 //	logger, level := logging.New(os.Stderr, logging.Options{Level: "info", Format: "json", Node: "node-1"})
 //	level.Set(slog.LevelDebug)
@@ -12,33 +12,34 @@
 	"log/slog"
 )
 
-// FormatJSON is the name of the JSON format; any other name gives text.
+// FormatJSON selects the JSON format; any other name selects text.
 const FormatJSON = "json"
 
-// Options are the settings of a logger.
+// Options configures a logger.
 type Options struct {
-	// Level is debug, info, warn or error; an unknown one gives info.
+	// Level is debug, info, warn or error; any other value selects info.
 	Level  string
+	// Format is FormatJSON or the name of the text format.
 	Format string
-	// Node is the name that each line carries.
+	// Node is the value of the attribute "node" of each line.
 	Node string
 }
 
-// New makes a logger that writes to an output, and its level.
+// New returns a logger that writes to an output, and the variable that sets its level.
 func New(output io.Writer, options Options) (*slog.Logger, *slog.LevelVar) {
 	level := new(slog.LevelVar)
 	_ = level.UnmarshalText([]byte(options.Level))
-	handling := &slog.HandlerOptions{Level: level, ReplaceAttr: shortenErrors}
-	var handler slog.Handler = slog.NewTextHandler(output, handling)
+	handlerOptions := &slog.HandlerOptions{Level: level, ReplaceAttr: shortenErrors}
+	var handler slog.Handler = slog.NewTextHandler(output, handlerOptions)
 	if options.Format == FormatJSON {
-		handler = slog.NewJSONHandler(output, handling)
+		handler = slog.NewJSONHandler(output, handlerOptions)
 	}
 	return slog.New(handler).With("node", options.Node), level
 }
 
-// shortenErrors writes errors as their message. The text handler would write
-// them with their stack, some 2 KB a line, which costs the machine more than
-// the call that failed; step and peer stand in the message.
+// shortenErrors replaces errors by their message. The text handler would write them with
+// their stack trace, some 2 KB a line, which costs the machine more than the call that
+// failed. The message already names the operation and the peer.
 func shortenErrors(_ []string, attribute slog.Attr) slog.Attr {
 	if attribute.Value.Kind() != slog.KindAny {
 		return attribute
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The stack trace of an error must not be written, whatever the format.
 func TestErrorsAreLoggedOnOneLineWithoutStack(t *testing.T) {
 	for _, format := range []string{"text", FormatJSON} {
 		var output bytes.Buffer
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,18 +1,19 @@
-// Package revision orders what the store says over its eras. The store counts its
-// changes; when it comes back from a copy of itself, its count goes back and the
-// numbers are given out again, in another era. Everything that is ordered by
-// revisions, kept with them or told under them uses joined ones, in which the era
-// comes before the number: whatever is of a later era is later, and the numbers of
-// two eras are never taken for each other.
+// Package revision orders what the store reports across its eras.
+//
+// The store numbers its changes. When it is restored from a copy of itself, its number goes
+// back and numbers are assigned again, in a new era. Whatever is ordered by revisions,
+// stored with them or sent under them uses joined revisions, in which the era precedes the
+// number: everything of a later era is later, and the numbers of two eras are never
+// confused.
 //
 // # Usage
 //
 //	joined, err := revision.Join(era, number) // where the store's answer is read
 //	if revision.EraOf(joined) > revision.EraOf(known) {
-//		// what the copy lacks has to be written again
+//		// what the restored copy lacks has to be written again
 //	}
 //
-// Zero is no revision. A store that tells no era is always in era 0.
+// Zero means no revision. A store that reports no era is always in era 0.
 package revision
 
 import (
@@ -21,19 +22,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Era is how often the store came back from a copy, as the store counts it.
+// Era is the number of times the store has been restored from a copy, as the store counts
+// it.
 type Era uint64
 
 const (
-	// numberBits are those of the store's own number: 166 years of 3,300 changes a
-	// second.
+	// numberBits is the width of the store's own number. It suffices for 166 years at
+	// 3,300 changes a second.
 	numberBits = 44
 	eraBits    = 64 - numberBits
 	maxNumber  = 1<<numberBits - 1
 	maxEra     = 1<<eraBits - 1
 )
 
-// Join returns the revision of a number that the store gave in an era.
+// Join returns the joined revision of a number that the store assigned in an era.
 func Join(era Era, number uint64) (uint64, error) {
 	if era > maxEra {
 		return 0, errors.Newf("era %d is above %d", era, uint64(maxEra))
@@ -44,13 +46,14 @@
 	return uint64(era)<<numberBits | number, nil
 }
 
-// EraOf returns the era of a revision.
+// EraOf returns the era of a joined revision.
 func EraOf(joined uint64) Era { return Era(joined >> numberBits) }
 
-// NumberOf returns what the store itself calls a revision.
+// NumberOf returns the number that the store itself assigned to a joined revision.
 func NumberOf(joined uint64) uint64 { return joined & maxNumber }
 
-// Format returns a revision as operators read it.
+// Format returns a joined revision as shown to operators: the number alone in era 0, and
+// "era:number" in later eras.
 func Format(joined uint64) string {
 	number := strconv.FormatUint(NumberOf(joined), 10)
 	if EraOf(joined) == 0 {
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -7,18 +7,19 @@
 	"pgregory.net/rapid"
 )
 
+// Joined revisions keep their era and number, and every revision of a later era is later.
 func TestRevisionsAreOrderedByEraThenNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		eras, numbers := rapid.Uint64Range(0, maxEra), rapid.Uint64Range(0, maxNumber)
-		era, other := Era(eras.Draw(t, "era")), Era(eras.Draw(t, "other era"))
-		number, second := numbers.Draw(t, "number"), numbers.Draw(t, "other number")
+		era, otherEra := Era(eras.Draw(t, "era")), Era(eras.Draw(t, "other era"))
+		number, otherNumber := numbers.Draw(t, "number"), numbers.Draw(t, "other number")
 		joined, err := Join(era, number)
 		require.NoError(t, err)
 		require.Equal(t, era, EraOf(joined))
 		require.Equal(t, number, NumberOf(joined))
-		compared, err := Join(other, second)
+		other, err := Join(otherEra, otherNumber)
 		require.NoError(t, err)
-		require.Equal(t, era < other || era == other && number < second, joined < compared)
+		require.Equal(t, era < otherEra || era == otherEra && number < otherNumber, joined < other)
 	})
 }
 
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,7 +1,12 @@
-// Package story finds in the logs of many balancers what happened to one
-// request or one flow: which balancers saw it, what each decided and by which
-// knowledge, and what the balancers themselves went through meanwhile. It works
-// on saved logs, so the balancers may be gone.
+// Package story extracts from the logs of many balancers what happened to one request, flow
+// or client: which balancers handled it, what each decided and on which information, and
+// which events concerned those balancers at that time. It works on saved logs, so the
+// balancers need not run any more.
+//
+// # Usage
+//
+//	lines, err := story.Read(input)
+//	err = story.Write(os.Stdout, story.Find(lines, requestID))
 package story
 
 import (
@@ -24,16 +29,17 @@
 	Flow    string
 	Request string
 	Backend string
-	// Text is the line as it was written, without what stands before its time.
+	// Text is the line as it was written, without anything before its time field.
 	Text string
 }
 
+// maxLineBytes bounds the length of a line; Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
-// timeField starts each line; what stands before it was added by a collector.
+// timeField starts each line; anything before it was added by a log collector.
 const timeField = "time="
 
-// Read reads the lines of a log. Lines of another form are passed over.
+// Read returns the lines of a log. Lines in any other format are skipped.
 func Read(input io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
@@ -47,11 +53,11 @@
 }
 
 func parse(text string) (Line, bool) {
-	begin := strings.Index(text, timeField)
-	if begin < 0 {
+	start := strings.Index(text, timeField)
+	if start < 0 {
 		return Line{}, false
 	}
-	line := Line{Text: text[begin:]}
+	line := Line{Text: text[start:]}
 	decoder := logfmt.NewDecoder(strings.NewReader(line.Text))
 	if !decoder.ScanRecord() {
 		return Line{}, false
@@ -79,22 +85,22 @@
 	}
 }
 
-// eventMargin is how much of what the balancers went through is shown before
-// and after the flow.
+// eventMargin is the time before and after the flows for which other log lines of their
+// balancers are included.
 const eventMargin = 3 * time.Second
 
-// client is the address of the client of the line's flow.
+// client returns the client address of the flow of the line.
 func (line *Line) client() string {
 	address, _, _ := strings.Cut(line.Flow, ":")
 	return address
 }
 
-// Find returns the lines that tell of a request id, a flow or a client, in the order of
-// time: all of its flows, and what the balancers on its way went through.
-func Find(lines []Line, wanted string) []Line {
+// Find returns the lines about a request ID, a flow or a client, sorted by time: those of all
+// its flows, and those about the balancers that handled the flows.
+func Find(lines []Line, query string) []Line {
 	flows := make(map[string]bool)
 	for _, line := range lines {
-		if line.Flow != "" && (line.Request == wanted || line.Flow == wanted || line.client() == wanted) {
+		if line.Flow != "" && (line.Request == query || line.Flow == query || line.client() == query) {
 			flows[line.Flow] = true
 		}
 	}
@@ -124,7 +130,7 @@
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
 }
 
-// Write writes a story.
+// Write writes the text of the lines to an output, one line each.
 func Write(output io.Writer, lines []Line) error {
 	for _, line := range lines {
 		if _, err := fmt.Fprintln(output, line.Text); err != nil {
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -24,10 +24,10 @@
 	require.Len(t, lines, 7)
 	var output bytes.Buffer
 	require.NoError(t, Write(&output, Find(lines, "abc")))
-	told := strings.Split(strings.TrimSpace(output.String()), "\n")
-	require.Len(t, told, 5)
-	for place, part := range []string{"configuration in force", "flow sent", "Started", "request=abc", "unknown_token"} {
-		if place == 2 {
+	written := strings.Split(strings.TrimSpace(output.String()), "\n")
+	require.Len(t, written, 5)
+	for index, part := range []string{"configuration in force", "flow sent", "Started", "request=abc", "unknown_token"} {
+		if index == 2 {
 			continue
 		}
 		require.Contains(t, output.String(), part)
@@ -38,7 +38,7 @@
 	require.Empty(t, Find(lines, "nobody"))
 }
 
-// A request that was refused never told its id; its client is all that is known of it.
+// The ID of a refused request is never logged, so it can be found by its client only.
 func TestFindByClient(t *testing.T) {
 	lines, err := Read(strings.NewReader(log + `   3.0 edge-a time=2026-06-07T12:04:03.000Z level=WARN msg="Traffic: flow refused." node=edge-a flow=1.1.1.12:7-2.2.2.2:443 reason=no_room pressure=5.1
    3.1 edge-b time=2026-06-07T12:04:03.100Z level=WARN msg="Traffic: flow refused." node=edge-b flow=1.1.1.12:8-2.2.2.2:443 reason=no_room pressure=5.2
