--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -67,8 +67,8 @@
 	channel *gochannel.GoChannel
 }
 
-// NewBus returns a bus. Its buffer is bounded: Publish blocks while the control goroutine is
-// that many events behind.
+// NewBus returns a bus whose channel buffers up to bufferSize messages. Publish does not
+// wait for the delivery of an event.
 func NewBus() *Bus {
 	config := gochannel.Config{OutputChannelBuffer: bufferSize}
 	return &Bus{channel: gochannel.NewGoChannel(config, watermill.NopLogger{})}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -18,7 +18,7 @@
 // Options configures a logger.
 type Options struct {
 	// Level is debug, info, warn or error; any other value selects info.
-	Level  string
+	Level string
 	// Format is FormatJSON or the name of the text format.
 	Format string
 	// Node is the value of the attribute "node" of each line.
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -11,7 +11,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// BalancerDefaults are the settings of a balancer that sets nothing.
+// BalancerDefaults returns the settings of a balancer without a file and flags.
 func BalancerDefaults() *apiv1.BalancerSettings {
 	return &apiv1.BalancerSettings{
 		DataAddress:      "127.0.0.1:6080",
@@ -29,9 +29,9 @@
 	}
 }
 
-// LoadBalancer reads a file over the defaults; an empty path reads none.
-// Overrides are field names and values from flags. The settings are checked as
-// a whole, and all faults are returned at once.
+// LoadBalancer returns the settings of a balancer: the defaults, overridden by a file unless
+// the path is empty, and then by overrides, which map field names to values from flags. The
+// settings are validated as a whole, and all faults are returned at once as Faults.
 func LoadBalancer(path string, overrides map[string]string) (*apiv1.BalancerSettings, error) {
 	loaded := BalancerDefaults()
 	lines, faults, err := read(path, overrides, loaded)
@@ -74,8 +74,8 @@
 	checker.numberInRange("processor_cores", loaded.GetProcessorCores(), 0, 4096)
 	checker.numberInRange("link_megabits", loaded.GetLinkMegabits(), 0, 10_000_000)
 	if _, err := mechanism.Parse(loaded.GetWithout()); err != nil {
-		checker.fault("without", strings.Join(loaded.GetWithout(), ","), "names what is no mechanism: "+err.Error(),
-			"leave out what is not in that list")
+		checker.fault("without", strings.Join(loaded.GetWithout(), ","), "contains an unknown mechanism: "+err.Error(),
+			"remove what is not in that list")
 	}
 	derivePollInterval(loaded)
 	checker.inRange("poll_milliseconds", loaded.GetPollMilliseconds(), 100, 60_000)
@@ -84,33 +84,35 @@
 }
 
 const (
-	// pollsPerDeadline is how many reads of the store fit into the time that a
-	// change may take, so that one may fail.
+	// pollsPerDeadline is how many reads of the store fit into the time within which a
+	// change must be in force, so that one of them may fail.
 	pollsPerDeadline = 3
-	// maxPollMilliseconds is the pace where changes have much time.
+	// maxPollMilliseconds is the longest derived interval between two reads, which applies
+	// where changes may take long.
 	maxPollMilliseconds = 2000
 )
 
-// derivePollInterval fills the pace of reading where the settings leave it open.
+// derivePollInterval sets the interval between two reads of the store, and the age at which
+// the state read from it counts as stale, unless the settings give them.
 func derivePollInterval(loaded *apiv1.BalancerSettings) {
 	if loaded.GetPollMilliseconds() == 0 {
-		inForce := min(loaded.GetConfigurationMilliseconds(), loaded.GetDrainMilliseconds(),
+		deadline := min(loaded.GetConfigurationMilliseconds(), loaded.GetDrainMilliseconds(),
 			loaded.GetEvacuationMilliseconds())
-		loaded.PollMilliseconds = uint32(min(inForce/pollsPerDeadline, maxPollMilliseconds))
+		loaded.PollMilliseconds = uint32(min(deadline/pollsPerDeadline, maxPollMilliseconds))
 	}
 	if loaded.GetStaleMilliseconds() == 0 {
 		loaded.StaleMilliseconds = minStaleMilliseconds(loaded)
 	}
 }
 
-// minStaleMilliseconds is the least age, in milliseconds, that may count as stale at the
-// pace of the settings.
+// minStaleMilliseconds returns the lowest age, in milliseconds, that may count as stale at
+// the configured poll interval.
 func minStaleMilliseconds(loaded *apiv1.BalancerSettings) uint32 {
 	poll := time.Duration(loaded.GetPollMilliseconds()) * time.Millisecond
 	return uint32(replication.LeastStale(poll).Milliseconds())
 }
 
-// numberInRange checks a field that may be a fraction.
+// numberInRange checks the range of a field that may be a fraction.
 func (checker *checker) numberInRange(field string, value, low, high float64) {
 	if value < low || value > high {
 		checker.fault(field, strconv.FormatFloat(value, 'g', -1, 64), "is out of range",
--- a/internal/settings/balancer_test.go
+++ b/internal/settings/balancer_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// The pace follows the shortest of the times in which changes must be in force; an
-// evacuation has that of configurations unless it is given.
+// The poll interval is derived from the shortest time within which a change must be in
+// force. Evacuations have the time of configurations unless theirs is set.
 func TestPollIntervalFollowsEvacuationTime(t *testing.T) {
 	loaded, err := LoadBalancer(writeBalancerSettings(t, goodBalancer+"configuration_milliseconds: 5000\ndrain_milliseconds: 5000\n"), nil)
 	require.NoError(t, err)
@@ -65,8 +65,8 @@
 	require.ErrorContains(t, err, "flow_seconds")
 }
 
-// An age below 1.4 paces would be reached while nothing fails: all would read the
-// store at the same moment.
+// A stale age below 1.4 poll intervals would be reached even without a failure: all
+// balancers would read the store at the same moment.
 func TestStaleAgeMustExceedPollInterval(t *testing.T) {
 	_, err := LoadBalancer(writeBalancerSettings(t, goodBalancer+"poll_milliseconds: 1000\nstale_milliseconds: 1399\n"), nil)
 	for _, part := range []string{"stale_milliseconds", `"1399"`, "set it between 1400"} {
@@ -77,10 +77,10 @@
 	require.Equal(t, uint32(1400), loaded.GetStaleMilliseconds())
 }
 
-// templateAction is a gap or the end of a section in the deploy template.
+// templateAction matches a placeholder or the end of a section in the deploy template.
 var templateAction = regexp.MustCompile(`\{\{[^}]*\}\}`)
 
-// The template that the platform fills names only fields that exist.
+// The deploy template must contain only fields that exist.
 func TestDeployTemplateNamesKnownFields(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("..", "..", "deploy", "balancer.yaml"))
 	require.NoError(t, err)
@@ -90,6 +90,7 @@
 	}
 }
 
+// A field is suggested only for a name that is similar.
 func TestOnlySimilarFieldsAreSuggested(t *testing.T) {
 	_, err := LoadBalancer(writeBalancerSettings(t, goodBalancer+"nonsense: 1\nlog_levle: info\n"), nil)
 	require.ErrorContains(t, err, `nonsense = "1": there is no such field; remove it`)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,11 @@
-// Package settings reads the settings of a node: defaults, then a YAML file,
-// then flags. The file is checked against the NodeSettings schema; all faults
-// are reported at once, each with its line, field, value and remedy.
+// Package settings loads the settings of a node or a balancer: defaults, overridden by a
+// YAML file, overridden by flags. The file is checked against the NodeSettings or the
+// BalancerSettings schema. All faults are reported at once, each with its line, field, value
+// and remedy.
+//
+// # Usage
+//
+//	loaded, err := settings.LoadBalancer(path, map[string]string{"log_level": "debug"})
 package settings
 
 import (
@@ -19,9 +24,9 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Fault is one thing wrong with the settings.
+// Fault is one error in the settings.
 type Fault struct {
-	// Line is the line in the file, 0 when the value came from elsewhere.
+	// Line is the line in the file, or 0 if the value is not from the file.
 	Line    int
 	Field   string
 	Value   string
@@ -29,19 +34,19 @@
 	Remedy  string
 }
 
-// String gives the fault in one line.
+// String returns the fault as one line of text.
 func (fault Fault) String() string {
-	place := "flag or default"
+	source := "flag or default"
 	if fault.Line > 0 {
-		place = "line " + strconv.Itoa(fault.Line)
+		source = "line " + strconv.Itoa(fault.Line)
 	}
-	return fmt.Sprintf("%s: %s = %q: %s; %s", place, fault.Field, fault.Value, fault.Message, fault.Remedy)
+	return fmt.Sprintf("%s: %s = %q: %s; %s", source, fault.Field, fault.Value, fault.Message, fault.Remedy)
 }
 
-// Faults are all the things wrong with the settings.
+// Faults holds all errors in the settings. It implements error.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (faults Faults) Error() string {
 	lines := make([]string, 0, len(faults))
 	for _, fault := range faults {
@@ -50,7 +55,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Defaults are the settings of a node that sets nothing.
+// Defaults returns the settings of a node without a file and flags.
 func Defaults() *apiv1.NodeSettings {
 	return &apiv1.NodeSettings{
 		Group:                 "main",
@@ -68,8 +73,9 @@
 	}
 }
 
-// Load reads a file over the defaults; an empty path reads none. Overrides are
-// field names and values from flags. The settings are checked as a whole.
+// Load returns the settings of a node: the defaults, overridden by a file unless the path is
+// empty, and then by overrides, which map field names to values from flags. The settings
+// are validated as a whole, and all faults are returned at once as Faults.
 func Load(path string, overrides map[string]string) (*apiv1.NodeSettings, error) {
 	loaded := Defaults()
 	lines, faults, err := read(path, overrides, loaded)
@@ -83,8 +89,8 @@
 	return loaded, nil
 }
 
-// read sets the fields of a settings message from a file and from overrides.
-// It returns the line on which each field stands, and what is wrong.
+// read sets the fields of a settings message from a file and from overrides. It returns the
+// line of each field in the file, and the faults found.
 func read(path string, overrides map[string]string, loaded proto.Message) (map[string]int, Faults, error) {
 	lines := make(map[string]int)
 	var faults Faults
@@ -105,7 +111,7 @@
 func readFile(content []byte, loaded proto.Message, lines map[string]int) Faults {
 	var document yaml.Node
 	if err := yaml.Unmarshal(content, &document); err != nil {
-		return Faults{{Line: 1, Field: "file", Message: err.Error(), Remedy: "write it as YAML, one \"field: value\" a line"}}
+		return Faults{{Line: 1, Field: "file", Message: err.Error(), Remedy: "write it as YAML, one \"field: value\" per line"}}
 	}
 	if len(document.Content) == 0 {
 		return nil
@@ -113,7 +119,7 @@
 	root := document.Content[0]
 	if root.Kind != yaml.MappingNode {
 		return Faults{{Line: root.Line, Field: "file", Value: root.Value, Message: "is not a list of fields",
-			Remedy: "write one \"field: value\" a line"}}
+			Remedy: "write one \"field: value\" per line"}}
 	}
 	var faults Faults
 	for index := 0; index+1 < len(root.Content); index += 2 {
@@ -147,7 +153,7 @@
 	return loaded.ProtoReflect().Descriptor().Fields().ByName(protoreflect.Name(name))
 }
 
-// setField sets one field from its text.
+// setField sets one field from the text of its value.
 func setField(loaded proto.Message, name, value string, line int) Faults {
 	field := fieldOf(loaded, name)
 	if field == nil {
@@ -190,11 +196,11 @@
 	return nil
 }
 
-// suggestionDivisor is how many letters of a field's name may be wrong for it to be
-// proposed: a third of them.
+// suggestionDivisor limits suggestions to fields of whose name at most one letter in so
+// many, a third, is wrong.
 const suggestionDivisor = 3
 
-// unknownFieldRemedy proposes a field whose name is near, else tells to remove it.
+// unknownFieldRemedy suggests a field with a similar name, or else to remove the field.
 func unknownFieldRemedy(loaded proto.Message, name string) string {
 	nearest := nearestField(loaded, name)
 	if editDistance(name, nearest)*suggestionDivisor > len(nearest) {
@@ -215,7 +221,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance.
+// editDistance returns the Levenshtein distance of two strings.
 func editDistance(left, right string) int {
 	previous := make([]int, len(right)+1)
 	for index := range previous {
@@ -236,7 +242,7 @@
 	return previous[len(right)]
 }
 
-// check checks ranges, addresses and what belongs together.
+// check validates ranges, addresses and fields that must be set together.
 func check(loaded *apiv1.NodeSettings, lines map[string]int) Faults {
 	checker := &checker{lines: lines}
 	checker.name("id", loaded.GetId())
@@ -265,6 +271,7 @@
 	return checker.faults
 }
 
+// checker collects the faults of a settings message.
 type checker struct {
 	lines  map[string]int
 	faults Faults
@@ -322,7 +329,7 @@
 	checker.fault(field, value, "is not known", "use one of "+strings.Join(allowed, ", "))
 }
 
-// allOrNone checks that files which belong together are all set, or none.
+// allOrNone checks that fields which belong together are either all set or all empty.
 func (checker *checker) allOrNone(loaded *apiv1.NodeSettings, fields ...string) {
 	set := 0
 	for _, field := range fields {
@@ -337,6 +344,7 @@
 	}
 }
 
+// hashDigits is the length of a SHA-256 hash in hex.
 const hashDigits = 64
 
 func (checker *checker) hash(field, value string) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,10 +25,10 @@
 func TestLoad(t *testing.T) {
 	loaded, err := Load(writeNodeSettings(t, goodNode), map[string]string{"zone": "giza"})
 	require.NoError(t, err)
-	require.Equal(t, "giza", loaded.GetZone(), "a flag goes over the file")
+	require.Equal(t, "giza", loaded.GetZone(), "a flag overrides the file")
 	require.Equal(t, uint32(200_000), loaded.GetFlowCapacity())
 	require.Equal(t, []string{"nasr-2@127.0.0.2:6090"}, loaded.GetSeeds())
-	require.Equal(t, uint32(500), loaded.GetHeartbeatMilliseconds(), "a default")
+	require.Equal(t, uint32(500), loaded.GetHeartbeatMilliseconds(), "the default is kept")
 }
 
 func TestFaults(t *testing.T) {
@@ -38,7 +38,7 @@
 		"out of range":  {"heartbeat_milliseconds: 5", `line 7: heartbeat_milliseconds = "5": is out of range; set it between 50 and 10000`},
 		"bad address":   {"peer_address: here", `line 7: peer_address = "here": is not an IPv4 address and port; write it like 127.0.0.1:6080`},
 		"bad level":     {"log_level: loud", `line 7: log_level = "loud": is not known; use one of debug, info, warn, error`},
-		"bad seed":      {"machines_address: 127.0.0.1", `line 7: machines_address = "127.0.0.1": is not an IPv4 address and port; write it like 127.0.0.1:6080`},
+		"no port":       {"machines_address: 127.0.0.1", `line 7: machines_address = "127.0.0.1": is not an IPv4 address and port; write it like 127.0.0.1:6080`},
 		"set twice":     {"zone: nasr", `line 7: zone = "nasr": is set twice; remove it or line 3`},
 		"too quick":     {"fencing_milliseconds: 600", `line 7: fencing_milliseconds = "600": is out of range; set it between 1500 and 120000`},
 		"no key":        {"admin_certificate: a.pem", `flag or default: admin_key = "": is missing; set all of admin_certificate, admin_key, or none`},
@@ -56,5 +56,5 @@
 	_, err := Load(writeNodeSettings(t, "id: A\nzone: maadi\nlog_level: loud\n"), nil)
 	var faults Faults
 	require.ErrorAs(t, err, &faults)
-	require.Len(t, faults, 3, "the name, the level and the missing store: %v", err)
+	require.Len(t, faults, 3, "the name, the level and the missing store address: %v", err)
 }
