--- a/internal/change/team.go
+++ b/internal/change/team.go
@@ -76,9 +76,9 @@
 	return maximum > 0 && count > int(maximum)
 }
 
-func limitProblem(what string, count int, team *apiv1.Team) *Problem {
+func limitProblem(quantity string, count int, team *apiv1.Team) *Problem {
 	return NewProblem(CodeLimit, "team", team.GetName(),
-		fmt.Sprintf("would have %d %s, above its limit", count, what),
+		fmt.Sprintf("would have %d %s, above its limit", count, quantity),
 		"remove some, wait, or ask an administrator for a higher limit")
 }
 
