--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -109,7 +109,7 @@
 // the configured poll interval.
 func minStaleMilliseconds(loaded *apiv1.BalancerSettings) uint32 {
 	poll := time.Duration(loaded.GetPollMilliseconds()) * time.Millisecond
-	return uint32(replication.LeastStale(poll).Milliseconds())
+	return uint32(replication.MinStaleAge(poll).Milliseconds())
 }
 
 // numberInRange checks the range of a field that may be a fraction.
