--- a/internal/core/ask.go
+++ b/internal/core/ask.go
@@ -6,42 +6,42 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// ask is one question of the traffic goroutines under way. It goes through
+// lookup is one question of the traffic goroutines under way. It goes through
 // steps: while an epoch is pending, the keepers of the settled epoch are
 // looked up first, then the flow is bound at the keepers of the pending one.
-type ask struct {
+type lookup struct {
 	key      flow.Key
 	proposal uint32
 	bind     bool
-	opens    bool
-	steps    []askStep
+	isSYN    bool
+	steps    []lookupStep
 	deadline uint32
-	// waiting is set while a request for the present step is unanswered.
-	waiting bool
+	// inFlight is set while a request for the present step is unanswered.
+	inFlight bool
 }
 
-// askStep is one pair of keepers to ask.
-type askStep struct {
+// lookupStep is one pair of keepers to ask.
+type lookupStep struct {
 	first, second string
 	bind          bool
-	// tries counts the requests sent in this step.
-	tries int
+	// attempts counts the requests sent in this step.
+	attempts int
 }
 
-// askRequest is a batch of questions sent to one keeper.
-type askRequest struct {
+// lookupBatch is a batch of questions sent to one keeper.
+type lookupBatch struct {
 	keys     []flow.Key
 	deadline uint32
 }
 
-// Ask hands in a question of the traffic goroutines: which back end holds the
+// Lookup hands in a question of the traffic goroutines: which back end holds the
 // flow? With bind, the proposal is bound when no record exists; without it,
 // the proposal is only the answer for that case. A question about a flow that
 // is being asked about already is folded into it. Opens says that it is about a
 // SYN.
-func (core *Core) Ask(now uint32, key flow.Key, proposal uint32, bind, opens bool) {
+func (core *Core) Lookup(now uint32, key flow.Key, proposal uint32, bind, opens bool) {
 	core.advanceTime(now)
-	if known := core.asks[key]; known != nil {
+	if known := core.lookups[key]; known != nil {
 		known.bind = known.bind || bind
 		return
 	}
@@ -49,75 +49,75 @@
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key, Backend: backend, Recorded: true})
 		return
 	}
-	if len(core.asks) >= core.config.MaximumAsks || core.settledKeeper == nil {
+	if len(core.lookups) >= core.config.MaximumLookups || core.settledKeeper == nil {
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key})
 		return
 	}
-	core.asks[key] = &ask{
+	core.lookups[key] = &lookup{
 		key:      key,
 		proposal: proposal,
 		bind:     bind,
-		opens:    opens,
-		steps:    core.askSteps(key, bind),
-		deadline: core.now + milliseconds(core.config.AskDeadline),
+		isSYN:    opens,
+		steps:    core.lookupSteps(key, bind),
+		deadline: core.now + milliseconds(core.config.LookupDeadline),
 	}
 }
 
-func (core *Core) askSteps(key flow.Key, bind bool) []askStep {
+func (core *Core) lookupSteps(key flow.Key, bind bool) []lookupStep {
 	oldFirst, oldSecond := core.settledKeeper.Pick(key.Hash())
 	newFirst, newSecond := core.pendingKeeper.Pick(key.Hash())
-	last := askStep{first: newFirst, second: newSecond, bind: bind}
+	last := lookupStep{first: newFirst, second: newSecond, bind: bind}
 	if oldFirst == newFirst && oldSecond == newSecond {
-		return []askStep{last}
+		return []lookupStep{last}
 	}
-	return []askStep{{first: oldFirst, second: oldSecond}, last}
+	return []lookupStep{{first: oldFirst, second: oldSecond}, last}
 }
 
-// flushAsks sends the questions that wait to be sent, one message a keeper.
-func (core *Core) flushAsks() {
-	batches := make(map[string][]*ask)
-	for _, question := range core.asks {
-		if question.waiting {
+// flushLookups sends the questions that wait to be sent, one message a keeper.
+func (core *Core) flushLookups() {
+	batches := make(map[string][]*lookup)
+	for _, question := range core.lookups {
+		if question.inFlight {
 			continue
 		}
 		if keeper := core.nextKeeper(question); keeper != "" {
-			question.waiting = true
+			question.inFlight = true
 			batches[keeper] = append(batches[keeper], question)
 		}
 	}
 	for _, keeper := range sortedKeys(batches) {
-		core.sendAsks(keeper, batches[keeper])
+		core.sendLookups(keeper, batches[keeper])
 	}
 }
 
 // nextKeeper chooses whom to ask in the present step: the first keeper, then
 // the second one, in turn. A step whose keepers are both dead is passed over;
 // after the last step the question is resolved by the rule.
-func (core *Core) nextKeeper(question *ask) string {
+func (core *Core) nextKeeper(question *lookup) string {
 	for len(question.steps) > 0 {
 		step := &question.steps[0]
 		order := []string{step.first, step.second}
-		if step.tries%2 == 1 {
+		if step.attempts%2 == 1 {
 			order = []string{step.second, step.first}
 		}
 		for _, keeper := range order {
-			if keeper != "" && core.alive(keeper) {
-				step.tries++
+			if keeper != "" && core.isAlive(keeper) {
+				step.attempts++
 				return keeper
 			}
 		}
 		question.steps = question.steps[1:]
 	}
-	core.resolve(question, question.proposal, false)
+	core.completeLookup(question, question.proposal, false)
 	return ""
 }
 
-func (core *Core) sendAsks(keeper string, questions []*ask) {
-	request := &apiv1.BindRequest{Request: core.identifier()}
-	sent := &askRequest{deadline: core.now + milliseconds(core.config.AskTimeout)}
+func (core *Core) sendLookups(keeper string, questions []*lookup) {
+	request := &apiv1.BindRequest{Request: core.newID()}
+	sent := &lookupBatch{deadline: core.now + milliseconds(core.config.LookupTimeout)}
 	request.Opens = newBitmap(len(questions))
 	for index, question := range questions {
-		if question.opens {
+		if question.isSYN {
 			setBit(request.Opens, index)
 		}
 		proposal := uint32(rule.NoBackend)
@@ -128,64 +128,64 @@
 		request.Proposals = append(request.Proposals, proposal)
 		sent.keys = append(sent.keys, question.key)
 	}
-	core.askRequests[request.GetRequest()] = sent
+	core.lookupBatches[request.GetRequest()] = sent
 	core.send(keeper, &apiv1.Envelope{Body: &apiv1.Envelope_BindRequest{BindRequest: request}})
 }
 
-func (core *Core) stepBindReply(_ string, reply *apiv1.BindReply) {
+func (core *Core) handleBindReply(_ string, reply *apiv1.BindReply) {
 	if reply.GetReplicated() {
-		core.stepReplicated(reply)
+		core.handleReplicationReply(reply)
 		return
 	}
-	sent := core.askRequests[reply.GetRequest()]
+	sent := core.lookupBatches[reply.GetRequest()]
 	if sent == nil || len(sent.keys) != len(reply.GetBackends()) {
 		return
 	}
-	delete(core.askRequests, reply.GetRequest())
+	delete(core.lookupBatches, reply.GetRequest())
 	for index, key := range sent.keys {
-		if question := core.asks[key]; question != nil {
-			core.answerAsk(question, reply.GetBackends()[index])
+		if question := core.lookups[key]; question != nil {
+			core.handleLookupResult(question, reply.GetBackends()[index])
 		}
 	}
 }
 
-// answerAsk takes a keeper's answer. No record leads to the next step, and
+// handleLookupResult takes a keeper's answer. No record leads to the next step, and
 // after the last one to the proposal.
-func (core *Core) answerAsk(question *ask, backend uint32) {
-	question.waiting = false
+func (core *Core) handleLookupResult(question *lookup, backend uint32) {
+	question.inFlight = false
 	if backend != rule.NoBackend {
-		core.resolve(question, backend, true)
+		core.completeLookup(question, backend, true)
 		return
 	}
 	question.steps = question.steps[1:]
 	if len(question.steps) == 0 {
-		core.resolve(question, question.proposal, true)
+		core.completeLookup(question, question.proposal, true)
 	}
 }
 
-func (core *Core) resolve(question *ask, backend uint32, recorded bool) {
-	delete(core.asks, question.key)
+func (core *Core) completeLookup(question *lookup, backend uint32, recorded bool) {
+	delete(core.lookups, question.key)
 	core.out.Resolutions = append(core.out.Resolutions,
 		Resolution{Key: question.key, Backend: backend, Recorded: recorded})
 }
 
-// tickAsks retries unanswered questions at the other keeper and gives up those
+// tickLookups retries unanswered questions at the other keeper and gives up those
 // past their deadline.
-func (core *Core) tickAsks() {
-	for id, sent := range core.askRequests {
+func (core *Core) tickLookups() {
+	for id, sent := range core.lookupBatches {
 		if core.now < sent.deadline {
 			continue
 		}
-		delete(core.askRequests, id)
+		delete(core.lookupBatches, id)
 		for _, key := range sent.keys {
-			if question := core.asks[key]; question != nil {
-				question.waiting = false
+			if question := core.lookups[key]; question != nil {
+				question.inFlight = false
 			}
 		}
 	}
-	for _, question := range core.asks {
+	for _, question := range core.lookups {
 		if core.now >= question.deadline {
-			core.resolve(question, rule.NoBackend, false)
+			core.completeLookup(question, rule.NoBackend, false)
 		}
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -59,17 +59,17 @@
 	// spread to the peers.
 	PublishBackoff time.Duration
 
-	// AskTimeout is how long one keeper may take to answer before the other is
+	// LookupTimeout is how long one keeper may take to answer before the other is
 	// asked. Two round trips between zones are the least.
-	AskTimeout time.Duration
+	LookupTimeout time.Duration
 
-	// AskDeadline is after how long a question without answer is given up and
+	// LookupDeadline is after how long a question without answer is given up and
 	// its packets are dropped.
-	AskDeadline time.Duration
+	LookupDeadline time.Duration
 
-	// MaximumAsks bounds the questions under way; at the bound, new ones are
+	// MaximumLookups bounds the questions under way; at the bound, new ones are
 	// answered as unavailable, which drops the packet.
-	MaximumAsks int
+	MaximumLookups int
 
 	// MaximumRecords bounds the records kept, at about 120 bytes each. At the
 	// bound new flows follow the rule unrecorded, which may break them at the next
@@ -93,8 +93,8 @@
 	// rest changes the rule may break when the cut heals.
 	ServeIsolated bool
 
-	// Without removes guards, for proofs only; leave it 0.
-	Without Guard
+	// Disabled removes guards, for proofs only; leave it 0.
+	Disabled Guard
 }
 
 // DefaultConfig suits one group over zones a few milliseconds apart.
@@ -109,9 +109,9 @@
 		MemberDelay:          2 * time.Second,
 		RuleInterval:         5 * time.Second,
 		PublishBackoff:       200 * time.Millisecond,
-		AskTimeout:           60 * time.Millisecond,
-		AskDeadline:          400 * time.Millisecond,
-		MaximumAsks:          4096,
+		LookupTimeout:        60 * time.Millisecond,
+		LookupDeadline:       400 * time.Millisecond,
+		MaximumLookups:       4096,
 		MaximumRecords:       400_000,
 		RecordBytesPerSecond: 2048,
 		OfferSize:            200,
@@ -129,8 +129,8 @@
 	config.FencingMargin = 2 * time.Second
 	config.MarkDelay = 3 * time.Second
 	config.PublishBackoff = time.Second
-	config.AskTimeout = 300 * time.Millisecond
-	config.AskDeadline = 1500 * time.Millisecond
+	config.LookupTimeout = 300 * time.Millisecond
+	config.LookupDeadline = 1500 * time.Millisecond
 	return config
 }
 
@@ -144,10 +144,10 @@
 			config.FencingTime, 3*config.HeartbeatInterval)
 	case config.FencingMargin <= 0:
 		return errors.Newf("FencingMargin is %s; set it above 0", config.FencingMargin)
-	case config.AskDeadline < config.AskTimeout:
+	case config.LookupDeadline < config.LookupTimeout:
 		return errors.Newf("AskDeadline is %s; set it to AskTimeout (%s) or more",
-			config.AskDeadline, config.AskTimeout)
-	case config.OfferSize < 1 || config.MaximumAsks < 1 || config.MaximumRecords < 1 || config.RecordBytesPerSecond < 1:
+			config.LookupDeadline, config.LookupTimeout)
+	case config.OfferSize < 1 || config.MaximumLookups < 1 || config.MaximumRecords < 1 || config.RecordBytesPerSecond < 1:
 		return errors.New("OfferSize, MaximumAsks, MaximumRecords and RecordBytesPerSecond must be 1 or more")
 	}
 	return nil
--- a/internal/core/contact.go
+++ b/internal/core/contact.go
@@ -7,23 +7,23 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// stepHeartbeatReply extends the contact lease. A reply that shows the peer to
+// handleHeartbeatReply extends the contact lease. A reply that shows the peer to
 // be ahead does not count: this node was not waited for.
-func (core *Core) stepHeartbeatReply(from string, reply *apiv1.HeartbeatReply) {
-	core.noteProgress(from, reply.GetProgress())
-	if core.behind(reply.GetProgress()) {
+func (core *Core) handleHeartbeatReply(from string, reply *apiv1.HeartbeatReply) {
+	core.updateProgress(from, reply.GetProgress())
+	if core.isBehind(reply.GetProgress()) {
 		return
 	}
 	known := core.peers[from]
 	sent, found := known.sentAt[reply.GetSequence()]
-	if found && (!known.hasConfirmed || sent > known.confirmed) {
-		known.confirmed = sent
+	if found && (!known.hasConfirmed || sent > known.confirmedSentAt) {
+		known.confirmedSentAt = sent
 		known.hasConfirmed = true
 	}
 }
 
-// behind reports whether a peer's progress shows state that this node lacks.
-func (core *Core) behind(progress *apiv1.Progress) bool {
+// isBehind reports whether a peer's progress shows state that this node lacks.
+func (core *Core) isBehind(progress *apiv1.Progress) bool {
 	if progress.GetDocumentVersion() > core.document.GetVersion() {
 		return true
 	}
@@ -40,20 +40,20 @@
 	}
 	core.phase = phase
 	core.completed = phase - 1
-	core.startDuty()
+	core.startPhaseTask()
 }
 
-// alive reports whether a peer has been heard within the time after which it
+// isAlive reports whether a peer has been heard within the time after which it
 // may be fenced.
-func (core *Core) alive(id string) bool {
+func (core *Core) isAlive(id string) bool {
 	if id == core.self.GetId() {
 		return true
 	}
 	known := core.peers[id]
-	return known != nil && known.heard && core.now-known.lastHeard <= core.fenceAfter()
+	return known != nil && known.heard && core.now-known.lastHeard <= core.fencingDelay()
 }
 
-func (core *Core) fenceAfter() uint32 {
+func (core *Core) fencingDelay() uint32 {
 	return milliseconds(core.config.FencingTime + core.config.FencingMargin)
 }
 
@@ -62,7 +62,7 @@
 func (core *Core) suspects() []string {
 	var suspects []string
 	for id, member := range core.members() {
-		if core.suspect(id, member) {
+		if core.isSuspect(id, member) {
 			suspects = append(suspects, id)
 		}
 	}
@@ -70,7 +70,7 @@
 	return suspects
 }
 
-func (core *Core) suspect(id string, member *apiv1.Member) bool {
+func (core *Core) isSuspect(id string, member *apiv1.Member) bool {
 	if id == core.self.GetId() {
 		return member.GetIncarnation() < core.self.GetIncarnation()
 	}
@@ -81,12 +81,12 @@
 	if known.member.GetIncarnation() > member.GetIncarnation() {
 		return true
 	}
-	return core.now-known.lastHeard > core.fenceAfter()
+	return core.now-known.lastHeard > core.fencingDelay()
 }
 
-// freshUntil is the end of the contact lease: FencingTime after the sending of
+// contactLeaseEnd is the end of the contact lease: FencingTime after the sending of
 // the heartbeats that a majority of the members has confirmed.
-func (core *Core) freshUntil() uint32 {
+func (core *Core) contactLeaseEnd() uint32 {
 	if core.lacks(GuardContact) {
 		return ^uint32(0)
 	}
@@ -98,7 +98,7 @@
 			continue
 		}
 		if known := core.peers[id]; known != nil && known.hasConfirmed {
-			confirmed = append(confirmed, known.confirmed)
+			confirmed = append(confirmed, known.confirmedSentAt)
 		}
 	}
 	majority := len(members)/2 + 1
@@ -109,15 +109,15 @@
 	return confirmed[majority-1] + milliseconds(core.config.FencingTime)
 }
 
-// isolated reports whether the node has been out of contact so long that a
+// isIsolated reports whether the node has been out of contact so long that a
 // short pause of its own cannot be the cause.
-func (core *Core) isolated() bool {
-	if core.now <= core.freshUntil() {
-		core.aloneSince = 0
+func (core *Core) isIsolated() bool {
+	if core.now <= core.contactLeaseEnd() {
+		core.isolatedSince = 0
 		return false
 	}
-	if core.aloneSince == 0 {
-		core.aloneSince = max(core.now, 1)
+	if core.isolatedSince == 0 {
+		core.isolatedSince = max(core.now, 1)
 	}
-	return core.now-core.aloneSince > milliseconds(core.config.FencingTime)
+	return core.now-core.isolatedSince > milliseconds(core.config.FencingTime)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,13 +28,13 @@
 	// When all of them use it, ViewInForce must be called with its version.
 	View        *router.View
 	ViewVersion uint64
-	// FreshUntil and ServeIsolated are for Router.SetContact.
-	FreshUntil    uint32
-	ServeIsolated bool
+	// ContactLeaseEnd and ServeIsolated are for Router.SetContact.
+	ContactLeaseEnd uint32
+	ServeIsolated   bool
 	// Resolutions answer questions of the traffic goroutines.
 	Resolutions []Resolution
-	// TouchGroup asks for the sign of life in the store to be changed.
-	TouchGroup bool
+	// RefreshGroupLiveness asks for the sign of life in the store to be changed.
+	RefreshGroupLiveness bool
 	// Write is to be tried at the store; nil when there is none.
 	Write *DocumentWrite
 }
@@ -71,68 +71,68 @@
 	pending    *rule.Set
 	phase      router.Phase
 	completed  router.Phase
-	duty       duty
+	phaseTask  phaseTask
 	// rejoining is set while this node is cut off or fenced, until it has
 	// listed its flows; rejoinUntil bounds the time for recording them.
 	rejoining   bool
 	rejoinUntil uint32
-	// holdSince is when a live peer began to rejoin; 0 is not.
-	holdSince uint32
+	// peerRejoiningSince is when a live peer began to rejoin; 0 is not.
+	peerRejoiningSince uint32
 	// fenceVersion is the document version whose fencing must be known to a
 	// majority before a fenced member is no longer waited for.
 	fenceVersion uint64
-	// heldBack is a document that fences a member whose lease, as far as this
+	// deferredDocument is a document that fences a member whose lease, as far as this
 	// node has confirmed it, has not run out yet.
-	heldBack *apiv1.EpochDocument
+	deferredDocument *apiv1.EpochDocument
 
 	view        *router.View
 	viewVersion uint64
 	viewInForce uint64
 	viewChanged bool
 	// settledFilters and pendingFilters are the filters of displaced flows.
-	settledFilters *filterSet
-	pendingFilters *filterSet
-	filterAskedAt  uint32
-	settledKeeper  *router.Keepers
-	pendingKeeper  *router.Keepers
+	settledFilters     *filterSet
+	pendingFilters     *filterSet
+	filtersRequestedAt uint32
+	settledKeeper      *router.Keepers
+	pendingKeeper      *router.Keepers
 
-	peers            map[string]*peer
-	lastHeartbeat    uint32
-	stateAskedAt     uint32
-	progressSent     *apiv1.Progress
-	aloneSince       uint32
-	membersChangedAt uint32
-	membersWanted    []string
+	peers                map[string]*peer
+	lastHeartbeat        uint32
+	stateRequestedAt     uint32
+	lastProgressSent     *apiv1.Progress
+	isolatedSince        uint32
+	liveMembersChangedAt uint32
+	lastLiveMembers      []string
 
-	marks       map[uint32]*markState
-	desired     []*apiv1.ServiceRule
-	desiredFrom uint64
+	marks           map[uint32]*markState
+	desired         []*apiv1.ServiceRule
+	desiredRevision uint64
 	// desiredCleared is the incarnation of the last cleared mark by back end.
 	desiredCleared map[uint32]uint64
 	hasDesired     bool
 	publish        publishState
 
-	records      map[flow.Key]*record
-	fingerprints map[fingerprint]int
-	replications map[uint64]*replicationPart
-	asks         map[flow.Key]*ask
-	askRequests  map[uint64]*askRequest
-	offers       map[uint64]*offer
-	offerQueue   []*offer
-	offerTokens  float64
-	offerAt      uint32
-	// ownRecorded is the epoch for which recordOwnFlows has run.
-	ownRecorded uint64
-	expiry      expiryState
-	recovery    recoveryState
-	purge       purgeState
+	records         map[flow.Key]*record
+	fingerprints    map[fingerprint]int
+	replications    map[uint64]*replicationPart
+	lookups         map[flow.Key]*lookup
+	lookupBatches   map[uint64]*lookupBatch
+	offers          map[uint64]*offer
+	offerQueue      []*offer
+	budgetTokens    float64
+	budgetUpdatedAt uint32
+	// ownFlowsRecordedEpoch is the epoch for which recordOwnFlows has run.
+	ownFlowsRecordedEpoch uint64
+	expiry                expiryState
+	recovery              recoveryState
+	purge                 purgeState
 	// hints are records pushed by the keepers when this node joined.
-	hints      map[flow.Key]uint32
-	hintsUntil uint32
-	hintsAsked map[string]bool
-	hintQueue  []hintPush
-	nextID     uint64
-	loopback   []*apiv1.Envelope
+	hints          map[flow.Key]uint32
+	hintsUntil     uint32
+	hintsRequested map[string]bool
+	hintQueue      []hintPush
+	lastID         uint64
+	loopback       []*apiv1.Envelope
 }
 
 // New makes the core of a node. The member's incarnation must be higher than
@@ -142,20 +142,20 @@
 		return nil, err
 	}
 	return &Core{
-		config:       config,
-		self:         proto.CloneOf(self),
-		flows:        flows,
-		peers:        make(map[string]*peer),
-		marks:        make(map[uint32]*markState),
-		records:      make(map[flow.Key]*record),
-		fingerprints: make(map[fingerprint]int),
-		replications: make(map[uint64]*replicationPart),
-		asks:         make(map[flow.Key]*ask),
-		hints:        make(map[flow.Key]uint32),
-		hintsAsked:   make(map[string]bool),
-		askRequests:  make(map[uint64]*askRequest),
-		offers:       make(map[uint64]*offer),
-		nextID:       self.GetIncarnation() << 20,
+		config:         config,
+		self:           proto.CloneOf(self),
+		flows:          flows,
+		peers:          make(map[string]*peer),
+		marks:          make(map[uint32]*markState),
+		records:        make(map[flow.Key]*record),
+		fingerprints:   make(map[fingerprint]int),
+		replications:   make(map[uint64]*replicationPart),
+		lookups:        make(map[flow.Key]*lookup),
+		hints:          make(map[flow.Key]uint32),
+		hintsRequested: make(map[string]bool),
+		lookupBatches:  make(map[uint64]*lookupBatch),
+		offers:         make(map[uint64]*offer),
+		lastID:         self.GetIncarnation() << 20,
 	}, nil
 }
 
@@ -163,13 +163,13 @@
 func (core *Core) Tick(now uint32) {
 	core.advanceTime(now)
 	core.tickMembership()
-	core.tickHeldBack()
-	core.tickHold()
+	core.tickDeferredDocument()
+	core.tickRejoiningPeers()
 	core.tickMarks()
-	core.tickAsks()
+	core.tickLookups()
 	core.tickReplications()
 	core.tickPurge()
-	core.tickDuty()
+	core.tickPhaseTask()
 	core.tickOffers()
 	core.tickHints()
 	core.tickFilters()
@@ -183,74 +183,74 @@
 // newest known one are ignored.
 func (core *Core) Step(now uint32, envelope *apiv1.Envelope) {
 	core.advanceTime(now)
-	if envelope.GetTo() != core.self.GetId() || !core.noteSender(envelope) {
+	if envelope.GetTo() != core.self.GetId() || !core.checkSender(envelope) {
 		return
 	}
 	from := envelope.GetFrom()
 	switch body := envelope.GetBody().(type) {
 	case *apiv1.Envelope_Heartbeat:
-		core.stepHeartbeat(from, body.Heartbeat)
+		core.handleHeartbeat(from, body.Heartbeat)
 	case *apiv1.Envelope_HeartbeatReply:
-		core.stepHeartbeatReply(from, body.HeartbeatReply)
+		core.handleHeartbeatReply(from, body.HeartbeatReply)
 	case *apiv1.Envelope_StateRequest:
-		core.stepStateRequest(from, body.StateRequest)
+		core.handleStateRequest(from, body.StateRequest)
 	case *apiv1.Envelope_State:
-		core.stepState(body.State)
+		core.handleState(body.State)
 	case *apiv1.Envelope_BindRequest:
-		core.stepBindRequest(from, body.BindRequest)
+		core.handleBindRequest(from, body.BindRequest)
 	case *apiv1.Envelope_BindReply:
-		core.stepBindReply(from, body.BindReply)
+		core.handleBindReply(from, body.BindReply)
 	case *apiv1.Envelope_RecordDigest:
-		core.stepRecordDigest(from, body.RecordDigest)
+		core.handleRecordDigest(from, body.RecordDigest)
 	case *apiv1.Envelope_RecordMismatch:
-		core.stepRecordMismatch(from, body.RecordMismatch)
+		core.handleRecordMismatch(from, body.RecordMismatch)
 	case *apiv1.Envelope_RecordOffer:
-		core.stepRecordOffer(from, body.RecordOffer)
+		core.handleRecordOffer(from, body.RecordOffer)
 	case *apiv1.Envelope_RecordWanted:
-		core.stepRecordWanted(from, body.RecordWanted)
+		core.handleRecordWanted(from, body.RecordWanted)
 	case *apiv1.Envelope_RecordBatch:
-		core.stepRecordBatch(from, body.RecordBatch)
+		core.handleRecordBatch(from, body.RecordBatch)
 	case *apiv1.Envelope_RecordAck:
-		core.stepRecordAck(from, body.RecordAck)
+		core.handleRecordAck(from, body.RecordAck)
 	case *apiv1.Envelope_RecordHints:
-		core.stepRecordHints(body.RecordHints)
+		core.handleRecordHints(body.RecordHints)
 	case *apiv1.Envelope_FilterPart:
-		core.stepFilterPart(from, body.FilterPart)
+		core.handleFilterPart(from, body.FilterPart)
 	case *apiv1.Envelope_FilterRequest:
-		core.stepFilterRequest(from, body.FilterRequest)
+		core.handleFilterRequest(from, body.FilterRequest)
 	case *apiv1.Envelope_AliveQuery:
-		core.stepAliveQuery(from, body.AliveQuery)
+		core.handleAliveQuery(from, body.AliveQuery)
 	case *apiv1.Envelope_AliveReply:
-		core.stepAliveReply(from, body.AliveReply)
+		core.handleAliveReply(from, body.AliveReply)
 	}
 	core.tickPhase()
 }
 
 // Ready returns what is to be done and forgets it.
 func (core *Core) Ready() Output {
-	core.flushAsks()
+	core.flushLookups()
 	for len(core.loopback) > 0 {
 		queue := core.loopback
 		core.loopback = nil
 		for _, envelope := range queue {
-			core.stepLoopback(envelope)
+			core.handleLoopback(envelope)
 		}
-		core.flushAsks()
+		core.flushLookups()
 	}
-	core.broadcastProgress()
+	core.broadcastProgressIfChanged()
 	core.publishView()
 	out := core.out
 	core.out = Output{}
 	return out
 }
 
-// stepLoopback handles a message of the core to itself.
-func (core *Core) stepLoopback(envelope *apiv1.Envelope) {
+// handleLoopback handles a message of the core to itself.
+func (core *Core) handleLoopback(envelope *apiv1.Envelope) {
 	switch body := envelope.GetBody().(type) {
 	case *apiv1.Envelope_BindRequest:
-		core.stepBindRequest(core.self.GetId(), body.BindRequest)
+		core.handleBindRequest(core.self.GetId(), body.BindRequest)
 	case *apiv1.Envelope_BindReply:
-		core.stepBindReply(core.self.GetId(), body.BindReply)
+		core.handleBindReply(core.self.GetId(), body.BindReply)
 	}
 }
 
@@ -265,9 +265,9 @@
 	core.now = max(core.now, now)
 }
 
-func (core *Core) identifier() uint64 {
-	core.nextID++
-	return core.nextID
+func (core *Core) newID() uint64 {
+	core.lastID++
+	return core.lastID
 }
 
 // send queues a message; the caller fills the body.
@@ -287,8 +287,8 @@
 	if core.settled == nil {
 		return
 	}
-	core.out.FreshUntil = core.freshUntil()
-	core.out.ServeIsolated = core.config.ServeIsolated && core.isolated() && !core.heardAhead()
+	core.out.ContactLeaseEnd = core.contactLeaseEnd()
+	core.out.ServeIsolated = core.config.ServeIsolated && core.isIsolated() && !core.hasNewerPeer()
 	if !core.viewChanged && core.view != nil {
 		return
 	}
@@ -296,10 +296,10 @@
 		Settled:     core.settled,
 		Pending:     core.pending,
 		Phase:       core.phase,
-		HoldUnknown: core.holdsUnknown(),
+		HoldUnknown: core.dropsUnknownFlows(),
 		ActiveMarks: core.activeMarks(),
 		KnownMarks:  core.knownMarks(),
-		Leaving:     core.leaving(),
+		Leaving:     core.leavingBackends(),
 		Keepers:     core.settledKeeper,
 		Filters:     core.viewFilters(),
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,19 +16,19 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// mesh is three cores whose messages are handed over by hand.
-type mesh struct {
-	t     testing.TB
-	now   uint32
-	cores map[string]*Core
-	table map[string]*flowtable.Table
+// cluster is three cores whose messages are handed over by hand.
+type cluster struct {
+	t      testing.TB
+	now    uint32
+	cores  map[string]*Core
+	tables map[string]*flowtable.Table
 	// document is the store.
 	document *apiv1.EpochDocument
-	// cut nodes neither send nor receive.
-	cut map[string]bool
+	// isolated nodes neither send nor receive.
+	isolated map[string]bool
 }
 
-func service(leaving uint32) []*apiv1.ServiceRule {
+func testServices(leaving uint32) []*apiv1.ServiceRule {
 	made := &apiv1.ServiceRule{Name: "lending", Address: "10.200.0.1", Port: 80, Salt: 1}
 	for backend := uint32(1); backend <= 4; backend++ {
 		made.Candidates = append(made.Candidates, &apiv1.Candidate{Backend: backend, Weight: 100, Leaving: backend == leaving})
@@ -36,47 +36,47 @@
 	return []*apiv1.ServiceRule{made}
 }
 
-func newMesh(t testing.TB) *mesh {
-	made := &mesh{t: t, now: 1, cores: make(map[string]*Core), table: make(map[string]*flowtable.Table), cut: make(map[string]bool)}
+func newCluster(t testing.TB) *cluster {
+	made := &cluster{t: t, now: 1, cores: make(map[string]*Core), tables: make(map[string]*flowtable.Table), isolated: make(map[string]bool)}
 	for _, id := range []string{"a", "b", "c"} {
 		made.add(id, 1)
 	}
-	made.want(1, 0)
+	made.setDesired(1, 0)
 	made.run(5 * time.Second)
 	require.NotNil(t, made.cores["a"].Document())
 	return made
 }
 
-func (mesh *mesh) add(id string, incarnation uint64) {
+func (mesh *cluster) add(id string, incarnation uint64) {
 	table := flowtable.New(1 << 12)
 	member := &apiv1.Member{Id: id, Zone: "zone-" + id, PeerAddress: id, Incarnation: incarnation}
 	core, err := New(DefaultConfig(), member, table)
 	require.NoError(mesh.t, err)
-	mesh.cores[id], mesh.table[id] = core, table
+	mesh.cores[id], mesh.tables[id] = core, table
 	for other := range mesh.cores {
-		core.Meet(&apiv1.Member{Id: other, PeerAddress: other})
+		core.AddPeer(&apiv1.Member{Id: other, PeerAddress: other})
 	}
 }
 
-// want sets the desired rules of all nodes.
-func (mesh *mesh) want(revision uint64, leaving uint32) {
+// setDesired sets the desired rules of all nodes.
+func (mesh *cluster) setDesired(revision uint64, leaving uint32) {
 	for _, core := range mesh.cores {
 		core.ObserveConfiguration(mesh.now, &apiv1.Configuration{Revision: revision})
-		core.SetDesired(mesh.now, revision, service(leaving), nil)
+		core.SetDesired(mesh.now, revision, testServices(leaving), nil)
 	}
 }
 
-func (mesh *mesh) run(length time.Duration) {
+func (mesh *cluster) run(length time.Duration) {
 	for end := mesh.now + milliseconds(length); mesh.now < end; mesh.now += 20 {
 		for _, id := range sortedKeys(mesh.cores) {
 			mesh.cores[id].Tick(mesh.now)
-			mesh.drain(id)
+			mesh.deliver(id)
 		}
 	}
 }
 
-// drain carries out what a core wants done, until nothing is left.
-func (mesh *mesh) drain(id string) []Resolution {
+// deliver carries out what a core wants done, until nothing is left.
+func (mesh *cluster) deliver(id string) []Resolution {
 	var resolutions []Resolution
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
 		core := mesh.cores[queue[0]]
@@ -88,7 +88,7 @@
 		}
 		for _, message := range out.Messages {
 			to := mesh.cores[message.GetTo()]
-			if to == nil || mesh.cut[message.GetTo()] || mesh.cut[message.GetFrom()] {
+			if to == nil || mesh.isolated[message.GetTo()] || mesh.isolated[message.GetFrom()] {
 				continue
 			}
 			to.Step(mesh.now, proto.CloneOf(message))
@@ -98,7 +98,7 @@
 	return resolutions
 }
 
-func (mesh *mesh) write(core *Core, document *apiv1.EpochDocument) {
+func (mesh *cluster) write(core *Core, document *apiv1.EpochDocument) {
 	held := document.GetVersion() == mesh.document.GetVersion()+1
 	if held {
 		mesh.document = document
@@ -107,13 +107,13 @@
 	core.ObserveDocument(mesh.now, mesh.document)
 }
 
-func key(number int) flow.Key {
+func testKey(number int) flow.Key {
 	return flow.Key{Source: [4]byte{10, 64, byte(number >> 8), byte(number)}, SourcePort: 1000,
 		Destination: [4]byte{10, 200, 0, 1}, DestinationPort: 80, Protocol: 6}
 }
 
 func TestOneDocumentForAll(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	for _, core := range mesh.cores {
 		require.True(t, proto.Equal(mesh.document, core.Document()))
 		require.Equal(t, "fresh", core.Contact())
@@ -122,8 +122,8 @@
 }
 
 func TestChangePassesAllPhases(t *testing.T) {
-	mesh := newMesh(t)
-	mesh.want(2, 3)
+	mesh := newCluster(t)
+	mesh.setDesired(2, 3)
 	seen := make(map[router.Phase]bool)
 	for range 300 {
 		mesh.run(20 * time.Millisecond)
@@ -137,17 +137,17 @@
 // TestFirstWriterWins: whatever the order of questions and proposals, all askers
 // of a flow get the same back end.
 func TestFirstWriterWins(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
-		asked := key(number)
+		asked := testKey(number)
 		answers := make(map[uint32]bool)
 		for range rapid.IntRange(2, 5).Draw(t, "questions") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node")
 			proposal := uint32(rapid.IntRange(1, 4).Draw(t, "proposal"))
-			mesh.cores[id].Ask(mesh.now, asked, proposal, true, false)
-			for _, resolution := range mesh.drain(id) {
+			mesh.cores[id].Lookup(mesh.now, asked, proposal, true, false)
+			for _, resolution := range mesh.deliver(id) {
 				require.Equal(t, asked, resolution.Key)
 				answers[resolution.Backend] = true
 			}
@@ -157,13 +157,13 @@
 }
 
 func TestQuestionsHaveABound(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	for id := range mesh.cores {
-		mesh.cut[id] = true
+		mesh.isolated[id] = true
 	}
 	core := mesh.cores["a"]
-	for number := range core.config.MaximumAsks + 1 {
-		core.Ask(mesh.now, key(number), 1, true, false)
+	for number := range core.config.MaximumLookups + 1 {
+		core.Lookup(mesh.now, testKey(number), 1, true, false)
 	}
 	unanswered := 0
 	for _, resolution := range core.Ready().Resolutions {
@@ -175,24 +175,24 @@
 }
 
 func TestUnansweredQuestionsAreGivenUp(t *testing.T) {
-	mesh := newMesh(t)
-	mesh.cut["b"], mesh.cut["c"] = true, true
+	mesh := newCluster(t)
+	mesh.isolated["b"], mesh.isolated["c"] = true, true
 	core := mesh.cores["a"]
 	number := 0
-	for first, second := core.settledKeeper.Pick(key(number).Hash()); first == "a" || second == "a"; {
+	for first, second := core.settledKeeper.Pick(testKey(number).Hash()); first == "a" || second == "a"; {
 		number++
-		first, second = core.settledKeeper.Pick(key(number).Hash())
+		first, second = core.settledKeeper.Pick(testKey(number).Hash())
 	}
-	core.Ask(mesh.now, key(number), 1, true, false)
+	core.Lookup(mesh.now, testKey(number), 1, true, false)
 	core.Ready()
-	core.Tick(mesh.now + milliseconds(core.config.AskDeadline))
-	require.Equal(t, []Resolution{{Key: key(number)}}, core.Ready().Resolutions)
+	core.Tick(mesh.now + milliseconds(core.config.LookupDeadline))
+	require.Equal(t, []Resolution{{Key: testKey(number)}}, core.Ready().Resolutions)
 }
 
 func TestNoNodeGoesBack(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	old := proto.CloneOf(mesh.document)
-	mesh.want(2, 3)
+	mesh.setDesired(2, 3)
 	mesh.run(8 * time.Second)
 	core := mesh.cores["b"]
 	version := core.Document().GetVersion()
@@ -212,29 +212,29 @@
 			core.mergeMarks([]*apiv1.LeavingMark{mark})
 			highest[mark.GetBackend()] = max(highest[mark.GetBackend()], mark.GetIncarnation())
 		}
-		for _, mark := range core.Marks() {
+		for _, mark := range core.LeavingMarks() {
 			require.Equal(t, highest[mark.GetBackend()], mark.GetIncarnation())
 		}
-		require.Len(t, core.Marks(), len(highest))
+		require.Len(t, core.LeavingMarks(), len(highest))
 	})
 }
 
 func TestDeadMemberIsFenced(t *testing.T) {
-	mesh := newMesh(t)
-	mesh.cut["c"] = true
-	mesh.want(2, 3)
+	mesh := newCluster(t)
+	mesh.isolated["c"] = true
+	mesh.setDesired(2, 3)
 	mesh.run(15 * time.Second)
 	require.Equal(t, uint64(2), mesh.document.GetSettled().GetConfigurationRevision())
 	require.Len(t, mesh.document.GetSettled().GetMembers(), 2)
 	require.Equal(t, "isolated", mesh.cores["c"].Contact())
-	mesh.cut["c"] = false
+	mesh.isolated["c"] = false
 	mesh.run(10 * time.Second)
 	require.Len(t, mesh.document.GetSettled().GetMembers(), 3)
 	require.Equal(t, "fresh", mesh.cores["c"].Contact())
 }
 
 func TestRestartedNodeWaitsForItsPeers(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	mesh.add("c", 2)
 	require.Equal(t, "no_state", mesh.cores["c"].Contact())
 	mesh.run(10 * time.Second)
@@ -247,7 +247,7 @@
 }
 
 func TestBadMessagesAreIgnored(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	core := mesh.cores["a"]
 	bodies := []*apiv1.Envelope{
 		{Body: &apiv1.Envelope_BindRequest{BindRequest: &apiv1.BindRequest{Keys: []byte{1, 2}, Proposals: []uint32{1}}}},
@@ -264,7 +264,7 @@
 	for place, envelope := range bodies {
 		t.Run(fmt.Sprint(place), func(t *testing.T) {
 			envelope.From, envelope.To, envelope.Incarnation = "b", "a", 1
-			require.NotPanics(t, func() { core.Step(mesh.now, envelope); mesh.drain("a") })
+			require.NotPanics(t, func() { core.Step(mesh.now, envelope); mesh.deliver("a") })
 			require.Equal(t, mesh.document.GetVersion(), core.Document().GetVersion())
 		})
 	}
@@ -281,16 +281,16 @@
 // TestReusedPorts: a SYN on the ports of a flow that ended long ago does not go
 // to its back end when that one leaves; the SYN of the flow itself does.
 func TestReusedPorts(t *testing.T) {
-	mesh := newMesh(t)
-	asked := key(1)
+	mesh := newCluster(t)
+	asked := testKey(1)
 	ask := func(proposal uint32) uint32 {
-		mesh.cores["a"].Ask(mesh.now, asked, proposal, true, true)
-		resolutions := mesh.drain("a")
+		mesh.cores["a"].Lookup(mesh.now, asked, proposal, true, true)
+		resolutions := mesh.deliver("a")
 		require.Len(t, resolutions, 1)
 		return resolutions[0].Backend
 	}
 	require.Equal(t, uint32(3), ask(3))
-	mesh.want(2, 3)
+	mesh.setDesired(2, 3)
 	mesh.run(5 * time.Second)
 	require.Equal(t, uint32(3), ask(1), "a SYN that comes again")
 	mesh.run(70 * time.Second)
@@ -298,41 +298,41 @@
 }
 
 func TestRecordsHaveABound(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	for _, core := range mesh.cores {
 		core.config.MaximumRecords = 3
 	}
 	for number := range 20 {
-		mesh.cores["a"].Ask(mesh.now, key(number), 1, true, true)
-		resolutions := mesh.drain("a")
+		mesh.cores["a"].Lookup(mesh.now, testKey(number), 1, true, true)
+		resolutions := mesh.deliver("a")
 		require.Len(t, resolutions, 1)
 		require.Equal(t, uint32(1), resolutions[0].Backend, "at the bound the proposal is the answer")
 	}
 	for _, core := range mesh.cores {
-		require.LessOrEqual(t, core.Kept(), 3)
+		require.LessOrEqual(t, core.RecordCount(), 3)
 	}
 }
 
 // TestHintsSpareQuestions: a node that joins gets the keepers' records and
 // answers from them without a message; a SYN is still asked about.
 func TestHintsSpareQuestions(t *testing.T) {
-	mesh := newMesh(t)
+	mesh := newCluster(t)
 	for number := range 40 {
-		mesh.cores["a"].Ask(mesh.now, key(number), 1, true, true)
-		mesh.drain("a")
+		mesh.cores["a"].Lookup(mesh.now, testKey(number), 1, true, true)
+		mesh.deliver("a")
 	}
 	mesh.add("d", 1)
 	joined := mesh.cores["d"]
 	joined.ObserveConfiguration(mesh.now, &apiv1.Configuration{Revision: 1})
-	joined.SetDesired(mesh.now, 1, service(0), nil)
+	joined.SetDesired(mesh.now, 1, testServices(0), nil)
 	mesh.run(1500 * time.Millisecond)
 	require.Len(t, joined.hints, 40)
-	joined.Ask(mesh.now, key(7), 2, false, false)
+	joined.Lookup(mesh.now, testKey(7), 2, false, false)
 	out := joined.Ready()
-	require.Equal(t, []Resolution{{Key: key(7), Backend: 1, Recorded: true}}, out.Resolutions)
-	joined.Ask(mesh.now, key(8), 2, true, true)
+	require.Equal(t, []Resolution{{Key: testKey(7), Backend: 1, Recorded: true}}, out.Resolutions)
+	joined.Lookup(mesh.now, testKey(8), 2, true, true)
 	require.Empty(t, joined.Ready().Resolutions)
-	mesh.now += hintLife + 1000
-	joined.Ask(mesh.now, key(9), 2, false, false)
+	mesh.now += hintLifetime + 1000
+	joined.Lookup(mesh.now, testKey(9), 2, false, false)
 	require.Empty(t, joined.hints, "hints end")
 }
--- a/internal/core/document.go
+++ b/internal/core/document.go
@@ -40,8 +40,8 @@
 	if document.GetVersion() <= core.document.GetVersion() {
 		return
 	}
-	if core.mustHoldBack(document) {
-		core.heldBack = proto.CloneOf(document)
+	if core.mustDefer(document) {
+		core.deferredDocument = proto.CloneOf(document)
 		return
 	}
 	settled, err := rule.NewSet(document.GetSettled())
@@ -54,7 +54,7 @@
 			return
 		}
 	}
-	core.notePurge(document, settled, pending)
+	core.schedulePurge(document, settled, pending)
 	wasMember := core.document != nil && core.isMember()
 	if len(document.GetFenced()) > len(core.document.GetFenced()) {
 		core.fenceVersion = document.GetVersion()
@@ -69,42 +69,42 @@
 	core.pending = pending
 	core.viewChanged = true
 	core.publish = publishState{}
-	core.keepersOfDocument()
-	core.enterFilters()
-	core.meetMembers()
+	core.updateKeepers()
+	core.updateFilterSets()
+	core.addMembersAsPeers()
 	core.dropClearedMarks()
-	core.forgetSettledRecords()
+	core.dropRedundantRecords()
 	if wasMember && !core.isMember() && !core.self.GetLeaving() {
 		core.rejoining = true
 		core.dropContact()
 	}
 }
 
-// mustHoldBack reports whether a document fences a member whose contact lease
+// mustDefer reports whether a document fences a member whose contact lease
 // this node has extended so lately that it may still hold.
-func (core *Core) mustHoldBack(document *apiv1.EpochDocument) bool {
+func (core *Core) mustDefer(document *apiv1.EpochDocument) bool {
 	for _, member := range document.GetFenced() {
 		known := core.peers[member.GetId()]
-		if known == nil || !known.hasConfirmedTo || core.fenced(member) {
+		if known == nil || !known.hasReplied || core.isFenced(member) {
 			continue
 		}
 		if known.member.GetIncarnation() > member.GetIncarnation() {
 			continue
 		}
-		if core.now-known.confirmedTo < core.fenceAfter() {
+		if core.now-known.lastReplyAt < core.fencingDelay() {
 			return true
 		}
 	}
 	return false
 }
 
-// tickHeldBack takes a held-back document once the leases have run out.
-func (core *Core) tickHeldBack() {
-	document := core.heldBack
-	if document == nil || core.mustHoldBack(document) {
+// tickDeferredDocument takes a held-back document once the leases have run out.
+func (core *Core) tickDeferredDocument() {
+	document := core.deferredDocument
+	if document == nil || core.mustDefer(document) {
 		return
 	}
-	core.heldBack = nil
+	core.deferredDocument = nil
 	core.acceptDocument(document, router.PhaseNone)
 }
 
@@ -124,27 +124,27 @@
 		core.phase = max(router.PhaseLearned, phase)
 		core.completed = core.phase - 1
 	}
-	core.startDuty()
+	core.startPhaseTask()
 }
 
-func (core *Core) meetMembers() {
+func (core *Core) addMembersAsPeers() {
 	for _, member := range core.members() {
-		core.Meet(member)
+		core.AddPeer(member)
 	}
 }
 
-// keepersOfDocument computes who keeps records under each epoch. Fencing does
+// updateKeepers computes who keeps records under each epoch. Fencing does
 // not change the choice: the records are where they were, and the other keeper
 // of each has a copy. The next epoch chooses anew.
-func (core *Core) keepersOfDocument() {
-	core.settledKeeper = core.keepersOf(core.document.GetSettled())
+func (core *Core) updateKeepers() {
+	core.settledKeeper = core.newKeepers(core.document.GetSettled())
 	core.pendingKeeper = core.settledKeeper
 	if core.document.GetPending() != nil {
-		core.pendingKeeper = core.keepersOf(core.document.GetPending())
+		core.pendingKeeper = core.newKeepers(core.document.GetPending())
 	}
 }
 
-func (core *Core) keepersOf(epoch *apiv1.Epoch) *router.Keepers {
+func (core *Core) newKeepers(epoch *apiv1.Epoch) *router.Keepers {
 	zones := make(map[string]string)
 	for _, member := range epoch.GetMembers() {
 		zones[member.GetId()] = member.GetZone()
@@ -162,27 +162,27 @@
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_StateRequest{StateRequest: request}})
 }
 
-func (core *Core) stepStateRequest(from string, request *apiv1.StateRequest) {
+func (core *Core) handleStateRequest(from string, request *apiv1.StateRequest) {
 	state := &apiv1.State{Phase: uint32(core.phase)}
 	if core.document.GetVersion() > request.GetDocumentVersion() {
-		state.Document = withoutKnown(core.document, request)
+		state.Document = omitKnownEpochs(core.document, request)
 	}
 	if core.configuration.GetRevision() > request.GetConfigurationRevision() {
 		state.Configuration = core.configuration
 	}
-	state.Marks = core.markList()
+	state.Marks = core.sortedMarks()
 	members := core.members()
 	for _, id := range sortedKeys(core.peers) {
-		if members[id] == nil && core.alive(id) {
+		if members[id] == nil && core.isAlive(id) {
 			state.Participants = append(state.Participants, core.peers[id].member)
 		}
 	}
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_State{State: state}})
 }
 
-// withoutKnown leaves out of a document the epochs that the requester has; only
+// omitKnownEpochs leaves out of a document the epochs that the requester has; only
 // their numbers remain.
-func withoutKnown(document *apiv1.EpochDocument, request *apiv1.StateRequest) *apiv1.EpochDocument {
+func omitKnownEpochs(document *apiv1.EpochDocument, request *apiv1.StateRequest) *apiv1.EpochDocument {
 	short := &apiv1.EpochDocument{
 		Version: document.GetVersion(),
 		Settled: document.GetSettled(),
@@ -202,23 +202,23 @@
 	return short
 }
 
-// completeDocument puts the epochs that were left out back in. It returns nil
+// restoreOmittedEpochs puts the epochs that were left out back in. It returns nil
 // when this node does not have them after all.
-func (core *Core) completeDocument(short *apiv1.EpochDocument) *apiv1.EpochDocument {
+func (core *Core) restoreOmittedEpochs(short *apiv1.EpochDocument) *apiv1.EpochDocument {
 	full := &apiv1.EpochDocument{Version: short.GetVersion(), Fenced: short.GetFenced()}
-	if full.Settled = core.completeEpoch(short.GetSettled()); full.GetSettled() == nil {
+	if full.Settled = core.restoreOmittedEpoch(short.GetSettled()); full.GetSettled() == nil {
 		return nil
 	}
 	if short.GetPending() == nil {
 		return full
 	}
-	if full.Pending = core.completeEpoch(short.GetPending()); full.GetPending() == nil {
+	if full.Pending = core.restoreOmittedEpoch(short.GetPending()); full.GetPending() == nil {
 		return nil
 	}
 	return full
 }
 
-func (core *Core) completeEpoch(short *apiv1.Epoch) *apiv1.Epoch {
+func (core *Core) restoreOmittedEpoch(short *apiv1.Epoch) *apiv1.Epoch {
 	if len(short.GetMembers()) > 0 {
 		return short
 	}
@@ -230,16 +230,16 @@
 	return nil
 }
 
-func (core *Core) stepState(state *apiv1.State) {
+func (core *Core) handleState(state *apiv1.State) {
 	for _, member := range state.GetParticipants() {
-		core.Meet(member)
+		core.AddPeer(member)
 	}
 	if state.GetDocument() != nil {
 		phase := router.Phase(state.GetPhase())
 		if core.document != nil && core.isMember() {
 			phase = router.PhaseNone
 		}
-		if document := core.completeDocument(state.GetDocument()); document != nil {
+		if document := core.restoreOmittedEpochs(state.GetDocument()); document != nil {
 			core.acceptDocument(document, phase)
 		}
 	}
--- a/internal/core/expiry.go
+++ b/internal/core/expiry.go
@@ -11,15 +11,15 @@
 	query     uint64
 	keys      []flow.Key
 	deadline  uint32
-	answers   map[string]bool
+	responded map[string]bool
 }
 
 const (
 	// expiryInterval is how often, in milliseconds, a keeper looks for records
 	// of flows that may have ended.
 	expiryInterval = 10_000
-	// expiryWait is how long answers to a query are awaited.
-	expiryWait = 5_000
+	// expiryTimeout is how long answers to a query are awaited.
+	expiryTimeout = 5_000
 	// expiryBatch bounds the flows of one query.
 	expiryBatch = 256
 )
@@ -38,28 +38,28 @@
 		return
 	}
 	core.expiry.scannedAt = core.now
-	keys := core.silentRecords()
+	keys := core.idleRecords()
 	if len(keys) == 0 {
 		return
 	}
 	core.expiry = expiryState{
 		scannedAt: core.now,
-		query:     core.identifier(),
+		query:     core.newID(),
 		keys:      keys,
-		deadline:  core.now + expiryWait,
-		answers:   make(map[string]bool),
+		deadline:  core.now + expiryTimeout,
+		responded: make(map[string]bool),
 	}
 	query := &apiv1.AliveQuery{Query: core.expiry.query}
 	for _, key := range keys {
 		query.Keys = appendKey(query.Keys, key)
 	}
-	core.spend(len(query.Keys))
+	core.spendBudget(len(query.Keys))
 	for _, id := range sortedKeys(core.participants()) {
 		core.send(id, &apiv1.Envelope{Body: &apiv1.Envelope_AliveQuery{AliveQuery: query}})
 	}
 }
 
-func (core *Core) silentRecords() []flow.Key {
+func (core *Core) idleRecords() []flow.Key {
 	var keys []flow.Key
 	for key, kept := range core.records {
 		if entry, found := core.flows.Get(key, key.Hash()); found {
@@ -72,8 +72,8 @@
 	return keys
 }
 
-func (core *Core) stepAliveQuery(from string, query *apiv1.AliveQuery) {
-	keys, err := readKeys(query.GetKeys())
+func (core *Core) handleAliveQuery(from string, query *apiv1.AliveQuery) {
+	keys, err := parseKeys(query.GetKeys())
 	if err != nil {
 		return
 	}
@@ -87,7 +87,7 @@
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_AliveReply{AliveReply: reply}})
 }
 
-func (core *Core) stepAliveReply(from string, reply *apiv1.AliveReply) {
+func (core *Core) handleAliveReply(from string, reply *apiv1.AliveReply) {
 	if core.expiry.query == 0 || reply.GetQuery() != core.expiry.query {
 		return
 	}
@@ -96,16 +96,16 @@
 			kept.lastSeen = core.now
 		}
 	}
-	core.expiry.answers[from] = true
+	core.expiry.responded[from] = true
 	for id := range core.participants() {
-		if !core.expiry.answers[id] {
+		if !core.expiry.responded[id] {
 			return
 		}
 	}
-	core.dropSilentRecords()
+	core.dropIdleRecords()
 }
 
-func (core *Core) dropSilentRecords() {
+func (core *Core) dropIdleRecords() {
 	for _, key := range core.expiry.keys {
 		kept := core.records[key]
 		if kept != nil && core.now-kept.lastSeen > milliseconds(core.config.RecordIdleTime) {
--- a/internal/core/filter.go
+++ b/internal/core/filter.go
@@ -16,18 +16,18 @@
 	filterBitsPerFlow = 10
 	filterHashes      = 7
 	minimumFilterBits = 64
-	// filterRetry is after how many milliseconds a missing filter is asked
+	// filterRetryInterval is after how many milliseconds a missing filter is asked
 	// for again.
-	filterRetry = 1000
-	// filterRefresh is how often at most, in milliseconds, a changed filter is
+	filterRetryInterval = 1000
+	// filterRefreshInterval is how often at most, in milliseconds, a changed filter is
 	// sent.
-	filterRefresh = 3000
+	filterRefreshInterval = 3000
 )
 
 // filterSet holds the filters of displaced flows of one epoch, by keeper.
 type filterSet struct {
-	number uint64
-	parts  map[string]*bloom.BloomFilter
+	epochNumber uint64
+	parts       map[string]*bloom.BloomFilter
 	// dirty is set when this node's part lacks a record; sentAt is when the
 	// part was last sent.
 	dirty  bool
@@ -35,29 +35,29 @@
 }
 
 func newFilterSet(number uint64) *filterSet {
-	return &filterSet{number: number, parts: make(map[string]*bloom.BloomFilter), dirty: true}
+	return &filterSet{epochNumber: number, parts: make(map[string]*bloom.BloomFilter), dirty: true}
 }
 
-// enterFilters brings the filter sets in line with a new document. The filters
+// updateFilterSets brings the filter sets in line with a new document. The filters
 // collected for the pending epoch serve once it is settled.
-func (core *Core) enterFilters() {
+func (core *Core) updateFilterSets() {
 	settled := core.document.GetSettled().GetNumber()
-	if core.settledFilters == nil || core.settledFilters.number != settled {
+	if core.settledFilters == nil || core.settledFilters.epochNumber != settled {
 		core.settledFilters = newFilterSet(settled)
-		if core.pendingFilters != nil && core.pendingFilters.number == settled {
+		if core.pendingFilters != nil && core.pendingFilters.epochNumber == settled {
 			core.settledFilters = core.pendingFilters
 		}
 	}
 	if core.pending == nil {
 		core.pendingFilters = nil
-	} else if core.pendingFilters == nil || core.pendingFilters.number != core.pending.Number {
+	} else if core.pendingFilters == nil || core.pendingFilters.epochNumber != core.pending.Number {
 		core.pendingFilters = newFilterSet(core.pending.Number)
 	}
 }
 
-// dirtyFilters notes that the filters lack a record. A flow on which the rules
+// markFiltersDirty notes that the filters lack a record. A flow on which the rules
 // differ is asked about anyway, so it does not count.
-func (core *Core) dirtyFilters(key flow.Key) {
+func (core *Core) markFiltersDirty(key flow.Key) {
 	if core.view != nil && core.view.Ambiguous(key, key.Hash()) {
 		return
 	}
@@ -81,7 +81,7 @@
 func (core *Core) missingFilters(set *filterSet, epoch *apiv1.Epoch) []string {
 	var missing []string
 	for _, member := range epoch.GetMembers() {
-		if !core.fenced(member) && set.parts[member.GetId()] == nil {
+		if !core.isFenced(member) && set.parts[member.GetId()] == nil {
 			missing = append(missing, member.GetId())
 		}
 	}
@@ -104,22 +104,22 @@
 	if core.pending != nil && core.phase == router.PhaseFlipped {
 		core.refreshFilter(core.pendingFilters, core.document.GetPending(), core.pending)
 	}
-	if core.now-core.filterAskedAt < filterRetry {
+	if core.now-core.filtersRequestedAt < filterRetryInterval {
 		return
 	}
-	core.filterAskedAt = core.now
-	core.askFilters(core.settledFilters, core.document.GetSettled())
+	core.filtersRequestedAt = core.now
+	core.requestFilters(core.settledFilters, core.document.GetSettled())
 	if core.pending != nil && core.phase == router.PhaseFlipped {
-		core.askFilters(core.pendingFilters, core.document.GetPending())
+		core.requestFilters(core.pendingFilters, core.document.GetPending())
 	}
 }
 
-func (core *Core) askFilters(set *filterSet, epoch *apiv1.Epoch) {
+func (core *Core) requestFilters(set *filterSet, epoch *apiv1.Epoch) {
 	for _, keeper := range core.missingFilters(set, epoch) {
 		if keeper != core.self.GetId() {
 			// A joining node asks each keeper once for its records.
-			request := &apiv1.FilterRequest{EpochNumber: set.number, Hints: !core.isMember() && !core.hintsAsked[keeper]}
-			core.hintsAsked[keeper] = true
+			request := &apiv1.FilterRequest{EpochNumber: set.epochNumber, Hints: !core.isMember() && !core.hintsRequested[keeper]}
+			core.hintsRequested[keeper] = true
 			core.send(keeper, &apiv1.Envelope{Body: &apiv1.Envelope_FilterRequest{FilterRequest: request}})
 		}
 	}
@@ -127,7 +127,7 @@
 
 func (core *Core) refreshFilter(set *filterSet, epoch *apiv1.Epoch, target *rule.Set) {
 	own := set.parts[core.self.GetId()]
-	if !set.dirty || !core.isMemberOf(epoch) || own != nil && core.now-set.sentAt < filterRefresh {
+	if !set.dirty || !core.isMemberOf(epoch) || own != nil && core.now-set.sentAt < filterRefreshInterval {
 		return
 	}
 	set.dirty = false
@@ -142,7 +142,7 @@
 func (core *Core) isMemberOf(epoch *apiv1.Epoch) bool {
 	for _, member := range epoch.GetMembers() {
 		if member.GetId() == core.self.GetId() {
-			return member.GetIncarnation() == core.self.GetIncarnation() && !core.fenced(member)
+			return member.GetIncarnation() == core.self.GetIncarnation() && !core.isFenced(member)
 		}
 	}
 	return false
@@ -151,7 +151,7 @@
 func (core *Core) buildFilter(target *rule.Set) *bloom.BloomFilter {
 	var displaced []flow.Key
 	for key, kept := range core.records {
-		if displacedFrom(target, key, kept.backend) && !core.lacks(GuardFilter) {
+		if isDisplacedFrom(target, key, kept.backend) && !core.lacks(GuardFilter) {
 			displaced = append(displaced, key)
 		}
 	}
@@ -175,36 +175,36 @@
 		binary.LittleEndian.PutUint64(bits[8*index:], word)
 	}
 	part := &apiv1.FilterPart{
-		EpochNumber: set.number,
+		EpochNumber: set.epochNumber,
 		Keeper:      core.self.GetId(),
 		Hashes:      uint32(filter.K()),
 		Size:        uint32(filter.Cap()),
 		Bits:        bits,
 	}
-	core.spend(len(bits))
+	core.spendBudget(len(bits))
 	core.send(to, &apiv1.Envelope{Body: &apiv1.Envelope_FilterPart{FilterPart: part}})
 }
 
 // filterSetOf returns the set for an epoch number, or nil.
 func (core *Core) filterSetOf(number uint64) *filterSet {
 	for _, set := range []*filterSet{core.settledFilters, core.pendingFilters} {
-		if set != nil && set.number == number {
+		if set != nil && set.epochNumber == number {
 			return set
 		}
 	}
 	return nil
 }
 
-func (core *Core) stepFilterRequest(from string, request *apiv1.FilterRequest) {
+func (core *Core) handleFilterRequest(from string, request *apiv1.FilterRequest) {
 	if set := core.filterSetOf(request.GetEpochNumber()); set != nil {
 		core.sendFilter(from, set)
 	}
 	if request.GetHints() && core.settled != nil && request.GetEpochNumber() == core.settled.Number {
-		core.stepHintRequest(from)
+		core.handleHintRequest(from)
 	}
 }
 
-func (core *Core) stepFilterPart(from string, part *apiv1.FilterPart) {
+func (core *Core) handleFilterPart(from string, part *apiv1.FilterPart) {
 	set := core.filterSetOf(part.GetEpochNumber())
 	size, words := uint(part.GetSize()), len(part.GetBits())/8
 	if set == nil || part.GetKeeper() != from || size == 0 || part.GetHashes() == 0 || uint(words)*64 < size {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -26,4 +26,4 @@
 )
 
 // lacks reports whether a guard has been removed.
-func (core *Core) lacks(guard Guard) bool { return core.config.Without&guard != 0 }
+func (core *Core) lacks(guard Guard) bool { return core.config.Disabled&guard != 0 }
--- a/internal/core/hint.go
+++ b/internal/core/hint.go
@@ -10,22 +10,22 @@
 // seconds, and would ask about each displaced one. Instead the keepers push it
 // their records, as hints. A record names the flow's back end for the flow's
 // life, so a hint answers a question about an open flow as the keeper would.
-// Hints end after hintLife, well before the ports of an ended flow are used anew.
+// Hints end after hintLifetime, well before the ports of an ended flow are used anew.
 
 const (
 	// hintBatch is how many records one push carries.
 	hintBatch = 100
-	// hintLife is how long, in milliseconds after the last push, hints are used.
-	hintLife = 45_000
+	// hintLifetime is how long, in milliseconds after the last push, hints are used.
+	hintLifetime = 45_000
 )
 
-// stepHintRequest queues this keeper's displaced records for a joining node.
-func (core *Core) stepHintRequest(from string) {
-	var flows []heldFlow
+// handleHintRequest queues this keeper's displaced records for a joining node.
+func (core *Core) handleHintRequest(from string) {
+	var flows []assignedFlow
 	for key, kept := range core.records {
 		first, _ := core.settledKeeper.Pick(key.Hash())
 		if first == core.self.GetId() && !kept.tentative {
-			flows = append(flows, heldFlow{key: key, backend: kept.backend})
+			flows = append(flows, assignedFlow{key: key, backend: kept.backend})
 		}
 	}
 	for len(flows) > 0 {
@@ -38,12 +38,12 @@
 // hintPush is one queued push.
 type hintPush struct {
 	to    string
-	flows []heldFlow
+	flows []assignedFlow
 }
 
 // tickHints sends queued pushes within the record budget.
 func (core *Core) tickHints() {
-	for len(core.hintQueue) > 0 && core.offerTokens > 0 {
+	for len(core.hintQueue) > 0 && core.budgetTokens > 0 {
 		next := core.hintQueue[0]
 		core.hintQueue = core.hintQueue[1:]
 		push := &apiv1.RecordHints{}
@@ -51,17 +51,17 @@
 			push.Keys = appendKey(push.Keys, held.key)
 			push.Backends = append(push.Backends, held.backend)
 		}
-		core.spend(len(push.GetKeys()) + 2*len(push.GetBackends()))
+		core.spendBudget(len(push.GetKeys()) + 2*len(push.GetBackends()))
 		core.send(next.to, &apiv1.Envelope{Body: &apiv1.Envelope_RecordHints{RecordHints: push}})
 	}
 }
 
-func (core *Core) stepRecordHints(push *apiv1.RecordHints) {
-	keys, err := readKeys(push.GetKeys())
+func (core *Core) handleRecordHints(push *apiv1.RecordHints) {
+	keys, err := parseKeys(push.GetKeys())
 	if err != nil || len(keys) != len(push.GetBackends()) {
 		return
 	}
-	core.hintsUntil = core.now + hintLife
+	core.hintsUntil = core.now + hintLifetime
 	for index, key := range keys {
 		if len(core.hints) < core.config.MaximumRecords {
 			core.hints[key] = push.GetBackends()[index]
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -12,9 +12,9 @@
 
 // record is what a keeper knows of one flow.
 type record struct {
-	backend  uint32
-	lastSeen uint32
-	made     uint32
+	backend   uint32
+	lastSeen  uint32
+	createdAt uint32
 	// tentative is set until the other keeper has confirmed the record.
 	tentative bool
 }
@@ -48,22 +48,22 @@
 
 // replicationPart is what one other keeper is asked to confirm.
 type replicationPart struct {
-	whole   *replication
-	other   string
-	created []flow.Key
-	// answered is set once the asker was answered without the confirmation;
+	replication *replication
+	other       string
+	keys        []flow.Key
+	// replied is set once the asker was answered without the confirmation;
 	// the records are then sent again until the other keeper has them.
-	answered bool
+	replied  bool
 	deadline uint32
-	// retry is the present wait, in milliseconds.
-	retry uint32
+	// retryDelay is the present wait, in milliseconds.
+	retryDelay uint32
 }
 
 // Unconfirmed records are sent to the other keeper again, at first after
-// replicationRetry milliseconds, then after twice as long each time.
+// replicationRetryDelay milliseconds, then after twice as long each time.
 const (
-	replicationRetry        = 150
-	replicationRetryMaximum = 2400
+	replicationRetryDelay        = 150
+	replicationRetryDelayMaximum = 2400
 )
 
 // setRecord stores a record of a flow.
@@ -73,10 +73,10 @@
 	}
 	made := core.now
 	if old := core.records[key]; old != nil && old.backend == backend {
-		made = old.made
+		made = old.createdAt
 	}
-	core.records[key] = &record{backend: backend, lastSeen: core.now, made: made, tentative: tentative}
-	core.dirtyFilters(key)
+	core.records[key] = &record{backend: backend, lastSeen: core.now, createdAt: made, tentative: tentative}
+	core.markFiltersDirty(key)
 }
 
 func (core *Core) dropRecord(key flow.Key) {
@@ -91,34 +91,34 @@
 	}
 }
 
-// forgetSettledRecords drops the records that the settled rule makes needless.
-func (core *Core) forgetSettledRecords() {
+// dropRedundantRecords drops the records that the settled rule makes needless.
+func (core *Core) dropRedundantRecords() {
 	if core.pending != nil {
 		return
 	}
 	for key, kept := range core.records {
-		if !core.displaced(key, kept.backend) {
+		if !core.isDisplaced(key, kept.backend) {
 			core.dropRecord(key)
 		}
 	}
 }
 
-// stepBindRequest answers for each flow the back end of its record, making
+// handleBindRequest answers for each flow the back end of its record, making
 // one from the proposal where there is none. A new record is confirmed by the
 // other keeper before the answer, so that two askers that reach different
 // keepers get the same answer.
-func (core *Core) stepBindRequest(from string, request *apiv1.BindRequest) {
+func (core *Core) handleBindRequest(from string, request *apiv1.BindRequest) {
 	fresh := make(map[string][]flow.Key)
 	reused := make(map[flow.Key]bool)
-	keys, err := readKeys(request.GetKeys())
+	keys, err := parseKeys(request.GetKeys())
 	if err != nil || len(keys) != len(request.GetProposals()) {
 		return
 	}
 	for index, key := range keys {
-		if hasBit(request.GetOpens(), index) && core.dropReused(key) {
+		if hasBit(request.GetOpens(), index) && core.dropReusedRecord(key) {
 			reused[key] = true
 		}
-		if core.bindOne(key, request.GetProposals()[index], request.GetReplicated(), from) {
+		if core.bindFlow(key, request.GetProposals()[index], request.GetReplicated(), from) {
 			other := core.otherKeeper(key)
 			fresh[other] = append(fresh[other], key)
 		}
@@ -128,30 +128,30 @@
 		core.replicate(whole, other, fresh[other])
 	}
 	if whole.waitingFor == 0 {
-		core.answerBind(from, request.GetRequest(), keys, request.GetReplicated())
+		core.replyToBind(from, request.GetRequest(), keys, request.GetReplicated())
 	}
 }
 
-// reusedAfter is how long, in milliseconds, after a record was made a SYN can no
+// portReuseTime is how long, in milliseconds, after a record was made a SYN can no
 // longer be one of the recorded flow's: its caller has given up by then.
-const reusedAfter = 64_000
+const portReuseTime = 64_000
 
-// dropReused drops the record of a flow whose ports are used anew, when its back
+// dropReusedRecord drops the record of a flow whose ports are used anew, when its back
 // end takes no new flows. It reports whether it did.
-func (core *Core) dropReused(key flow.Key) bool {
+func (core *Core) dropReusedRecord(key flow.Key) bool {
 	kept := core.records[key]
-	if kept == nil || core.view == nil || !core.view.Leaving[kept.backend] || core.now-kept.made <= reusedAfter {
+	if kept == nil || core.view == nil || !core.view.Leaving[kept.backend] || core.now-kept.createdAt <= portReuseTime {
 		return false
 	}
 	core.dropRecord(key)
 	return true
 }
 
-// bindOne applies one binding and reports whether it made a new record.
-func (core *Core) bindOne(key flow.Key, proposal uint32, replicated bool, from string) bool {
+// bindFlow applies one binding and reports whether it made a new record.
+func (core *Core) bindFlow(key flow.Key, proposal uint32, replicated bool, from string) bool {
 	kept := core.records[key]
 	if kept == nil {
-		if entry, found := core.flows.Get(key, key.Hash()); found && proposal != rule.NoBackend && !core.reusable(entry) {
+		if entry, found := core.flows.Get(key, key.Hash()); found && proposal != rule.NoBackend && !core.mayBeReused(entry) {
 			proposal = entry.Backend
 		}
 	}
@@ -184,22 +184,22 @@
 	}
 }
 
-// reusable reports whether an entry of the node's own table may belong to an
+// mayBeReused reports whether an entry of the node's own table may belong to an
 // earlier flow on the same ports at a back end that takes no new flows.
-func (core *Core) reusable(entry flowtable.Entry) bool {
-	return core.view != nil && core.view.Leaving[entry.Backend] && core.now-min(core.now, entry.LastSeen) > reusedAfter
+func (core *Core) mayBeReused(entry flowtable.Entry) bool {
+	return core.view != nil && core.view.Leaving[entry.Backend] && core.now-min(core.now, entry.LastSeen) > portReuseTime
 }
 
-// answerBind answers with the records; where there is none, with the entry of
+// replyToBind answers with the records; where there is none, with the entry of
 // the node's own table, which is as good.
-func (core *Core) answerBind(to string, request uint64, keys []flow.Key, replicated bool) {
+func (core *Core) replyToBind(to string, request uint64, keys []flow.Key, replicated bool) {
 	reply := &apiv1.BindReply{Request: request, Replicated: replicated}
 	for _, key := range keys {
 		backend := uint32(rule.NoBackend)
 		if kept := core.records[key]; kept != nil {
 			kept.lastSeen = core.now
 			backend = kept.backend
-		} else if entry, found := core.flows.Get(key, key.Hash()); found && !core.reusable(entry) {
+		} else if entry, found := core.flows.Get(key, key.Hash()); found && !core.mayBeReused(entry) {
 			backend = entry.Backend
 		}
 		reply.Backends = append(reply.Backends, backend)
@@ -210,23 +210,23 @@
 // replicate sends new records to their other keeper. One that is not alive is
 // not waited for.
 func (core *Core) replicate(whole *replication, other string, created []flow.Key) {
-	if other == "" || other == core.self.GetId() || !core.alive(other) || core.lacks(GuardReplicate) {
+	if other == "" || other == core.self.GetId() || !core.isAlive(other) || core.lacks(GuardReplicate) {
 		core.confirmRecords(created)
 		return
 	}
-	id := core.identifier()
-	part := &replicationPart{whole: whole, other: other, created: created}
-	part.deadline = core.now + milliseconds(core.config.AskTimeout)/2
+	id := core.newID()
+	part := &replicationPart{replication: whole, other: other, keys: created}
+	part.deadline = core.now + milliseconds(core.config.LookupTimeout)/2
 	core.replications[id] = part
 	whole.waitingFor++
-	core.sendPart(id, part)
+	core.sendReplicationPart(id, part)
 }
 
-func (core *Core) sendPart(id uint64, part *replicationPart) {
-	request := &apiv1.BindRequest{Request: id, Replicated: true, Opens: newBitmap(len(part.created))}
-	for _, key := range part.created {
+func (core *Core) sendReplicationPart(id uint64, part *replicationPart) {
+	request := &apiv1.BindRequest{Request: id, Replicated: true, Opens: newBitmap(len(part.keys))}
+	for _, key := range part.keys {
 		if kept := core.records[key]; kept != nil {
-			if part.whole.reused[key] {
+			if part.replication.reused[key] {
 				setBit(request.Opens, len(request.GetProposals()))
 			}
 			request.Keys = appendKey(request.Keys, key)
@@ -236,31 +236,31 @@
 	core.send(part.other, &apiv1.Envelope{Body: &apiv1.Envelope_BindRequest{BindRequest: request}})
 }
 
-// stepReplicated takes over what the other keeper held already.
-func (core *Core) stepReplicated(reply *apiv1.BindReply) {
+// handleReplicationReply takes over what the other keeper held already.
+func (core *Core) handleReplicationReply(reply *apiv1.BindReply) {
 	part := core.replications[reply.GetRequest()]
 	if part == nil {
 		return
 	}
 	delete(core.replications, reply.GetRequest())
-	if part.answered {
+	if part.replied {
 		return
 	}
-	for index, key := range part.created {
+	for index, key := range part.keys {
 		if index < len(reply.GetBackends()) && reply.GetBackends()[index] != rule.NoBackend {
 			core.setRecord(key, reply.GetBackends()[index], false)
 		}
 	}
-	core.answerPart(part)
+	core.completeReplicationPart(part)
 }
 
-// answerPart lets the asker have its answer when this was the last part.
-func (core *Core) answerPart(part *replicationPart) {
-	part.answered = true
-	core.confirmRecords(part.created)
-	part.whole.waitingFor--
-	if part.whole.waitingFor == 0 {
-		core.answerBind(part.whole.from, part.whole.request, part.whole.keys, false)
+// completeReplicationPart lets the asker have its answer when this was the last part.
+func (core *Core) completeReplicationPart(part *replicationPart) {
+	part.replied = true
+	core.confirmRecords(part.keys)
+	part.replication.waitingFor--
+	if part.replication.waitingFor == 0 {
+		core.replyToBind(part.replication.from, part.replication.request, part.replication.keys, false)
 	}
 }
 
@@ -271,16 +271,16 @@
 		if core.now < part.deadline {
 			continue
 		}
-		if !part.answered {
-			core.answerPart(part)
+		if !part.replied {
+			core.completeReplicationPart(part)
 		}
-		if !core.alive(part.other) {
+		if !core.isAlive(part.other) {
 			delete(core.replications, id)
 			continue
 		}
-		part.retry = min(max(2*part.retry, replicationRetry), replicationRetryMaximum)
-		part.deadline = core.now + part.retry
-		core.sendPart(id, part)
+		part.retryDelay = min(max(2*part.retryDelay, replicationRetryDelay), replicationRetryDelayMaximum)
+		part.deadline = core.now + part.retryDelay
+		core.sendReplicationPart(id, part)
 	}
 }
 
@@ -289,8 +289,8 @@
 	return append(bytes, encoded[:]...)
 }
 
-// readKeys reads keys of 13 bytes each.
-func readKeys(bytes []byte) ([]flow.Key, error) {
+// parseKeys reads keys of 13 bytes each.
+func parseKeys(bytes []byte) ([]flow.Key, error) {
 	keys := make([]flow.Key, 0, len(bytes)/flow.BinarySize)
 	for len(bytes) > 0 {
 		key, err := flow.FromBytes(bytes[:min(len(bytes), flow.BinarySize)])
@@ -303,8 +303,8 @@
 	return keys, nil
 }
 
-// Kept returns the number of records that this node keeps.
-func (core *Core) Kept() int { return len(core.records) }
+// RecordCount returns the number of records that this node keeps.
+func (core *Core) RecordCount() int { return len(core.records) }
 
 // keepersFor returns who keeps a flow's record under a choice of keepers, self
 // included.
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -24,11 +24,11 @@
 	recorded bool
 }
 
-// Mark keeps new flows from a back end, without the store. Marking a marked
+// MarkLeaving keeps new flows from a back end, without the store. Marking a marked
 // back end again changes nothing.
-func (core *Core) Mark(now uint32, backend uint32, reason string) {
+func (core *Core) MarkLeaving(now uint32, backend uint32, reason string) {
 	core.advanceTime(now)
-	if core.marks[backend] != nil || core.settledLeaving(backend) {
+	if core.marks[backend] != nil || core.isLeavingInSettled(backend) {
 		return
 	}
 	incarnation := core.clearedIncarnation(backend) + 1
@@ -40,8 +40,8 @@
 	})
 }
 
-// Marks returns the known marks by back end.
-func (core *Core) Marks() []*apiv1.LeavingMark { return core.markList() }
+// LeavingMarks returns the known marks by back end.
+func (core *Core) LeavingMarks() []*apiv1.LeavingMark { return core.sortedMarks() }
 
 // addMark takes a new mark. A node that does not trust its view yet has opened
 // nothing under it that the others do not know, so it heeds the mark at once.
@@ -49,7 +49,7 @@
 	core.marks[mark.GetBackend()] = &markState{
 		mark:        proto.CloneOf(mark),
 		learnedAt:   core.now,
-		active:      core.now > core.freshUntil(),
+		active:      core.now > core.contactLeaseEnd(),
 		viewVersion: core.viewVersion + 1,
 	}
 	core.viewChanged = true
@@ -62,7 +62,7 @@
 	for _, mark := range marks {
 		known := core.marks[mark.GetBackend()]
 		ended := mark.GetIncarnation() <= core.clearedIncarnation(mark.GetBackend())
-		if ended || core.settledLeaving(mark.GetBackend()) {
+		if ended || core.isLeavingInSettled(mark.GetBackend()) {
 			continue
 		}
 		if known == nil || known.mark.GetIncarnation() < mark.GetIncarnation() {
@@ -72,10 +72,10 @@
 }
 
 func (core *Core) clearedIncarnation(backend uint32) uint64 {
-	return clearedIn(core.document.GetSettled(), backend)
+	return clearedIncarnationIn(core.document.GetSettled(), backend)
 }
 
-func clearedIn(epoch *apiv1.Epoch, backend uint32) uint64 {
+func clearedIncarnationIn(epoch *apiv1.Epoch, backend uint32) uint64 {
 	for _, mark := range epoch.GetClearedMarks() {
 		if mark.GetBackend() == backend {
 			return mark.GetIncarnation()
@@ -89,14 +89,14 @@
 func (core *Core) dropClearedMarks() {
 	for backend, known := range core.marks {
 		ended := known.mark.GetIncarnation() <= core.clearedIncarnation(backend)
-		if ended || core.settledLeaving(backend) {
+		if ended || core.isLeavingInSettled(backend) {
 			delete(core.marks, backend)
 		}
 	}
 }
 
-// settledLeaving reports whether the settled epoch has a back end as leaving.
-func (core *Core) settledLeaving(backend uint32) bool {
+// isLeavingInSettled reports whether the settled epoch has a back end as leaving.
+func (core *Core) isLeavingInSettled(backend uint32) bool {
 	for _, service := range core.document.GetSettled().GetServices() {
 		for _, candidate := range service.GetCandidates() {
 			if candidate.GetBackend() == backend {
@@ -111,20 +111,20 @@
 // marks and has recorded its new flows, else after MarkDelay.
 func (core *Core) tickMarks() {
 	for _, known := range core.marks {
-		core.recordForMark(known)
+		core.recordFlowsForMark(known)
 		if known.active {
 			continue
 		}
 		late := core.now-known.learnedAt >= milliseconds(core.config.MarkDelay)
-		if late || core.marksCompletedByAll() {
+		if late || core.marksCompletedEverywhere() {
 			known.active = true
 			core.viewChanged = true
 		}
 	}
 }
 
-// recordForMark records the flows opened here lately at a marked back end.
-func (core *Core) recordForMark(known *markState) {
+// recordFlowsForMark records the flows opened here lately at a marked back end.
+func (core *Core) recordFlowsForMark(known *markState) {
 	if known.recorded || core.settled == nil || core.viewInForce < known.viewVersion {
 		return
 	}
@@ -132,10 +132,10 @@
 		known.listed = true
 		core.offerEmbryonic(known.mark.GetBackend())
 	}
-	known.recorded = !core.outstanding(purposeMark)
+	known.recorded = !core.hasOutstandingOffers(purposeMark)
 }
 
-func (core *Core) marksCompletedByAll() bool {
+func (core *Core) marksCompletedEverywhere() bool {
 	if !core.marksCompleted() {
 		return false
 	}
@@ -173,7 +173,7 @@
 	return digest
 }
 
-func (core *Core) markList() []*apiv1.LeavingMark {
+func (core *Core) sortedMarks() []*apiv1.LeavingMark {
 	marks := make([]*apiv1.LeavingMark, 0, len(core.marks))
 	for _, known := range core.marks {
 		marks = append(marks, known.mark)
@@ -190,9 +190,9 @@
 	return known
 }
 
-// leaving are the back ends that take no new flows, by a mark or by the settled
+// leavingBackends are the back ends that take no new flows, by a mark or by the settled
 // rule.
-func (core *Core) leaving() map[uint32]bool {
+func (core *Core) leavingBackends() map[uint32]bool {
 	leaving := core.knownMarks()
 	for _, service := range core.document.GetSettled().GetServices() {
 		for _, candidate := range service.GetCandidates() {
@@ -210,7 +210,7 @@
 	active := make(map[uint32]bool, len(core.marks))
 	for backend, known := range core.marks {
 		cleared := core.phase >= router.PhaseActive &&
-			known.mark.GetIncarnation() <= clearedIn(core.document.GetPending(), backend)
+			known.mark.GetIncarnation() <= clearedIncarnationIn(core.document.GetPending(), backend)
 		if known.active && !cleared {
 			active[backend] = true
 		}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -15,29 +15,29 @@
 	// before the first one.
 	lastHeard uint32
 	heard     bool
-	// confirmed is the sending time of the newest heartbeat that the peer has
+	// confirmedSentAt is the sending time of the newest heartbeat that the peer has
 	// confirmed; hasConfirmed is false before the first one.
-	confirmed    uint32
-	hasConfirmed bool
-	sequence     uint64
-	sentAt       map[uint64]uint32
-	progress     *apiv1.Progress
-	// confirmedTo is when this node last confirmed a heartbeat of the peer;
-	// hasConfirmedTo is false before the first one.
-	confirmedTo    uint32
-	hasConfirmedTo bool
+	confirmedSentAt uint32
+	hasConfirmed    bool
+	sequence        uint64
+	sentAt          map[uint64]uint32
+	progress        *apiv1.Progress
+	// lastReplyAt is when this node last confirmed a heartbeat of the peer;
+	// hasReplied is false before the first one.
+	lastReplyAt uint32
+	hasReplied  bool
 }
 
-const sentTimesKept = 16
+const maxSentTimes = 16
 
-// stateRetry is after how many milliseconds a node that lacks state asks again,
+// stateRetryInterval is after how many milliseconds a node that lacks state asks again,
 // the same peer or another. News usually comes from several peers at once; one
 // answer is enough.
-const stateRetry = 100
+const stateRetryInterval = 100
 
-// Meet tells the core of another node, from the settings, the platform's list
+// AddPeer tells the core of another node, from the settings, the platform's list
 // or the document. It is a hint: the peer counts once it answers.
-func (core *Core) Meet(member *apiv1.Member) {
+func (core *Core) AddPeer(member *apiv1.Member) {
 	if member.GetId() == core.self.GetId() || member.GetId() == "" {
 		return
 	}
@@ -51,16 +51,16 @@
 	core.sendHeartbeat(fresh)
 }
 
-// noteSender records that a peer was heard and reports whether its message
+// checkSender records that a peer was heard and reports whether its message
 // counts.
-func (core *Core) noteSender(envelope *apiv1.Envelope) bool {
+func (core *Core) checkSender(envelope *apiv1.Envelope) bool {
 	member := envelope.GetHeartbeat().GetMember()
 	known := core.peers[envelope.GetFrom()]
 	if known == nil || envelope.GetIncarnation() > known.member.GetIncarnation() {
 		if member.GetId() != envelope.GetFrom() {
 			return false
 		}
-		core.Meet(member)
+		core.AddPeer(member)
 		known = core.peers[envelope.GetFrom()]
 	}
 	if known == nil || envelope.GetIncarnation() < known.member.GetIncarnation() {
@@ -76,29 +76,29 @@
 
 func (core *Core) tickMembership() {
 	interval := milliseconds(core.config.HeartbeatInterval)
-	if core.document != nil && core.isolated() {
-		interval = min(interval, isolatedHeartbeat)
+	if core.document != nil && core.isIsolated() {
+		interval = min(interval, isolatedHeartbeatInterval)
 	}
 	if core.lastHeartbeat != 0 && core.now-core.lastHeartbeat < interval {
 		return
 	}
 	core.lastHeartbeat = max(core.now, 1)
 	core.broadcastHeartbeat()
-	core.forgetPeers()
+	core.removeStalePeers()
 }
 
 func (core *Core) broadcastHeartbeat() {
 	for _, id := range sortedKeys(core.peers) {
 		core.sendHeartbeat(core.peers[id])
 	}
-	core.progressSent = core.progress()
+	core.lastProgressSent = core.progress()
 }
 
-// broadcastNews sends progress that needs no confirmation.
-func (core *Core) broadcastNews() {
-	core.progressSent = core.progress()
+// broadcastProgressUpdate sends progress that needs no confirmation.
+func (core *Core) broadcastProgressUpdate() {
+	core.lastProgressSent = core.progress()
 	for _, id := range sortedKeys(core.peers) {
-		news := &apiv1.Heartbeat{Progress: core.progressSent}
+		news := &apiv1.Heartbeat{Progress: core.lastProgressSent}
 		core.send(id, &apiv1.Envelope{Body: &apiv1.Envelope_Heartbeat{Heartbeat: news}})
 	}
 }
@@ -106,28 +106,28 @@
 func (core *Core) sendHeartbeat(to *peer) {
 	to.sequence++
 	to.sentAt[to.sequence] = core.now
-	delete(to.sentAt, to.sequence-sentTimesKept)
+	delete(to.sentAt, to.sequence-maxSentTimes)
 	heartbeat := &apiv1.Heartbeat{Sequence: to.sequence, Progress: core.progress()}
-	silent := core.now-to.confirmed > milliseconds(core.config.FencingTime)
+	silent := core.now-to.confirmedSentAt > milliseconds(core.config.FencingTime)
 	if !to.hasConfirmed || silent || core.self.GetLeaving() {
 		heartbeat.Member = core.self
 	}
 	core.send(to.member.GetId(), &apiv1.Envelope{Body: &apiv1.Envelope_Heartbeat{Heartbeat: heartbeat}})
 }
 
-// broadcastProgress sends news at once instead of with the next heartbeat.
-func (core *Core) broadcastProgress() {
-	if core.progressSent != nil && !proto.Equal(core.progressSent, core.progress()) {
-		core.broadcastNews()
+// broadcastProgressIfChanged sends news at once instead of with the next heartbeat.
+func (core *Core) broadcastProgressIfChanged() {
+	if core.lastProgressSent != nil && !proto.Equal(core.lastProgressSent, core.progress()) {
+		core.broadcastProgressUpdate()
 	}
 }
 
-// stepHeartbeat confirms a heartbeat, unless a document under way fences the
+// handleHeartbeat confirms a heartbeat, unless a document under way fences the
 // sender. A sender that is not a member is told how far this node is.
-func (core *Core) stepHeartbeat(from string, heartbeat *apiv1.Heartbeat) {
-	core.noteProgress(from, heartbeat.GetProgress())
+func (core *Core) handleHeartbeat(from string, heartbeat *apiv1.Heartbeat) {
+	core.updateProgress(from, heartbeat.GetProgress())
 	known := core.peers[from]
-	if heartbeat.GetSequence() == 0 || core.fencedIn(core.heldBack, known.member) {
+	if heartbeat.GetSequence() == 0 || core.isFencedIn(core.deferredDocument, known.member) {
 		return
 	}
 	reply := &apiv1.HeartbeatReply{Sequence: heartbeat.GetSequence()}
@@ -135,16 +135,16 @@
 	if member == nil || member.GetIncarnation() != known.member.GetIncarnation() {
 		reply.Progress = core.progress()
 	}
-	known.confirmedTo = core.now
-	known.hasConfirmedTo = true
+	known.lastReplyAt = core.now
+	known.hasReplied = true
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_HeartbeatReply{HeartbeatReply: reply}})
 	if !known.hasConfirmed && heartbeat.GetMember() != nil {
 		core.sendHeartbeat(known)
 	}
 }
 
-// noteProgress keeps a peer's progress and asks for what it is ahead in.
-func (core *Core) noteProgress(from string, progress *apiv1.Progress) {
+// updateProgress keeps a peer's progress and asks for what it is ahead in.
+func (core *Core) updateProgress(from string, progress *apiv1.Progress) {
 	if progress == nil {
 		return
 	}
@@ -155,9 +155,9 @@
 		progress.GetConfigurationRevision() > core.configuration.GetRevision() ||
 		progress.GetMarksDigest() != core.marksDigest() ||
 		core.lacksParticipant(progress)
-	recently := core.stateAskedAt != 0 && core.now-core.stateAskedAt < stateRetry
+	recently := core.stateRequestedAt != 0 && core.now-core.stateRequestedAt < stateRetryInterval
 	if ahead && !recently {
-		core.stateAskedAt = max(core.now, 1)
+		core.stateRequestedAt = max(core.now, 1)
 		core.requestState(from)
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	members := core.members()
 	for _, id := range sortedKeys(core.peers) {
-		if members[id] == nil && core.alive(id) {
+		if members[id] == nil && core.isAlive(id) {
 			progress.Participants = append(progress.Participants, id)
 		}
 	}
@@ -200,7 +200,7 @@
 	members := make(map[string]*apiv1.Member)
 	for _, epoch := range []*apiv1.Epoch{core.document.GetSettled(), core.document.GetPending()} {
 		for _, member := range epoch.GetMembers() {
-			if !core.fenced(member) {
+			if !core.isFenced(member) {
 				members[member.GetId()] = member
 			}
 		}
@@ -208,11 +208,11 @@
 	return members
 }
 
-func (core *Core) fenced(member *apiv1.Member) bool {
-	return core.fencedIn(core.document, member)
+func (core *Core) isFenced(member *apiv1.Member) bool {
+	return core.isFencedIn(core.document, member)
 }
 
-func (core *Core) fencedIn(document *apiv1.EpochDocument, member *apiv1.Member) bool {
+func (core *Core) isFencedIn(document *apiv1.EpochDocument, member *apiv1.Member) bool {
 	for _, fenced := range document.GetFenced() {
 		if fenced.GetId() == member.GetId() && fenced.GetIncarnation() >= member.GetIncarnation() {
 			return true
@@ -227,8 +227,8 @@
 	return member != nil && member.GetIncarnation() == core.self.GetIncarnation()
 }
 
-// forgetPeers drops nodes that are neither members nor heard for a long time.
-func (core *Core) forgetPeers() {
+// removeStalePeers drops nodes that are neither members nor heard for a long time.
+func (core *Core) removeStalePeers() {
 	members := core.members()
 	for id, known := range core.peers {
 		silent := core.now - known.lastHeard
@@ -246,7 +246,7 @@
 		live = append(live, core.self)
 	}
 	for id, known := range core.peers {
-		if core.alive(id) && !known.member.GetLeaving() {
+		if core.isAlive(id) && !known.member.GetLeaving() {
 			live = append(live, known.member)
 		}
 	}
@@ -264,10 +264,10 @@
 	}
 }
 
-// Released reports whether no epoch names this node any more: what it held is
+// CanStop reports whether no epoch names this node any more: what it held is
 // recorded elsewhere. When all live nodes are stopping, there is nobody to hand
 // over to.
-func (core *Core) Released() bool {
+func (core *Core) CanStop() bool {
 	if !core.self.GetLeaving() {
 		return false
 	}
--- a/internal/core/offer.go
+++ b/internal/core/offer.go
@@ -16,7 +16,7 @@
 	id      uint64
 	purpose offerPurpose
 	keeper  string
-	flows   []heldFlow
+	flows   []assignedFlow
 	// stage is what is sent next, or was sent and is not answered.
 	stage offerStage
 	// sentAt is when it was sent; 0 is not yet.
@@ -49,18 +49,18 @@
 	// flowsPerBucket weighs the digests' bytes against the fingerprints of
 	// differing buckets.
 	flowsPerBucket = 6
-	// digestMinimum is the number of flows below which digests do not pay.
-	digestMinimum = 16
+	// minDigestFlows is the number of flows below which digests do not pay.
+	minDigestFlows = 16
 )
 
-// offerRetry is after how many milliseconds an unanswered offer is sent again.
-const offerRetry = 300
+// offerRetryInterval is after how many milliseconds an unanswered offer is sent again.
+const offerRetryInterval = 300
 
-// offerBurst is how many seconds of the budget may be saved up.
-const offerBurst = 0.5
+// maxBurstSeconds is how many seconds of the budget may be saved up.
+const maxBurstSeconds = 0.5
 
-// maximumDebt is how many seconds of the budget may be owed.
-const maximumDebt = 1.0
+// maxDebtSeconds is how many seconds of the budget may be owed.
+const maxDebtSeconds = 1.0
 
 // offerOverhead approximates the bytes of an envelope around an offer.
 const offerOverhead = 40
@@ -68,19 +68,19 @@
 // offerFlows lists flows for the keepers of the target epoch and starts to
 // send them, as fast as the budget allows. What this node keeps itself is
 // recorded at once.
-func (core *Core) offerFlows(purpose offerPurpose, flows []heldFlow) {
-	byKeeper := make(map[string][]heldFlow)
+func (core *Core) offerFlows(purpose offerPurpose, flows []assignedFlow) {
+	byKeeper := make(map[string][]assignedFlow)
 	for _, held := range flows {
 		for _, keeper := range keepersFor(core.pendingKeeper, held.key) {
 			if keeper == core.self.GetId() {
-				core.recordHeld(held)
+				core.recordFlow(held)
 				continue
 			}
 			byKeeper[keeper] = append(byKeeper[keeper], held)
 		}
 	}
 	for _, keeper := range sortedKeys(byKeeper) {
-		if len(byKeeper[keeper]) < digestMinimum || purpose == purposeMark {
+		if len(byKeeper[keeper]) < minDigestFlows || purpose == purposeMark {
 			core.queueOffers(purpose, keeper, byKeeper[keeper])
 			continue
 		}
@@ -88,8 +88,8 @@
 	}
 }
 
-// outstanding reports whether an offer of a purpose is unanswered.
-func (core *Core) outstanding(purpose offerPurpose) bool {
+// hasOutstandingOffers reports whether an offer of a purpose is unanswered.
+func (core *Core) hasOutstandingOffers(purpose offerPurpose) bool {
 	for _, waiting := range core.offers {
 		if waiting.purpose == purpose {
 			return true
@@ -107,13 +107,13 @@
 	}
 }
 
-func (core *Core) recordHeld(held heldFlow) {
+func (core *Core) recordFlow(held assignedFlow) {
 	if core.records[held.key] == nil && len(core.records) < core.config.MaximumRecords {
 		core.setRecord(held.key, held.backend, false)
 	}
 }
 
-func (core *Core) queueOffers(purpose offerPurpose, keeper string, flows []heldFlow) {
+func (core *Core) queueOffers(purpose offerPurpose, keeper string, flows []assignedFlow) {
 	for len(flows) > 0 {
 		count := min(core.config.OfferSize, len(flows))
 		core.queueOffer(&offer{purpose: purpose, keeper: keeper, flows: flows[:count], stage: stageFingerprints})
@@ -122,7 +122,7 @@
 }
 
 func (core *Core) queueOffer(queued *offer) {
-	queued.id = core.identifier()
+	queued.id = core.newID()
 	core.offers[queued.id] = queued
 	core.offerQueue = append(core.offerQueue, queued)
 }
@@ -131,33 +131,33 @@
 // were not answered. An offer to a keeper that is fenced meanwhile is dropped.
 func (core *Core) tickOffers() {
 	rate := float64(core.config.RecordBytesPerSecond)
-	core.offerTokens = min(core.offerTokens+rate*float64(core.now-core.offerAt)/1000, rate*offerBurst)
-	core.offerAt = core.now
+	core.budgetTokens = min(core.budgetTokens+rate*float64(core.now-core.budgetUpdatedAt)/1000, rate*maxBurstSeconds)
+	core.budgetUpdatedAt = core.now
 	members := core.members()
 	for id, waiting := range core.offers {
 		if members[waiting.keeper] == nil {
 			delete(core.offers, id)
 		}
 	}
-	core.sendQueued()
+	core.sendQueuedOffers()
 	for _, waiting := range core.offers {
-		if waiting.sentAt != 0 && core.now-waiting.sentAt >= offerRetry {
+		if waiting.sentAt != 0 && core.now-waiting.sentAt >= offerRetryInterval {
 			waiting.sentAt = 0
 			core.offerQueue = append(core.offerQueue, waiting)
 		}
 	}
 }
 
-// sendQueued sends what the budget allows. Offers of newly opened flows go at
+// sendQueuedOffers sends what the budget allows. Offers of newly opened flows go at
 // once: they are few, and until they are answered new flows still follow the
 // old rule.
-func (core *Core) sendQueued() {
+func (core *Core) sendQueuedOffers() {
 	queue := core.offerQueue
 	core.offerQueue = nil
 	for _, next := range queue {
 		switch {
 		case core.offers[next.id] == nil:
-		case core.offerTokens > 0 || core.urgent(next):
+		case core.budgetTokens > 0 || core.isUrgent(next):
 			core.sendOffer(next)
 		default:
 			core.offerQueue = append(core.offerQueue, next)
@@ -165,15 +165,15 @@
 	}
 }
 
-func (core *Core) urgent(waiting *offer) bool {
+func (core *Core) isUrgent(waiting *offer) bool {
 	return waiting.purpose == purposeMark || waiting.purpose == purposePhase && core.phase == router.PhaseLearned
 }
 
-// spend charges the budget for bytes that are sent, up to a bounded debt: a
+// spendBudget charges the budget for bytes that are sent, up to a bounded debt: a
 // large filter must not hold up the offers after it for long.
-func (core *Core) spend(bytes int) {
-	debt := -maximumDebt * float64(core.config.RecordBytesPerSecond)
-	core.offerTokens = max(debt, core.offerTokens-float64(bytes+offerOverhead))
+func (core *Core) spendBudget(bytes int) {
+	debt := -maxDebtSeconds * float64(core.config.RecordBytesPerSecond)
+	core.budgetTokens = max(debt, core.budgetTokens-float64(bytes+offerOverhead))
 }
 
 func (core *Core) sendOffer(next *offer) {
@@ -203,32 +203,32 @@
 	for _, held := range next.flows {
 		addToDigest(digests, fingerprintOf(held.key))
 	}
-	core.spend(len(digests))
-	message := &apiv1.RecordDigest{Offer: next.id, EpochNumber: core.targetNumber(), Digests: digests}
+	core.spendBudget(len(digests))
+	message := &apiv1.RecordDigest{Offer: next.id, EpochNumber: core.targetEpochNumber(), Digests: digests}
 	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordDigest{RecordDigest: message}})
 }
 
-// targetNumber is the epoch from which the offered flows are displaced.
-func (core *Core) targetNumber() uint64 {
+// targetEpochNumber is the epoch from which the offered flows are displaced.
+func (core *Core) targetEpochNumber() uint64 {
 	if core.pending != nil {
 		return core.pending.Number
 	}
 	return core.settled.Number
 }
 
-// stepRecordDigest compares a digest with this node's own records of flows that
+// handleRecordDigest compares a digest with this node's own records of flows that
 // are displaced from the same epoch. A node at another epoch does not answer;
 // the offer comes again.
-func (core *Core) stepRecordDigest(from string, message *apiv1.RecordDigest) {
+func (core *Core) handleRecordDigest(from string, message *apiv1.RecordDigest) {
 	count := len(message.GetDigests()) / digestSize
-	if core.settled == nil || message.GetEpochNumber() != core.targetNumber() || count == 0 {
+	if core.settled == nil || message.GetEpochNumber() != core.targetEpochNumber() || count == 0 {
 		return
 	}
 	core.recordOwnFlows()
 	digests := make([]byte, count*digestSize)
 	for key, kept := range core.records {
 		first, second := core.pendingKeeper.Pick(key.Hash())
-		if (first == core.self.GetId() || second == core.self.GetId()) && core.displaced(key, kept.backend) {
+		if (first == core.self.GetId() || second == core.self.GetId()) && core.isDisplaced(key, kept.backend) {
 			addToDigest(digests, fingerprintOf(key))
 		}
 	}
@@ -239,35 +239,35 @@
 			setBit(mismatch.Bitmap, bucket)
 		}
 	}
-	core.spend(len(mismatch.Bitmap))
+	core.spendBudget(len(mismatch.Bitmap))
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_RecordMismatch{RecordMismatch: mismatch}})
 }
 
 // recordOwnFlows records the displaced flows of this node's table that it
 // keeps, so that its digests can match. It does so once an epoch.
 func (core *Core) recordOwnFlows() {
-	if core.ownRecorded == core.targetNumber() {
+	if core.ownFlowsRecordedEpoch == core.targetEpochNumber() {
 		return
 	}
-	core.ownRecorded = core.targetNumber()
+	core.ownFlowsRecordedEpoch = core.targetEpochNumber()
 	for _, held := range core.displacedFlows() {
 		for _, keeper := range keepersFor(core.pendingKeeper, held.key) {
 			if keeper == core.self.GetId() {
-				core.recordHeld(held)
+				core.recordFlow(held)
 			}
 		}
 	}
 }
 
-// stepRecordMismatch offers the flows of the differing buckets.
-func (core *Core) stepRecordMismatch(from string, message *apiv1.RecordMismatch) {
+// handleRecordMismatch offers the flows of the differing buckets.
+func (core *Core) handleRecordMismatch(from string, message *apiv1.RecordMismatch) {
 	waiting := core.offers[message.GetOffer()]
 	if waiting == nil || waiting.keeper != from || waiting.stage != stageDigest {
 		return
 	}
 	delete(core.offers, waiting.id)
 	count := fingerprint(bucketCount(len(waiting.flows)))
-	var differing []heldFlow
+	var differing []assignedFlow
 	for _, held := range waiting.flows {
 		if hasBit(message.GetBitmap(), int(fingerprintOf(held.key)%count)) {
 			differing = append(differing, held)
@@ -282,7 +282,7 @@
 	for _, held := range next.flows {
 		prints = appendFingerprint(prints, fingerprintOf(held.key))
 	}
-	core.spend(len(prints))
+	core.spendBudget(len(prints))
 	message := &apiv1.RecordOffer{Offer: next.id, Fingerprints: prints}
 	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordOffer{RecordOffer: message}})
 }
@@ -293,29 +293,29 @@
 		batch.Keys = appendKey(batch.Keys, held.key)
 		batch.Backends = append(batch.Backends, held.backend)
 	}
-	core.spend(len(batch.Keys) + 2*len(batch.Backends))
+	core.spendBudget(len(batch.Keys) + 2*len(batch.Backends))
 	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordBatch{RecordBatch: batch}})
 }
 
-func (core *Core) stepRecordOffer(from string, message *apiv1.RecordOffer) {
+func (core *Core) handleRecordOffer(from string, message *apiv1.RecordOffer) {
 	count := len(message.GetFingerprints()) / fingerprintSize
 	wanted := &apiv1.RecordWanted{Offer: message.GetOffer(), Bitmap: newBitmap(count)}
 	for index := range count {
-		print := readFingerprint(message.GetFingerprints()[index*fingerprintSize:])
+		print := parseFingerprint(message.GetFingerprints()[index*fingerprintSize:])
 		if core.fingerprints[print] == 0 {
 			setBit(wanted.Bitmap, index)
 		}
 	}
-	core.spend(len(wanted.Bitmap))
+	core.spendBudget(len(wanted.Bitmap))
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_RecordWanted{RecordWanted: wanted}})
 }
 
-func (core *Core) stepRecordWanted(from string, message *apiv1.RecordWanted) {
+func (core *Core) handleRecordWanted(from string, message *apiv1.RecordWanted) {
 	waiting := core.offers[message.GetOffer()]
 	if waiting == nil || waiting.keeper != from || waiting.stage != stageFingerprints {
 		return
 	}
-	var wanted []heldFlow
+	var wanted []assignedFlow
 	for index, held := range waiting.flows {
 		if hasBit(message.GetBitmap(), index) {
 			wanted = append(wanted, held)
@@ -332,18 +332,18 @@
 	core.tickOffers()
 }
 
-func (core *Core) stepRecordBatch(from string, batch *apiv1.RecordBatch) {
-	keys, err := readKeys(batch.GetKeys())
+func (core *Core) handleRecordBatch(from string, batch *apiv1.RecordBatch) {
+	keys, err := parseKeys(batch.GetKeys())
 	if err != nil || len(keys) != len(batch.GetBackends()) {
 		return
 	}
 	for index, key := range keys {
-		core.recordHeld(heldFlow{key: key, backend: batch.GetBackends()[index]})
+		core.recordFlow(assignedFlow{key: key, backend: batch.GetBackends()[index]})
 	}
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_RecordAck{RecordAck: &apiv1.RecordAck{Offer: batch.GetOffer()}}})
 }
 
-func (core *Core) stepRecordAck(from string, ack *apiv1.RecordAck) {
+func (core *Core) handleRecordAck(from string, ack *apiv1.RecordAck) {
 	if waiting := core.offers[ack.GetOffer()]; waiting != nil && waiting.keeper == from {
 		delete(core.offers, ack.GetOffer())
 	}
@@ -355,7 +355,7 @@
 	return append(prints, buffer[:fingerprintSize]...)
 }
 
-func readFingerprint(prints []byte) fingerprint {
+func parseFingerprint(prints []byte) fingerprint {
 	var buffer [8]byte
 	copy(buffer[:fingerprintSize], prints)
 	return fingerprint(binary.LittleEndian.Uint64(buffer[:]))
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -7,8 +7,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// duty is what a node must do before it has completed its phase.
-type duty struct {
+// phaseTask is what a node must do before it has completed its phase.
+type phaseTask struct {
 	// started is set once the flows to record have been listed.
 	started bool
 	// viewVersion must be in force before the duty starts.
@@ -17,31 +17,31 @@
 	done bool
 }
 
-func (core *Core) startDuty() {
-	core.duty = duty{viewVersion: core.viewVersion + 1}
+func (core *Core) startPhaseTask() {
+	core.phaseTask = phaseTask{viewVersion: core.viewVersion + 1}
 	core.dropOffers(purposePhase)
 	core.viewChanged = true
 }
 
-// tickDuty works on what the phase asks for: nothing but records of flows is
+// tickPhaseTask works on what the phase asks for: nothing but records of flows is
 // needed to complete learned and active, and the filters to complete flipped.
-func (core *Core) tickDuty() {
+func (core *Core) tickPhaseTask() {
 	core.tickRejoin()
-	if core.pending == nil || core.duty.done || core.viewInForce < core.duty.viewVersion {
+	if core.pending == nil || core.phaseTask.done || core.viewInForce < core.phaseTask.viewVersion {
 		return
 	}
-	if !core.duty.started {
-		core.duty.started = true
-		core.listFlows()
+	if !core.phaseTask.started {
+		core.phaseTask.started = true
+		core.offerPhaseFlows()
 	}
-	if core.outstanding(purposePhase) || core.phase == router.PhaseFlipped && !core.hasPendingFilters() {
+	if core.hasOutstandingOffers(purposePhase) || core.phase == router.PhaseFlipped && !core.hasPendingFilters() {
 		return
 	}
-	core.duty.done = true
+	core.phaseTask.done = true
 	core.completed = core.phase
 }
 
-func (core *Core) listFlows() {
+func (core *Core) offerPhaseFlows() {
 	switch core.phase {
 	case router.PhaseLearned:
 		core.offerFlows(purposePhase, core.embryonicFlows(rule.NoBackend))
@@ -50,8 +50,8 @@
 	}
 }
 
-// heldFlow is one flow and the back end that holds it.
-type heldFlow struct {
+// assignedFlow is one flow and the back end that holds it.
+type assignedFlow struct {
 	key     flow.Key
 	backend uint32
 }
@@ -64,19 +64,19 @@
 // embryonicFlows are the flows opened here of which nothing but the SYN has been
 // seen, so lately that it may come again elsewhere, and on which the rules differ; with a back end, only those
 // that it holds.
-func (core *Core) embryonicFlows(backend uint32) []heldFlow {
+func (core *Core) embryonicFlows(backend uint32) []assignedFlow {
 	if core.lacks(GuardEmbryonic) {
 		return nil
 	}
 	retry := milliseconds(core.config.SynRetryTime)
-	var flows []heldFlow
+	var flows []assignedFlow
 	for shard := range flowtable.ShardCount {
 		core.flows.Visit(shard, func(key flow.Key, entry flowtable.Entry) bool {
 			opening := entry.Flags&(flowtable.FlagOpenedHere|flowtable.FlagEstablished) == flowtable.FlagOpenedHere
 			young := opening && core.now-entry.LastSeen <= retry
 			wanted := backend == rule.NoBackend || backend == entry.Backend
 			if young && wanted && core.view.Ambiguous(key, key.Hash()) {
-				flows = append(flows, heldFlow{key: key, backend: entry.Backend})
+				flows = append(flows, assignedFlow{key: key, backend: entry.Backend})
 			}
 			return true
 		})
@@ -86,39 +86,39 @@
 
 // displacedFlows are the flows in the table and among the kept records whose
 // back end differs from the target rule.
-func (core *Core) displacedFlows() []heldFlow {
+func (core *Core) displacedFlows() []assignedFlow {
 	if core.lacks(GuardRecord) {
 		return nil
 	}
-	var flows []heldFlow
+	var flows []assignedFlow
 	for shard := range flowtable.ShardCount {
 		core.flows.Visit(shard, func(key flow.Key, entry flowtable.Entry) bool {
-			if core.displaced(key, entry.Backend) {
-				flows = append(flows, heldFlow{key: key, backend: entry.Backend})
+			if core.isDisplaced(key, entry.Backend) {
+				flows = append(flows, assignedFlow{key: key, backend: entry.Backend})
 			}
 			return true
 		})
 	}
 	for key, kept := range core.records {
 		_, inTable := core.flows.Get(key, key.Hash())
-		if !inTable && core.displaced(key, kept.backend) {
-			flows = append(flows, heldFlow{key: key, backend: kept.backend})
+		if !inTable && core.isDisplaced(key, kept.backend) {
+			flows = append(flows, assignedFlow{key: key, backend: kept.backend})
 		}
 	}
 	return flows
 }
 
-// displaced reports whether a flow's back end differs from the target rule:
+// isDisplaced reports whether a flow's back end differs from the target rule:
 // the pending one when there is one, else the settled one.
-func (core *Core) displaced(key flow.Key, backend uint32) bool {
+func (core *Core) isDisplaced(key flow.Key, backend uint32) bool {
 	target := core.settled
 	if core.pending != nil {
 		target = core.pending
 	}
-	return displacedFrom(target, key, backend)
+	return isDisplacedFrom(target, key, backend)
 }
 
-func displacedFrom(target *rule.Set, key flow.Key, backend uint32) bool {
+func isDisplacedFrom(target *rule.Set, key flow.Key, backend uint32) bool {
 	found := target.Rule(key.Address())
 	return found != nil && found.Pick(key.Hash()) != backend && backend != rule.NoBackend
 }
@@ -131,7 +131,7 @@
 		ids[id] = true
 	}
 	for id, known := range core.peers {
-		if ids[id] || core.alive(id) {
+		if ids[id] || core.isAlive(id) {
 			ids[id] = true
 			for _, joined := range known.progress.GetParticipants() {
 				ids[joined] = true
@@ -154,16 +154,16 @@
 			waiting = append(waiting, id)
 		}
 	}
-	if !core.fenceKnown() {
+	if !core.majorityKnowsFencing() {
 		waiting = append(waiting, "fence")
 	}
 	return waiting
 }
 
-// fenceKnown reports whether a majority of the members, the fenced included,
+// majorityKnowsFencing reports whether a majority of the members, the fenced included,
 // has taken the document that fences. Only then has a fenced node's contact
 // lease run out for certain.
-func (core *Core) fenceKnown() bool {
+func (core *Core) majorityKnowsFencing() bool {
 	if len(core.document.GetFenced()) == 0 {
 		return true
 	}
@@ -179,7 +179,7 @@
 		}
 	}
 	all := len(members) + len(core.document.GetFenced())
-	lost := core.lostMajority(members) || len(members)*2 <= all
+	lost := core.hasLostMajority(members) || len(members)*2 <= all
 	return known*2 > all || lost && known == len(members)
 }
 
@@ -206,7 +206,7 @@
 		return
 	}
 	core.phase++
-	core.startDuty()
+	core.startPhaseTask()
 }
 
 // WaitingFor lists the nodes that a pending epoch waits for.
--- a/internal/core/publish.go
+++ b/internal/core/publish.go
@@ -15,10 +15,10 @@
 type publishState struct {
 	// wantedSince is when this node first wanted to write; 0 is not.
 	wantedSince uint32
-	// trying is set while a write is under way.
-	trying   bool
-	triedAt  uint32
-	failures uint32
+	// writing is set while a write is under way.
+	writing        bool
+	writeStartedAt uint32
+	failures       uint32
 }
 
 const (
@@ -38,7 +38,7 @@
 	core.advanceTime(now)
 	core.desired = services
 	core.desiredCleared = cleared
-	core.desiredFrom = revision
+	core.desiredRevision = revision
 	core.hasDesired = true
 }
 
@@ -46,7 +46,7 @@
 // failed: the document is read again before the next try.
 func (core *Core) WriteDone(now uint32, written bool) {
 	core.advanceTime(now)
-	core.publish.trying = false
+	core.publish.writing = false
 	if written {
 		core.publish.failures = 0
 		return
@@ -58,12 +58,12 @@
 // tickPublish writes the document when there is reason to and this node's turn
 // has come.
 func (core *Core) tickPublish() {
-	if core.publish.trying && core.now-core.publish.triedAt < writeTimeout {
+	if core.publish.writing && core.now-core.publish.writeStartedAt < writeTimeout {
 		return
 	}
-	core.publish.trying = false
+	core.publish.writing = false
 	var next *apiv1.EpochDocument
-	if core.mayPublish() {
+	if core.canPublish() {
 		next = core.nextDocument()
 	}
 	if next == nil {
@@ -76,20 +76,20 @@
 	if core.now-core.publish.wantedSince < core.publishDelay() {
 		return
 	}
-	core.publish.trying = true
-	core.publish.triedAt = core.now
+	core.publish.writing = true
+	core.publish.writeStartedAt = core.now
 	core.out.Write = &DocumentWrite{Document: next}
 }
 
-// mayPublish reports whether this node may write: it is in contact with a
+// canPublish reports whether this node may write: it is in contact with a
 // majority, or there is no document yet, or the majority has been silent for
 // RecoveryTime. Without this, the two sides of a cut would take turns in
 // publishing epochs that name only themselves.
-func (core *Core) mayPublish() bool {
-	if core.document == nil || core.now <= core.freshUntil() || core.lacks(GuardPublish) {
+func (core *Core) canPublish() bool {
+	if core.document == nil || core.now <= core.contactLeaseEnd() || core.lacks(GuardPublish) {
 		return true
 	}
-	return core.isMember() && core.lostMajority(core.members()) || core.groupLost()
+	return core.isMember() && core.hasLostMajority(core.members()) || core.isGroupLost()
 }
 
 // publishDelay is this node's back-off: its rank among the live members, and
@@ -121,22 +121,22 @@
 	}
 	next := proto.CloneOf(core.document)
 	next.Version++
-	if core.groupLost() {
+	if core.isGroupLost() {
 		return core.restartGroup(next)
 	}
 	fence := core.membersToFence()
 	next.Fenced = append(next.Fenced, fence...)
 	if core.pending != nil {
-		return core.nextOfPending(next, len(fence) > 0)
+		return core.nextForPending(next, len(fence) > 0)
 	}
-	if !core.wantsEpoch() && len(fence) == 0 {
+	if !core.needsEpoch() && len(fence) == 0 {
 		return nil
 	}
 	next.Pending = core.nextEpoch(core.document.GetSettled().GetNumber() + 1)
 	return next
 }
 
-func (core *Core) nextOfPending(next *apiv1.EpochDocument, fences bool) *apiv1.EpochDocument {
+func (core *Core) nextForPending(next *apiv1.EpochDocument, fences bool) *apiv1.EpochDocument {
 	complete := core.phase == router.PhaseFlipped && core.completed == router.PhaseFlipped &&
 		len(core.waitingFor(router.PhaseFlipped)) == 0
 	if complete {
@@ -154,7 +154,7 @@
 func (core *Core) nextEpoch(number uint64) *apiv1.Epoch {
 	return &apiv1.Epoch{
 		Number:                number,
-		ConfigurationRevision: core.desiredFrom,
+		ConfigurationRevision: core.desiredRevision,
 		Services:              core.desiredServices(),
 		Members:               core.liveMembers(),
 		ClearedMarks:          core.clearedMarks(),
@@ -162,24 +162,24 @@
 	}
 }
 
-// wantsEpoch reports whether the desired rules or the live members differ from
+// needsEpoch reports whether the desired rules or the live members differ from
 // the settled epoch. Members must have been stable for MemberDelay.
-func (core *Core) wantsEpoch() bool {
+func (core *Core) needsEpoch() bool {
 	settled := core.document.GetSettled()
-	if core.desiredFrom < settled.GetConfigurationRevision() {
+	if core.desiredRevision < settled.GetConfigurationRevision() {
 		return false
 	}
-	if core.desiredFrom > settled.GetConfigurationRevision() {
+	if core.desiredRevision > settled.GetConfigurationRevision() {
 		return true
 	}
 	rested := core.now-core.acceptedAt >= milliseconds(core.config.RuleInterval)
-	if rested && !sameServices(settled.GetServices(), core.desiredServices()) {
+	if rested && !equalServices(settled.GetServices(), core.desiredServices()) {
 		return true
 	}
 	return core.membersDiffer(settled)
 }
 
-func sameServices(left, right []*apiv1.ServiceRule) bool {
+func equalServices(left, right []*apiv1.ServiceRule) bool {
 	if len(left) != len(right) {
 		return false
 	}
@@ -192,18 +192,18 @@
 }
 
 func (core *Core) membersDiffer(settled *apiv1.Epoch) bool {
-	live := memberNames(core.liveMembers())
-	if strings.Join(live, " ") != strings.Join(core.membersWanted, " ") {
-		core.membersWanted = live
-		core.membersChangedAt = core.now
+	live := memberKeys(core.liveMembers())
+	if strings.Join(live, " ") != strings.Join(core.lastLiveMembers, " ") {
+		core.lastLiveMembers = live
+		core.liveMembersChangedAt = core.now
 	}
-	if strings.Join(live, " ") == strings.Join(memberNames(settled.GetMembers()), " ") {
+	if strings.Join(live, " ") == strings.Join(memberKeys(settled.GetMembers()), " ") {
 		return false
 	}
-	return core.now-core.membersChangedAt >= milliseconds(core.config.MemberDelay)
+	return core.now-core.liveMembersChangedAt >= milliseconds(core.config.MemberDelay)
 }
 
-func memberNames(members []*apiv1.Member) []string {
+func memberKeys(members []*apiv1.Member) []string {
 	names := make([]string, 0, len(members))
 	for _, member := range members {
 		names = append(names, fmt.Sprintf("%s/%s/%d", member.GetId(), member.GetPeerAddress(), member.GetIncarnation()))
@@ -218,27 +218,27 @@
 	members := core.members()
 	var fence []*apiv1.Member
 	for _, id := range sortedKeys(members) {
-		votes := core.suspicions(id, members)
-		if votes > len(members)/2 || votes > 0 && core.lostMajority(members) {
+		votes := core.suspicionVotes(id, members)
+		if votes > len(members)/2 || votes > 0 && core.hasLostMajority(members) {
 			fence = append(fence, members[id])
 		}
 	}
 	return fence
 }
 
-// suspicions counts the members that suspect one of them. A suspected member's
+// suspicionVotes counts the members that suspect one of them. A suspected member's
 // own opinion does not count.
-func (core *Core) suspicions(id string, members map[string]*apiv1.Member) int {
+func (core *Core) suspicionVotes(id string, members map[string]*apiv1.Member) int {
 	votes := 0
 	for voter := range members {
 		if voter == core.self.GetId() && core.isMember() {
-			if core.suspect(id, members[id]) {
+			if core.isSuspect(id, members[id]) {
 				votes++
 			}
 			continue
 		}
 		known := core.peers[voter]
-		if known == nil || !core.alive(voter) || voter == id {
+		if known == nil || !core.isAlive(voter) || voter == id {
 			continue
 		}
 		for _, suspect := range known.progress.GetSuspects() {
--- a/internal/core/purge.go
+++ b/internal/core/purge.go
@@ -14,9 +14,9 @@
 	viewVersion uint64
 }
 
-// notePurge lists the addresses that a new document no longer names, or names
+// schedulePurge lists the addresses that a new document no longer names, or names
 // for another service.
-func (core *Core) notePurge(document *apiv1.EpochDocument, settled, pending *rule.Set) {
+func (core *Core) schedulePurge(document *apiv1.EpochDocument, settled, pending *rule.Set) {
 	if core.document == nil {
 		return
 	}
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -6,43 +6,43 @@
 
 // recoveryState is about going on after the loss of most members at once.
 type recoveryState struct {
-	// touchedAt is when this node last had the sign of life written.
-	touchedAt uint32
+	// refreshedAt is when this node last had the sign of life written.
+	refreshedAt uint32
 	// seenAt is when the sign of life last changed, as read from the store.
 	seenAt uint32
 }
 
-// touchesPerRecovery is how often the sign of life is written in RecoveryTime.
-const touchesPerRecovery = 3
+// refreshesPerRecovery is how often the sign of life is written in RecoveryTime.
+const refreshesPerRecovery = 3
 
 // tickRecovery has the sign of life written: a key of the store that a member
 // in contact with a majority changes now and then. Nodes on the smaller side of
 // a cut see by it that the group lives. No promise rests on it alone: without
 // the store nobody can fence either.
 func (core *Core) tickRecovery() {
-	interval := milliseconds(core.config.RecoveryTime) / touchesPerRecovery
-	due := core.recovery.touchedAt == 0 || core.now-core.recovery.touchedAt >= interval
-	if due && core.isMember() && core.now <= core.freshUntil() && core.GroupRank() == 0 {
-		core.recovery.touchedAt = max(core.now, 1)
-		core.out.TouchGroup = true
+	interval := milliseconds(core.config.RecoveryTime) / refreshesPerRecovery
+	due := core.recovery.refreshedAt == 0 || core.now-core.recovery.refreshedAt >= interval
+	if due && core.isMember() && core.now <= core.contactLeaseEnd() && core.GroupRank() == 0 {
+		core.recovery.refreshedAt = max(core.now, 1)
+		core.out.RefreshGroupLiveness = true
 	}
 }
 
-// ObserveGroupAlive hands in that the sign of life in the store has changed.
-func (core *Core) ObserveGroupAlive(now uint32) {
+// ObserveGroupLiveness hands in that the sign of life in the store has changed.
+func (core *Core) ObserveGroupLiveness(now uint32) {
 	core.advanceTime(now)
 	core.recovery.seenAt = core.now
 }
 
-// groupSilent reports whether no sign of life was seen for RecoveryTime.
-func (core *Core) groupSilent() bool {
+// isGroupLivenessStale reports whether no sign of life was seen for RecoveryTime.
+func (core *Core) isGroupLivenessStale() bool {
 	return core.now-core.recovery.seenAt > milliseconds(core.config.RecoveryTime)
 }
 
-// lostMajority reports whether most members have been silent for RecoveryTime,
+// hasLostMajority reports whether most members have been silent for RecoveryTime,
 // to this node and in the store.
-func (core *Core) lostMajority(members map[string]*apiv1.Member) bool {
-	if !core.groupSilent() {
+func (core *Core) hasLostMajority(members map[string]*apiv1.Member) bool {
+	if !core.isGroupLivenessStale() {
 		return false
 	}
 	silent := 0
@@ -55,11 +55,11 @@
 	return silent*2 >= len(members)
 }
 
-// groupLost reports whether no member has been heard for RecoveryTime: all were
+// isGroupLost reports whether no member has been heard for RecoveryTime: all were
 // replaced at once, and the nodes at hand must start anew from the document.
-func (core *Core) groupLost() bool {
+func (core *Core) isGroupLost() bool {
 	recovery := milliseconds(core.config.RecoveryTime)
-	if core.document == nil || core.isMember() || core.now < recovery || !core.groupSilent() {
+	if core.document == nil || core.isMember() || core.now < recovery || !core.isGroupLivenessStale() {
 		return false
 	}
 	for id, member := range core.members() {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -24,7 +24,7 @@
 	inZone := core.rankInZone(core.self)
 	rank := 0
 	for id, known := range core.peers {
-		if !core.alive(id) {
+		if !core.isAlive(id) {
 			continue
 		}
 		other := core.rankInZone(known.member)
@@ -42,7 +42,7 @@
 		rank++
 	}
 	for id, known := range core.peers {
-		if known.member.GetZone() == member.GetZone() && id < member.GetId() && core.alive(id) {
+		if known.member.GetZone() == member.GetZone() && id < member.GetId() && core.isAlive(id) {
 			rank++
 		}
 	}
@@ -73,9 +73,9 @@
 	switch {
 	case core.document == nil:
 		return "no_state"
-	case core.now <= core.freshUntil():
+	case core.now <= core.contactLeaseEnd():
 		return "fresh"
-	case core.isolated():
+	case core.isIsolated():
 		return "isolated"
 	}
 	return "lost"
@@ -90,7 +90,7 @@
 		status := &apiv1.PeerStatus{
 			Id:             id,
 			Zone:           known.member.GetZone(),
-			Alive:          core.alive(id),
+			Alive:          core.isAlive(id),
 			CompletedPhase: progress.GetCompletedPhase(),
 			AdminAddress:   known.member.GetAdminAddress(),
 		}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -58,7 +58,7 @@
 	deadline := world.Clock.Now() + limit
 	var wait func()
 	wait = func() {
-		if node.dead || node.core.Released() || world.Clock.Now() >= deadline {
+		if node.dead || node.core.CanStop() || world.Clock.Now() >= deadline {
 			node.dead = true
 			return
 		}
@@ -98,7 +98,7 @@
 	target := world.services[serviceIndex].backends[place]
 	target.leavingAt = world.Clock.Now()
 	node := world.byID[id]
-	node.core.Mark(node.now(), target.id, "drained by an operator")
+	node.core.MarkLeaving(node.now(), target.id, "drained by an operator")
 	node.handle()
 }
 
@@ -108,7 +108,7 @@
 	target.leavingAt = 0
 	incarnation := uint64(0)
 	for _, node := range world.nodes {
-		for _, mark := range node.core.Marks() {
+		for _, mark := range node.core.LeavingMarks() {
 			if mark.GetBackend() == target.id {
 				incarnation = max(incarnation, mark.GetIncarnation())
 			}
--- a/internal/lab/guard_test.go
+++ b/internal/lab/guard_test.go
@@ -18,7 +18,7 @@
 func guardSettings(seed uint64, without core.Guard) Settings {
 	settings := small(seed)
 	settings.Network.AnswerLoss = 0.3
-	settings.Core.Without = without
+	settings.Core.Disabled = without
 	settings.Trace = true
 	return settings
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -43,7 +43,7 @@
 	result.Imbalance = nil
 	t.Logf("%+v", result)
 	for _, node := range world.nodes {
-		t.Log(node.id, node.dead, node.core.Document().GetVersion(), node.core.Phase(), node.core.WaitingFor(), node.core.Kept(), node.router.Table().Len(), node.bytesByKind)
+		t.Log(node.id, node.dead, node.core.Document().GetVersion(), node.core.Phase(), node.core.WaitingFor(), node.core.RecordCount(), node.router.Table().Len(), node.bytesByKind)
 	}
 	require.Zero(t, result.TotalBroken())
 }
@@ -109,7 +109,7 @@
 func addressMove(without core.Guard) *World {
 	settings := small(1)
 	settings.Services[1].Arrivals = 60
-	settings.Core.Without = without
+	settings.Core.Disabled = without
 	world := New(settings)
 	world.At(30*time.Second, func() { world.Pause(world.Nodes()[2]) })
 	world.At(31*time.Second, world.MoveAddress)
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -85,7 +85,7 @@
 func (node *node) meetOthers() {
 	for _, other := range node.world.nodes {
 		if other != node && !other.dead {
-			node.core.Meet(&apiv1.Member{Id: other.id, Zone: other.zone, PeerAddress: other.id, Incarnation: 1})
+			node.core.AddPeer(&apiv1.Member{Id: other.id, Zone: other.zone, PeerAddress: other.id, Incarnation: 1})
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	if alive := node.world.store.alive; alive != node.alive && node.reachesStore() && !node.paused {
 		node.alive = alive
-		node.core.ObserveGroupAlive(node.now())
+		node.core.ObserveGroupLiveness(node.now())
 	}
 	node.world.Clock.After(aliveInterval, node.watchAlive)
 }
@@ -156,14 +156,14 @@
 		node.router.SetView(out.View)
 		node.core.ViewInForce(out.ViewVersion)
 	}
-	node.router.SetContact(out.FreshUntil, out.ServeIsolated)
+	node.router.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, message := range out.Messages {
 		node.world.deliver(node, message)
 	}
 	for _, resolution := range out.Resolutions {
 		node.resolve(resolution)
 	}
-	if out.TouchGroup && node.reachesStore() {
+	if out.RefreshGroupLiveness && node.reachesStore() {
 		node.world.store.alive++
 	}
 	if out.Write != nil {
@@ -196,7 +196,7 @@
 	for _, service := range configuration.GetServices() {
 		for _, backend := range service.GetBackends() {
 			if backend.GetLeaving() {
-				node.core.Mark(node.now(), backend.GetId(), "drained by an operator")
+				node.core.MarkLeaving(node.now(), backend.GetId(), "drained by an operator")
 			}
 		}
 	}
@@ -284,7 +284,7 @@
 	node.parkedCount++
 	key := arrived.flow.key
 	node.parked[key] = append(node.parked[key], arrived)
-	node.core.Ask(node.now(), key, verdict.Proposal, verdict.Bind, verdict.Opens)
+	node.core.Lookup(node.now(), key, verdict.Proposal, verdict.Bind, verdict.Opens)
 	node.handle()
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -132,7 +132,7 @@
 	_ = node.query(ctx, func(control *core.Core) {
 		made.SettledRevision = control.SettledRevision()
 		made.WaitingFor = control.WaitingFor()
-		for _, mark := range control.Marks() {
+		for _, mark := range control.LeavingMarks() {
 			made.MarkIncarnations[mark.GetBackend()] = mark.GetIncarnation()
 		}
 	})
@@ -174,8 +174,8 @@
 		status.AcceptedRevision = control.Configuration().GetRevision()
 		status.InForceRevision = control.InForceRevision()
 		status.Peers = control.Peers()
-		status.Marks = control.Marks()
-		status.KeptRecords = uint64(control.Kept())
+		status.Marks = control.LeavingMarks()
+		status.KeptRecords = uint64(control.RecordCount())
 		status.Contact = control.Contact()
 		status.WaitingFor = control.WaitingFor()
 	})
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -34,7 +34,7 @@
 		case envelope := <-node.transport.Inbox():
 			node.core.Step(node.now(), envelope)
 		case question := <-node.plane.Questions():
-			node.core.Ask(node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
+			node.core.Lookup(node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
 			state.askMore()
 		case carried, open := <-messages:
 			if open {
@@ -63,7 +63,7 @@
 	for {
 		select {
 		case question := <-state.node.plane.Questions():
-			state.node.core.Ask(state.node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
+			state.node.core.Lookup(state.node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
 		default:
 			return
 		}
@@ -83,9 +83,9 @@
 	case *apiv1.Configuration:
 		node.core.ObserveConfiguration(node.now(), body)
 	case *apiv1.LeavingMark:
-		node.core.Mark(node.now(), body.GetBackend(), body.GetReason())
+		node.core.MarkLeaving(node.now(), body.GetBackend(), body.GetReason())
 	case *apiv1.Member:
-		node.core.Meet(body)
+		node.core.AddPeer(body)
 	case *apiv1.Epoch:
 		state.weights = compile.EpochWeights(body)
 		state.desire()
@@ -94,7 +94,7 @@
 	case events.KindWritten:
 		node.core.WriteDone(node.now(), event.Result)
 	case events.KindAlive:
-		node.core.ObserveGroupAlive(node.now())
+		node.core.ObserveGroupLiveness(node.now())
 	case events.KindLeave:
 		node.core.Leave(node.now())
 	}
@@ -119,7 +119,7 @@
 	for _, service := range configuration.GetServices() {
 		for _, backend := range service.GetBackends() {
 			if backend.GetLeaving() {
-				node.core.Mark(node.now(), backend.GetId(), "drained by an operator")
+				node.core.MarkLeaving(node.now(), backend.GetId(), "drained by an operator")
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 		node.plane.SetView(out.View, out.ViewVersion, targets(node.core))
 		node.memory.SetFacts(node.factsOf(out))
 	}
-	node.plane.SetContact(out.FreshUntil, out.ServeIsolated)
+	node.plane.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, envelope := range out.Messages {
 		if address := node.core.PeerAddress(envelope.GetTo()); address != "" {
 			node.transport.Send(ctx, address, envelope)
@@ -153,7 +153,7 @@
 		node.plane.Answer(dataplane.Answer{
 			Key: resolution.Key, Backend: resolution.Backend, Recorded: resolution.Recorded})
 	}
-	if out.TouchGroup {
+	if out.RefreshGroupLiveness {
 		go node.touchGroup(ctx)
 	}
 	if out.Write != nil {
@@ -178,7 +178,7 @@
 			"settled", node.core.Document().GetSettled().GetNumber())
 		state.phase = phase
 	}
-	if node.core.Released() && !state.released {
+	if node.core.CanStop() && !state.released {
 		state.released = true
 		close(node.released)
 	}
@@ -217,7 +217,7 @@
 			gathered.Backends[backend.GetId()] = backend.GetName()
 		}
 	}
-	for _, mark := range node.core.Marks() {
+	for _, mark := range node.core.LeavingMarks() {
 		gathered.Reasons[mark.GetBackend()] = mark.GetReason()
 	}
 	return gathered
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -173,7 +173,7 @@
 func (node *Node) meetSeeds() {
 	for _, seed := range node.settings.GetSeeds() {
 		id, address, _ := strings.Cut(seed, "@")
-		node.core.Meet(&apiv1.Member{Id: id, PeerAddress: address})
+		node.core.AddPeer(&apiv1.Member{Id: id, PeerAddress: address})
 	}
 }
 
