--- a/internal/core/contact.go
+++ b/internal/core/contact.go
@@ -14,11 +14,11 @@
 	if core.isBehind(reply.GetProgress()) {
 		return
 	}
-	known := core.peers[from]
-	sent, found := known.sentAt[reply.GetSequence()]
-	if found && (!known.hasConfirmed || sent > known.confirmedSentAt) {
-		known.confirmedSentAt = sent
-		known.hasConfirmed = true
+	peer := core.peers[from]
+	sent, found := peer.sentAt[reply.GetSequence()]
+	if found && (!peer.hasConfirmed || sent > peer.confirmedSentAt) {
+		peer.confirmedSentAt = sent
+		peer.hasConfirmed = true
 	}
 }
 
@@ -49,8 +49,8 @@
 	if id == core.self.GetId() {
 		return true
 	}
-	known := core.peers[id]
-	return known != nil && known.heard && core.now-known.lastHeard <= core.fencingDelay()
+	peer := core.peers[id]
+	return peer != nil && peer.heard && core.now-peer.lastHeard <= core.fencingDelay()
 }
 
 func (core *Core) fencingDelay() uint32 {
@@ -74,14 +74,14 @@
 	if id == core.self.GetId() {
 		return member.GetIncarnation() < core.self.GetIncarnation()
 	}
-	known := core.peers[id]
-	if known == nil {
+	peer := core.peers[id]
+	if peer == nil {
 		return false
 	}
-	if known.member.GetIncarnation() > member.GetIncarnation() {
+	if peer.member.GetIncarnation() > member.GetIncarnation() {
 		return true
 	}
-	return core.now-known.lastHeard > core.fencingDelay()
+	return core.now-peer.lastHeard > core.fencingDelay()
 }
 
 // contactLeaseEnd is the end of the contact lease: FencingTime after the sending of
@@ -90,23 +90,23 @@
 	if core.lacks(GuardContact) {
 		return ^uint32(0)
 	}
-	var confirmed []uint32
+	var confirmedSentAt []uint32
 	members := core.members()
 	for id := range members {
 		if id == core.self.GetId() && core.isMember() {
-			confirmed = append(confirmed, core.now)
+			confirmedSentAt = append(confirmedSentAt, core.now)
 			continue
 		}
-		if known := core.peers[id]; known != nil && known.hasConfirmed {
-			confirmed = append(confirmed, known.confirmedSentAt)
+		if peer := core.peers[id]; peer != nil && peer.hasConfirmed {
+			confirmedSentAt = append(confirmedSentAt, peer.confirmedSentAt)
 		}
 	}
 	majority := len(members)/2 + 1
-	if len(members) == 0 || len(confirmed) < majority {
+	if len(members) == 0 || len(confirmedSentAt) < majority {
 		return 0
 	}
-	sort.Slice(confirmed, func(i, j int) bool { return confirmed[i] > confirmed[j] })
-	return confirmed[majority-1] + milliseconds(core.config.FencingTime)
+	sort.Slice(confirmedSentAt, func(i, j int) bool { return confirmedSentAt[i] > confirmedSentAt[j] })
+	return confirmedSentAt[majority-1] + milliseconds(core.config.FencingTime)
 }
 
 // isIsolated reports whether the node has been out of contact so long that a
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,82 +29,82 @@
 }
 
 func testServices(leaving uint32) []*apiv1.ServiceRule {
-	made := &apiv1.ServiceRule{Name: "lending", Address: "10.200.0.1", Port: 80, Salt: 1}
+	service := &apiv1.ServiceRule{Name: "lending", Address: "10.200.0.1", Port: 80, Salt: 1}
 	for backend := uint32(1); backend <= 4; backend++ {
-		made.Candidates = append(made.Candidates, &apiv1.Candidate{Backend: backend, Weight: 100, Leaving: backend == leaving})
+		service.Candidates = append(service.Candidates, &apiv1.Candidate{Backend: backend, Weight: 100, Leaving: backend == leaving})
 	}
-	return []*apiv1.ServiceRule{made}
+	return []*apiv1.ServiceRule{service}
 }
 
 func newCluster(t testing.TB) *cluster {
-	made := &cluster{t: t, now: 1, cores: make(map[string]*Core), tables: make(map[string]*flowtable.Table), isolated: make(map[string]bool)}
+	c := &cluster{t: t, now: 1, cores: make(map[string]*Core), tables: make(map[string]*flowtable.Table), isolated: make(map[string]bool)}
 	for _, id := range []string{"a", "b", "c"} {
-		made.add(id, 1)
+		c.add(id, 1)
 	}
-	made.setDesired(1, 0)
-	made.run(5 * time.Second)
-	require.NotNil(t, made.cores["a"].Document())
-	return made
+	c.setDesired(1, 0)
+	c.run(5 * time.Second)
+	require.NotNil(t, c.cores["a"].Document())
+	return c
 }
 
-func (mesh *cluster) add(id string, incarnation uint64) {
+func (cluster *cluster) add(id string, incarnation uint64) {
 	table := flowtable.New(1 << 12)
 	member := &apiv1.Member{Id: id, Zone: "zone-" + id, PeerAddress: id, Incarnation: incarnation}
 	core, err := New(DefaultConfig(), member, table)
-	require.NoError(mesh.t, err)
-	mesh.cores[id], mesh.tables[id] = core, table
-	for other := range mesh.cores {
+	require.NoError(cluster.t, err)
+	cluster.cores[id], cluster.tables[id] = core, table
+	for other := range cluster.cores {
 		core.AddPeer(&apiv1.Member{Id: other, PeerAddress: other})
 	}
 }
 
 // setDesired sets the desired rules of all nodes.
-func (mesh *cluster) setDesired(revision uint64, leaving uint32) {
-	for _, core := range mesh.cores {
-		core.ObserveConfiguration(mesh.now, &apiv1.Configuration{Revision: revision})
-		core.SetDesired(mesh.now, revision, testServices(leaving), nil)
+func (cluster *cluster) setDesired(revision uint64, leaving uint32) {
+	for _, core := range cluster.cores {
+		core.ObserveConfiguration(cluster.now, &apiv1.Configuration{Revision: revision})
+		core.SetDesired(cluster.now, revision, testServices(leaving), nil)
 	}
 }
 
-func (mesh *cluster) run(length time.Duration) {
-	for end := mesh.now + milliseconds(length); mesh.now < end; mesh.now += 20 {
-		for _, id := range sortedKeys(mesh.cores) {
-			mesh.cores[id].Tick(mesh.now)
-			mesh.deliver(id)
+func (cluster *cluster) run(length time.Duration) {
+	for end := cluster.now + milliseconds(length); cluster.now < end; cluster.now += 20 {
+		for _, id := range sortedKeys(cluster.cores) {
+			cluster.cores[id].Tick(cluster.now)
+			cluster.deliver(id)
 		}
 	}
 }
 
 // deliver carries out what a core wants done, until nothing is left.
-func (mesh *cluster) deliver(id string) []Resolution {
+func (cluster *cluster) deliver(id string) []Resolution {
 	var resolutions []Resolution
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		core := mesh.cores[queue[0]]
+		core := cluster.cores[queue[0]]
 		out := core.Ready()
 		core.ViewInForce(out.ViewVersion)
 		resolutions = append(resolutions, out.Resolutions...)
 		if out.Write != nil {
-			mesh.write(core, out.Write.Document)
+			cluster.write(core, out.Write.Document)
 		}
 		for _, message := range out.Messages {
-			to := mesh.cores[message.GetTo()]
-			if to == nil || mesh.isolated[message.GetTo()] || mesh.isolated[message.GetFrom()] {
+			to := cluster.cores[message.GetTo()]
+			if to == nil || cluster.isolated[message.GetTo()] || cluster.isolated[message.GetFrom()] {
 				continue
 			}
-			to.Step(mesh.now, proto.CloneOf(message))
+			to.Step(cluster.now, proto.CloneOf(message))
 			queue = append(queue, message.GetTo())
 		}
 	}
 	return resolutions
 }
 
-func (mesh *cluster) write(core *Core, document *apiv1.EpochDocument) {
-	held := document.GetVersion() == mesh.document.GetVersion()+1
-	if held {
-		mesh.document = document
+func (cluster *cluster) write(core *Core, document *apiv1.EpochDocument) {
+	stored := document.GetVersion() == cluster.document.GetVersion()+1
+	if stored {
+		cluster.document = document
 	}
-	core.WriteDone(mesh.now, held)
-	core.ObserveDocument(mesh.now, mesh.document)
+	core.WriteDone(cluster.now, stored)
+	core.ObserveDocument(cluster.now, cluster.document)
 }
 
 func testKey(number int) flow.Key {
@@ -113,42 +113,42 @@
 }
 
 func TestOneDocumentForAll(t *testing.T) {
-	mesh := newCluster(t)
-	for _, core := range mesh.cores {
-		require.True(t, proto.Equal(mesh.document, core.Document()))
+	cluster := newCluster(t)
+	for _, core := range cluster.cores {
+		require.True(t, proto.Equal(cluster.document, core.Document()))
 		require.Equal(t, "fresh", core.Contact())
 		require.Len(t, core.Document().GetSettled().GetMembers(), 3)
 	}
 }
 
 func TestChangePassesAllPhases(t *testing.T) {
-	mesh := newCluster(t)
-	mesh.setDesired(2, 3)
+	cluster := newCluster(t)
+	cluster.setDesired(2, 3)
 	seen := make(map[router.Phase]bool)
 	for range 300 {
-		mesh.run(20 * time.Millisecond)
-		seen[mesh.cores["a"].Phase()] = true
+		cluster.run(20 * time.Millisecond)
+		seen[cluster.cores["a"].Phase()] = true
 	}
 	require.Len(t, seen, 4)
-	require.Equal(t, uint64(2), mesh.document.GetSettled().GetConfigurationRevision())
-	require.Nil(t, mesh.document.GetPending())
+	require.Equal(t, uint64(2), cluster.document.GetSettled().GetConfigurationRevision())
+	require.Nil(t, cluster.document.GetPending())
 }
 
 // TestFirstWriterWins: whatever the order of questions and proposals, all askers
 // of a flow get the same back end.
 func TestFirstWriterWins(t *testing.T) {
-	mesh := newCluster(t)
+	cluster := newCluster(t)
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
-		asked := testKey(number)
+		flowKey := testKey(number)
 		answers := make(map[uint32]bool)
 		for range rapid.IntRange(2, 5).Draw(t, "questions") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node")
 			proposal := uint32(rapid.IntRange(1, 4).Draw(t, "proposal"))
-			mesh.cores[id].Lookup(mesh.now, asked, proposal, true, false)
-			for _, resolution := range mesh.deliver(id) {
-				require.Equal(t, asked, resolution.Key)
+			cluster.cores[id].Lookup(cluster.now, flowKey, proposal, true, false)
+			for _, resolution := range cluster.deliver(id) {
+				require.Equal(t, flowKey, resolution.Key)
 				answers[resolution.Backend] = true
 			}
 		}
@@ -157,13 +157,13 @@
 }
 
 func TestQuestionsHaveABound(t *testing.T) {
-	mesh := newCluster(t)
-	for id := range mesh.cores {
-		mesh.isolated[id] = true
+	cluster := newCluster(t)
+	for id := range cluster.cores {
+		cluster.isolated[id] = true
 	}
-	core := mesh.cores["a"]
+	core := cluster.cores["a"]
 	for number := range core.config.MaximumLookups + 1 {
-		core.Lookup(mesh.now, testKey(number), 1, true, false)
+		core.Lookup(cluster.now, testKey(number), 1, true, false)
 	}
 	unanswered := 0
 	for _, resolution := range core.Ready().Resolutions {
@@ -175,31 +175,31 @@
 }
 
 func TestUnansweredQuestionsAreGivenUp(t *testing.T) {
-	mesh := newCluster(t)
-	mesh.isolated["b"], mesh.isolated["c"] = true, true
-	core := mesh.cores["a"]
+	cluster := newCluster(t)
+	cluster.isolated["b"], cluster.isolated["c"] = true, true
+	core := cluster.cores["a"]
 	number := 0
 	for first, second := core.settledKeeper.Pick(testKey(number).Hash()); first == "a" || second == "a"; {
 		number++
 		first, second = core.settledKeeper.Pick(testKey(number).Hash())
 	}
-	core.Lookup(mesh.now, testKey(number), 1, true, false)
+	core.Lookup(cluster.now, testKey(number), 1, true, false)
 	core.Ready()
-	core.Tick(mesh.now + milliseconds(core.config.LookupDeadline))
+	core.Tick(cluster.now + milliseconds(core.config.LookupDeadline))
 	require.Equal(t, []Resolution{{Key: testKey(number)}}, core.Ready().Resolutions)
 }
 
 func TestNoNodeGoesBack(t *testing.T) {
-	mesh := newCluster(t)
-	old := proto.CloneOf(mesh.document)
-	mesh.setDesired(2, 3)
-	mesh.run(8 * time.Second)
-	core := mesh.cores["b"]
+	cluster := newCluster(t)
+	old := proto.CloneOf(cluster.document)
+	cluster.setDesired(2, 3)
+	cluster.run(8 * time.Second)
+	core := cluster.cores["b"]
 	version := core.Document().GetVersion()
 	require.Greater(t, version, old.GetVersion())
-	core.ObserveDocument(mesh.now, old)
+	core.ObserveDocument(cluster.now, old)
 	require.Equal(t, version, core.Document().GetVersion())
-	require.False(t, core.ObserveConfiguration(mesh.now, &apiv1.Configuration{Revision: 1}))
+	require.False(t, core.ObserveConfiguration(cluster.now, &apiv1.Configuration{Revision: 1}))
 }
 
 func TestMarksMergeMonotonously(t *testing.T) {
@@ -220,26 +220,26 @@
 }
 
 func TestDeadMemberIsFenced(t *testing.T) {
-	mesh := newCluster(t)
-	mesh.isolated["c"] = true
-	mesh.setDesired(2, 3)
-	mesh.run(15 * time.Second)
-	require.Equal(t, uint64(2), mesh.document.GetSettled().GetConfigurationRevision())
-	require.Len(t, mesh.document.GetSettled().GetMembers(), 2)
-	require.Equal(t, "isolated", mesh.cores["c"].Contact())
-	mesh.isolated["c"] = false
-	mesh.run(10 * time.Second)
-	require.Len(t, mesh.document.GetSettled().GetMembers(), 3)
-	require.Equal(t, "fresh", mesh.cores["c"].Contact())
+	cluster := newCluster(t)
+	cluster.isolated["c"] = true
+	cluster.setDesired(2, 3)
+	cluster.run(15 * time.Second)
+	require.Equal(t, uint64(2), cluster.document.GetSettled().GetConfigurationRevision())
+	require.Len(t, cluster.document.GetSettled().GetMembers(), 2)
+	require.Equal(t, "isolated", cluster.cores["c"].Contact())
+	cluster.isolated["c"] = false
+	cluster.run(10 * time.Second)
+	require.Len(t, cluster.document.GetSettled().GetMembers(), 3)
+	require.Equal(t, "fresh", cluster.cores["c"].Contact())
 }
 
 func TestRestartedNodeWaitsForItsPeers(t *testing.T) {
-	mesh := newCluster(t)
-	mesh.add("c", 2)
-	require.Equal(t, "no_state", mesh.cores["c"].Contact())
-	mesh.run(10 * time.Second)
-	require.Equal(t, "fresh", mesh.cores["c"].Contact())
-	for _, member := range mesh.document.GetSettled().GetMembers() {
+	cluster := newCluster(t)
+	cluster.add("c", 2)
+	require.Equal(t, "no_state", cluster.cores["c"].Contact())
+	cluster.run(10 * time.Second)
+	require.Equal(t, "fresh", cluster.cores["c"].Contact())
+	for _, member := range cluster.document.GetSettled().GetMembers() {
 		if member.GetId() == "c" {
 			require.Equal(t, uint64(2), member.GetIncarnation())
 		}
@@ -247,8 +247,8 @@
 }
 
 func TestBadMessagesAreIgnored(t *testing.T) {
-	mesh := newCluster(t)
-	core := mesh.cores["a"]
+	cluster := newCluster(t)
+	core := cluster.cores["a"]
 	bodies := []*apiv1.Envelope{
 		{Body: &apiv1.Envelope_BindRequest{BindRequest: &apiv1.BindRequest{Keys: []byte{1, 2}, Proposals: []uint32{1}}}},
 		{Body: &apiv1.Envelope_BindReply{BindReply: &apiv1.BindReply{Request: 99, Backends: []uint32{1}}}},
@@ -261,11 +261,11 @@
 		{Body: &apiv1.Envelope_HeartbeatReply{HeartbeatReply: &apiv1.HeartbeatReply{Sequence: 1 << 60}}},
 		{},
 	}
-	for place, envelope := range bodies {
-		t.Run(fmt.Sprint(place), func(t *testing.T) {
+	for index, envelope := range bodies {
+		t.Run(fmt.Sprint(index), func(t *testing.T) {
 			envelope.From, envelope.To, envelope.Incarnation = "b", "a", 1
-			require.NotPanics(t, func() { core.Step(mesh.now, envelope); mesh.deliver("a") })
-			require.Equal(t, mesh.document.GetVersion(), core.Document().GetVersion())
+			require.NotPanics(t, func() { core.Step(cluster.now, envelope); cluster.deliver("a") })
+			require.Equal(t, cluster.document.GetVersion(), core.Document().GetVersion())
 		})
 	}
 }
@@ -281,34 +281,34 @@
 // TestReusedPorts: a SYN on the ports of a flow that ended long ago does not go
 // to its back end when that one leaves; the SYN of the flow itself does.
 func TestReusedPorts(t *testing.T) {
-	mesh := newCluster(t)
-	asked := testKey(1)
-	ask := func(proposal uint32) uint32 {
-		mesh.cores["a"].Lookup(mesh.now, asked, proposal, true, true)
-		resolutions := mesh.deliver("a")
+	cluster := newCluster(t)
+	flowKey := testKey(1)
+	lookUp := func(proposal uint32) uint32 {
+		cluster.cores["a"].Lookup(cluster.now, flowKey, proposal, true, true)
+		resolutions := cluster.deliver("a")
 		require.Len(t, resolutions, 1)
 		return resolutions[0].Backend
 	}
-	require.Equal(t, uint32(3), ask(3))
-	mesh.setDesired(2, 3)
-	mesh.run(5 * time.Second)
-	require.Equal(t, uint32(3), ask(1), "a SYN that comes again")
-	mesh.run(70 * time.Second)
-	require.Equal(t, uint32(1), ask(1), "a new flow")
+	require.Equal(t, uint32(3), lookUp(3))
+	cluster.setDesired(2, 3)
+	cluster.run(5 * time.Second)
+	require.Equal(t, uint32(3), lookUp(1), "a SYN that comes again")
+	cluster.run(70 * time.Second)
+	require.Equal(t, uint32(1), lookUp(1), "a new flow")
 }
 
 func TestRecordsHaveABound(t *testing.T) {
-	mesh := newCluster(t)
-	for _, core := range mesh.cores {
+	cluster := newCluster(t)
+	for _, core := range cluster.cores {
 		core.config.MaximumRecords = 3
 	}
 	for number := range 20 {
-		mesh.cores["a"].Lookup(mesh.now, testKey(number), 1, true, true)
-		resolutions := mesh.deliver("a")
+		cluster.cores["a"].Lookup(cluster.now, testKey(number), 1, true, true)
+		resolutions := cluster.deliver("a")
 		require.Len(t, resolutions, 1)
 		require.Equal(t, uint32(1), resolutions[0].Backend, "at the bound the proposal is the answer")
 	}
-	for _, core := range mesh.cores {
+	for _, core := range cluster.cores {
 		require.LessOrEqual(t, core.RecordCount(), 3)
 	}
 }
@@ -316,23 +316,23 @@
 // TestHintsSpareQuestions: a node that joins gets the keepers' records and
 // answers from them without a message; a SYN is still asked about.
 func TestHintsSpareQuestions(t *testing.T) {
-	mesh := newCluster(t)
+	cluster := newCluster(t)
 	for number := range 40 {
-		mesh.cores["a"].Lookup(mesh.now, testKey(number), 1, true, true)
-		mesh.deliver("a")
+		cluster.cores["a"].Lookup(cluster.now, testKey(number), 1, true, true)
+		cluster.deliver("a")
 	}
-	mesh.add("d", 1)
-	joined := mesh.cores["d"]
-	joined.ObserveConfiguration(mesh.now, &apiv1.Configuration{Revision: 1})
-	joined.SetDesired(mesh.now, 1, testServices(0), nil)
-	mesh.run(1500 * time.Millisecond)
+	cluster.add("d", 1)
+	joined := cluster.cores["d"]
+	joined.ObserveConfiguration(cluster.now, &apiv1.Configuration{Revision: 1})
+	joined.SetDesired(cluster.now, 1, testServices(0), nil)
+	cluster.run(1500 * time.Millisecond)
 	require.Len(t, joined.hints, 40)
-	joined.Lookup(mesh.now, testKey(7), 2, false, false)
+	joined.Lookup(cluster.now, testKey(7), 2, false, false)
 	out := joined.Ready()
 	require.Equal(t, []Resolution{{Key: testKey(7), Backend: 1, Recorded: true}}, out.Resolutions)
-	joined.Lookup(mesh.now, testKey(8), 2, true, true)
+	joined.Lookup(cluster.now, testKey(8), 2, true, true)
 	require.Empty(t, joined.Ready().Resolutions)
-	mesh.now += hintLifetime + 1000
-	joined.Lookup(mesh.now, testKey(9), 2, false, false)
+	cluster.now += hintLifetime + 1000
+	joined.Lookup(cluster.now, testKey(9), 2, false, false)
 	require.Empty(t, joined.hints, "hints end")
 }
--- a/internal/core/document.go
+++ b/internal/core/document.go
@@ -84,14 +84,14 @@
 // this node has extended so lately that it may still hold.
 func (core *Core) mustDefer(document *apiv1.EpochDocument) bool {
 	for _, member := range document.GetFenced() {
-		known := core.peers[member.GetId()]
-		if known == nil || !known.hasReplied || core.isFenced(member) {
+		peer := core.peers[member.GetId()]
+		if peer == nil || !peer.hasReplied || core.isFenced(member) {
 			continue
 		}
-		if known.member.GetIncarnation() > member.GetIncarnation() {
+		if peer.member.GetIncarnation() > member.GetIncarnation() {
 			continue
 		}
-		if core.now-known.lastReplyAt < core.fencingDelay() {
+		if core.now-peer.lastReplyAt < core.fencingDelay() {
 			return true
 		}
 	}
@@ -110,9 +110,9 @@
 
 // dropContact ends the contact lease; it must be won anew as a joining node.
 func (core *Core) dropContact() {
-	for _, known := range core.peers {
-		known.hasConfirmed = false
-		known.sentAt = make(map[uint64]uint32)
+	for _, peer := range core.peers {
+		peer.hasConfirmed = false
+		peer.sentAt = make(map[uint64]uint32)
 	}
 }
 
@@ -183,48 +183,48 @@
 // omitKnownEpochs leaves out of a document the epochs that the requester has; only
 // their numbers remain.
 func omitKnownEpochs(document *apiv1.EpochDocument, request *apiv1.StateRequest) *apiv1.EpochDocument {
-	short := &apiv1.EpochDocument{
+	reduced := &apiv1.EpochDocument{
 		Version: document.GetVersion(),
 		Settled: document.GetSettled(),
 		Pending: document.GetPending(),
 		Fenced:  document.GetFenced(),
 	}
-	known := func(epoch *apiv1.Epoch) bool {
+	requesterHas := func(epoch *apiv1.Epoch) bool {
 		number := epoch.GetNumber()
 		return number == request.GetSettledNumber() || number == request.GetPendingNumber()
 	}
-	if known(short.GetSettled()) {
-		short.Settled = &apiv1.Epoch{Number: short.GetSettled().GetNumber()}
+	if requesterHas(reduced.GetSettled()) {
+		reduced.Settled = &apiv1.Epoch{Number: reduced.GetSettled().GetNumber()}
 	}
-	if short.GetPending() != nil && known(short.GetPending()) {
-		short.Pending = &apiv1.Epoch{Number: short.GetPending().GetNumber()}
+	if reduced.GetPending() != nil && requesterHas(reduced.GetPending()) {
+		reduced.Pending = &apiv1.Epoch{Number: reduced.GetPending().GetNumber()}
 	}
-	return short
+	return reduced
 }
 
 // restoreOmittedEpochs puts the epochs that were left out back in. It returns nil
 // when this node does not have them after all.
-func (core *Core) restoreOmittedEpochs(short *apiv1.EpochDocument) *apiv1.EpochDocument {
-	full := &apiv1.EpochDocument{Version: short.GetVersion(), Fenced: short.GetFenced()}
-	if full.Settled = core.restoreOmittedEpoch(short.GetSettled()); full.GetSettled() == nil {
+func (core *Core) restoreOmittedEpochs(reduced *apiv1.EpochDocument) *apiv1.EpochDocument {
+	full := &apiv1.EpochDocument{Version: reduced.GetVersion(), Fenced: reduced.GetFenced()}
+	if full.Settled = core.restoreOmittedEpoch(reduced.GetSettled()); full.GetSettled() == nil {
 		return nil
 	}
-	if short.GetPending() == nil {
+	if reduced.GetPending() == nil {
 		return full
 	}
-	if full.Pending = core.restoreOmittedEpoch(short.GetPending()); full.GetPending() == nil {
+	if full.Pending = core.restoreOmittedEpoch(reduced.GetPending()); full.GetPending() == nil {
 		return nil
 	}
 	return full
 }
 
-func (core *Core) restoreOmittedEpoch(short *apiv1.Epoch) *apiv1.Epoch {
-	if len(short.GetMembers()) > 0 {
-		return short
+func (core *Core) restoreOmittedEpoch(reduced *apiv1.Epoch) *apiv1.Epoch {
+	if len(reduced.GetMembers()) > 0 {
+		return reduced
 	}
-	for _, known := range []*apiv1.Epoch{core.document.GetSettled(), core.document.GetPending()} {
-		if known != nil && known.GetNumber() == short.GetNumber() {
-			return known
+	for _, epoch := range []*apiv1.Epoch{core.document.GetSettled(), core.document.GetPending()} {
+		if epoch != nil && epoch.GetNumber() == reduced.GetNumber() {
+			return epoch
 		}
 	}
 	return nil
--- a/internal/core/expiry.go
+++ b/internal/core/expiry.go
@@ -61,11 +61,11 @@
 
 func (core *Core) idleRecords() []flow.Key {
 	var keys []flow.Key
-	for key, kept := range core.records {
+	for key, record := range core.records {
 		if entry, found := core.flows.Get(key, key.Hash()); found {
-			kept.lastSeen = max(kept.lastSeen, entry.LastSeen)
+			record.lastSeen = max(record.lastSeen, entry.LastSeen)
 		}
-		if core.now-kept.lastSeen > milliseconds(core.config.RecordIdleTime) && len(keys) < expiryBatch {
+		if core.now-record.lastSeen > milliseconds(core.config.RecordIdleTime) && len(keys) < expiryBatch {
 			keys = append(keys, key)
 		}
 	}
@@ -92,8 +92,8 @@
 		return
 	}
 	for index, key := range core.expiry.keys {
-		if kept := core.records[key]; kept != nil && hasBit(reply.GetBitmap(), index) {
-			kept.lastSeen = core.now
+		if record := core.records[key]; record != nil && hasBit(reply.GetBitmap(), index) {
+			record.lastSeen = core.now
 		}
 	}
 	core.expiry.responded[from] = true
@@ -107,8 +107,8 @@
 
 func (core *Core) dropIdleRecords() {
 	for _, key := range core.expiry.keys {
-		kept := core.records[key]
-		if kept != nil && core.now-kept.lastSeen > milliseconds(core.config.RecordIdleTime) {
+		record := core.records[key]
+		if record != nil && core.now-record.lastSeen > milliseconds(core.config.RecordIdleTime) {
 			core.dropRecord(key)
 		}
 	}
--- a/internal/core/filter.go
+++ b/internal/core/filter.go
@@ -34,8 +34,8 @@
 	sentAt uint32
 }
 
-func newFilterSet(number uint64) *filterSet {
-	return &filterSet{epochNumber: number, parts: make(map[string]*bloom.BloomFilter), dirty: true}
+func newFilterSet(epochNumber uint64) *filterSet {
+	return &filterSet{epochNumber: epochNumber, parts: make(map[string]*bloom.BloomFilter), dirty: true}
 }
 
 // updateFilterSets brings the filter sets in line with a new document. The filters
@@ -150,8 +150,8 @@
 
 func (core *Core) buildFilter(target *rule.Set) *bloom.BloomFilter {
 	var displaced []flow.Key
-	for key, kept := range core.records {
-		if isDisplacedFrom(target, key, kept.backend) && !core.lacks(GuardFilter) {
+	for key, record := range core.records {
+		if isDisplacedFrom(target, key, record.backend) && !core.lacks(GuardFilter) {
 			displaced = append(displaced, key)
 		}
 	}
@@ -186,9 +186,9 @@
 }
 
 // filterSetOf returns the set for an epoch number, or nil.
-func (core *Core) filterSetOf(number uint64) *filterSet {
+func (core *Core) filterSetOf(epochNumber uint64) *filterSet {
 	for _, set := range []*filterSet{core.settledFilters, core.pendingFilters} {
-		if set != nil && set.epochNumber == number {
+		if set != nil && set.epochNumber == epochNumber {
 			return set
 		}
 	}
--- a/internal/core/hint.go
+++ b/internal/core/hint.go
@@ -22,10 +22,10 @@
 // handleHintRequest queues this keeper's displaced records for a joining node.
 func (core *Core) handleHintRequest(from string) {
 	var flows []assignedFlow
-	for key, kept := range core.records {
+	for key, record := range core.records {
 		first, _ := core.settledKeeper.Pick(key.Hash())
-		if first == core.self.GetId() && !kept.tentative {
-			flows = append(flows, assignedFlow{key: key, backend: kept.backend})
+		if first == core.self.GetId() && !record.tentative {
+			flows = append(flows, assignedFlow{key: key, backend: record.backend})
 		}
 	}
 	for len(flows) > 0 {
@@ -47,9 +47,9 @@
 		next := core.hintQueue[0]
 		core.hintQueue = core.hintQueue[1:]
 		push := &apiv1.RecordHints{}
-		for _, held := range next.flows {
-			push.Keys = appendKey(push.Keys, held.key)
-			push.Backends = append(push.Backends, held.backend)
+		for _, assigned := range next.flows {
+			push.Keys = appendKey(push.Keys, assigned.key)
+			push.Backends = append(push.Backends, assigned.backend)
 		}
 		core.spendBudget(len(push.GetKeys()) + 2*len(push.GetBackends()))
 		core.send(next.to, &apiv1.Envelope{Body: &apiv1.Envelope_RecordHints{RecordHints: push}})
@@ -71,11 +71,11 @@
 
 // hint answers a question about an open flow from the pushed records. A SYN is
 // not answered: its ports may be used anew.
-func (core *Core) hint(key flow.Key, opens bool) (uint32, bool) {
+func (core *Core) hint(key flow.Key, isSYN bool) (uint32, bool) {
 	if core.now > core.hintsUntil {
 		clear(core.hints)
 	}
-	if opens {
+	if isSYN {
 		return rule.NoBackend, false
 	}
 	backend, found := core.hints[key]
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -71,11 +71,11 @@
 	if core.records[key] == nil {
 		core.fingerprints[fingerprintOf(key)]++
 	}
-	made := core.now
+	createdAt := core.now
 	if old := core.records[key]; old != nil && old.backend == backend {
-		made = old.createdAt
+		createdAt = old.createdAt
 	}
-	core.records[key] = &record{backend: backend, lastSeen: core.now, createdAt: made, tentative: tentative}
+	core.records[key] = &record{backend: backend, lastSeen: core.now, createdAt: createdAt, tentative: tentative}
 	core.markFiltersDirty(key)
 }
 
@@ -84,10 +84,10 @@
 		return
 	}
 	delete(core.records, key)
-	print := fingerprintOf(key)
-	core.fingerprints[print]--
-	if core.fingerprints[print] == 0 {
-		delete(core.fingerprints, print)
+	fp := fingerprintOf(key)
+	core.fingerprints[fp]--
+	if core.fingerprints[fp] == 0 {
+		delete(core.fingerprints, fp)
 	}
 }
 
@@ -96,8 +96,8 @@
 	if core.pending != nil {
 		return
 	}
-	for key, kept := range core.records {
-		if !core.isDisplaced(key, kept.backend) {
+	for key, record := range core.records {
+		if !core.isDisplaced(key, record.backend) {
 			core.dropRecord(key)
 		}
 	}
@@ -108,7 +108,7 @@
 // other keeper before the answer, so that two askers that reach different
 // keepers get the same answer.
 func (core *Core) handleBindRequest(from string, request *apiv1.BindRequest) {
-	fresh := make(map[string][]flow.Key)
+	created := make(map[string][]flow.Key)
 	reused := make(map[flow.Key]bool)
 	keys, err := parseKeys(request.GetKeys())
 	if err != nil || len(keys) != len(request.GetProposals()) {
@@ -120,14 +120,14 @@
 		}
 		if core.bindFlow(key, request.GetProposals()[index], request.GetReplicated(), from) {
 			other := core.otherKeeper(key)
-			fresh[other] = append(fresh[other], key)
+			created[other] = append(created[other], key)
 		}
 	}
-	whole := &replication{from: from, request: request.GetRequest(), keys: keys, reused: reused}
-	for _, other := range sortedKeys(fresh) {
-		core.replicate(whole, other, fresh[other])
+	pending := &replication{from: from, request: request.GetRequest(), keys: keys, reused: reused}
+	for _, other := range sortedKeys(created) {
+		core.replicate(pending, other, created[other])
 	}
-	if whole.waitingFor == 0 {
+	if pending.waitingFor == 0 {
 		core.replyToBind(from, request.GetRequest(), keys, request.GetReplicated())
 	}
 }
@@ -139,8 +139,8 @@
 // dropReusedRecord drops the record of a flow whose ports are used anew, when its back
 // end takes no new flows. It reports whether it did.
 func (core *Core) dropReusedRecord(key flow.Key) bool {
-	kept := core.records[key]
-	if kept == nil || core.view == nil || !core.view.Leaving[kept.backend] || core.now-kept.createdAt <= portReuseTime {
+	record := core.records[key]
+	if record == nil || core.view == nil || !core.view.Leaving[record.backend] || core.now-record.createdAt <= portReuseTime {
 		return false
 	}
 	core.dropRecord(key)
@@ -149,16 +149,16 @@
 
 // bindFlow applies one binding and reports whether it made a new record.
 func (core *Core) bindFlow(key flow.Key, proposal uint32, replicated bool, from string) bool {
-	kept := core.records[key]
-	if kept == nil {
+	record := core.records[key]
+	if record == nil {
 		if entry, found := core.flows.Get(key, key.Hash()); found && proposal != rule.NoBackend && !core.mayBeReused(entry) {
 			proposal = entry.Backend
 		}
 	}
 	firstKeeper, _ := core.pendingKeeper.Pick(key.Hash())
-	yields := kept != nil && kept.tentative && replicated && from == firstKeeper && proposal != rule.NoBackend
-	if kept != nil && !yields {
-		return kept.tentative && !replicated
+	superseded := record != nil && record.tentative && replicated && from == firstKeeper && proposal != rule.NoBackend
+	if record != nil && !superseded {
+		return record.tentative && !replicated
 	}
 	full := len(core.records) >= core.config.MaximumRecords
 	if proposal == rule.NoBackend || full || core.lacks(GuardBind) {
@@ -178,8 +178,8 @@
 
 func (core *Core) confirmRecords(keys []flow.Key) {
 	for _, key := range keys {
-		if kept := core.records[key]; kept != nil {
-			kept.tentative = false
+		if record := core.records[key]; record != nil {
+			record.tentative = false
 		}
 	}
 }
@@ -196,9 +196,9 @@
 	reply := &apiv1.BindReply{Request: request, Replicated: replicated}
 	for _, key := range keys {
 		backend := uint32(rule.NoBackend)
-		if kept := core.records[key]; kept != nil {
-			kept.lastSeen = core.now
-			backend = kept.backend
+		if record := core.records[key]; record != nil {
+			record.lastSeen = core.now
+			backend = record.backend
 		} else if entry, found := core.flows.Get(key, key.Hash()); found && !core.mayBeReused(entry) {
 			backend = entry.Backend
 		}
@@ -209,28 +209,28 @@
 
 // replicate sends new records to their other keeper. One that is not alive is
 // not waited for.
-func (core *Core) replicate(whole *replication, other string, created []flow.Key) {
+func (core *Core) replicate(parent *replication, other string, keys []flow.Key) {
 	if other == "" || other == core.self.GetId() || !core.isAlive(other) || core.lacks(GuardReplicate) {
-		core.confirmRecords(created)
+		core.confirmRecords(keys)
 		return
 	}
 	id := core.newID()
-	part := &replicationPart{replication: whole, other: other, keys: created}
+	part := &replicationPart{replication: parent, other: other, keys: keys}
 	part.deadline = core.now + milliseconds(core.config.LookupTimeout)/2
 	core.replications[id] = part
-	whole.waitingFor++
+	parent.waitingFor++
 	core.sendReplicationPart(id, part)
 }
 
 func (core *Core) sendReplicationPart(id uint64, part *replicationPart) {
 	request := &apiv1.BindRequest{Request: id, Replicated: true, Opens: newBitmap(len(part.keys))}
 	for _, key := range part.keys {
-		if kept := core.records[key]; kept != nil {
+		if record := core.records[key]; record != nil {
 			if part.replication.reused[key] {
 				setBit(request.Opens, len(request.GetProposals()))
 			}
 			request.Keys = appendKey(request.Keys, key)
-			request.Proposals = append(request.Proposals, kept.backend)
+			request.Proposals = append(request.Proposals, record.backend)
 		}
 	}
 	core.send(part.other, &apiv1.Envelope{Body: &apiv1.Envelope_BindRequest{BindRequest: request}})
--- a/internal/core/ask.go
+++ b/internal/core/lookup.go
@@ -39,13 +39,13 @@
 // the proposal is only the answer for that case. A question about a flow that
 // is being asked about already is folded into it. Opens says that it is about a
 // SYN.
-func (core *Core) Lookup(now uint32, key flow.Key, proposal uint32, bind, opens bool) {
+func (core *Core) Lookup(now uint32, key flow.Key, proposal uint32, bind, isSYN bool) {
 	core.advanceTime(now)
-	if known := core.lookups[key]; known != nil {
-		known.bind = known.bind || bind
+	if existing := core.lookups[key]; existing != nil {
+		existing.bind = existing.bind || bind
 		return
 	}
-	if backend, found := core.hint(key, opens); found {
+	if backend, found := core.hint(key, isSYN); found {
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key, Backend: backend, Recorded: true})
 		return
 	}
@@ -57,32 +57,32 @@
 		key:      key,
 		proposal: proposal,
 		bind:     bind,
-		isSYN:    opens,
+		isSYN:    isSYN,
 		steps:    core.lookupSteps(key, bind),
 		deadline: core.now + milliseconds(core.config.LookupDeadline),
 	}
 }
 
 func (core *Core) lookupSteps(key flow.Key, bind bool) []lookupStep {
-	oldFirst, oldSecond := core.settledKeeper.Pick(key.Hash())
-	newFirst, newSecond := core.pendingKeeper.Pick(key.Hash())
-	last := lookupStep{first: newFirst, second: newSecond, bind: bind}
-	if oldFirst == newFirst && oldSecond == newSecond {
+	settledFirst, settledSecond := core.settledKeeper.Pick(key.Hash())
+	pendingFirst, pendingSecond := core.pendingKeeper.Pick(key.Hash())
+	last := lookupStep{first: pendingFirst, second: pendingSecond, bind: bind}
+	if settledFirst == pendingFirst && settledSecond == pendingSecond {
 		return []lookupStep{last}
 	}
-	return []lookupStep{{first: oldFirst, second: oldSecond}, last}
+	return []lookupStep{{first: settledFirst, second: settledSecond}, last}
 }
 
 // flushLookups sends the questions that wait to be sent, one message a keeper.
 func (core *Core) flushLookups() {
 	batches := make(map[string][]*lookup)
-	for _, question := range core.lookups {
-		if question.inFlight {
+	for _, l := range core.lookups {
+		if l.inFlight {
 			continue
 		}
-		if keeper := core.nextKeeper(question); keeper != "" {
-			question.inFlight = true
-			batches[keeper] = append(batches[keeper], question)
+		if keeper := core.nextKeeper(l); keeper != "" {
+			l.inFlight = true
+			batches[keeper] = append(batches[keeper], l)
 		}
 	}
 	for _, keeper := range sortedKeys(batches) {
@@ -93,9 +93,9 @@
 // nextKeeper chooses whom to ask in the present step: the first keeper, then
 // the second one, in turn. A step whose keepers are both dead is passed over;
 // after the last step the question is resolved by the rule.
-func (core *Core) nextKeeper(question *lookup) string {
-	for len(question.steps) > 0 {
-		step := &question.steps[0]
+func (core *Core) nextKeeper(l *lookup) string {
+	for len(l.steps) > 0 {
+		step := &l.steps[0]
 		order := []string{step.first, step.second}
 		if step.attempts%2 == 1 {
 			order = []string{step.second, step.first}
@@ -106,29 +106,29 @@
 				return keeper
 			}
 		}
-		question.steps = question.steps[1:]
+		l.steps = l.steps[1:]
 	}
-	core.completeLookup(question, question.proposal, false)
+	core.completeLookup(l, l.proposal, false)
 	return ""
 }
 
-func (core *Core) sendLookups(keeper string, questions []*lookup) {
+func (core *Core) sendLookups(keeper string, lookups []*lookup) {
 	request := &apiv1.BindRequest{Request: core.newID()}
-	sent := &lookupBatch{deadline: core.now + milliseconds(core.config.LookupTimeout)}
-	request.Opens = newBitmap(len(questions))
-	for index, question := range questions {
-		if question.isSYN {
+	batch := &lookupBatch{deadline: core.now + milliseconds(core.config.LookupTimeout)}
+	request.Opens = newBitmap(len(lookups))
+	for index, l := range lookups {
+		if l.isSYN {
 			setBit(request.Opens, index)
 		}
 		proposal := uint32(rule.NoBackend)
-		if question.steps[0].bind {
-			proposal = question.proposal
+		if l.steps[0].bind {
+			proposal = l.proposal
 		}
-		request.Keys = appendKey(request.Keys, question.key)
+		request.Keys = appendKey(request.Keys, l.key)
 		request.Proposals = append(request.Proposals, proposal)
-		sent.keys = append(sent.keys, question.key)
+		batch.keys = append(batch.keys, l.key)
 	}
-	core.lookupBatches[request.GetRequest()] = sent
+	core.lookupBatches[request.GetRequest()] = batch
 	core.send(keeper, &apiv1.Envelope{Body: &apiv1.Envelope_BindRequest{BindRequest: request}})
 }
 
@@ -137,55 +137,55 @@
 		core.handleReplicationReply(reply)
 		return
 	}
-	sent := core.lookupBatches[reply.GetRequest()]
-	if sent == nil || len(sent.keys) != len(reply.GetBackends()) {
+	batch := core.lookupBatches[reply.GetRequest()]
+	if batch == nil || len(batch.keys) != len(reply.GetBackends()) {
 		return
 	}
 	delete(core.lookupBatches, reply.GetRequest())
-	for index, key := range sent.keys {
-		if question := core.lookups[key]; question != nil {
-			core.handleLookupResult(question, reply.GetBackends()[index])
+	for index, key := range batch.keys {
+		if l := core.lookups[key]; l != nil {
+			core.handleLookupResult(l, reply.GetBackends()[index])
 		}
 	}
 }
 
 // handleLookupResult takes a keeper's answer. No record leads to the next step, and
 // after the last one to the proposal.
-func (core *Core) handleLookupResult(question *lookup, backend uint32) {
-	question.inFlight = false
+func (core *Core) handleLookupResult(l *lookup, backend uint32) {
+	l.inFlight = false
 	if backend != rule.NoBackend {
-		core.completeLookup(question, backend, true)
+		core.completeLookup(l, backend, true)
 		return
 	}
-	question.steps = question.steps[1:]
-	if len(question.steps) == 0 {
-		core.completeLookup(question, question.proposal, true)
+	l.steps = l.steps[1:]
+	if len(l.steps) == 0 {
+		core.completeLookup(l, l.proposal, true)
 	}
 }
 
-func (core *Core) completeLookup(question *lookup, backend uint32, recorded bool) {
-	delete(core.lookups, question.key)
+func (core *Core) completeLookup(l *lookup, backend uint32, recorded bool) {
+	delete(core.lookups, l.key)
 	core.out.Resolutions = append(core.out.Resolutions,
-		Resolution{Key: question.key, Backend: backend, Recorded: recorded})
+		Resolution{Key: l.key, Backend: backend, Recorded: recorded})
 }
 
 // tickLookups retries unanswered questions at the other keeper and gives up those
 // past their deadline.
 func (core *Core) tickLookups() {
-	for id, sent := range core.lookupBatches {
-		if core.now < sent.deadline {
+	for id, batch := range core.lookupBatches {
+		if core.now < batch.deadline {
 			continue
 		}
 		delete(core.lookupBatches, id)
-		for _, key := range sent.keys {
-			if question := core.lookups[key]; question != nil {
-				question.inFlight = false
+		for _, key := range batch.keys {
+			if l := core.lookups[key]; l != nil {
+				l.inFlight = false
 			}
 		}
 	}
-	for _, question := range core.lookups {
-		if core.now >= question.deadline {
-			core.completeLookup(question, rule.NoBackend, false)
+	for _, l := range core.lookups {
+		if core.now >= l.deadline {
+			core.completeLookup(l, rule.NoBackend, false)
 		}
 	}
 }
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -60,12 +60,12 @@
 // has cleared does not come back.
 func (core *Core) mergeMarks(marks []*apiv1.LeavingMark) {
 	for _, mark := range marks {
-		known := core.marks[mark.GetBackend()]
-		ended := mark.GetIncarnation() <= core.clearedIncarnation(mark.GetBackend())
-		if ended || core.isLeavingInSettled(mark.GetBackend()) {
+		state := core.marks[mark.GetBackend()]
+		cleared := mark.GetIncarnation() <= core.clearedIncarnation(mark.GetBackend())
+		if cleared || core.isLeavingInSettled(mark.GetBackend()) {
 			continue
 		}
-		if known == nil || known.mark.GetIncarnation() < mark.GetIncarnation() {
+		if state == nil || state.mark.GetIncarnation() < mark.GetIncarnation() {
 			core.addMark(mark)
 		}
 	}
@@ -87,9 +87,9 @@
 // dropClearedMarks drops the marks that the settled epoch has ended, and those
 // that it makes needless because its rule already leaves the back end out.
 func (core *Core) dropClearedMarks() {
-	for backend, known := range core.marks {
-		ended := known.mark.GetIncarnation() <= core.clearedIncarnation(backend)
-		if ended || core.isLeavingInSettled(backend) {
+	for backend, state := range core.marks {
+		cleared := state.mark.GetIncarnation() <= core.clearedIncarnation(backend)
+		if cleared || core.isLeavingInSettled(backend) {
 			delete(core.marks, backend)
 		}
 	}
@@ -110,29 +110,29 @@
 // tickMarks makes marks active: at once when every participant knows the same
 // marks and has recorded its new flows, else after MarkDelay.
 func (core *Core) tickMarks() {
-	for _, known := range core.marks {
-		core.recordFlowsForMark(known)
-		if known.active {
+	for _, state := range core.marks {
+		core.recordFlowsForMark(state)
+		if state.active {
 			continue
 		}
-		late := core.now-known.learnedAt >= milliseconds(core.config.MarkDelay)
-		if late || core.marksCompletedEverywhere() {
-			known.active = true
+		delayElapsed := core.now-state.learnedAt >= milliseconds(core.config.MarkDelay)
+		if delayElapsed || core.marksCompletedEverywhere() {
+			state.active = true
 			core.viewChanged = true
 		}
 	}
 }
 
 // recordFlowsForMark records the flows opened here lately at a marked back end.
-func (core *Core) recordFlowsForMark(known *markState) {
-	if known.recorded || core.settled == nil || core.viewInForce < known.viewVersion {
+func (core *Core) recordFlowsForMark(state *markState) {
+	if state.recorded || core.settled == nil || core.viewInForce < state.viewVersion {
 		return
 	}
-	if !known.listed {
-		known.listed = true
-		core.offerEmbryonic(known.mark.GetBackend())
+	if !state.listed {
+		state.listed = true
+		core.offerEmbryonic(state.mark.GetBackend())
 	}
-	known.recorded = !core.hasOutstandingOffers(purposeMark)
+	state.recorded = !core.hasOutstandingOffers(purposeMark)
 }
 
 func (core *Core) marksCompletedEverywhere() bool {
@@ -154,8 +154,8 @@
 
 // marksCompleted reports whether the new flows of all marks are recorded.
 func (core *Core) marksCompleted() bool {
-	for _, known := range core.marks {
-		if !known.recorded {
+	for _, state := range core.marks {
+		if !state.recorded {
 			return false
 		}
 	}
@@ -165,9 +165,9 @@
 // marksDigest is equal on nodes that know the same marks. 0 is no mark.
 func (core *Core) marksDigest() uint32 {
 	var digest uint32
-	for backend, known := range core.marks {
+	for backend, state := range core.marks {
 		text := strconv.FormatUint(uint64(backend), 10) + "/" +
-			strconv.FormatUint(known.mark.GetIncarnation(), 10)
+			strconv.FormatUint(state.mark.GetIncarnation(), 10)
 		digest ^= uint32(xxhash.Sum64String(text))
 	}
 	return digest
@@ -175,43 +175,43 @@
 
 func (core *Core) sortedMarks() []*apiv1.LeavingMark {
 	marks := make([]*apiv1.LeavingMark, 0, len(core.marks))
-	for _, known := range core.marks {
-		marks = append(marks, known.mark)
+	for _, state := range core.marks {
+		marks = append(marks, state.mark)
 	}
 	sort.Slice(marks, func(i, j int) bool { return marks[i].GetBackend() < marks[j].GetBackend() })
 	return marks
 }
 
 func (core *Core) knownMarks() map[uint32]bool {
-	known := make(map[uint32]bool, len(core.marks))
+	backends := make(map[uint32]bool, len(core.marks))
 	for backend := range core.marks {
-		known[backend] = true
+		backends[backend] = true
 	}
-	return known
+	return backends
 }
 
 // leavingBackends are the back ends that take no new flows, by a mark or by the settled
 // rule.
 func (core *Core) leavingBackends() map[uint32]bool {
-	leaving := core.knownMarks()
+	leavingBackends := core.knownMarks()
 	for _, service := range core.document.GetSettled().GetServices() {
 		for _, candidate := range service.GetCandidates() {
 			if candidate.GetLeaving() {
-				leaving[candidate.GetBackend()] = true
+				leavingBackends[candidate.GetBackend()] = true
 			}
 		}
 	}
-	return leaving
+	return leavingBackends
 }
 
 // activeMarks are the marks that new flows heed. A pending epoch that clears a
 // mark ends it for new flows once it is active.
 func (core *Core) activeMarks() map[uint32]bool {
 	active := make(map[uint32]bool, len(core.marks))
-	for backend, known := range core.marks {
+	for backend, state := range core.marks {
 		cleared := core.phase >= router.PhaseActive &&
-			known.mark.GetIncarnation() <= clearedIncarnationIn(core.document.GetPending(), backend)
-		if known.active && !cleared {
+			state.mark.GetIncarnation() <= clearedIncarnationIn(core.document.GetPending(), backend)
+		if state.active && !cleared {
 			active[backend] = true
 		}
 	}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -41,36 +41,36 @@
 	if member.GetId() == core.self.GetId() || member.GetId() == "" {
 		return
 	}
-	known := core.peers[member.GetId()]
-	if known != nil && known.member.GetIncarnation() >= member.GetIncarnation() {
+	existing := core.peers[member.GetId()]
+	if existing != nil && existing.member.GetIncarnation() >= member.GetIncarnation() {
 		return
 	}
-	fresh := &peer{member: proto.CloneOf(member), sentAt: make(map[uint64]uint32)}
-	fresh.lastHeard = core.now
-	core.peers[member.GetId()] = fresh
-	core.sendHeartbeat(fresh)
+	added := &peer{member: proto.CloneOf(member), sentAt: make(map[uint64]uint32)}
+	added.lastHeard = core.now
+	core.peers[member.GetId()] = added
+	core.sendHeartbeat(added)
 }
 
 // checkSender records that a peer was heard and reports whether its message
 // counts.
 func (core *Core) checkSender(envelope *apiv1.Envelope) bool {
 	member := envelope.GetHeartbeat().GetMember()
-	known := core.peers[envelope.GetFrom()]
-	if known == nil || envelope.GetIncarnation() > known.member.GetIncarnation() {
+	peer := core.peers[envelope.GetFrom()]
+	if peer == nil || envelope.GetIncarnation() > peer.member.GetIncarnation() {
 		if member.GetId() != envelope.GetFrom() {
 			return false
 		}
 		core.AddPeer(member)
-		known = core.peers[envelope.GetFrom()]
+		peer = core.peers[envelope.GetFrom()]
 	}
-	if known == nil || envelope.GetIncarnation() < known.member.GetIncarnation() {
+	if peer == nil || envelope.GetIncarnation() < peer.member.GetIncarnation() {
 		return false
 	}
-	if member != nil && member.GetLeaving() != known.member.GetLeaving() {
-		known.member.Leaving = member.GetLeaving()
+	if member != nil && member.GetLeaving() != peer.member.GetLeaving() {
+		peer.member.Leaving = member.GetLeaving()
 	}
-	known.lastHeard = core.now
-	known.heard = true
+	peer.lastHeard = core.now
+	peer.heard = true
 	return true
 }
 
@@ -126,20 +126,20 @@
 // sender. A sender that is not a member is told how far this node is.
 func (core *Core) handleHeartbeat(from string, heartbeat *apiv1.Heartbeat) {
 	core.updateProgress(from, heartbeat.GetProgress())
-	known := core.peers[from]
-	if heartbeat.GetSequence() == 0 || core.isFencedIn(core.deferredDocument, known.member) {
+	peer := core.peers[from]
+	if heartbeat.GetSequence() == 0 || core.isFencedIn(core.deferredDocument, peer.member) {
 		return
 	}
 	reply := &apiv1.HeartbeatReply{Sequence: heartbeat.GetSequence()}
 	member := core.members()[from]
-	if member == nil || member.GetIncarnation() != known.member.GetIncarnation() {
+	if member == nil || member.GetIncarnation() != peer.member.GetIncarnation() {
 		reply.Progress = core.progress()
 	}
-	known.lastReplyAt = core.now
-	known.hasReplied = true
+	peer.lastReplyAt = core.now
+	peer.hasReplied = true
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_HeartbeatReply{HeartbeatReply: reply}})
-	if !known.hasConfirmed && heartbeat.GetMember() != nil {
-		core.sendHeartbeat(known)
+	if !peer.hasConfirmed && heartbeat.GetMember() != nil {
+		core.sendHeartbeat(peer)
 	}
 }
 
@@ -148,8 +148,8 @@
 	if progress == nil {
 		return
 	}
-	known := core.peers[from]
-	known.progress = progress
+	peer := core.peers[from]
+	peer.progress = progress
 	core.catchUp(progress)
 	ahead := progress.GetDocumentVersion() > core.document.GetVersion() ||
 		progress.GetConfigurationRevision() > core.configuration.GetRevision() ||
@@ -230,8 +230,8 @@
 // removeStalePeers drops nodes that are neither members nor heard for a long time.
 func (core *Core) removeStalePeers() {
 	members := core.members()
-	for id, known := range core.peers {
-		silent := core.now - known.lastHeard
+	for id, peer := range core.peers {
+		silent := core.now - peer.lastHeard
 		if members[id] == nil && silent > milliseconds(core.config.RecoveryTime) {
 			delete(core.peers, id)
 		}
@@ -245,9 +245,9 @@
 	if !core.self.GetLeaving() {
 		live = append(live, core.self)
 	}
-	for id, known := range core.peers {
-		if core.isAlive(id) && !known.member.GetLeaving() {
-			live = append(live, known.member)
+	for id, peer := range core.peers {
+		if core.isAlive(id) && !peer.member.GetLeaving() {
+			live = append(live, peer.member)
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].GetId() < live[j].GetId() })
--- a/internal/core/offer.go
+++ b/internal/core/offer.go
@@ -70,13 +70,13 @@
 // recorded at once.
 func (core *Core) offerFlows(purpose offerPurpose, flows []assignedFlow) {
 	byKeeper := make(map[string][]assignedFlow)
-	for _, held := range flows {
-		for _, keeper := range keepersFor(core.pendingKeeper, held.key) {
+	for _, assigned := range flows {
+		for _, keeper := range keepersFor(core.pendingKeeper, assigned.key) {
 			if keeper == core.self.GetId() {
-				core.recordFlow(held)
+				core.recordFlow(assigned)
 				continue
 			}
-			byKeeper[keeper] = append(byKeeper[keeper], held)
+			byKeeper[keeper] = append(byKeeper[keeper], assigned)
 		}
 	}
 	for _, keeper := range sortedKeys(byKeeper) {
@@ -90,8 +90,8 @@
 
 // hasOutstandingOffers reports whether an offer of a purpose is unanswered.
 func (core *Core) hasOutstandingOffers(purpose offerPurpose) bool {
-	for _, waiting := range core.offers {
-		if waiting.purpose == purpose {
+	for _, pending := range core.offers {
+		if pending.purpose == purpose {
 			return true
 		}
 	}
@@ -100,16 +100,16 @@
 
 // dropOffers forgets the offers of a purpose.
 func (core *Core) dropOffers(purpose offerPurpose) {
-	for id, waiting := range core.offers {
-		if waiting.purpose == purpose {
+	for id, pending := range core.offers {
+		if pending.purpose == purpose {
 			delete(core.offers, id)
 		}
 	}
 }
 
-func (core *Core) recordFlow(held assignedFlow) {
-	if core.records[held.key] == nil && len(core.records) < core.config.MaximumRecords {
-		core.setRecord(held.key, held.backend, false)
+func (core *Core) recordFlow(assigned assignedFlow) {
+	if core.records[assigned.key] == nil && len(core.records) < core.config.MaximumRecords {
+		core.setRecord(assigned.key, assigned.backend, false)
 	}
 }
 
@@ -121,10 +121,10 @@
 	}
 }
 
-func (core *Core) queueOffer(queued *offer) {
-	queued.id = core.newID()
-	core.offers[queued.id] = queued
-	core.offerQueue = append(core.offerQueue, queued)
+func (core *Core) queueOffer(pending *offer) {
+	pending.id = core.newID()
+	core.offers[pending.id] = pending
+	core.offerQueue = append(core.offerQueue, pending)
 }
 
 // tickOffers sends queued offers within the byte budget and repeats those that
@@ -134,16 +134,16 @@
 	core.budgetTokens = min(core.budgetTokens+rate*float64(core.now-core.budgetUpdatedAt)/1000, rate*maxBurstSeconds)
 	core.budgetUpdatedAt = core.now
 	members := core.members()
-	for id, waiting := range core.offers {
-		if members[waiting.keeper] == nil {
+	for id, pending := range core.offers {
+		if members[pending.keeper] == nil {
 			delete(core.offers, id)
 		}
 	}
 	core.sendQueuedOffers()
-	for _, waiting := range core.offers {
-		if waiting.sentAt != 0 && core.now-waiting.sentAt >= offerRetryInterval {
-			waiting.sentAt = 0
-			core.offerQueue = append(core.offerQueue, waiting)
+	for _, pending := range core.offers {
+		if pending.sentAt != 0 && core.now-pending.sentAt >= offerRetryInterval {
+			pending.sentAt = 0
+			core.offerQueue = append(core.offerQueue, pending)
 		}
 	}
 }
@@ -154,19 +154,19 @@
 func (core *Core) sendQueuedOffers() {
 	queue := core.offerQueue
 	core.offerQueue = nil
-	for _, next := range queue {
+	for _, pending := range queue {
 		switch {
-		case core.offers[next.id] == nil:
-		case core.budgetTokens > 0 || core.isUrgent(next):
-			core.sendOffer(next)
+		case core.offers[pending.id] == nil:
+		case core.budgetTokens > 0 || core.isUrgent(pending):
+			core.sendOffer(pending)
 		default:
-			core.offerQueue = append(core.offerQueue, next)
+			core.offerQueue = append(core.offerQueue, pending)
 		}
 	}
 }
 
-func (core *Core) isUrgent(waiting *offer) bool {
-	return waiting.purpose == purposeMark || waiting.purpose == purposePhase && core.phase == router.PhaseLearned
+func (core *Core) isUrgent(pending *offer) bool {
+	return pending.purpose == purposeMark || pending.purpose == purposePhase && core.phase == router.PhaseLearned
 }
 
 // spendBudget charges the budget for bytes that are sent, up to a bounded debt: a
@@ -176,36 +176,36 @@
 	core.budgetTokens = max(debt, core.budgetTokens-float64(bytes+offerOverhead))
 }
 
-func (core *Core) sendOffer(next *offer) {
-	next.sentAt = max(core.now, 1)
-	switch next.stage {
+func (core *Core) sendOffer(pending *offer) {
+	pending.sentAt = max(core.now, 1)
+	switch pending.stage {
 	case stageDigest:
-		core.sendDigest(next)
+		core.sendDigest(pending)
 	case stageFingerprints:
-		core.sendFingerprints(next)
+		core.sendFingerprints(pending)
 	case stageRecords:
-		core.sendBatch(next)
+		core.sendBatch(pending)
 	}
 }
 
 func bucketCount(flows int) int { return max(1, flows/flowsPerBucket) }
 
 // addToDigest puts a fingerprint into its bucket's digest.
-func addToDigest(digests []byte, print fingerprint) {
-	bucket := int(print % fingerprint(len(digests)/digestSize))
-	place := digests[bucket*digestSize : (bucket+1)*digestSize]
-	mixed := uint32(uint64(print) * 0x9e3779b97f4a7c15 >> 32)
-	binary.LittleEndian.PutUint32(place, binary.LittleEndian.Uint32(place)^mixed)
+func addToDigest(digests []byte, fp fingerprint) {
+	bucket := int(fp % fingerprint(len(digests)/digestSize))
+	slot := digests[bucket*digestSize : (bucket+1)*digestSize]
+	mixed := uint32(uint64(fp) * 0x9e3779b97f4a7c15 >> 32)
+	binary.LittleEndian.PutUint32(slot, binary.LittleEndian.Uint32(slot)^mixed)
 }
 
-func (core *Core) sendDigest(next *offer) {
-	digests := make([]byte, bucketCount(len(next.flows))*digestSize)
-	for _, held := range next.flows {
-		addToDigest(digests, fingerprintOf(held.key))
+func (core *Core) sendDigest(pending *offer) {
+	digests := make([]byte, bucketCount(len(pending.flows))*digestSize)
+	for _, assigned := range pending.flows {
+		addToDigest(digests, fingerprintOf(assigned.key))
 	}
 	core.spendBudget(len(digests))
-	message := &apiv1.RecordDigest{Offer: next.id, EpochNumber: core.targetEpochNumber(), Digests: digests}
-	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordDigest{RecordDigest: message}})
+	message := &apiv1.RecordDigest{Offer: pending.id, EpochNumber: core.targetEpochNumber(), Digests: digests}
+	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordDigest{RecordDigest: message}})
 }
 
 // targetEpochNumber is the epoch from which the offered flows are displaced.
@@ -226,16 +226,16 @@
 	}
 	core.recordOwnFlows()
 	digests := make([]byte, count*digestSize)
-	for key, kept := range core.records {
+	for key, record := range core.records {
 		first, second := core.pendingKeeper.Pick(key.Hash())
-		if (first == core.self.GetId() || second == core.self.GetId()) && core.isDisplaced(key, kept.backend) {
+		if (first == core.self.GetId() || second == core.self.GetId()) && core.isDisplaced(key, record.backend) {
 			addToDigest(digests, fingerprintOf(key))
 		}
 	}
 	mismatch := &apiv1.RecordMismatch{Offer: message.GetOffer(), Bitmap: newBitmap(count)}
 	for bucket := range count {
-		place := bucket * digestSize
-		if !bytes.Equal(digests[place:place+digestSize], message.GetDigests()[place:place+digestSize]) {
+		offset := bucket * digestSize
+		if !bytes.Equal(digests[offset:offset+digestSize], message.GetDigests()[offset:offset+digestSize]) {
 			setBit(mismatch.Bitmap, bucket)
 		}
 	}
@@ -250,10 +250,10 @@
 		return
 	}
 	core.ownFlowsRecordedEpoch = core.targetEpochNumber()
-	for _, held := range core.displacedFlows() {
-		for _, keeper := range keepersFor(core.pendingKeeper, held.key) {
+	for _, assigned := range core.displacedFlows() {
+		for _, keeper := range keepersFor(core.pendingKeeper, assigned.key) {
 			if keeper == core.self.GetId() {
-				core.recordFlow(held)
+				core.recordFlow(assigned)
 			}
 		}
 	}
@@ -261,48 +261,48 @@
 
 // handleRecordMismatch offers the flows of the differing buckets.
 func (core *Core) handleRecordMismatch(from string, message *apiv1.RecordMismatch) {
-	waiting := core.offers[message.GetOffer()]
-	if waiting == nil || waiting.keeper != from || waiting.stage != stageDigest {
+	pending := core.offers[message.GetOffer()]
+	if pending == nil || pending.keeper != from || pending.stage != stageDigest {
 		return
 	}
-	delete(core.offers, waiting.id)
-	count := fingerprint(bucketCount(len(waiting.flows)))
+	delete(core.offers, pending.id)
+	count := fingerprint(bucketCount(len(pending.flows)))
 	var differing []assignedFlow
-	for _, held := range waiting.flows {
-		if hasBit(message.GetBitmap(), int(fingerprintOf(held.key)%count)) {
-			differing = append(differing, held)
+	for _, assigned := range pending.flows {
+		if hasBit(message.GetBitmap(), int(fingerprintOf(assigned.key)%count)) {
+			differing = append(differing, assigned)
 		}
 	}
-	core.queueOffers(waiting.purpose, from, differing)
+	core.queueOffers(pending.purpose, from, differing)
 	core.tickOffers()
 }
 
-func (core *Core) sendFingerprints(next *offer) {
-	prints := make([]byte, 0, len(next.flows)*fingerprintSize)
-	for _, held := range next.flows {
-		prints = appendFingerprint(prints, fingerprintOf(held.key))
+func (core *Core) sendFingerprints(pending *offer) {
+	fingerprints := make([]byte, 0, len(pending.flows)*fingerprintSize)
+	for _, assigned := range pending.flows {
+		fingerprints = appendFingerprint(fingerprints, fingerprintOf(assigned.key))
 	}
-	core.spendBudget(len(prints))
-	message := &apiv1.RecordOffer{Offer: next.id, Fingerprints: prints}
-	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordOffer{RecordOffer: message}})
+	core.spendBudget(len(fingerprints))
+	message := &apiv1.RecordOffer{Offer: pending.id, Fingerprints: fingerprints}
+	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordOffer{RecordOffer: message}})
 }
 
-func (core *Core) sendBatch(next *offer) {
-	batch := &apiv1.RecordBatch{Offer: next.id}
-	for _, held := range next.flows {
-		batch.Keys = appendKey(batch.Keys, held.key)
-		batch.Backends = append(batch.Backends, held.backend)
+func (core *Core) sendBatch(pending *offer) {
+	batch := &apiv1.RecordBatch{Offer: pending.id}
+	for _, assigned := range pending.flows {
+		batch.Keys = appendKey(batch.Keys, assigned.key)
+		batch.Backends = append(batch.Backends, assigned.backend)
 	}
 	core.spendBudget(len(batch.Keys) + 2*len(batch.Backends))
-	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordBatch{RecordBatch: batch}})
+	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordBatch{RecordBatch: batch}})
 }
 
 func (core *Core) handleRecordOffer(from string, message *apiv1.RecordOffer) {
 	count := len(message.GetFingerprints()) / fingerprintSize
 	wanted := &apiv1.RecordWanted{Offer: message.GetOffer(), Bitmap: newBitmap(count)}
 	for index := range count {
-		print := parseFingerprint(message.GetFingerprints()[index*fingerprintSize:])
-		if core.fingerprints[print] == 0 {
+		fp := parseFingerprint(message.GetFingerprints()[index*fingerprintSize:])
+		if core.fingerprints[fp] == 0 {
 			setBit(wanted.Bitmap, index)
 		}
 	}
@@ -311,24 +311,24 @@
 }
 
 func (core *Core) handleRecordWanted(from string, message *apiv1.RecordWanted) {
-	waiting := core.offers[message.GetOffer()]
-	if waiting == nil || waiting.keeper != from || waiting.stage != stageFingerprints {
+	pending := core.offers[message.GetOffer()]
+	if pending == nil || pending.keeper != from || pending.stage != stageFingerprints {
 		return
 	}
 	var wanted []assignedFlow
-	for index, held := range waiting.flows {
+	for index, assigned := range pending.flows {
 		if hasBit(message.GetBitmap(), index) {
-			wanted = append(wanted, held)
+			wanted = append(wanted, assigned)
 		}
 	}
 	if len(wanted) == 0 {
-		delete(core.offers, waiting.id)
+		delete(core.offers, pending.id)
 		return
 	}
-	waiting.flows = wanted
-	waiting.stage = stageRecords
-	waiting.sentAt = 0
-	core.offerQueue = append([]*offer{waiting}, core.offerQueue...)
+	pending.flows = wanted
+	pending.stage = stageRecords
+	pending.sentAt = 0
+	core.offerQueue = append([]*offer{pending}, core.offerQueue...)
 	core.tickOffers()
 }
 
@@ -344,20 +344,20 @@
 }
 
 func (core *Core) handleRecordAck(from string, ack *apiv1.RecordAck) {
-	if waiting := core.offers[ack.GetOffer()]; waiting != nil && waiting.keeper == from {
+	if pending := core.offers[ack.GetOffer()]; pending != nil && pending.keeper == from {
 		delete(core.offers, ack.GetOffer())
 	}
 }
 
-func appendFingerprint(prints []byte, print fingerprint) []byte {
+func appendFingerprint(fingerprints []byte, fp fingerprint) []byte {
 	var buffer [8]byte
-	binary.LittleEndian.PutUint64(buffer[:], uint64(print))
-	return append(prints, buffer[:fingerprintSize]...)
+	binary.LittleEndian.PutUint64(buffer[:], uint64(fp))
+	return append(fingerprints, buffer[:fingerprintSize]...)
 }
 
-func parseFingerprint(prints []byte) fingerprint {
+func parseFingerprint(fingerprints []byte) fingerprint {
 	var buffer [8]byte
-	copy(buffer[:fingerprintSize], prints)
+	copy(buffer[:fingerprintSize], fingerprints)
 	return fingerprint(binary.LittleEndian.Uint64(buffer[:]))
 }
 
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -99,10 +99,10 @@
 			return true
 		})
 	}
-	for key, kept := range core.records {
+	for key, record := range core.records {
 		_, inTable := core.flows.Get(key, key.Hash())
-		if !inTable && core.isDisplaced(key, kept.backend) {
-			flows = append(flows, assignedFlow{key: key, backend: kept.backend})
+		if !inTable && core.isDisplaced(key, record.backend) {
+			flows = append(flows, assignedFlow{key: key, backend: record.backend})
 		}
 	}
 	return flows
@@ -130,10 +130,10 @@
 	for id := range core.members() {
 		ids[id] = true
 	}
-	for id, known := range core.peers {
+	for id, peer := range core.peers {
 		if ids[id] || core.isAlive(id) {
 			ids[id] = true
-			for _, joined := range known.progress.GetParticipants() {
+			for _, joined := range peer.progress.GetParticipants() {
 				ids[joined] = true
 			}
 		}
@@ -167,28 +167,28 @@
 	if len(core.document.GetFenced()) == 0 {
 		return true
 	}
-	known := 0
+	aware := 0
 	if core.isMember() {
-		known++
+		aware++
 	}
 	members := core.members()
 	for id := range members {
 		peer := core.peers[id]
 		if peer != nil && peer.progress.GetDocumentVersion() >= core.fenceVersion {
-			known++
+			aware++
 		}
 	}
-	all := len(members) + len(core.document.GetFenced())
-	lost := core.hasLostMajority(members) || len(members)*2 <= all
-	return known*2 > all || lost && known == len(members)
+	total := len(members) + len(core.document.GetFenced())
+	majorityLost := core.hasLostMajority(members) || len(members)*2 <= total
+	return aware*2 > total || majorityLost && aware == len(members)
 }
 
 func (core *Core) hasCompleted(id string, phase router.Phase) bool {
-	known := core.peers[id]
-	if known == nil {
+	peer := core.peers[id]
+	if peer == nil {
 		return false
 	}
-	progress := known.progress
+	progress := peer.progress
 	number := core.document.GetPending().GetNumber()
 	if progress.GetSettledNumber() >= number {
 		return true
--- a/internal/core/publish.go
+++ b/internal/core/publish.go
@@ -124,12 +124,12 @@
 	if core.isGroupLost() {
 		return core.restartGroup(next)
 	}
-	fence := core.membersToFence()
-	next.Fenced = append(next.Fenced, fence...)
+	toFence := core.membersToFence()
+	next.Fenced = append(next.Fenced, toFence...)
 	if core.pending != nil {
-		return core.nextForPending(next, len(fence) > 0)
+		return core.nextForPending(next, len(toFence) > 0)
 	}
-	if !core.needsEpoch() && len(fence) == 0 {
+	if !core.needsEpoch() && len(toFence) == 0 {
 		return nil
 	}
 	next.Pending = core.nextEpoch(core.document.GetSettled().GetNumber() + 1)
@@ -172,8 +172,8 @@
 	if core.desiredRevision > settled.GetConfigurationRevision() {
 		return true
 	}
-	rested := core.now-core.acceptedAt >= milliseconds(core.config.RuleInterval)
-	if rested && !equalServices(settled.GetServices(), core.desiredServices()) {
+	ruleIntervalElapsed := core.now-core.acceptedAt >= milliseconds(core.config.RuleInterval)
+	if ruleIntervalElapsed && !equalServices(settled.GetServices(), core.desiredServices()) {
 		return true
 	}
 	return core.membersDiffer(settled)
@@ -216,14 +216,14 @@
 // time; after RecoveryTime without a majority, those that nobody here hears.
 func (core *Core) membersToFence() []*apiv1.Member {
 	members := core.members()
-	var fence []*apiv1.Member
+	var toFence []*apiv1.Member
 	for _, id := range sortedKeys(members) {
 		votes := core.suspicionVotes(id, members)
 		if votes > len(members)/2 || votes > 0 && core.hasLostMajority(members) {
-			fence = append(fence, members[id])
+			toFence = append(toFence, members[id])
 		}
 	}
-	return fence
+	return toFence
 }
 
 // suspicionVotes counts the members that suspect one of them. A suspected member's
@@ -237,11 +237,11 @@
 			}
 			continue
 		}
-		known := core.peers[voter]
-		if known == nil || !core.isAlive(voter) || voter == id {
+		peer := core.peers[voter]
+		if peer == nil || !core.isAlive(voter) || voter == id {
 			continue
 		}
-		for _, suspect := range known.progress.GetSuspects() {
+		for _, suspect := range peer.progress.GetSuspects() {
 			if suspect == id {
 				votes++
 			}
@@ -261,18 +261,18 @@
 }
 
 func (core *Core) withMarks(service *apiv1.ServiceRule) *apiv1.ServiceRule {
-	copied := service
+	marked := service
 	for index, candidate := range service.GetCandidates() {
-		known := core.marks[candidate.GetBackend()]
-		if known == nil || known.mark.GetIncarnation() <= core.desiredCleared[candidate.GetBackend()] {
+		state := core.marks[candidate.GetBackend()]
+		if state == nil || state.mark.GetIncarnation() <= core.desiredCleared[candidate.GetBackend()] {
 			continue
 		}
-		if copied == service {
-			copied = proto.CloneOf(service)
+		if marked == service {
+			marked = proto.CloneOf(service)
 		}
-		copied.Candidates[index].Leaving = true
+		marked.Candidates[index].Leaving = true
 	}
-	return copied
+	return marked
 }
 
 // clearedMarks are the marks that a new epoch ends: those the operators have
--- a/internal/core/purge.go
+++ b/internal/core/purge.go
@@ -20,19 +20,19 @@
 	if core.document == nil {
 		return
 	}
-	gone := make(map[flow.Address]bool)
+	removed := make(map[flow.Address]bool)
 	for address, old := range core.settled.Rules() {
 		if !sameService(old, settled.Rule(address)) && !sameService(old, pending.Rule(address)) {
-			gone[address] = true
+			removed[address] = true
 		}
 	}
-	if len(gone) == 0 {
+	if len(removed) == 0 {
 		return
 	}
 	for address := range core.purge.addresses {
-		gone[address] = true
+		removed[address] = true
 	}
-	core.purge = purgeState{addresses: gone, viewVersion: core.viewVersion + 1}
+	core.purge = purgeState{addresses: removed, viewVersion: core.viewVersion + 1}
 }
 
 func sameService(old, next *rule.Rule) bool {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -47,8 +47,8 @@
 	}
 	silent := 0
 	for id := range members {
-		known := core.peers[id]
-		if known != nil && core.now-known.lastHeard > milliseconds(core.config.RecoveryTime) {
+		peer := core.peers[id]
+		if peer != nil && core.now-peer.lastHeard > milliseconds(core.config.RecoveryTime) {
 			silent++
 		}
 	}
@@ -63,9 +63,9 @@
 		return false
 	}
 	for id, member := range core.members() {
-		known := core.peers[id]
-		same := known != nil && known.member.GetIncarnation() <= member.GetIncarnation()
-		if same && core.now-known.lastHeard <= recovery {
+		peer := core.peers[id]
+		sameRun := peer != nil && peer.member.GetIncarnation() <= member.GetIncarnation()
+		if sameRun && core.now-peer.lastHeard <= recovery {
 			return false
 		}
 	}
--- a/internal/core/rejoin.go
+++ b/internal/core/rejoin.go
@@ -41,8 +41,8 @@
 	if core.lacks(GuardRejoin) {
 		return false
 	}
-	for id, known := range core.peers {
-		if core.isAlive(id) && known.progress.GetDocumentVersion() > core.document.GetVersion() {
+	for id, peer := range core.peers {
+		if core.isAlive(id) && peer.progress.GetDocumentVersion() > core.document.GetVersion() {
 			return true
 		}
 	}
@@ -52,8 +52,8 @@
 // tickRejoiningPeers follows whether a live peer is rejoining.
 func (core *Core) tickRejoiningPeers() {
 	rejoining := false
-	for id, known := range core.peers {
-		rejoining = rejoining || core.isAlive(id) && known.progress.GetRejoining()
+	for id, peer := range core.peers {
+		rejoining = rejoining || core.isAlive(id) && peer.progress.GetRejoining()
 	}
 	switch {
 	case !rejoining:
@@ -61,7 +61,7 @@
 	case core.peerRejoiningSince == 0:
 		core.peerRejoiningSince = max(core.now, 1)
 	}
-	if held := core.view != nil && core.view.HoldUnknown; held != core.dropsUnknownFlows() {
+	if dropping := core.view != nil && core.view.HoldUnknown; dropping != core.dropsUnknownFlows() {
 		core.viewChanged = true
 	}
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -23,12 +23,12 @@
 func (core *Core) WatchRank() int {
 	inZone := core.rankInZone(core.self)
 	rank := 0
-	for id, known := range core.peers {
+	for id, peer := range core.peers {
 		if !core.isAlive(id) {
 			continue
 		}
-		other := core.rankInZone(known.member)
-		if other < inZone || other == inZone && known.member.GetZone() < core.self.GetZone() {
+		other := core.rankInZone(peer.member)
+		if other < inZone || other == inZone && peer.member.GetZone() < core.self.GetZone() {
 			rank++
 		}
 	}
@@ -41,8 +41,8 @@
 	if member.GetZone() == core.self.GetZone() && core.self.GetId() < member.GetId() {
 		rank++
 	}
-	for id, known := range core.peers {
-		if known.member.GetZone() == member.GetZone() && id < member.GetId() && core.isAlive(id) {
+	for id, peer := range core.peers {
+		if peer.member.GetZone() == member.GetZone() && id < member.GetId() && core.isAlive(id) {
 			rank++
 		}
 	}
@@ -85,14 +85,14 @@
 func (core *Core) Peers() []*apiv1.PeerStatus {
 	statuses := make([]*apiv1.PeerStatus, 0, len(core.peers))
 	for _, id := range sortedKeys(core.peers) {
-		known := core.peers[id]
-		progress := known.progress
+		peer := core.peers[id]
+		progress := peer.progress
 		status := &apiv1.PeerStatus{
 			Id:             id,
-			Zone:           known.member.GetZone(),
+			Zone:           peer.member.GetZone(),
 			Alive:          core.isAlive(id),
 			CompletedPhase: progress.GetCompletedPhase(),
-			AdminAddress:   known.member.GetAdminAddress(),
+			AdminAddress:   peer.member.GetAdminAddress(),
 		}
 		if progress.GetSettledNumber() >= core.document.GetSettled().GetNumber() {
 			status.InForceRevision = core.revisionInForce(progress.GetPendingNumber(), router.Phase(progress.GetPhase()))
