--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -48,9 +48,9 @@
 
 // replicationPart is what one other keeper is asked to confirm.
 type replicationPart struct {
-	replication *replication
-	other       string
-	keys        []flow.Key
+	parent *replication
+	other  string
+	keys   []flow.Key
 	// replied is set once the asker was answered without the confirmation;
 	// the records are then sent again until the other keeper has them.
 	replied  bool
@@ -215,7 +215,7 @@
 		return
 	}
 	id := core.newID()
-	part := &replicationPart{replication: parent, other: other, keys: keys}
+	part := &replicationPart{parent: parent, other: other, keys: keys}
 	part.deadline = core.now + milliseconds(core.config.LookupTimeout)/2
 	core.replications[id] = part
 	parent.waitingFor++
@@ -226,7 +226,7 @@
 	request := &apiv1.BindRequest{Request: id, Replicated: true, Opens: newBitmap(len(part.keys))}
 	for _, key := range part.keys {
 		if record := core.records[key]; record != nil {
-			if part.replication.reused[key] {
+			if part.parent.reused[key] {
 				setBit(request.Opens, len(request.GetProposals()))
 			}
 			request.Keys = appendKey(request.Keys, key)
@@ -258,9 +258,9 @@
 func (core *Core) completeReplicationPart(part *replicationPart) {
 	part.replied = true
 	core.confirmRecords(part.keys)
-	part.replication.waitingFor--
-	if part.replication.waitingFor == 0 {
-		core.replyToBind(part.replication.from, part.replication.request, part.replication.keys, false)
+	part.parent.waitingFor--
+	if part.parent.waitingFor == 0 {
+		core.replyToBind(part.parent.from, part.parent.request, part.parent.keys, false)
 	}
 }
 
