--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -18,10 +18,10 @@
 
 // cluster is three cores whose messages are handed over by hand.
 type cluster struct {
-	t      testing.TB
-	now    uint32
-	cores  map[string]*Core
-	tables map[string]*flowtable.Table
+	t     testing.TB
+	now   uint32
+	cores map[string]*Core
+	table map[string]*flowtable.Table
 	// document is the store.
 	document *apiv1.EpochDocument
 	// isolated nodes neither send nor receive.
@@ -37,7 +37,7 @@
 }
 
 func newCluster(t testing.TB) *cluster {
-	c := &cluster{t: t, now: 1, cores: make(map[string]*Core), tables: make(map[string]*flowtable.Table), isolated: make(map[string]bool)}
+	c := &cluster{t: t, now: 1, cores: make(map[string]*Core), table: make(map[string]*flowtable.Table), isolated: make(map[string]bool)}
 	for _, id := range []string{"a", "b", "c"} {
 		c.add(id, 1)
 	}
@@ -52,7 +52,7 @@
 	member := &apiv1.Member{Id: id, Zone: "zone-" + id, PeerAddress: id, Incarnation: incarnation}
 	core, err := New(DefaultConfig(), member, table)
 	require.NoError(cluster.t, err)
-	cluster.cores[id], cluster.tables[id] = core, table
+	cluster.cores[id], cluster.table[id] = core, table
 	for other := range cluster.cores {
 		core.AddPeer(&apiv1.Member{Id: other, PeerAddress: other})
 	}
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -48,9 +48,9 @@
 
 // replicationPart is what one other keeper is asked to confirm.
 type replicationPart struct {
-	parent *replication
-	other  string
-	keys   []flow.Key
+	parent  *replication
+	other   string
+	newKeys []flow.Key
 	// replied is set once the asker was answered without the confirmation;
 	// the records are then sent again until the other keeper has them.
 	replied  bool
@@ -209,13 +209,13 @@
 
 // replicate sends new records to their other keeper. One that is not alive is
 // not waited for.
-func (core *Core) replicate(parent *replication, other string, keys []flow.Key) {
+func (core *Core) replicate(parent *replication, other string, newKeys []flow.Key) {
 	if other == "" || other == core.self.GetId() || !core.isAlive(other) || core.lacks(GuardReplicate) {
-		core.confirmRecords(keys)
+		core.confirmRecords(newKeys)
 		return
 	}
 	id := core.newID()
-	part := &replicationPart{parent: parent, other: other, keys: keys}
+	part := &replicationPart{parent: parent, other: other, newKeys: newKeys}
 	part.deadline = core.now + milliseconds(core.config.LookupTimeout)/2
 	core.replications[id] = part
 	parent.waitingFor++
@@ -223,8 +223,8 @@
 }
 
 func (core *Core) sendReplicationPart(id uint64, part *replicationPart) {
-	request := &apiv1.BindRequest{Request: id, Replicated: true, Opens: newBitmap(len(part.keys))}
-	for _, key := range part.keys {
+	request := &apiv1.BindRequest{Request: id, Replicated: true, Opens: newBitmap(len(part.newKeys))}
+	for _, key := range part.newKeys {
 		if record := core.records[key]; record != nil {
 			if part.parent.reused[key] {
 				setBit(request.Opens, len(request.GetProposals()))
@@ -246,7 +246,7 @@
 	if part.replied {
 		return
 	}
-	for index, key := range part.keys {
+	for index, key := range part.newKeys {
 		if index < len(reply.GetBackends()) && reply.GetBackends()[index] != rule.NoBackend {
 			core.setRecord(key, reply.GetBackends()[index], false)
 		}
@@ -257,7 +257,7 @@
 // completeReplicationPart lets the asker have its answer when this was the last part.
 func (core *Core) completeReplicationPart(part *replicationPart) {
 	part.replied = true
-	core.confirmRecords(part.keys)
+	core.confirmRecords(part.newKeys)
 	part.parent.waitingFor--
 	if part.parent.waitingFor == 0 {
 		core.replyToBind(part.parent.from, part.parent.request, part.parent.keys, false)
