--- a/internal/core/contact.go
+++ b/internal/core/contact.go
@@ -87,7 +87,7 @@
 // contactLeaseEnd is the end of the contact lease: FencingTime after the sending of
 // the heartbeats that a majority of the members has confirmed.
 func (core *Core) contactLeaseEnd() uint32 {
-	if core.lacks(GuardContact) {
+	if core.isDisabled(GuardContact) {
 		return ^uint32(0)
 	}
 	var confirmedSentAt []uint32
--- a/internal/core/filter.go
+++ b/internal/core/filter.go
@@ -151,7 +151,7 @@
 func (core *Core) buildFilter(target *rule.Set) *bloom.BloomFilter {
 	var displaced []flow.Key
 	for key, record := range core.records {
-		if isDisplacedFrom(target, key, record.backend) && !core.lacks(GuardFilter) {
+		if isDisplacedFrom(target, key, record.backend) && !core.isDisabled(GuardFilter) {
 			displaced = append(displaced, key)
 		}
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -25,5 +25,5 @@
 	GuardRejoin
 )
 
-// lacks reports whether a guard has been removed.
-func (core *Core) lacks(guard Guard) bool { return core.config.Disabled&guard != 0 }
+// isDisabled reports whether a guard has been removed.
+func (core *Core) isDisabled(guard Guard) bool { return core.config.Disabled&guard != 0 }
--- a/internal/core/hint.go
+++ b/internal/core/hint.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// hint answers a question about an open flow from the pushed records. A SYN is
+// lookupHint answers a question about an open flow from the pushed records. A SYN is
 // not answered: its ports may be used anew.
-func (core *Core) hint(key flow.Key, isSYN bool) (uint32, bool) {
+func (core *Core) lookupHint(key flow.Key, isSYN bool) (uint32, bool) {
 	if core.now > core.hintsUntil {
 		clear(core.hints)
 	}
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -161,7 +161,7 @@
 		return record.tentative && !replicated
 	}
 	full := len(core.records) >= core.config.MaximumRecords
-	if proposal == rule.NoBackend || full || core.lacks(GuardBind) {
+	if proposal == rule.NoBackend || full || core.isDisabled(GuardBind) {
 		return false
 	}
 	core.setRecord(key, proposal, !replicated)
@@ -210,7 +210,7 @@
 // replicate sends new records to their other keeper. One that is not alive is
 // not waited for.
 func (core *Core) replicate(parent *replication, other string, newKeys []flow.Key) {
-	if other == "" || other == core.self.GetId() || !core.isAlive(other) || core.lacks(GuardReplicate) {
+	if other == "" || other == core.self.GetId() || !core.isAlive(other) || core.isDisabled(GuardReplicate) {
 		core.confirmRecords(newKeys)
 		return
 	}
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -45,7 +45,7 @@
 		existing.bind = existing.bind || bind
 		return
 	}
-	if backend, found := core.hint(key, isSYN); found {
+	if backend, found := core.lookupHint(key, isSYN); found {
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key, Backend: backend, Recorded: true})
 		return
 	}
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -17,11 +17,11 @@
 	learnedAt uint32
 	active    bool
 	// viewVersion must be in force before the flows are listed.
-	viewVersion uint64
-	listed      bool
-	// recorded is set when the flows that were opened here lately at the back
+	viewVersion  uint64
+	flowsOffered bool
+	// flowsRecorded is set when the flows that were opened here lately at the back
 	// end are recorded: their SYN may come again through another node.
-	recorded bool
+	flowsRecorded bool
 }
 
 // MarkLeaving keeps new flows from a back end, without the store. Marking a marked
@@ -125,14 +125,14 @@
 
 // recordFlowsForMark records the flows opened here lately at a marked back end.
 func (core *Core) recordFlowsForMark(state *markState) {
-	if state.recorded || core.settled == nil || core.viewInForce < state.viewVersion {
+	if state.flowsRecorded || core.settled == nil || core.viewInForce < state.viewVersion {
 		return
 	}
-	if !state.listed {
-		state.listed = true
+	if !state.flowsOffered {
+		state.flowsOffered = true
 		core.offerEmbryonic(state.mark.GetBackend())
 	}
-	state.recorded = !core.hasOutstandingOffers(purposeMark)
+	state.flowsRecorded = !core.hasOutstandingOffers(purposeMark)
 }
 
 func (core *Core) marksCompletedEverywhere() bool {
@@ -155,7 +155,7 @@
 // marksCompleted reports whether the new flows of all marks are recorded.
 func (core *Core) marksCompleted() bool {
 	for _, state := range core.marks {
-		if !state.recorded {
+		if !state.flowsRecorded {
 			return false
 		}
 	}
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -65,7 +65,7 @@
 // seen, so lately that it may come again elsewhere, and on which the rules differ; with a back end, only those
 // that it holds.
 func (core *Core) embryonicFlows(backend uint32) []assignedFlow {
-	if core.lacks(GuardEmbryonic) {
+	if core.isDisabled(GuardEmbryonic) {
 		return nil
 	}
 	retry := milliseconds(core.config.SynRetryTime)
@@ -87,7 +87,7 @@
 // displacedFlows are the flows in the table and among the kept records whose
 // back end differs from the target rule.
 func (core *Core) displacedFlows() []assignedFlow {
-	if core.lacks(GuardRecord) {
+	if core.isDisabled(GuardRecord) {
 		return nil
 	}
 	var flows []assignedFlow
@@ -144,7 +144,7 @@
 
 // waitingFor lists the participants that have not completed the phase.
 func (core *Core) waitingFor(phase router.Phase) []string {
-	if core.lacks(GuardWait) {
+	if core.isDisabled(GuardWait) {
 		return nil
 	}
 	var waiting []string
--- a/internal/core/publish.go
+++ b/internal/core/publish.go
@@ -13,8 +13,8 @@
 
 // publishState is about the next write of the document.
 type publishState struct {
-	// wantedSince is when this node first wanted to write; 0 is not.
-	wantedSince uint32
+	// pendingSince is when this node first wanted to write; 0 is not.
+	pendingSince uint32
 	// writing is set while a write is under way.
 	writing        bool
 	writeStartedAt uint32
@@ -52,7 +52,7 @@
 		return
 	}
 	core.publish.failures = min(core.publish.failures+1, maximumBackoffDoublings)
-	core.publish.wantedSince = max(core.now, 1)
+	core.publish.pendingSince = max(core.now, 1)
 }
 
 // tickPublish writes the document when there is reason to and this node's turn
@@ -67,13 +67,13 @@
 		next = core.nextDocument()
 	}
 	if next == nil {
-		core.publish.wantedSince = 0
+		core.publish.pendingSince = 0
 		return
 	}
-	if core.publish.wantedSince == 0 {
-		core.publish.wantedSince = max(core.now, 1)
+	if core.publish.pendingSince == 0 {
+		core.publish.pendingSince = max(core.now, 1)
 	}
-	if core.now-core.publish.wantedSince < core.publishDelay() {
+	if core.now-core.publish.pendingSince < core.publishDelay() {
 		return
 	}
 	core.publish.writing = true
@@ -86,7 +86,7 @@
 // RecoveryTime. Without this, the two sides of a cut would take turns in
 // publishing epochs that name only themselves.
 func (core *Core) canPublish() bool {
-	if core.document == nil || core.now <= core.contactLeaseEnd() || core.lacks(GuardPublish) {
+	if core.document == nil || core.now <= core.contactLeaseEnd() || core.isDisabled(GuardPublish) {
 		return true
 	}
 	return core.isMember() && core.hasLostMajority(core.members()) || core.isGroupLost()
--- a/internal/core/rejoin.go
+++ b/internal/core/rejoin.go
@@ -21,7 +21,7 @@
 	}
 	core.rejoining = false
 	core.rejoinUntil = core.now + maxRejoinDropTime
-	if !core.lacks(GuardRejoin) {
+	if !core.isDisabled(GuardRejoin) {
 		core.offerFlows(purposeRejoin, core.displacedFlows())
 	}
 }
@@ -29,7 +29,7 @@
 // isRejoining is told to the peers: this node was cut off, and flows that it
 // opened meanwhile are not all recorded.
 func (core *Core) isRejoining() bool {
-	if core.lacks(GuardRejoin) {
+	if core.isDisabled(GuardRejoin) {
 		return false
 	}
 	return core.rejoining || core.now < core.rejoinUntil && core.hasOutstandingOffers(purposeRejoin)
@@ -38,7 +38,7 @@
 // hasNewerPeer reports whether a peer has shown newer state than this node has.
 // A node that is cut off then stops to serve by its old rule.
 func (core *Core) hasNewerPeer() bool {
-	if core.lacks(GuardRejoin) {
+	if core.isDisabled(GuardRejoin) {
 		return false
 	}
 	for id, peer := range core.peers {
