--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -6,98 +6,107 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config sets how a Core trades speed against messages and caution. Start from
-// DefaultConfig and change what the network asks for.
+// Config holds the parameters of a Core. They trade reaction time against
+// message volume and safety margins. Start from DefaultConfig and adapt it to
+// the network.
 type Config struct {
-	// HeartbeatInterval is how often a node greets each peer. A shorter one
-	// finds failures sooner and costs bytes in proportion to the group's size:
-	// about 90 bytes a peer and heartbeat. News does not wait for it: a change
-	// of progress is sent at once.
+	// HeartbeatInterval is the time between two heartbeats to each peer. A
+	// shorter interval detects failures sooner and costs bandwidth in
+	// proportion to the size of the group: about 90 bytes per peer and
+	// heartbeat. Progress changes do not wait for it: they are sent at once.
 	HeartbeatInterval time.Duration
 
-	// FencingTime is how long a node may trust its view without a majority's
-	// confirmation, and the least time after which it may be fenced. A shorter
-	// one lets changes pass a dead node sooner; a longer one rides out longer
-	// pauses without dropping packets of flows the node does not know.
+	// FencingTime is how long a node may trust its view without confirmation by
+	// a majority, and the least time after which the node may be fenced. A
+	// shorter time lets changes proceed sooner without a dead node; a longer
+	// one tolerates longer pauses without dropping packets of flows that the
+	// node does not know.
 	FencingTime time.Duration
 
-	// FencingMargin is added to FencingTime on the side of those who fence. It
-	// must cover the drift of the clocks' rates over FencingTime.
+	// FencingMargin is added to FencingTime by the nodes that fence another
+	// one. It must cover the drift of the clock rates over FencingTime.
 	FencingMargin time.Duration
 
-	// RecoveryTime is after how long without a majority of the members the
-	// remaining nodes may fence the silent ones by the store alone. A short
-	// one recovers sooner from the loss of most members at once; one shorter
-	// than a usual cut between zones lets the smaller side go on alone.
+	// RecoveryTime is how long the remaining nodes must be without a majority
+	// of the members before they may fence the silent ones through the store
+	// alone. A short time recovers sooner from the simultaneous loss of most
+	// members; a time shorter than a typical partition between zones lets the
+	// smaller side continue on its own.
 	RecoveryTime time.Duration
 
-	// MarkDelay is the longest time between learning a leaving mark and
-	// keeping new flows from the back end. Within it a mark reaches all nodes
-	// in contact; a longer one leaves fewer SYNs to race with the mark, a
-	// shorter one empties the back end sooner.
+	// MarkDelay is the longest time between receiving a leaving mark and
+	// excluding the back end from new flows. Within this time the mark reaches
+	// all nodes in contact. A longer delay leaves fewer SYNs that race with the
+	// mark; a shorter one drains the back end sooner.
 	MarkDelay time.Duration
 
-	// SynRetryTime is how long after a SYN the next one may come, through
-	// another node. Flows silent for longer are not recorded before a pending
-	// epoch becomes active. Callers double the time between their tries; 16
-	// seconds pass before the sixth.
+	// SynRetryTime is the time after a SYN within which a retransmission of it
+	// may arrive, possibly through another node. Flows that have been silent
+	// for longer are not recorded before a pending epoch becomes active.
+	// Clients double the time between their attempts; 16 seconds pass before
+	// the sixth.
 	SynRetryTime time.Duration
 
-	// MemberDelay is how long a change of the live members must last before an
-	// epoch is published for it. A longer one batches the replacements of a
-	// rolling restart; a shorter one restores the second copy of records
+	// MemberDelay is how long a change of the live members must persist before
+	// an epoch is published for it. A longer delay batches the replacements of
+	// a rolling restart; a shorter one restores the second copy of records
 	// sooner.
 	MemberDelay time.Duration
 
 	// RuleInterval is the least time between an epoch and the next one that
-	// changes weights alone, without a new revision. It bounds the cost when two
-	// nodes that both believe they decide weights publish against each other.
+	// changes only weights, without a new revision. It bounds the cost when two
+	// nodes that both believe they decide weights keep overwriting each other's
+	// epochs.
 	RuleInterval time.Duration
 
-	// PublishBackoff separates the ranks of writers: the node of rank n waits
-	// n times as long. It should exceed a round trip to the store and its
-	// spread to the peers.
+	// PublishBackoff staggers the writers by rank: the node of rank n waits n
+	// times as long. It should exceed a round trip to the store plus the time
+	// in which the document spreads to the peers.
 	PublishBackoff time.Duration
 
-	// LookupTimeout is how long one keeper may take to answer before the other is
-	// asked. Two round trips between zones are the least.
+	// LookupTimeout is how long one keeper may take to respond before the other
+	// one is queried. It must be at least two round trips between zones.
 	LookupTimeout time.Duration
 
-	// LookupDeadline is after how long a question without answer is given up and
-	// its packets are dropped.
+	// LookupDeadline is the time after which an unanswered lookup is given up
+	// and its packets are dropped.
 	LookupDeadline time.Duration
 
-	// MaximumLookups bounds the questions under way; at the bound, new ones are
-	// answered as unavailable, which drops the packet.
+	// MaximumLookups limits the lookups in progress. At the limit, new lookups
+	// resolve as unavailable, which drops the packet.
 	MaximumLookups int
 
-	// MaximumRecords bounds the records kept, at about 120 bytes each. At the
-	// bound new flows follow the rule unrecorded, which may break them at the next
-	// change; it should exceed the displaced flows of the group by far.
+	// MaximumRecords limits the records that the node keeps, at about 120 bytes
+	// each. At the limit, new flows follow the rule without a record, and the
+	// next change may break them. The limit should far exceed the number of
+	// displaced flows of the group.
 	MaximumRecords int
 
-	// RecordBytesPerSecond paces the offers of displaced flows. All control
-	// traffic of a node should fit its budget; this is the part that grows
-	// with the flows.
+	// RecordBytesPerSecond limits the rate at which displaced flows are offered
+	// to keepers. All control traffic of a node should fit its budget; this is
+	// the part that grows with the number of flows.
 	RecordBytesPerSecond int
 
-	// OfferSize is how many flows one offer lists, at 5 bytes each.
+	// OfferSize is the number of flows that one offer lists, at 5 bytes each.
 	OfferSize int
 
-	// RecordIdleTime is after how long without a packet at the keeper it asks
-	// the others whether a recorded flow is alive.
+	// RecordIdleTime is the time without a packet at the keeper after which it
+	// asks the other nodes whether a recorded flow is still alive.
 	RecordIdleTime time.Duration
 
-	// ServeIsolated lets a node without contact open flows by its last view.
-	// It keeps a zone that is cut off in service; flows it opens while the
-	// rest changes the rule may break when the cut heals.
+	// ServeIsolated lets a node without contact open flows according to its
+	// last view. This keeps a zone that is cut off in service; flows that it
+	// opens while the other nodes change the rule may break when the partition
+	// heals.
 	ServeIsolated bool
 
-	// Disabled removes guards, for proofs only; leave it 0.
+	// Disabled selects safeguards to disable. It serves only the tests that
+	// show each safeguard to be necessary; leave it 0.
 	Disabled Guard
 }
 
-// DefaultConfig suits one group over zones a few milliseconds apart.
+// DefaultConfig returns a Config for one group whose zones are a few
+// milliseconds apart.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:    500 * time.Millisecond,
@@ -120,8 +129,8 @@
 	}
 }
 
-// DefaultConfigRegions suits a group whose zones are in several regions, some
-// 100 milliseconds apart.
+// DefaultConfigRegions returns a Config for a group whose zones are in several
+// regions, some 100 milliseconds apart.
 func DefaultConfigRegions() Config {
 	config := DefaultConfig()
 	config.HeartbeatInterval = 2 * time.Second
@@ -134,7 +143,7 @@
 	return config
 }
 
-// Validate reports the first field that cannot work.
+// Validate returns an error for the first field with an unusable value.
 func (config Config) Validate() error {
 	switch {
 	case config.HeartbeatInterval <= 0:
@@ -145,10 +154,10 @@
 	case config.FencingMargin <= 0:
 		return errors.Newf("FencingMargin is %s; set it above 0", config.FencingMargin)
 	case config.LookupDeadline < config.LookupTimeout:
-		return errors.Newf("AskDeadline is %s; set it to AskTimeout (%s) or more",
+		return errors.Newf("LookupDeadline is %s; set it to LookupTimeout (%s) or more",
 			config.LookupDeadline, config.LookupTimeout)
 	case config.OfferSize < 1 || config.MaximumLookups < 1 || config.MaximumRecords < 1 || config.RecordBytesPerSecond < 1:
-		return errors.New("OfferSize, MaximumAsks, MaximumRecords and RecordBytesPerSecond must be 1 or more")
+		return errors.New("OfferSize, MaximumLookups, MaximumRecords and RecordBytesPerSecond must be 1 or more")
 	}
 	return nil
 }
--- a/internal/core/contact.go
+++ b/internal/core/contact.go
@@ -7,8 +7,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// handleHeartbeatReply extends the contact lease. A reply that shows the peer to
-// be ahead does not count: this node was not waited for.
+// handleHeartbeatReply extends the contact lease. A reply that shows the peer
+// to be ahead does not count, because the peer did not wait for this node.
 func (core *Core) handleHeartbeatReply(from string, reply *apiv1.HeartbeatReply) {
 	core.updateProgress(from, reply.GetProgress())
 	if core.isBehind(reply.GetProgress()) {
@@ -22,7 +22,8 @@
 	}
 }
 
-// isBehind reports whether a peer's progress shows state that this node lacks.
+// isBehind reports whether the progress of a peer shows state that this node
+// does not have.
 func (core *Core) isBehind(progress *apiv1.Progress) bool {
 	if progress.GetDocumentVersion() > core.document.GetVersion() {
 		return true
@@ -31,7 +32,8 @@
 		router.Phase(progress.GetPhase()) > core.phase
 }
 
-// catchUp brings a node that nobody waited for to the phase of its peers.
+// catchUp advances a node that the other nodes did not wait for to the phase of
+// its peers.
 func (core *Core) catchUp(progress *apiv1.Progress) {
 	phase := router.Phase(progress.GetPhase())
 	if core.pending == nil || core.isMember() || phase <= core.phase ||
@@ -43,8 +45,8 @@
 	core.startPhaseTask()
 }
 
-// isAlive reports whether a peer has been heard within the time after which it
-// may be fenced.
+// isAlive reports whether a message from a peer has been received within the
+// time after which the peer may be fenced.
 func (core *Core) isAlive(id string) bool {
 	if id == core.self.GetId() {
 		return true
@@ -53,12 +55,14 @@
 	return peer != nil && peer.heard && core.now-peer.lastHeard <= core.fencingDelay()
 }
 
+// fencingDelay returns the time, in milliseconds, without a message after which
+// a node may be fenced.
 func (core *Core) fencingDelay() uint32 {
 	return milliseconds(core.config.FencingTime + core.config.FencingMargin)
 }
 
-// suspects are the members this node has not heard for the fencing time, and
-// those that run again under a newer incarnation.
+// suspects returns the members that this node has not heard from for the
+// fencing delay, and those that have restarted under a newer incarnation.
 func (core *Core) suspects() []string {
 	var suspects []string
 	for id, member := range core.members() {
@@ -84,8 +88,8 @@
 	return core.now-peer.lastHeard > core.fencingDelay()
 }
 
-// contactLeaseEnd is the end of the contact lease: FencingTime after the sending of
-// the heartbeats that a majority of the members has confirmed.
+// contactLeaseEnd returns the end of the contact lease: FencingTime after the
+// sending time of the heartbeats that a majority of the members has confirmed.
 func (core *Core) contactLeaseEnd() uint32 {
 	if core.isDisabled(GuardContact) {
 		return ^uint32(0)
@@ -109,8 +113,8 @@
 	return confirmedSentAt[majority-1] + milliseconds(core.config.FencingTime)
 }
 
-// isIsolated reports whether the node has been out of contact so long that a
-// short pause of its own cannot be the cause.
+// isIsolated reports whether the node has been out of contact for so long that
+// a short pause of its own cannot be the cause.
 func (core *Core) isIsolated() bool {
 	if core.now <= core.contactLeaseEnd() {
 		core.isolatedSince = 0
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,50 +12,56 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// Flows is the node's flow table as the core uses it.
+// Flows is the flow table of the node as seen by the Core.
 type Flows interface {
-	// Visit calls visit for each entry of a shard; false removes the entry.
+	// Visit calls visit for each entry of a shard and removes the entries for
+	// which it returns false.
 	Visit(shard int, visit func(flow.Key, flowtable.Entry) bool)
-	// Get returns the entry of a flow.
+	// Get returns the entry of a flow and whether it exists.
 	Get(key flow.Key, hash uint64) (flowtable.Entry, bool)
 }
 
-// Output is what a Core wants done.
+// Output lists the actions that a Core requests from the embedding program.
 type Output struct {
-	// Messages are to be sent to the peers they name; losing one is allowed.
+	// Messages are to be sent to the peers they name. A message may be lost.
 	Messages []*apiv1.Envelope
-	// View is to be published to the traffic goroutines; nil when unchanged.
-	// When all of them use it, ViewInForce must be called with its version.
+	// View is to be published to the traffic goroutines; it is nil when
+	// unchanged. When all of them use it, ViewInForce must be called with
+	// ViewVersion.
 	View        *router.View
 	ViewVersion uint64
-	// ContactLeaseEnd and ServeIsolated are for Router.SetContact.
+	// ContactLeaseEnd and ServeIsolated are the arguments for
+	// Router.SetContact.
 	ContactLeaseEnd uint32
 	ServeIsolated   bool
-	// Resolutions answer questions of the traffic goroutines.
+	// Resolutions are the results of completed lookups.
 	Resolutions []Resolution
-	// RefreshGroupLiveness asks for the sign of life in the store to be changed.
+	// RefreshGroupLiveness requests a change of the group liveness key in the
+	// store.
 	RefreshGroupLiveness bool
-	// Write is to be tried at the store; nil when there is none.
+	// Write is to be attempted at the store; it is nil when there is nothing to
+	// write.
 	Write *DocumentWrite
 }
 
-// DocumentWrite is a compare-and-swap of the group's document: it holds only
+// DocumentWrite is a compare-and-swap of the group's document: it succeeds only
 // if the stored document has the version Document.Version - 1.
 type DocumentWrite struct {
 	Document *apiv1.EpochDocument
 }
 
-// Resolution answers one question about a flow.
+// Resolution is the result of the lookup of one flow.
 type Resolution struct {
 	Key flow.Key
-	// Backend is rule.NoBackend when the keepers could not be asked in time.
+	// Backend is rule.NoBackend when the keepers could not be queried in time.
 	Backend uint32
-	// Recorded is false when the answer follows the rule because no keeper is
+	// Recorded is false when the result follows the rule because no keeper is
 	// alive.
 	Recorded bool
 }
 
-// Core is the control state of one node.
+// Core is the control state machine of one node. It performs no I/O, starts no
+// goroutine and must not be used concurrently.
 type Core struct {
 	config Config
 	self   *apiv1.Member
@@ -65,7 +71,7 @@
 
 	document      *apiv1.EpochDocument
 	configuration *apiv1.Configuration
-	// acceptedAt is when the document was taken.
+	// acceptedAt is when the document was accepted.
 	acceptedAt uint32
 	settled    *rule.Set
 	pending    *rule.Set
@@ -73,23 +79,25 @@
 	completed  router.Phase
 	phaseTask  phaseTask
 	// rejoining is set while this node is cut off or fenced, until it has
-	// listed its flows; rejoinUntil bounds the time for recording them.
+	// listed its flows; rejoinUntil limits the time for recording them.
 	rejoining   bool
 	rejoinUntil uint32
-	// peerRejoiningSince is when a live peer began to rejoin; 0 is not.
+	// peerRejoiningSince is when a live peer began to rejoin; 0 means that none
+	// is rejoining.
 	peerRejoiningSince uint32
-	// fenceVersion is the document version whose fencing must be known to a
-	// majority before a fenced member is no longer waited for.
+	// fenceVersion is the document version whose fencing a majority must know
+	// before a fenced member is no longer waited for.
 	fenceVersion uint64
-	// deferredDocument is a document that fences a member whose lease, as far as this
-	// node has confirmed it, has not run out yet.
+	// deferredDocument is a document that fences a member whose lease, as far
+	// as this node has confirmed it, has not expired yet.
 	deferredDocument *apiv1.EpochDocument
 
 	view        *router.View
 	viewVersion uint64
 	viewInForce uint64
 	viewChanged bool
-	// settledFilters and pendingFilters are the filters of displaced flows.
+	// settledFilters and pendingFilters are the filters of displaced flows, by
+	// epoch.
 	settledFilters     *filterSet
 	pendingFilters     *filterSet
 	filtersRequestedAt uint32
@@ -107,7 +115,7 @@
 	marks           map[uint32]*markState
 	desired         []*apiv1.ServiceRule
 	desiredRevision uint64
-	// desiredCleared is the incarnation of the last cleared mark by back end.
+	// desiredCleared is the incarnation of the last cleared mark, by back end.
 	desiredCleared map[uint32]uint64
 	hasDesired     bool
 	publish        publishState
@@ -121,12 +129,13 @@
 	offerQueue      []*offer
 	budgetTokens    float64
 	budgetUpdatedAt uint32
-	// ownFlowsRecordedEpoch is the epoch for which recordOwnFlows has run.
+	// ownFlowsRecordedEpoch is the number of the epoch for which recordOwnFlows
+	// has run.
 	ownFlowsRecordedEpoch uint64
 	expiry                expiryState
 	recovery              recoveryState
 	purge                 purgeState
-	// hints are records pushed by the keepers when this node joined.
+	// hints are the records that the keepers pushed when this node joined.
 	hints          map[flow.Key]uint32
 	hintsUntil     uint32
 	hintsRequested map[string]bool
@@ -135,8 +144,8 @@
 	loopback       []*apiv1.Envelope
 }
 
-// New makes the core of a node. The member's incarnation must be higher than
-// that of any earlier run under the same ID.
+// New returns the Core of a node. The incarnation of the member must be higher
+// than that of any earlier run under the same ID.
 func New(config Config, self *apiv1.Member, flows Flows) (*Core, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -159,7 +168,8 @@
 	}, nil
 }
 
-// Tick lets time pass. It should be called every 20 to 100 milliseconds.
+// Tick advances the time and runs periodic work. It should be called every 20
+// to 100 milliseconds.
 func (core *Core) Tick(now uint32) {
 	core.advanceTime(now)
 	core.tickMembership()
@@ -179,8 +189,8 @@
 	core.tickRecovery()
 }
 
-// Step handles a message of a peer. Messages of other incarnations than the
-// newest known one are ignored.
+// Step processes a message from a peer. Messages of an incarnation other than
+// the newest known one are ignored.
 func (core *Core) Step(now uint32, envelope *apiv1.Envelope) {
 	core.advanceTime(now)
 	if envelope.GetTo() != core.self.GetId() || !core.checkSender(envelope) {
@@ -226,7 +236,7 @@
 	core.tickPhase()
 }
 
-// Ready returns what is to be done and forgets it.
+// Ready returns the pending output and clears it.
 func (core *Core) Ready() Output {
 	core.flushLookups()
 	for len(core.loopback) > 0 {
@@ -244,7 +254,7 @@
 	return out
 }
 
-// handleLoopback handles a message of the core to itself.
+// handleLoopback processes a message that the core sent to itself.
 func (core *Core) handleLoopback(envelope *apiv1.Envelope) {
 	switch body := envelope.GetBody().(type) {
 	case *apiv1.Envelope_BindRequest:
@@ -254,9 +264,9 @@
 	}
 }
 
-// ViewInForce tells the core that every traffic goroutine uses the view of
-// this version or a later one. The duties of a phase start only then: a flow
-// opened under an older view is in the table by that time.
+// ViewInForce reports to the core that every traffic goroutine uses the view of
+// this version or a later one. The task of a phase starts only then, because by
+// that time every flow opened under an older view is in the table.
 func (core *Core) ViewInForce(version uint64) {
 	core.viewInForce = max(core.viewInForce, version)
 }
@@ -270,7 +280,8 @@
 	return core.lastID
 }
 
-// send queues a message; the caller fills the body.
+// send queues a message. The caller sets the body; send sets the sender, the
+// recipient and the incarnation.
 func (core *Core) send(to string, envelope *apiv1.Envelope) {
 	envelope.From = core.self.GetId()
 	envelope.To = to
@@ -282,7 +293,7 @@
 	core.out.Messages = append(core.out.Messages, envelope)
 }
 
-// publishView puts a new view into the output when anything in it changed.
+// publishView adds a new view to the output when any part of it has changed.
 func (core *Core) publishView() {
 	if core.settled == nil {
 		return
--- a/internal/core/document.go
+++ b/internal/core/document.go
@@ -8,22 +8,24 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// Document returns the newest document known, or nil. It must not be changed.
+// Document returns the newest known document, or nil. It must not be modified.
 func (core *Core) Document() *apiv1.EpochDocument { return core.document }
 
-// Configuration returns the newest configuration known, or nil. It must not be
-// changed.
+// Configuration returns the newest known configuration, or nil. It must not be
+// modified.
 func (core *Core) Configuration() *apiv1.Configuration { return core.configuration }
 
-// ObserveDocument hands in a document that is known to be in the store. An
-// older one than the newest known is ignored, so a node never goes back.
+// ObserveDocument passes in a document that is known to be in the store. A
+// document older than the newest known one is ignored, so a node never reverts
+// to an earlier state.
 func (core *Core) ObserveDocument(now uint32, document *apiv1.EpochDocument) {
 	core.advanceTime(now)
 	core.acceptDocument(document, router.PhaseNone)
 }
 
-// ObserveConfiguration hands in a configuration that is known to be in the
-// store. An older one is ignored. It reports whether it was taken.
+// ObserveConfiguration passes in a configuration that is known to be in the
+// store and reports whether it was accepted. One that is not newer than the
+// known one is ignored.
 func (core *Core) ObserveConfiguration(now uint32, configuration *apiv1.Configuration) bool {
 	core.advanceTime(now)
 	if configuration.GetRevision() <= core.configuration.GetRevision() {
@@ -33,9 +35,9 @@
 	return true
 }
 
-// acceptDocument takes a newer document. The phase is the highest one heard of
-// for its pending epoch; it matters only to a node that was not there when the
-// epoch was published.
+// acceptDocument adopts a newer document. The phase is the highest one reported
+// for its pending epoch; it matters only to a node that was not present when
+// the epoch was published.
 func (core *Core) acceptDocument(document *apiv1.EpochDocument, phase router.Phase) {
 	if document.GetVersion() <= core.document.GetVersion() {
 		return
@@ -80,8 +82,8 @@
 	}
 }
 
-// mustDefer reports whether a document fences a member whose contact lease
-// this node has extended so lately that it may still hold.
+// mustDefer reports whether a document fences a member whose contact lease this
+// node has extended so recently that the lease may still be valid.
 func (core *Core) mustDefer(document *apiv1.EpochDocument) bool {
 	for _, member := range document.GetFenced() {
 		peer := core.peers[member.GetId()]
@@ -98,7 +100,8 @@
 	return false
 }
 
-// tickDeferredDocument takes a held-back document once the leases have run out.
+// tickDeferredDocument accepts a deferred document once the leases have
+// expired.
 func (core *Core) tickDeferredDocument() {
 	document := core.deferredDocument
 	if document == nil || core.mustDefer(document) {
@@ -108,7 +111,8 @@
 	core.acceptDocument(document, router.PhaseNone)
 }
 
-// dropContact ends the contact lease; it must be won anew as a joining node.
+// dropContact ends the contact lease. The node must obtain a new one as a
+// joining node.
 func (core *Core) dropContact() {
 	for _, peer := range core.peers {
 		peer.hasConfirmed = false
@@ -116,7 +120,8 @@
 	}
 }
 
-// enterPending starts the phases of a new pending epoch, or ends them.
+// enterPending starts the phases of a new pending epoch, or ends them if there
+// is none.
 func (core *Core) enterPending(pending *rule.Set, phase router.Phase) {
 	core.completed = router.PhaseNone
 	core.phase = router.PhaseNone
@@ -133,9 +138,9 @@
 	}
 }
 
-// updateKeepers computes who keeps records under each epoch. Fencing does
-// not change the choice: the records are where they were, and the other keeper
-// of each has a copy. The next epoch chooses anew.
+// updateKeepers determines the keepers of records under each epoch. Fencing
+// does not change the assignment: the records stay where they are, and the
+// other keeper of each has a copy. The next epoch makes a new assignment.
 func (core *Core) updateKeepers() {
 	core.settledKeeper = core.newKeepers(core.document.GetSettled())
 	core.pendingKeeper = core.settledKeeper
@@ -180,8 +185,8 @@
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_State{State: state}})
 }
 
-// omitKnownEpochs leaves out of a document the epochs that the requester has; only
-// their numbers remain.
+// omitKnownEpochs returns a document without the epochs that the requester has;
+// only their numbers remain.
 func omitKnownEpochs(document *apiv1.EpochDocument, request *apiv1.StateRequest) *apiv1.EpochDocument {
 	reduced := &apiv1.EpochDocument{
 		Version: document.GetVersion(),
@@ -202,8 +207,8 @@
 	return reduced
 }
 
-// restoreOmittedEpochs puts the epochs that were left out back in. It returns nil
-// when this node does not have them after all.
+// restoreOmittedEpochs puts the omitted epochs back into a document. It returns
+// nil when this node does not have them after all.
 func (core *Core) restoreOmittedEpochs(reduced *apiv1.EpochDocument) *apiv1.EpochDocument {
 	full := &apiv1.EpochDocument{Version: reduced.GetVersion(), Fenced: reduced.GetFenced()}
 	if full.Settled = core.restoreOmittedEpoch(reduced.GetSettled()); full.GetSettled() == nil {
--- a/internal/core/expiry.go
+++ b/internal/core/expiry.go
@@ -5,7 +5,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// expiryState is about the records that have not been used for long.
+// expiryState is the state of the query about records that have not been used
+// for a long time.
 type expiryState struct {
 	scannedAt uint32
 	query     uint64
@@ -15,18 +16,19 @@
 }
 
 const (
-	// expiryInterval is how often, in milliseconds, a keeper looks for records
-	// of flows that may have ended.
+	// expiryInterval is the time, in milliseconds, between two scans of a
+	// keeper for records of flows that may have ended.
 	expiryInterval = 10_000
-	// expiryTimeout is how long answers to a query are awaited.
+	// expiryTimeout is how long, in milliseconds, a keeper waits for the
+	// replies to a query.
 	expiryTimeout = 5_000
-	// expiryBatch bounds the flows of one query.
+	// expiryBatch limits the number of flows in one query.
 	expiryBatch = 256
 )
 
-// tickExpiry asks the other nodes about records without use. A record is
-// dropped only when every participant has answered that it has not seen the
-// flow: a node that cannot answer may hold it.
+// tickExpiry queries the other nodes about unused records. A record is dropped
+// only when every participant has replied that it has not seen the flow,
+// because a node that cannot reply may hold it.
 func (core *Core) tickExpiry() {
 	if core.expiry.query != 0 {
 		if core.now >= core.expiry.deadline {
--- a/internal/core/filter.go
+++ b/internal/core/filter.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// filterBitsPerFlow and filterHashes give one false answer in about 120.
+	// filterBitsPerFlow and filterHashes give a false positive rate of about 1
+	// in 120.
 	filterBitsPerFlow = 10
 	filterHashes      = 7
 	minimumFilterBits = 64
-	// filterRetryInterval is after how many milliseconds a missing filter is asked
-	// for again.
+	// filterRetryInterval is the time, in milliseconds, after which a missing
+	// filter is requested again.
 	filterRetryInterval = 1000
-	// filterRefreshInterval is how often at most, in milliseconds, a changed filter is
-	// sent.
+	// filterRefreshInterval is the least time, in milliseconds, between two
+	// transmissions of a changed filter.
 	filterRefreshInterval = 3000
 )
 
-// filterSet holds the filters of displaced flows of one epoch, by keeper.
+// filterSet holds the Bloom filters of the displaced flows of one epoch, by
+// keeper.
 type filterSet struct {
 	epochNumber uint64
 	parts       map[string]*bloom.BloomFilter
-	// dirty is set when this node's part lacks a record; sentAt is when the
-	// part was last sent.
+	// dirty is set when the filter of this node lacks a record; sentAt is when
+	// that filter was last sent.
 	dirty  bool
 	sentAt uint32
 }
@@ -38,8 +40,8 @@
 	return &filterSet{epochNumber: epochNumber, parts: make(map[string]*bloom.BloomFilter), dirty: true}
 }
 
-// updateFilterSets brings the filter sets in line with a new document. The filters
-// collected for the pending epoch serve once it is settled.
+// updateFilterSets adapts the filter sets to a new document. The filters
+// collected for the pending epoch remain in use once it is settled.
 func (core *Core) updateFilterSets() {
 	settled := core.document.GetSettled().GetNumber()
 	if core.settledFilters == nil || core.settledFilters.epochNumber != settled {
@@ -55,8 +57,8 @@
 	}
 }
 
-// markFiltersDirty notes that the filters lack a record. A flow on which the rules
-// differ is asked about anyway, so it does not count.
+// markFiltersDirty marks the filters as lacking a record. A flow on which the
+// rules differ is looked up in any case, so it does not count.
 func (core *Core) markFiltersDirty(key flow.Key) {
 	if core.view != nil && core.view.Ambiguous(key, key.Hash()) {
 		return
@@ -77,7 +79,8 @@
 	return filters
 }
 
-// missingFilters lists the keepers of an epoch whose filter is not there.
+// missingFilters lists the keepers of an epoch whose filter has not been
+// received.
 func (core *Core) missingFilters(set *filterSet, epoch *apiv1.Epoch) []string {
 	var missing []string
 	for _, member := range epoch.GetMembers() {
@@ -88,14 +91,14 @@
 	return missing
 }
 
-// hasPendingFilters reports whether the filter of every keeper of the pending
-// epoch is there.
+// hasPendingFilters reports whether the filters of all keepers of the pending
+// epoch have been received.
 func (core *Core) hasPendingFilters() bool {
 	return len(core.missingFilters(core.pendingFilters, core.document.GetPending())) == 0
 }
 
-// tickFilters builds and sends this node's filters when they have changed, and
-// asks for those that are missing.
+// tickFilters builds and sends the filters of this node when they have changed,
+// and requests missing ones.
 func (core *Core) tickFilters() {
 	if core.settled == nil {
 		return
@@ -117,7 +120,7 @@
 func (core *Core) requestFilters(set *filterSet, epoch *apiv1.Epoch) {
 	for _, keeper := range core.missingFilters(set, epoch) {
 		if keeper != core.self.GetId() {
-			// A joining node asks each keeper once for its records.
+			// A joining node requests the records of each keeper once.
 			request := &apiv1.FilterRequest{EpochNumber: set.epochNumber, Hints: !core.isMember() && !core.hintsRequested[keeper]}
 			core.hintsRequested[keeper] = true
 			core.send(keeper, &apiv1.Envelope{Body: &apiv1.Envelope_FilterRequest{FilterRequest: request}})
@@ -185,7 +188,7 @@
 	core.send(to, &apiv1.Envelope{Body: &apiv1.Envelope_FilterPart{FilterPart: part}})
 }
 
-// filterSetOf returns the set for an epoch number, or nil.
+// filterSetOf returns the filter set of an epoch number, or nil.
 func (core *Core) filterSetOf(epochNumber uint64) *filterSet {
 	for _, set := range []*filterSet{core.settledFilters, core.pendingFilters} {
 		if set != nil && set.epochNumber == epochNumber {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -1,29 +1,32 @@
 package core
 
-// Guard is one of the mechanisms that keep flows whole. Removing one is for
-// proofs only: a property test must fail without it.
+// Guard identifies one of the safeguards that keep a flow on its back end.
+// Disabling one serves only to show that it is necessary: a property test must
+// fail without it.
 type Guard uint16
 
 const (
-	// GuardWait: a phase waits for all participants.
+	// GuardWait makes a phase wait for all participants.
 	GuardWait Guard = 1 << iota
-	// GuardBind: flows on which the rules differ are bound at the keepers.
+	// GuardBind binds, at the keepers, the flows on which the rules differ.
 	GuardBind
-	// GuardEmbryonic: flows whose SYN may come again are recorded first.
+	// GuardEmbryonic records, before the pending epoch becomes active, the
+	// flows whose SYN may be retransmitted.
 	GuardEmbryonic
-	// GuardRecord: displaced flows are recorded before the default flips.
+	// GuardRecord records displaced flows before flows without a record follow
+	// the pending rule.
 	GuardRecord
-	// GuardFilter: flows in the filters are asked about.
+	// GuardFilter looks up flows that match a filter.
 	GuardFilter
-	// GuardReplicate: a keeper confirms records at the other one.
+	// GuardReplicate makes a keeper confirm records at the other keeper.
 	GuardReplicate
-	// GuardContact: a node without contact does not trust its view.
+	// GuardContact keeps a node without contact from trusting its view.
 	GuardContact
-	// GuardPublish: only a node in contact with a majority publishes.
+	// GuardPublish lets only a node in contact with a majority publish.
 	GuardPublish
-	// GuardRejoin: a fenced node that joins again records its flows.
+	// GuardRejoin makes a fenced node record its flows when it rejoins.
 	GuardRejoin
 )
 
-// isDisabled reports whether a guard has been removed.
+// isDisabled reports whether a safeguard is disabled.
 func (core *Core) isDisabled(guard Guard) bool { return core.config.Disabled&guard != 0 }
--- a/internal/core/hint.go
+++ b/internal/core/hint.go
@@ -6,20 +6,23 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// A node that joins meets all flows of its group for the first time within
-// seconds, and would ask about each displaced one. Instead the keepers push it
-// their records, as hints. A record names the flow's back end for the flow's
-// life, so a hint answers a question about an open flow as the keeper would.
-// Hints end after hintLifetime, well before the ports of an ended flow are used anew.
+// A joining node sees all flows of its group for the first time within seconds
+// and would otherwise look up each displaced one. Instead, the keepers push
+// their records to it as hints. A record names the back end of the flow for the
+// lifetime of the flow, so a hint gives the same result for an open flow as the
+// keeper would. Hints expire after hintLifetime, well before the ports of an
+// ended flow are reused.
 
 const (
-	// hintBatch is how many records one push carries.
+	// hintBatch is the number of records in one push.
 	hintBatch = 100
-	// hintLifetime is how long, in milliseconds after the last push, hints are used.
+	// hintLifetime is how long, in milliseconds after the last push, hints are
+	// used.
 	hintLifetime = 45_000
 )
 
-// handleHintRequest queues this keeper's displaced records for a joining node.
+// handleHintRequest queues the records of this keeper for a joining node. Of
+// the two keepers of a flow, only the first one sends its record.
 func (core *Core) handleHintRequest(from string) {
 	var flows []assignedFlow
 	for key, record := range core.records {
@@ -35,13 +38,13 @@
 	}
 }
 
-// hintPush is one queued push.
+// hintPush is a queued message with records for a joining node.
 type hintPush struct {
 	to    string
 	flows []assignedFlow
 }
 
-// tickHints sends queued pushes within the record budget.
+// tickHints sends queued pushes within the byte budget for records.
 func (core *Core) tickHints() {
 	for len(core.hintQueue) > 0 && core.budgetTokens > 0 {
 		next := core.hintQueue[0]
@@ -69,8 +72,8 @@
 	}
 }
 
-// lookupHint answers a question about an open flow from the pushed records. A SYN is
-// not answered: its ports may be used anew.
+// lookupHint looks up an open flow among the pushed records. It returns nothing
+// for a SYN, because the ports may belong to a new flow.
 func (core *Core) lookupHint(key flow.Key, isSYN bool) (uint32, bool) {
 	if core.now > core.hintsUntil {
 		clear(core.hints)
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -10,7 +10,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// record is what a keeper knows of one flow.
+// record is the entry of a keeper for one flow.
 type record struct {
 	backend   uint32
 	lastSeen  uint32
@@ -19,8 +19,9 @@
 	tentative bool
 }
 
-// fingerprint is the 5-byte form of a flow in offers. Among a million kept
-// flows the chance that an unknown flow looks known is one in a million.
+// fingerprint is the 5-byte hash that represents a flow in offers. Among a
+// million kept flows, the probability that an unknown flow is mistaken for a
+// known one is one in a million.
 type fingerprint uint64
 
 const fingerprintSize = 5
@@ -32,41 +33,46 @@
 	return fingerprint(digest.Sum64() >> (64 - 8*fingerprintSize))
 }
 
-// fingerprintSeed makes fingerprints independent of the hash that chooses.
+// fingerprintSeed makes fingerprints independent of the hash that selects
+// keepers and back ends.
 const fingerprintSeed = 0x6b65657065727331
 
-// replication is a bind request that waits for the other keepers.
+// replication is a bind request that waits for confirmation by the other
+// keepers of its flows.
 type replication struct {
 	from    string
 	request uint64
 	keys    []flow.Key
-	// reused are the keys whose old record was dropped.
+	// reused are the keys whose previous record was dropped because the ports
+	// were reused.
 	reused map[flow.Key]bool
-	// waitingFor counts the keepers that have not confirmed.
+	// waitingFor counts the keepers that have not confirmed yet.
 	waitingFor int
 }
 
-// replicationPart is what one other keeper is asked to confirm.
+// replicationPart is the set of records that one other keeper must confirm.
 type replicationPart struct {
 	parent  *replication
 	other   string
 	newKeys []flow.Key
-	// replied is set once the asker was answered without the confirmation;
-	// the records are then sent again until the other keeper has them.
+	// replied is set once the requester has received its reply without the
+	// confirmation. The records are then sent again until the other keeper has
+	// them.
 	replied  bool
 	deadline uint32
-	// retryDelay is the present wait, in milliseconds.
+	// retryDelay is the current retry delay, in milliseconds.
 	retryDelay uint32
 }
 
-// Unconfirmed records are sent to the other keeper again, at first after
-// replicationRetryDelay milliseconds, then after twice as long each time.
+// Unconfirmed records are sent to the other keeper again: first after
+// replicationRetryDelay milliseconds, then after twice the previous delay each
+// time, up to replicationRetryDelayMaximum.
 const (
 	replicationRetryDelay        = 150
 	replicationRetryDelayMaximum = 2400
 )
 
-// setRecord stores a record of a flow.
+// setRecord stores the record of a flow.
 func (core *Core) setRecord(key flow.Key, backend uint32, tentative bool) {
 	if core.records[key] == nil {
 		core.fingerprints[fingerprintOf(key)]++
@@ -91,7 +97,8 @@
 	}
 }
 
-// dropRedundantRecords drops the records that the settled rule makes needless.
+// dropRedundantRecords drops the records that the settled rule makes redundant.
+// It keeps all of them while an epoch is pending.
 func (core *Core) dropRedundantRecords() {
 	if core.pending != nil {
 		return
@@ -103,10 +110,10 @@
 	}
 }
 
-// handleBindRequest answers for each flow the back end of its record, making
-// one from the proposal where there is none. A new record is confirmed by the
-// other keeper before the answer, so that two askers that reach different
-// keepers get the same answer.
+// handleBindRequest replies with the recorded back end of each flow, and
+// creates a record from the proposal where there is none. The other keeper
+// confirms a new record before the reply is sent, so that two requesters that
+// reach different keepers get the same result.
 func (core *Core) handleBindRequest(from string, request *apiv1.BindRequest) {
 	created := make(map[string][]flow.Key)
 	reused := make(map[flow.Key]bool)
@@ -132,12 +139,12 @@
 	}
 }
 
-// portReuseTime is how long, in milliseconds, after a record was made a SYN can no
-// longer be one of the recorded flow's: its caller has given up by then.
+// portReuseTime is the age, in milliseconds, of a record from which on a SYN
+// can no longer belong to the recorded flow: by then its client has given up.
 const portReuseTime = 64_000
 
-// dropReusedRecord drops the record of a flow whose ports are used anew, when its back
-// end takes no new flows. It reports whether it did.
+// dropReusedRecord drops the record of a flow whose ports have been reused, if
+// its back end takes no new flows. It reports whether it did.
 func (core *Core) dropReusedRecord(key flow.Key) bool {
 	record := core.records[key]
 	if record == nil || core.view == nil || !core.view.Leaving[record.backend] || core.now-record.createdAt <= portReuseTime {
@@ -147,7 +154,9 @@
 	return true
 }
 
-// bindFlow applies one binding and reports whether it made a new record.
+// bindFlow binds one flow and reports whether the other keeper must confirm its
+// record. A tentative record of the second keeper is replaced by the one that
+// the first keeper replicates.
 func (core *Core) bindFlow(key flow.Key, proposal uint32, replicated bool, from string) bool {
 	record := core.records[key]
 	if record == nil {
@@ -184,14 +193,15 @@
 	}
 }
 
-// mayBeReused reports whether an entry of the node's own table may belong to an
-// earlier flow on the same ports at a back end that takes no new flows.
+// mayBeReused reports whether an entry of the flow table of this node may
+// belong to an earlier flow on the same ports, at a back end that takes no new
+// flows.
 func (core *Core) mayBeReused(entry flowtable.Entry) bool {
 	return core.view != nil && core.view.Leaving[entry.Backend] && core.now-min(core.now, entry.LastSeen) > portReuseTime
 }
 
-// replyToBind answers with the records; where there is none, with the entry of
-// the node's own table, which is as good.
+// replyToBind replies with the recorded back ends. Where there is no record, it
+// uses the entry of the flow table of this node, which is equivalent.
 func (core *Core) replyToBind(to string, request uint64, keys []flow.Key, replicated bool) {
 	reply := &apiv1.BindReply{Request: request, Replicated: replicated}
 	for _, key := range keys {
@@ -207,8 +217,8 @@
 	core.send(to, &apiv1.Envelope{Body: &apiv1.Envelope_BindReply{BindReply: reply}})
 }
 
-// replicate sends new records to their other keeper. One that is not alive is
-// not waited for.
+// replicate sends new records to their other keeper. It does not wait for a
+// keeper that is not alive.
 func (core *Core) replicate(parent *replication, other string, newKeys []flow.Key) {
 	if other == "" || other == core.self.GetId() || !core.isAlive(other) || core.isDisabled(GuardReplicate) {
 		core.confirmRecords(newKeys)
@@ -236,7 +246,7 @@
 	core.send(part.other, &apiv1.Envelope{Body: &apiv1.Envelope_BindRequest{BindRequest: request}})
 }
 
-// handleReplicationReply takes over what the other keeper held already.
+// handleReplicationReply adopts the records that the other keeper already had.
 func (core *Core) handleReplicationReply(reply *apiv1.BindReply) {
 	part := core.replications[reply.GetRequest()]
 	if part == nil {
@@ -254,7 +264,8 @@
 	core.completeReplicationPart(part)
 }
 
-// completeReplicationPart lets the asker have its answer when this was the last part.
+// completeReplicationPart confirms the records of a part and sends the reply to
+// the bind request if it was the last part.
 func (core *Core) completeReplicationPart(part *replicationPart) {
 	part.replied = true
 	core.confirmRecords(part.newKeys)
@@ -264,8 +275,9 @@
 	}
 }
 
-// tickReplications answers without the other keeper when it does not confirm
-// in time, and goes on to send it the records until it does or is dead.
+// tickReplications replies without the confirmation of the other keeper when it
+// is late, and keeps sending the records until that keeper confirms them or is
+// dead.
 func (core *Core) tickReplications() {
 	for id, part := range core.replications {
 		if core.now < part.deadline {
@@ -289,7 +301,7 @@
 	return append(bytes, encoded[:]...)
 }
 
-// parseKeys reads keys of 13 bytes each.
+// parseKeys decodes keys of 13 bytes each.
 func parseKeys(bytes []byte) ([]flow.Key, error) {
 	keys := make([]flow.Key, 0, len(bytes)/flow.BinarySize)
 	for len(bytes) > 0 {
@@ -306,8 +318,8 @@
 // RecordCount returns the number of records that this node keeps.
 func (core *Core) RecordCount() int { return len(core.records) }
 
-// keepersFor returns who keeps a flow's record under a choice of keepers, self
-// included.
+// keepersFor returns the IDs of the keepers of a flow, which may include this
+// node.
 func keepersFor(keepers *router.Keepers, key flow.Key) []string {
 	first, second := keepers.Pick(key.Hash())
 	var ids []string
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -6,9 +6,10 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// lookup is one question of the traffic goroutines under way. It goes through
-// steps: while an epoch is pending, the keepers of the settled epoch are
-// looked up first, then the flow is bound at the keepers of the pending one.
+// lookup is a query by the traffic goroutines for the back end of one flow. It
+// runs in steps: while an epoch is pending, the keepers of the settled epoch
+// are queried first, and then the flow is bound at the keepers of the pending
+// epoch.
 type lookup struct {
 	key      flow.Key
 	proposal uint32
@@ -16,11 +17,11 @@
 	isSYN    bool
 	steps    []lookupStep
 	deadline uint32
-	// inFlight is set while a request for the present step is unanswered.
+	// inFlight is set while a request for the current step is unanswered.
 	inFlight bool
 }
 
-// lookupStep is one pair of keepers to ask.
+// lookupStep names the two keepers to query in one step.
 type lookupStep struct {
 	first, second string
 	bind          bool
@@ -28,17 +29,18 @@
 	attempts int
 }
 
-// lookupBatch is a batch of questions sent to one keeper.
+// lookupBatch lists the flows of one request to a keeper.
 type lookupBatch struct {
 	keys     []flow.Key
 	deadline uint32
 }
 
-// Lookup hands in a question of the traffic goroutines: which back end holds the
-// flow? With bind, the proposal is bound when no record exists; without it,
-// the proposal is only the answer for that case. A question about a flow that
-// is being asked about already is folded into it. Opens says that it is about a
-// SYN.
+// Lookup starts a lookup for the traffic goroutines: it finds the back end that
+// a flow is bound to. With bind set, the flow is bound to the proposal if no
+// record exists; otherwise the proposal is only returned as the result in that
+// case. A lookup of a flow that already has one in progress is merged into it.
+// isSYN reports that the packet in question is a SYN. The result appears in
+// Output.Resolutions.
 func (core *Core) Lookup(now uint32, key flow.Key, proposal uint32, bind, isSYN bool) {
 	core.advanceTime(now)
 	if existing := core.lookups[key]; existing != nil {
@@ -63,6 +65,8 @@
 	}
 }
 
+// lookupSteps returns the steps of a lookup: a single one when the settled and
+// the pending epoch assign the flow to the same keepers.
 func (core *Core) lookupSteps(key flow.Key, bind bool) []lookupStep {
 	settledFirst, settledSecond := core.settledKeeper.Pick(key.Hash())
 	pendingFirst, pendingSecond := core.pendingKeeper.Pick(key.Hash())
@@ -73,7 +77,8 @@
 	return []lookupStep{{first: settledFirst, second: settledSecond}, last}
 }
 
-// flushLookups sends the questions that wait to be sent, one message a keeper.
+// flushLookups sends the lookups that are not in flight, in one message per
+// keeper.
 func (core *Core) flushLookups() {
 	batches := make(map[string][]*lookup)
 	for _, l := range core.lookups {
@@ -90,9 +95,10 @@
 	}
 }
 
-// nextKeeper chooses whom to ask in the present step: the first keeper, then
-// the second one, in turn. A step whose keepers are both dead is passed over;
-// after the last step the question is resolved by the rule.
+// nextKeeper selects the keeper to query in the current step, alternating
+// between the first and the second one. It skips a step whose keepers are both
+// dead; after the last step the lookup resolves to its proposal, which follows
+// the rule.
 func (core *Core) nextKeeper(l *lookup) string {
 	for len(l.steps) > 0 {
 		step := &l.steps[0]
@@ -149,8 +155,9 @@
 	}
 }
 
-// handleLookupResult takes a keeper's answer. No record leads to the next step, and
-// after the last one to the proposal.
+// handleLookupResult processes a keeper's result for one flow. If the keeper
+// has no record, the lookup continues with its next step, or resolves to the
+// proposal after the last one.
 func (core *Core) handleLookupResult(l *lookup, backend uint32) {
 	l.inFlight = false
 	if backend != rule.NoBackend {
@@ -169,7 +176,7 @@
 		Resolution{Key: l.key, Backend: backend, Recorded: recorded})
 }
 
-// tickLookups retries unanswered questions at the other keeper and gives up those
+// tickLookups retries unanswered lookups at the other keeper and gives up those
 // past their deadline.
 func (core *Core) tickLookups() {
 	for id, batch := range core.lookupBatches {
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -11,21 +11,22 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// markState is one leaving mark as this node sees it.
+// markState is the state of one leaving mark on this node.
 type markState struct {
 	mark      *apiv1.LeavingMark
 	learnedAt uint32
 	active    bool
-	// viewVersion must be in force before the flows are listed.
+	// viewVersion must be in force before the flows are listed and offered.
 	viewVersion  uint64
 	flowsOffered bool
-	// flowsRecorded is set when the flows that were opened here lately at the back
-	// end are recorded: their SYN may come again through another node.
+	// flowsRecorded is set when the flows recently opened here at the back end
+	// are recorded, because their SYN may be retransmitted through another
+	// node.
 	flowsRecorded bool
 }
 
-// MarkLeaving keeps new flows from a back end, without the store. Marking a marked
-// back end again changes nothing.
+// MarkLeaving excludes a back end from new flows without a write to the store.
+// Marking a marked back end again has no effect.
 func (core *Core) MarkLeaving(now uint32, backend uint32, reason string) {
 	core.advanceTime(now)
 	if core.marks[backend] != nil || core.isLeavingInSettled(backend) {
@@ -40,11 +41,12 @@
 	})
 }
 
-// LeavingMarks returns the known marks by back end.
+// LeavingMarks returns the known marks, sorted by back end.
 func (core *Core) LeavingMarks() []*apiv1.LeavingMark { return core.sortedMarks() }
 
-// addMark takes a new mark. A node that does not trust its view yet has opened
-// nothing under it that the others do not know, so it heeds the mark at once.
+// addMark adds a new mark. A node that does not trust its view has opened no
+// flows under it that the other nodes do not know, so the mark is active at
+// once.
 func (core *Core) addMark(mark *apiv1.LeavingMark) {
 	core.marks[mark.GetBackend()] = &markState{
 		mark:        proto.CloneOf(mark),
@@ -55,9 +57,9 @@
 	core.viewChanged = true
 }
 
-// mergeMarks takes over marks of a peer. Merging is monotone: marks are added,
-// a higher incarnation replaces a lower one, and a mark that a settled epoch
-// has cleared does not come back.
+// mergeMarks adopts the marks of a peer. Merging is monotonic: marks are added,
+// a higher incarnation replaces a lower one, and a mark cleared by a settled
+// epoch is not restored.
 func (core *Core) mergeMarks(marks []*apiv1.LeavingMark) {
 	for _, mark := range marks {
 		state := core.marks[mark.GetBackend()]
@@ -84,8 +86,8 @@
 	return 0
 }
 
-// dropClearedMarks drops the marks that the settled epoch has ended, and those
-// that it makes needless because its rule already leaves the back end out.
+// dropClearedMarks drops the marks that the settled epoch has cleared, and
+// those that it makes redundant because its rule already excludes the back end.
 func (core *Core) dropClearedMarks() {
 	for backend, state := range core.marks {
 		cleared := state.mark.GetIncarnation() <= core.clearedIncarnation(backend)
@@ -95,7 +97,8 @@
 	}
 }
 
-// isLeavingInSettled reports whether the settled epoch has a back end as leaving.
+// isLeavingInSettled reports whether a back end is leaving in the settled
+// epoch.
 func (core *Core) isLeavingInSettled(backend uint32) bool {
 	for _, service := range core.document.GetSettled().GetServices() {
 		for _, candidate := range service.GetCandidates() {
@@ -107,8 +110,8 @@
 	return false
 }
 
-// tickMarks makes marks active: at once when every participant knows the same
-// marks and has recorded its new flows, else after MarkDelay.
+// tickMarks activates marks: at once when every participant knows the same
+// marks and has recorded its new flows, otherwise after MarkDelay.
 func (core *Core) tickMarks() {
 	for _, state := range core.marks {
 		core.recordFlowsForMark(state)
@@ -123,7 +126,8 @@
 	}
 }
 
-// recordFlowsForMark records the flows opened here lately at a marked back end.
+// recordFlowsForMark records the flows recently opened here at a marked back
+// end.
 func (core *Core) recordFlowsForMark(state *markState) {
 	if state.flowsRecorded || core.settled == nil || core.viewInForce < state.viewVersion {
 		return
@@ -135,6 +139,8 @@
 	state.flowsRecorded = !core.hasOutstandingOffers(purposeMark)
 }
 
+// marksCompletedEverywhere reports whether this node and all participants know
+// the same marks and have recorded the new flows of all of them.
 func (core *Core) marksCompletedEverywhere() bool {
 	if !core.marksCompleted() {
 		return false
@@ -152,7 +158,8 @@
 	return true
 }
 
-// marksCompleted reports whether the new flows of all marks are recorded.
+// marksCompleted reports whether this node has recorded the new flows of all
+// marks.
 func (core *Core) marksCompleted() bool {
 	for _, state := range core.marks {
 		if !state.flowsRecorded {
@@ -162,7 +169,8 @@
 	return true
 }
 
-// marksDigest is equal on nodes that know the same marks. 0 is no mark.
+// marksDigest returns a value that is equal on nodes that know the same marks.
+// It is 0 without marks.
 func (core *Core) marksDigest() uint32 {
 	var digest uint32
 	for backend, state := range core.marks {
@@ -190,8 +198,8 @@
 	return backends
 }
 
-// leavingBackends are the back ends that take no new flows, by a mark or by the settled
-// rule.
+// leavingBackends returns the back ends that take no new flows, because of a
+// mark or the settled rule.
 func (core *Core) leavingBackends() map[uint32]bool {
 	leavingBackends := core.knownMarks()
 	for _, service := range core.document.GetSettled().GetServices() {
@@ -204,8 +212,8 @@
 	return leavingBackends
 }
 
-// activeMarks are the marks that new flows heed. A pending epoch that clears a
-// mark ends it for new flows once it is active.
+// activeMarks returns the back ends whose marks apply to new flows. A pending
+// epoch that clears a mark ends it for new flows once the epoch is active.
 func (core *Core) activeMarks() map[uint32]bool {
 	active := make(map[uint32]bool, len(core.marks))
 	for backend, state := range core.marks {
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -8,15 +8,15 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// peer is what a node knows of another one.
+// peer is the state that a node keeps about another node.
 type peer struct {
 	member *apiv1.Member
-	// lastHeard is when a message of the peer last came; heard is false
-	// before the first one.
+	// lastHeard is when the last message of the peer was received; heard is
+	// false before the first one.
 	lastHeard uint32
 	heard     bool
-	// confirmedSentAt is the sending time of the newest heartbeat that the peer has
-	// confirmed; hasConfirmed is false before the first one.
+	// confirmedSentAt is the sending time of the newest heartbeat that the peer
+	// has confirmed; hasConfirmed is false before the first one.
 	confirmedSentAt uint32
 	hasConfirmed    bool
 	sequence        uint64
@@ -28,15 +28,17 @@
 	hasReplied  bool
 }
 
+// maxSentTimes is the number of heartbeats per peer whose sending times are
+// kept.
 const maxSentTimes = 16
 
-// stateRetryInterval is after how many milliseconds a node that lacks state asks again,
-// the same peer or another. News usually comes from several peers at once; one
-// answer is enough.
+// stateRetryInterval is the time, in milliseconds, after which a node that
+// lacks state requests it again, from the same peer or another one. Updates
+// usually arrive from several peers at once; one reply is enough.
 const stateRetryInterval = 100
 
-// AddPeer tells the core of another node, from the settings, the platform's list
-// or the document. It is a hint: the peer counts once it answers.
+// AddPeer adds another node that is named in the settings, in the list of the
+// platform or in the document. It is a hint: the peer counts once it responds.
 func (core *Core) AddPeer(member *apiv1.Member) {
 	if member.GetId() == core.self.GetId() || member.GetId() == "" {
 		return
@@ -51,8 +53,8 @@
 	core.sendHeartbeat(added)
 }
 
-// checkSender records that a peer was heard and reports whether its message
-// counts.
+// checkSender records that a message of a peer was received and reports whether
+// the message is to be processed.
 func (core *Core) checkSender(envelope *apiv1.Envelope) bool {
 	member := envelope.GetHeartbeat().GetMember()
 	peer := core.peers[envelope.GetFrom()]
@@ -94,7 +96,8 @@
 	core.lastProgressSent = core.progress()
 }
 
-// broadcastProgressUpdate sends progress that needs no confirmation.
+// broadcastProgressUpdate sends the progress in heartbeats that need no
+// confirmation.
 func (core *Core) broadcastProgressUpdate() {
 	core.lastProgressSent = core.progress()
 	for _, id := range sortedKeys(core.peers) {
@@ -115,15 +118,17 @@
 	core.send(to.member.GetId(), &apiv1.Envelope{Body: &apiv1.Envelope_Heartbeat{Heartbeat: heartbeat}})
 }
 
-// broadcastProgressIfChanged sends news at once instead of with the next heartbeat.
+// broadcastProgressIfChanged sends changed progress at once instead of with the
+// next heartbeat.
 func (core *Core) broadcastProgressIfChanged() {
 	if core.lastProgressSent != nil && !proto.Equal(core.lastProgressSent, core.progress()) {
 		core.broadcastProgressUpdate()
 	}
 }
 
-// handleHeartbeat confirms a heartbeat, unless a document under way fences the
-// sender. A sender that is not a member is told how far this node is.
+// handleHeartbeat confirms a heartbeat, unless a deferred document fences the
+// sender. The reply to a sender that is not a member includes the progress of
+// this node.
 func (core *Core) handleHeartbeat(from string, heartbeat *apiv1.Heartbeat) {
 	core.updateProgress(from, heartbeat.GetProgress())
 	peer := core.peers[from]
@@ -143,7 +148,8 @@
 	}
 }
 
-// updateProgress keeps a peer's progress and asks for what it is ahead in.
+// updateProgress stores the progress of a peer and requests the state that the
+// peer has and this node does not.
 func (core *Core) updateProgress(from string, progress *apiv1.Progress) {
 	if progress == nil {
 		return
@@ -171,7 +177,8 @@
 	return false
 }
 
-// progress is what this node tells its peers in each heartbeat.
+// progress returns the state that this node reports to its peers in each
+// heartbeat.
 func (core *Core) progress() *apiv1.Progress {
 	progress := &apiv1.Progress{
 		DocumentVersion:       core.document.GetVersion(),
@@ -194,8 +201,8 @@
 	return progress
 }
 
-// members are the nodes whose contact and progress the document asks for: the
-// members of both epochs that are not fenced.
+// members returns the nodes whose contact and progress the document requires:
+// the members of both epochs that are not fenced.
 func (core *Core) members() map[string]*apiv1.Member {
 	members := make(map[string]*apiv1.Member)
 	for _, epoch := range []*apiv1.Epoch{core.document.GetSettled(), core.document.GetPending()} {
@@ -221,13 +228,14 @@
 	return false
 }
 
-// isMember reports whether this run of the node is a member.
+// isMember reports whether this node is a member under its current incarnation.
 func (core *Core) isMember() bool {
 	member := core.members()[core.self.GetId()]
 	return member != nil && member.GetIncarnation() == core.self.GetIncarnation()
 }
 
-// removeStalePeers drops nodes that are neither members nor heard for a long time.
+// removeStalePeers removes nodes that are not members and have been silent for
+// RecoveryTime.
 func (core *Core) removeStalePeers() {
 	members := core.members()
 	for id, peer := range core.peers {
@@ -238,8 +246,8 @@
 	}
 }
 
-// liveMembers are the nodes that should be members: those alive, not stopping,
-// this one included.
+// liveMembers returns the nodes that should be members, sorted by ID: those
+// that are alive and not stopping, including this one.
 func (core *Core) liveMembers() []*apiv1.Member {
 	var live []*apiv1.Member
 	if !core.self.GetLeaving() {
@@ -254,8 +262,8 @@
 	return live
 }
 
-// Leave announces the planned stop of this node. It goes on forwarding; it may
-// stop when Released is true.
+// Leave announces the planned stop of this node. The node continues to forward;
+// it may stop when CanStop returns true.
 func (core *Core) Leave(now uint32) {
 	core.advanceTime(now)
 	if !core.self.GetLeaving() {
@@ -264,9 +272,9 @@
 	}
 }
 
-// CanStop reports whether no epoch names this node any more: what it held is
-// recorded elsewhere. When all live nodes are stopping, there is nobody to hand
-// over to.
+// CanStop reports whether no epoch names this node any more, so that the flows
+// it held are recorded elsewhere. It is also true when all live nodes are
+// stopping, because then no node is left to take over.
 func (core *Core) CanStop() bool {
 	if !core.self.GetLeaving() {
 		return false
--- a/internal/core/offer.go
+++ b/internal/core/offer.go
@@ -8,33 +8,35 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// offer is a list of flows that a keeper is asked to record. Most of them are
-// known to the keeper, which sees the same traffic, so the two first compare
-// digests of buckets; the flows of differing buckets are offered by their
-// fingerprints, and only those that the keeper lacks are sent whole.
+// offer is a list of flows that a keeper is asked to record. The keeper sees
+// the same traffic and knows most of them, so the two nodes first compare
+// digests of buckets. The flows of buckets that differ are offered by their
+// fingerprints, and only those that the keeper lacks are sent in full.
 type offer struct {
 	id      uint64
 	purpose offerPurpose
 	keeper  string
 	flows   []assignedFlow
-	// stage is what is sent next, or was sent and is not answered.
+	// stage is the message to be sent next, or the one that was sent and has
+	// not been answered.
 	stage offerStage
-	// sentAt is when it was sent; 0 is not yet.
+	// sentAt is when that message was sent; 0 means that it has not been sent.
 	sentAt uint32
 }
 
-// offerPurpose is what waits for an offer to be answered.
+// offerPurpose is the operation that waits for an offer to be answered.
 type offerPurpose uint8
 
 const (
-	// purposePhase: the duty of a phase.
+	// purposePhase is the task of a phase.
 	purposePhase offerPurpose = iota
-	// purposeMark: a leaving mark.
+	// purposeMark is a leaving mark.
 	purposeMark
-	// purposeRejoin: nothing waits.
+	// purposeRejoin is an offer by a rejoining node; no operation waits for it.
 	purposeRejoin
 )
 
+// offerStage is the kind of message in the exchange of an offer.
 type offerStage uint8
 
 const (
@@ -46,28 +48,32 @@
 const (
 	// digestSize is the length of a bucket's digest in bytes.
 	digestSize = 4
-	// flowsPerBucket weighs the digests' bytes against the fingerprints of
-	// differing buckets.
+	// flowsPerBucket balances the bytes of the digests against those of the
+	// fingerprints in buckets that differ.
 	flowsPerBucket = 6
-	// minDigestFlows is the number of flows below which digests do not pay.
+	// minDigestFlows is the number of flows below which digests cost more than
+	// they save.
 	minDigestFlows = 16
 )
 
-// offerRetryInterval is after how many milliseconds an unanswered offer is sent again.
+// offerRetryInterval is the time, in milliseconds, after which an unanswered
+// offer is sent again.
 const offerRetryInterval = 300
 
-// maxBurstSeconds is how many seconds of the budget may be saved up.
+// maxBurstSeconds limits the unused byte budget that accumulates, in seconds of
+// the rate.
 const maxBurstSeconds = 0.5
 
-// maxDebtSeconds is how many seconds of the budget may be owed.
+// maxDebtSeconds limits the overdraft of the byte budget, in seconds of the
+// rate.
 const maxDebtSeconds = 1.0
 
-// offerOverhead approximates the bytes of an envelope around an offer.
+// offerOverhead is the approximate size, in bytes, of the envelope around an
+// offer.
 const offerOverhead = 40
 
-// offerFlows lists flows for the keepers of the target epoch and starts to
-// send them, as fast as the budget allows. What this node keeps itself is
-// recorded at once.
+// offerFlows offers flows to the keepers of the target epoch, at the rate that
+// the byte budget allows. Flows whose keeper is this node are recorded at once.
 func (core *Core) offerFlows(purpose offerPurpose, flows []assignedFlow) {
 	byKeeper := make(map[string][]assignedFlow)
 	for _, assigned := range flows {
@@ -88,7 +94,7 @@
 	}
 }
 
-// hasOutstandingOffers reports whether an offer of a purpose is unanswered.
+// hasOutstandingOffers reports whether an offer for a purpose is unanswered.
 func (core *Core) hasOutstandingOffers(purpose offerPurpose) bool {
 	for _, pending := range core.offers {
 		if pending.purpose == purpose {
@@ -98,7 +104,7 @@
 	return false
 }
 
-// dropOffers forgets the offers of a purpose.
+// dropOffers discards the offers for a purpose.
 func (core *Core) dropOffers(purpose offerPurpose) {
 	for id, pending := range core.offers {
 		if pending.purpose == purpose {
@@ -127,8 +133,8 @@
 	core.offerQueue = append(core.offerQueue, pending)
 }
 
-// tickOffers sends queued offers within the byte budget and repeats those that
-// were not answered. An offer to a keeper that is fenced meanwhile is dropped.
+// tickOffers sends queued offers within the byte budget and retries unanswered
+// ones. It drops offers to a keeper that has been fenced in the meantime.
 func (core *Core) tickOffers() {
 	rate := float64(core.config.RecordBytesPerSecond)
 	core.budgetTokens = min(core.budgetTokens+rate*float64(core.now-core.budgetUpdatedAt)/1000, rate*maxBurstSeconds)
@@ -148,9 +154,9 @@
 	}
 }
 
-// sendQueuedOffers sends what the budget allows. Offers of newly opened flows go at
-// once: they are few, and until they are answered new flows still follow the
-// old rule.
+// sendQueuedOffers sends the offers that the budget allows. Offers of newly
+// opened flows are sent at once: they are few, and until they are answered new
+// flows still follow the old rule.
 func (core *Core) sendQueuedOffers() {
 	queue := core.offerQueue
 	core.offerQueue = nil
@@ -165,12 +171,13 @@
 	}
 }
 
+// isUrgent reports whether an offer is sent regardless of the budget.
 func (core *Core) isUrgent(pending *offer) bool {
 	return pending.purpose == purposeMark || pending.purpose == purposePhase && core.phase == router.PhaseLearned
 }
 
-// spendBudget charges the budget for bytes that are sent, up to a bounded debt: a
-// large filter must not hold up the offers after it for long.
+// spendBudget charges sent bytes to the budget. The debt is limited, so that a
+// large filter does not delay the offers after it for long.
 func (core *Core) spendBudget(bytes int) {
 	debt := -maxDebtSeconds * float64(core.config.RecordBytesPerSecond)
 	core.budgetTokens = max(debt, core.budgetTokens-float64(bytes+offerOverhead))
@@ -190,7 +197,7 @@
 
 func bucketCount(flows int) int { return max(1, flows/flowsPerBucket) }
 
-// addToDigest puts a fingerprint into its bucket's digest.
+// addToDigest adds a fingerprint to the digest of its bucket.
 func addToDigest(digests []byte, fp fingerprint) {
 	bucket := int(fp % fingerprint(len(digests)/digestSize))
 	slot := digests[bucket*digestSize : (bucket+1)*digestSize]
@@ -208,7 +215,8 @@
 	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordDigest{RecordDigest: message}})
 }
 
-// targetEpochNumber is the epoch from which the offered flows are displaced.
+// targetEpochNumber returns the number of the epoch from whose rule the offered
+// flows differ.
 func (core *Core) targetEpochNumber() uint64 {
 	if core.pending != nil {
 		return core.pending.Number
@@ -216,9 +224,9 @@
 	return core.settled.Number
 }
 
-// handleRecordDigest compares a digest with this node's own records of flows that
-// are displaced from the same epoch. A node at another epoch does not answer;
-// the offer comes again.
+// handleRecordDigest compares the digests of an offer with this node's own
+// records of flows that are displaced from the same epoch. A node at another
+// epoch does not reply; the offer is sent again.
 func (core *Core) handleRecordDigest(from string, message *apiv1.RecordDigest) {
 	count := len(message.GetDigests()) / digestSize
 	if core.settled == nil || message.GetEpochNumber() != core.targetEpochNumber() || count == 0 {
@@ -243,8 +251,9 @@
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_RecordMismatch{RecordMismatch: mismatch}})
 }
 
-// recordOwnFlows records the displaced flows of this node's table that it
-// keeps, so that its digests can match. It does so once an epoch.
+// recordOwnFlows records the displaced flows in the flow table of this node for
+// which the node is a keeper, so that its digests can match. It does so once
+// per epoch.
 func (core *Core) recordOwnFlows() {
 	if core.ownFlowsRecordedEpoch == core.targetEpochNumber() {
 		return
@@ -259,7 +268,7 @@
 	}
 }
 
-// handleRecordMismatch offers the flows of the differing buckets.
+// handleRecordMismatch offers the flows of the buckets that differ.
 func (core *Core) handleRecordMismatch(from string, message *apiv1.RecordMismatch) {
 	pending := core.offers[message.GetOffer()]
 	if pending == nil || pending.keeper != from || pending.stage != stageDigest {
@@ -365,7 +374,7 @@
 
 func setBit(bitmap []byte, index int) { bitmap[index/8] |= 1 << (index % 8) }
 
-// hasBit reports a bit; bits past the end are 0.
+// hasBit reports whether a bit is set; bits past the end are 0.
 func hasBit(bitmap []byte, index int) bool {
 	return index/8 < len(bitmap) && bitmap[index/8]&(1<<(index%8)) != 0
 }
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -7,13 +7,13 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// phaseTask is what a node must do before it has completed its phase.
+// phaseTask is the work that a node must do to complete its phase.
 type phaseTask struct {
 	// started is set once the flows to record have been listed.
 	started bool
-	// viewVersion must be in force before the duty starts.
+	// viewVersion must be in force before the task starts.
 	viewVersion uint64
-	// done is set when nothing is left.
+	// done is set when the task is finished.
 	done bool
 }
 
@@ -23,8 +23,9 @@
 	core.viewChanged = true
 }
 
-// tickPhaseTask works on what the phase asks for: nothing but records of flows is
-// needed to complete learned and active, and the filters to complete flipped.
+// tickPhaseTask works on the task of the current phase. Completing learned and
+// active requires only that flows are recorded; completing flipped requires the
+// filters.
 func (core *Core) tickPhaseTask() {
 	core.tickRejoin()
 	if core.pending == nil || core.phaseTask.done || core.viewInForce < core.phaseTask.viewVersion {
@@ -50,20 +51,22 @@
 	}
 }
 
-// assignedFlow is one flow and the back end that holds it.
+// assignedFlow is a flow and the back end that it is assigned to.
 type assignedFlow struct {
 	key     flow.Key
 	backend uint32
 }
 
-// offerEmbryonic records the flows opened here lately at one back end.
+// offerEmbryonic offers the flows recently opened here at one back end to their
+// keepers.
 func (core *Core) offerEmbryonic(backend uint32) {
 	core.offerFlows(purposeMark, core.embryonicFlows(backend))
 }
 
-// embryonicFlows are the flows opened here of which nothing but the SYN has been
-// seen, so lately that it may come again elsewhere, and on which the rules differ; with a back end, only those
-// that it holds.
+// embryonicFlows returns the flows that were opened here, of which only the SYN
+// has been seen, so recently that it may be retransmitted through another node,
+// and on which the rules differ. If a back end is given, it returns only flows
+// at that back end.
 func (core *Core) embryonicFlows(backend uint32) []assignedFlow {
 	if core.isDisabled(GuardEmbryonic) {
 		return nil
@@ -84,8 +87,8 @@
 	return flows
 }
 
-// displacedFlows are the flows in the table and among the kept records whose
-// back end differs from the target rule.
+// displacedFlows returns the flows in the flow table and among the kept records
+// whose back end differs from the target rule.
 func (core *Core) displacedFlows() []assignedFlow {
 	if core.isDisabled(GuardRecord) {
 		return nil
@@ -108,8 +111,8 @@
 	return flows
 }
 
-// isDisplaced reports whether a flow's back end differs from the target rule:
-// the pending one when there is one, else the settled one.
+// isDisplaced reports whether the back end of a flow differs from the target
+// rule: the pending one if there is one, otherwise the settled one.
 func (core *Core) isDisplaced(key flow.Key, backend uint32) bool {
 	target := core.settled
 	if core.pending != nil {
@@ -123,8 +126,8 @@
 	return found != nil && found.Pick(key.Hash()) != backend && backend != rule.NoBackend
 }
 
-// participants are the nodes whose progress a phase waits for: the members,
-// and every joined node that any of them knows.
+// participants returns the nodes whose progress a phase waits for: the members,
+// and every joined node that is known to any of them.
 func (core *Core) participants() map[string]bool {
 	ids := make(map[string]bool)
 	for id := range core.members() {
@@ -142,7 +145,8 @@
 	return ids
 }
 
-// waitingFor lists the participants that have not completed the phase.
+// waitingFor lists the participants that have not completed a phase, and
+// "fence" if a majority does not know the fencing yet.
 func (core *Core) waitingFor(phase router.Phase) []string {
 	if core.isDisabled(GuardWait) {
 		return nil
@@ -160,9 +164,9 @@
 	return waiting
 }
 
-// majorityKnowsFencing reports whether a majority of the members, the fenced included,
-// has taken the document that fences. Only then has a fenced node's contact
-// lease run out for certain.
+// majorityKnowsFencing reports whether a majority of the members, including the
+// fenced ones, has accepted the document that fences. Only then is it certain
+// that the contact lease of a fenced node has expired.
 func (core *Core) majorityKnowsFencing() bool {
 	if len(core.document.GetFenced()) == 0 {
 		return true
@@ -196,8 +200,8 @@
 	return progress.GetPendingNumber() == number && router.Phase(progress.GetCompletedPhase()) >= phase
 }
 
-// tickPhase enters the next phase when every participant has completed this
-// one.
+// tickPhase enters the next phase when every participant has completed the
+// current one.
 func (core *Core) tickPhase() {
 	if core.pending == nil || core.phase == router.PhaseFlipped || core.completed < core.phase {
 		return
@@ -209,7 +213,7 @@
 	core.startPhaseTask()
 }
 
-// WaitingFor lists the nodes that a pending epoch waits for.
+// WaitingFor lists the nodes that the pending epoch waits for.
 func (core *Core) WaitingFor() []string {
 	if core.pending == nil {
 		return nil
--- a/internal/core/publish.go
+++ b/internal/core/publish.go
@@ -11,29 +11,30 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// publishState is about the next write of the document.
+// publishState is the state of the next write of the document.
 type publishState struct {
-	// pendingSince is when this node first wanted to write; 0 is not.
+	// pendingSince is when this node first needed to write; 0 means that it
+	// does not need to.
 	pendingSince uint32
-	// writing is set while a write is under way.
+	// writing is set while a write is in progress.
 	writing        bool
 	writeStartedAt uint32
 	failures       uint32
 }
 
 const (
-	// writeTimeout is how long, in milliseconds, a write may stay unanswered
-	// before it is tried again.
+	// writeTimeout is how long, in milliseconds, a write may remain unanswered
+	// before it is retried.
 	writeTimeout = 3000
-	// maximumBackoffDoublings bounds the growth of the back-off.
+	// maximumBackoffDoublings limits the growth of the back-off.
 	maximumBackoffDoublings = 5
 )
 
-// SetDesired hands in the rules that the operators' configuration and the
-// policies ask for, sorted by service name. Every node computes them; the one
+// SetDesired sets the rules that the configuration of the operators and the
+// policies call for, sorted by service name. Every node computes them; the node
 // whose turn it is publishes an epoch when they differ from the settled ones.
-// The cleared map gives the incarnation of the last mark that the operators
-// have ended, by back end.
+// The cleared map gives, by back end, the incarnation of the last mark that the
+// operators have cleared.
 func (core *Core) SetDesired(now uint32, revision uint64, services []*apiv1.ServiceRule, cleared map[uint32]uint64) {
 	core.advanceTime(now)
 	core.desired = services
@@ -42,8 +43,8 @@
 	core.hasDesired = true
 }
 
-// WriteDone tells how a write ended. A write whose fate is unknown counts as
-// failed: the document is read again before the next try.
+// WriteDone reports the outcome of a write. A write with an unknown outcome
+// counts as failed: the document is read again before the next attempt.
 func (core *Core) WriteDone(now uint32, written bool) {
 	core.advanceTime(now)
 	core.publish.writing = false
@@ -55,8 +56,8 @@
 	core.publish.pendingSince = max(core.now, 1)
 }
 
-// tickPublish writes the document when there is reason to and this node's turn
-// has come.
+// tickPublish writes the document when a write is needed and the back-off of
+// this node has elapsed.
 func (core *Core) tickPublish() {
 	if core.publish.writing && core.now-core.publish.writeStartedAt < writeTimeout {
 		return
@@ -83,8 +84,8 @@
 
 // canPublish reports whether this node may write: it is in contact with a
 // majority, or there is no document yet, or the majority has been silent for
-// RecoveryTime. Without this, the two sides of a cut would take turns in
-// publishing epochs that name only themselves.
+// RecoveryTime. Without this condition, the two sides of a partition would
+// alternate in publishing epochs that name only their own nodes.
 func (core *Core) canPublish() bool {
 	if core.document == nil || core.now <= core.contactLeaseEnd() || core.isDisabled(GuardPublish) {
 		return true
@@ -92,8 +93,8 @@
 	return core.isMember() && core.hasLostMajority(core.members()) || core.isGroupLost()
 }
 
-// publishDelay is this node's back-off: its rank among the live members, and
-// doubling after failures.
+// publishDelay returns the back-off of this node: it grows with the rank of the
+// node among the live members and doubles with each failure.
 func (core *Core) publishDelay() uint32 {
 	rank := 0
 	members := core.liveMembers()
@@ -111,7 +112,7 @@
 	return delay
 }
 
-// nextDocument is the document this node would write now, or nil.
+// nextDocument returns the document that this node would write now, or nil.
 func (core *Core) nextDocument() *apiv1.EpochDocument {
 	if !core.hasDesired {
 		return nil
@@ -163,7 +164,7 @@
 }
 
 // needsEpoch reports whether the desired rules or the live members differ from
-// the settled epoch. Members must have been stable for MemberDelay.
+// the settled epoch. The members must have been stable for MemberDelay.
 func (core *Core) needsEpoch() bool {
 	settled := core.document.GetSettled()
 	if core.desiredRevision < settled.GetConfigurationRevision() {
@@ -212,8 +213,9 @@
 	return names
 }
 
-// membersToFence are the members that a majority has not heard for the fencing
-// time; after RecoveryTime without a majority, those that nobody here hears.
+// membersToFence returns the members that a majority has not heard from for the
+// fencing delay or, after RecoveryTime without a majority, those that at least
+// one of the remaining nodes has not heard from.
 func (core *Core) membersToFence() []*apiv1.Member {
 	members := core.members()
 	var toFence []*apiv1.Member
@@ -226,8 +228,8 @@
 	return toFence
 }
 
-// suspicionVotes counts the members that suspect one of them. A suspected member's
-// own opinion does not count.
+// suspicionVotes counts the members that suspect a member. The vote of the
+// suspected member itself does not count.
 func (core *Core) suspicionVotes(id string, members map[string]*apiv1.Member) int {
 	votes := 0
 	for voter := range members {
@@ -250,8 +252,8 @@
 	return votes
 }
 
-// desiredServices are the desired rules with the known marks applied: a marked
-// back end is leaving until the operators have cleared the mark.
+// desiredServices returns the desired rules with the known marks applied: a
+// marked back end is leaving until the operators have cleared the mark.
 func (core *Core) desiredServices() []*apiv1.ServiceRule {
 	services := make([]*apiv1.ServiceRule, 0, len(core.desired))
 	for _, service := range core.desired {
@@ -275,8 +277,8 @@
 	return marked
 }
 
-// clearedMarks are the marks that a new epoch ends: those the operators have
-// cleared, and those that the settled epoch had ended.
+// clearedMarks returns the marks that a new epoch clears: those cleared by the
+// operators and those cleared by the settled epoch.
 func (core *Core) clearedMarks() []*apiv1.LeavingMark {
 	cleared := make(map[uint32]uint64)
 	for _, mark := range core.document.GetSettled().GetClearedMarks() {
--- a/internal/core/purge.go
+++ b/internal/core/purge.go
@@ -7,15 +7,15 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// purgeState is about addresses that services have left: flows to them are
-// forgotten, since the address may come to stand for another service.
+// purgeState lists addresses that a service has stopped using. Their flows are
+// removed, because the address may be reused for another service.
 type purgeState struct {
 	addresses   map[flow.Address]bool
 	viewVersion uint64
 }
 
-// schedulePurge lists the addresses that a new document no longer names, or names
-// for another service.
+// schedulePurge collects the addresses that a new document no longer names, or
+// names for another service.
 func (core *Core) schedulePurge(document *apiv1.EpochDocument, settled, pending *rule.Set) {
 	if core.document == nil {
 		return
@@ -39,7 +39,8 @@
 	return next != nil && next.Service == old.Service
 }
 
-// tickPurge forgets the flows once no traffic goroutine uses the old view.
+// tickPurge removes the flows and records of the addresses once no traffic
+// goroutine uses the old view.
 func (core *Core) tickPurge() {
 	if len(core.purge.addresses) == 0 || core.viewInForce < core.purge.viewVersion {
 		return
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -4,21 +4,25 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// recoveryState is about going on after the loss of most members at once.
+// recoveryState is the state for recovery from the simultaneous loss of most
+// members.
 type recoveryState struct {
-	// refreshedAt is when this node last had the sign of life written.
+	// refreshedAt is when this node last requested a change of the group
+	// liveness key.
 	refreshedAt uint32
-	// seenAt is when the sign of life last changed, as read from the store.
+	// seenAt is when the group liveness key last changed, as read from the
+	// store.
 	seenAt uint32
 }
 
-// refreshesPerRecovery is how often the sign of life is written in RecoveryTime.
+// refreshesPerRecovery is how often the group liveness key is changed per
+// RecoveryTime.
 const refreshesPerRecovery = 3
 
-// tickRecovery has the sign of life written: a key of the store that a member
-// in contact with a majority changes now and then. Nodes on the smaller side of
-// a cut see by it that the group lives. No promise rests on it alone: without
-// the store nobody can fence either.
+// tickRecovery requests changes of the group liveness key: a key in the store
+// that a member in contact with a majority changes periodically. It shows nodes
+// on the smaller side of a partition that the group is alive. No guarantee
+// depends on it alone: without the store, no node can fence either.
 func (core *Core) tickRecovery() {
 	interval := milliseconds(core.config.RecoveryTime) / refreshesPerRecovery
 	due := core.recovery.refreshedAt == 0 || core.now-core.recovery.refreshedAt >= interval
@@ -28,19 +32,21 @@
 	}
 }
 
-// ObserveGroupLiveness hands in that the sign of life in the store has changed.
+// ObserveGroupLiveness reports to the core that the group liveness key in the
+// store has changed.
 func (core *Core) ObserveGroupLiveness(now uint32) {
 	core.advanceTime(now)
 	core.recovery.seenAt = core.now
 }
 
-// isGroupLivenessStale reports whether no sign of life was seen for RecoveryTime.
+// isGroupLivenessStale reports whether the group liveness key has not changed
+// for RecoveryTime.
 func (core *Core) isGroupLivenessStale() bool {
 	return core.now-core.recovery.seenAt > milliseconds(core.config.RecoveryTime)
 }
 
-// hasLostMajority reports whether most members have been silent for RecoveryTime,
-// to this node and in the store.
+// hasLostMajority reports whether at least half of the members have been silent
+// for RecoveryTime, and the group liveness key as well.
 func (core *Core) hasLostMajority(members map[string]*apiv1.Member) bool {
 	if !core.isGroupLivenessStale() {
 		return false
@@ -55,8 +61,9 @@
 	return silent*2 >= len(members)
 }
 
-// isGroupLost reports whether no member has been heard for RecoveryTime: all were
-// replaced at once, and the nodes at hand must start anew from the document.
+// isGroupLost reports whether no member has been heard from for RecoveryTime.
+// This happens when all members were replaced at once; the nodes that remain
+// must then restart the group from the document.
 func (core *Core) isGroupLost() bool {
 	recovery := milliseconds(core.config.RecoveryTime)
 	if core.document == nil || core.isMember() || core.now < recovery || !core.isGroupLivenessStale() {
--- a/internal/core/rejoin.go
+++ b/internal/core/rejoin.go
@@ -1,16 +1,19 @@
 package core
 
-// maxRejoinDropTime is for how many milliseconds at most the others drop packets of
-// unknown open flows while a node that was cut off records its own.
+// maxRejoinDropTime is how long at most, in milliseconds, the other nodes drop
+// packets of unknown open flows while a node that was cut off records its
+// flows.
 const maxRejoinDropTime = 4000
 
-// isolatedHeartbeatInterval is the interval of heartbeats, in milliseconds, of a node
-// that is cut off. The sooner it notices that the cut has healed, the fewer
-// packets of the other side's flows it decides by its old rule.
+// isolatedHeartbeatInterval is the heartbeat interval, in milliseconds, of a
+// node that is cut off. The sooner the node detects that the partition has
+// healed, the fewer packets of flows of the other side it forwards by its old
+// rule.
 const isolatedHeartbeatInterval = 100
 
-// tickRejoin records the flows that this node holds off the rule, once it is in
-// contact again: nobody waited for it while it was cut off or fenced.
+// tickRejoin offers the flows of this node that differ from the rule once the
+// node is in contact again, because no node waited for it while it was cut off
+// or fenced.
 func (core *Core) tickRejoin() {
 	if core.now > core.contactLeaseEnd() {
 		core.rejoining = core.rejoining || core.isIsolated()
@@ -26,8 +29,9 @@
 	}
 }
 
-// isRejoining is told to the peers: this node was cut off, and flows that it
-// opened meanwhile are not all recorded.
+// isRejoining reports whether this node was cut off and the flows that it
+// opened in that time are not all recorded yet. The result is sent to the
+// peers.
 func (core *Core) isRejoining() bool {
 	if core.isDisabled(GuardRejoin) {
 		return false
@@ -36,7 +40,7 @@
 }
 
 // hasNewerPeer reports whether a peer has shown newer state than this node has.
-// A node that is cut off then stops to serve by its old rule.
+// A node that is cut off then stops serving by its old rule.
 func (core *Core) hasNewerPeer() bool {
 	if core.isDisabled(GuardRejoin) {
 		return false
@@ -49,7 +53,7 @@
 	return false
 }
 
-// tickRejoiningPeers follows whether a live peer is rejoining.
+// tickRejoiningPeers tracks whether a live peer is rejoining.
 func (core *Core) tickRejoiningPeers() {
 	rejoining := false
 	for id, peer := range core.peers {
@@ -66,10 +70,10 @@
 	}
 }
 
-// dropsUnknownFlows reports whether packets of unknown open flows are to be dropped:
-// their back end may be one that a rejoining node is about to record. A node
-// that is cut off itself does not hold, nor does anyone for longer than
-// maxRejoinDropTime.
+// dropsUnknownFlows reports whether packets of unknown open flows are to be
+// dropped, because their back end may be one that a rejoining node is about to
+// record. A node that is cut off itself does not drop them, and no node does so
+// for longer than maxRejoinDropTime.
 func (core *Core) dropsUnknownFlows() bool {
 	if core.peerRejoiningSince == 0 || core.now > core.contactLeaseEnd() {
 		return false
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -5,7 +5,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// PeerAddress returns where a peer takes messages, or "".
+// PeerAddress returns the address at which a peer receives messages, or "" if
+// the peer is unknown.
 func (core *Core) PeerAddress(id string) string {
 	return core.peers[id].address()
 }
@@ -17,9 +18,9 @@
 	return peer.member.GetPeerAddress()
 }
 
-// WatchRank is this node's place among the nodes it hears, in an order that
-// takes the zones in turn. The lowest ranks watch the store; the others hear
-// from them.
+// WatchRank returns the rank of this node among the nodes it hears from, in an
+// order that alternates between zones. The nodes of the lowest ranks watch the
+// store; the others receive the state from them.
 func (core *Core) WatchRank() int {
 	inZone := core.rankInZone(core.self)
 	rank := 0
@@ -35,7 +36,8 @@
 	return rank
 }
 
-// rankInZone is a node's place among the nodes of its zone by ID.
+// rankInZone returns the rank of a node among the nodes of its zone, ordered by
+// ID.
 func (core *Core) rankInZone(member *apiv1.Member) int {
 	rank := 0
 	if member.GetZone() == core.self.GetZone() && core.self.GetId() < member.GetId() {
@@ -49,7 +51,8 @@
 	return rank
 }
 
-// InForceRevision is the configuration that new flows follow on this node.
+// InForceRevision returns the revision of the configuration that new flows
+// follow on this node.
 func (core *Core) InForceRevision() uint64 {
 	return core.revisionInForce(core.document.GetPending().GetNumber(), core.phase)
 }
@@ -62,13 +65,14 @@
 	return core.document.GetSettled().GetConfigurationRevision()
 }
 
-// SettledRevision is the configuration of the settled epoch, which every
-// member has confirmed.
+// SettledRevision returns the revision of the configuration of the settled
+// epoch, which every member has confirmed.
 func (core *Core) SettledRevision() uint64 {
 	return core.document.GetSettled().GetConfigurationRevision()
 }
 
-// Contact says in a word how the node stands with its group.
+// Contact returns the state of contact of this node with its group: "no_state",
+// "fresh", "isolated" or "lost".
 func (core *Core) Contact() string {
 	switch {
 	case core.document == nil:
@@ -81,7 +85,7 @@
 	return "lost"
 }
 
-// Peers describes the known peers.
+// Peers returns the status of the known peers, sorted by ID.
 func (core *Core) Peers() []*apiv1.PeerStatus {
 	statuses := make([]*apiv1.PeerStatus, 0, len(core.peers))
 	for _, id := range sortedKeys(core.peers) {
@@ -102,8 +106,9 @@
 	return statuses
 }
 
-// GroupRank is this node's place among the live nodes of the group in the
-// order of their IDs. Work that one node should do falls to rank 0.
+// GroupRank returns the rank of this node among the live nodes of the group,
+// ordered by ID. Work that only one node should do is done by the node of rank
+// 0.
 func (core *Core) GroupRank() int {
 	for rank, member := range core.liveMembers() {
 		if member.GetId() == core.self.GetId() {
