--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,18 +16,21 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// cluster is three cores whose messages are handed over by hand.
+// cluster runs three cores with a simulated clock and delivers their messages
+// synchronously.
 type cluster struct {
 	t     testing.TB
 	now   uint32
 	cores map[string]*Core
 	table map[string]*flowtable.Table
-	// document is the store.
+	// document is the content of the store.
 	document *apiv1.EpochDocument
-	// isolated nodes neither send nor receive.
+	// isolated nodes neither send nor receive messages.
 	isolated map[string]bool
 }
 
+// testServices returns one service with four back ends, one of which may be
+// leaving.
 func testServices(leaving uint32) []*apiv1.ServiceRule {
 	service := &apiv1.ServiceRule{Name: "lending", Address: "10.200.0.1", Port: 80, Salt: 1}
 	for backend := uint32(1); backend <= 4; backend++ {
@@ -66,6 +69,7 @@
 	}
 }
 
+// run advances the clock in steps of 20 milliseconds.
 func (cluster *cluster) run(length time.Duration) {
 	for end := cluster.now + milliseconds(length); cluster.now < end; cluster.now += 20 {
 		for _, id := range sortedKeys(cluster.cores) {
@@ -75,7 +79,8 @@
 	}
 }
 
-// deliver carries out what a core wants done, until nothing is left.
+// deliver performs the output of a core and of every core that receives a
+// message in turn, and returns the results of lookups.
 func (cluster *cluster) deliver(id string) []Resolution {
 	var resolutions []Resolution
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
@@ -98,6 +103,7 @@
 	return resolutions
 }
 
+// write simulates the compare-and-swap of the document in the store.
 func (cluster *cluster) write(core *Core, document *apiv1.EpochDocument) {
 	stored := document.GetVersion() == cluster.document.GetVersion()+1
 	if stored {
@@ -112,7 +118,7 @@
 		Destination: [4]byte{10, 200, 0, 1}, DestinationPort: 80, Protocol: 6}
 }
 
-func TestOneDocumentForAll(t *testing.T) {
+func TestNodesAgreeOnDocument(t *testing.T) {
 	cluster := newCluster(t)
 	for _, core := range cluster.cores {
 		require.True(t, proto.Equal(cluster.document, core.Document()))
@@ -134,8 +140,8 @@
 	require.Nil(t, cluster.document.GetPending())
 }
 
-// TestFirstWriterWins: whatever the order of questions and proposals, all askers
-// of a flow get the same back end.
+// TestFirstWriterWins checks that all nodes that look up a flow get the same
+// back end, whatever the order of lookups and proposals.
 func TestFirstWriterWins(t *testing.T) {
 	cluster := newCluster(t)
 	number := 0
@@ -156,7 +162,7 @@
 	})
 }
 
-func TestQuestionsHaveABound(t *testing.T) {
+func TestLookupsAreLimited(t *testing.T) {
 	cluster := newCluster(t)
 	for id := range cluster.cores {
 		cluster.isolated[id] = true
@@ -171,10 +177,10 @@
 			unanswered++
 		}
 	}
-	require.Equal(t, 1, unanswered, "the question above the bound is given up at once")
+	require.Equal(t, 1, unanswered, "the lookup above the limit is given up at once")
 }
 
-func TestUnansweredQuestionsAreGivenUp(t *testing.T) {
+func TestUnansweredLookupsTimeOut(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.isolated["b"], cluster.isolated["c"] = true, true
 	core := cluster.cores["a"]
@@ -189,7 +195,7 @@
 	require.Equal(t, []Resolution{{Key: testKey(number)}}, core.Ready().Resolutions)
 }
 
-func TestNoNodeGoesBack(t *testing.T) {
+func TestOlderDocumentIsIgnored(t *testing.T) {
 	cluster := newCluster(t)
 	old := proto.CloneOf(cluster.document)
 	cluster.setDesired(2, 3)
@@ -202,7 +208,7 @@
 	require.False(t, core.ObserveConfiguration(cluster.now, &apiv1.Configuration{Revision: 1}))
 }
 
-func TestMarksMergeMonotonously(t *testing.T) {
+func TestMarksMergeMonotonically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core, err := New(DefaultConfig(), &apiv1.Member{Id: "a", Incarnation: 1}, flowtable.New(1))
 		require.NoError(t, err)
@@ -278,8 +284,9 @@
 	require.ErrorContains(t, config.Validate(), "set it to three heartbeat intervals")
 }
 
-// TestReusedPorts: a SYN on the ports of a flow that ended long ago does not go
-// to its back end when that one leaves; the SYN of the flow itself does.
+// TestReusedPorts checks that a SYN on the ports of a flow that ended long ago
+// is not sent to the back end of that flow when the back end is leaving, while
+// a retransmitted SYN of the flow itself is.
 func TestReusedPorts(t *testing.T) {
 	cluster := newCluster(t)
 	flowKey := testKey(1)
@@ -292,12 +299,12 @@
 	require.Equal(t, uint32(3), lookUp(3))
 	cluster.setDesired(2, 3)
 	cluster.run(5 * time.Second)
-	require.Equal(t, uint32(3), lookUp(1), "a SYN that comes again")
+	require.Equal(t, uint32(3), lookUp(1), "a retransmitted SYN")
 	cluster.run(70 * time.Second)
 	require.Equal(t, uint32(1), lookUp(1), "a new flow")
 }
 
-func TestRecordsHaveABound(t *testing.T) {
+func TestRecordsAreLimited(t *testing.T) {
 	cluster := newCluster(t)
 	for _, core := range cluster.cores {
 		core.config.MaximumRecords = 3
@@ -306,16 +313,17 @@
 		cluster.cores["a"].Lookup(cluster.now, testKey(number), 1, true, true)
 		resolutions := cluster.deliver("a")
 		require.Len(t, resolutions, 1)
-		require.Equal(t, uint32(1), resolutions[0].Backend, "at the bound the proposal is the answer")
+		require.Equal(t, uint32(1), resolutions[0].Backend, "at the limit the result is the proposal")
 	}
 	for _, core := range cluster.cores {
 		require.LessOrEqual(t, core.RecordCount(), 3)
 	}
 }
 
-// TestHintsSpareQuestions: a node that joins gets the keepers' records and
-// answers from them without a message; a SYN is still asked about.
-func TestHintsSpareQuestions(t *testing.T) {
+// TestHintsAvoidLookupRequests checks that a joining node receives the records
+// of the keepers and resolves lookups from them without a message, and that a
+// SYN is still looked up at the keepers.
+func TestHintsAvoidLookupRequests(t *testing.T) {
 	cluster := newCluster(t)
 	for number := range 40 {
 		cluster.cores["a"].Lookup(cluster.now, testKey(number), 1, true, true)
@@ -334,5 +342,5 @@
 	require.Empty(t, joined.Ready().Resolutions)
 	cluster.now += hintLifetime + 1000
 	joined.Lookup(cluster.now, testKey(9), 2, false, false)
-	require.Empty(t, joined.hints, "hints end")
+	require.Empty(t, joined.hints, "hints expire")
 }
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -25,8 +25,8 @@
 	flowsRecorded bool
 }
 
-// MarkLeaving excludes a back end from new flows without a write to the store.
-// Marking a marked back end again has no effect.
+// MarkLeaving excludes a back end from new flows; it does not require the
+// store. Marking a marked back end again has no effect.
 func (core *Core) MarkLeaving(now uint32, backend uint32, reason string) {
 	core.advanceTime(now)
 	if core.marks[backend] != nil || core.isLeavingInSettled(backend) {
