--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -55,7 +55,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		entry := found[name]
-		fmt.Printf("%s (revision %s)\n  weight: %s\n  leaving: %s\n", name, revision.Text(entry.Revision), entry.Policy.GetWeight(), entry.Policy.GetLeaving())
+		fmt.Printf("%s (revision %s)\n  weight: %s\n  leaving: %s\n", name, revision.Format(entry.Revision), entry.Policy.GetWeight(), entry.Policy.GetLeaving())
 	}
 	return nil
 }
--- a/internal/aside/aside.go
+++ b/internal/aside/aside.go
@@ -28,127 +28,127 @@
 import "time"
 
 const (
-	// LookInterval is the time between two looks: routers ask twice a second, and
+	// SampleInterval is the time between two looks: routers ask twice a second, and
 	// clients repeat first packets after 200 ms, so that each look takes in whole
 	// tries.
-	LookInterval = 500 * time.Millisecond
-	// slowAfter is how much longer than usual a flow must take to open to count as
+	SampleInterval = 500 * time.Millisecond
+	// slowMargin is how much longer than usual a flow must take to open to count as
 	// slow. An upload takes some five such round trips; at 25 ms more each, half of
 	// the tightest target, 250 ms, is lost here.
-	slowAfter = 25 * time.Millisecond
-	// usualRise is by what part of itself what is usual may rise from one look to
+	slowMargin = 25 * time.Millisecond
+	// baselineGrowth is by what part of itself what is usual may rise from one look to
 	// the next: it doubles in a minute, as when callers come from further away.
-	usualRise = 0.006
-	// leastOpenings is how many flows must have been opened, or tried, in a look.
-	leastOpenings = 4
-	// looksNeeded is how many bad looks it takes, less the good ones among them: a
+	baselineGrowth = 0.006
+	// minAttempts is how many flows must have been opened, or tried, in a look.
+	minAttempts = 4
+	// badSampleThreshold is how many bad looks it takes, less the good ones among them: a
 	// narrow link is full by fits and starts. A pause for the collection of garbage
 	// or the building of a table lies within one or two.
-	looksNeeded = 3
-	// pictureTime is how long a balancer has said that it struggles before it goes
+	badSampleThreshold = 3
+	// propagationTime is how long a balancer has said that it struggles before it goes
 	// by what others say: longer than that takes to reach all of a zone.
-	pictureTime = 1400 * time.Millisecond
-	// shortest and longest are for how long a balancer stays aside; each relapse
-	// within relapseTime doubles it.
-	shortest    = 4 * time.Second
-	longest     = 32 * time.Second
-	relapseTime = 30 * time.Second
+	propagationTime = 1400 * time.Millisecond
+	// minWithdrawal and longest are for how long a balancer stays aside; each relapse
+	// within relapseWindow doubles it.
+	minWithdrawal = 4 * time.Second
+	maxWithdrawal = 32 * time.Second
+	relapseWindow = 30 * time.Second
 )
 
-// Core is the state of one balancer. It belongs to one goroutine.
-type Core struct {
-	before   Counts
-	lookedAt time.Time
-	// badLooks counts up with each bad look, and down with each good one.
-	badLooks int
-	// struggledAt is when the first of them was.
-	struggledAt time.Time
-	// usual is how long a flow takes to open while nothing is wrong; 0 is not known.
-	usual time.Duration
-	// seen is what the last look saw.
-	seen Seen
-	// until is up to when it is aside; backAt is when it last came back, and stay
+// Detector is the state of one balancer. It belongs to one goroutine.
+type Detector struct {
+	previous  Counts
+	sampledAt time.Time
+	// badSamples counts up with each bad look, and down with each good one.
+	badSamples int
+	// strugglingSince is when the first of them was.
+	strugglingSince time.Time
+	// baseline is how long a flow takes to open while nothing is wrong; 0 is not known.
+	baseline time.Duration
+	// lastSample is what the last look saw.
+	lastSample Sample
+	// withdrawnUntil is up to when it is aside; returnedAt is when it last came back, and stay
 	// how long it stayed.
-	until, backAt time.Time
-	stay          time.Duration
-	aside         bool
+	withdrawnUntil, returnedAt time.Time
+	withdrawalDuration         time.Duration
+	withdrawn                  bool
 }
 
 // New makes the state of a balancer that carries its share.
-func New() *Core { return &Core{} }
+func New() *Detector { return &Detector{} }
 
-// Aside tells whether the balancer is aside.
-func (c *Core) Aside() bool { return c.aside }
+// Withdrawn tells whether the balancer is aside.
+func (c *Detector) Withdrawn() bool { return c.withdrawn }
 
-// Struggles tells whether late looks were bad more often than good, or the balancer is
+// Struggling tells whether late looks were bad more often than good, or the balancer is
 // aside.
-func (c *Core) Struggles() bool { return c.aside || c.badLooks > 0 }
+func (c *Detector) Struggling() bool { return c.withdrawn || c.badSamples > 0 }
 
-// Seen is what the last look saw.
-func (c *Core) Seen() Seen { return c.seen }
+// LastSample is what the last look saw.
+func (c *Detector) LastSample() Sample { return c.lastSample }
 
-// Stay is for how long the balancer last stepped aside.
-func (c *Core) Stay() time.Duration { return c.stay }
+// WithdrawalDuration is for how long the balancer last stepped aside.
+func (c *Detector) WithdrawalDuration() time.Duration { return c.withdrawalDuration }
 
-// Look takes the counts as they are now, each LookInterval at most, and tells whether
+// Observe takes the counts as they are now, each SampleInterval at most, and tells whether
 // the balancer has stepped aside or come back by it.
-func (c *Core) Look(counts Counts, zone Zone, now time.Time) bool {
-	if c.aside {
-		return c.comeBack(counts, now)
+func (c *Detector) Observe(counts Counts, zone Zone, now time.Time) bool {
+	if c.withdrawn {
+		return c.endWithdrawal(counts, now)
 	}
-	if now.Sub(c.lookedAt) < LookInterval {
+	if now.Sub(c.sampledAt) < SampleInterval {
 		return false
 	}
-	seen := counts.since(c.before)
-	c.before, c.lookedAt = counts, now
-	c.learn(seen)
-	c.seen = seen.split(c.usual + slowAfter)
+	seen := counts.since(c.previous)
+	c.previous, c.sampledAt = counts, now
+	c.updateBaseline(seen)
+	c.lastSample = seen.classify(c.baseline + slowMargin)
 	switch {
-	case c.seen.bad():
-		if c.badLooks == 0 {
-			c.struggledAt = now
+	case c.lastSample.slowHere():
+		if c.badSamples == 0 {
+			c.strugglingSince = now
 		}
-		c.badLooks++
-	case c.seen.Prompt > 0:
-		c.badLooks = max(c.badLooks-1, 0)
+		c.badSamples++
+	case c.lastSample.OnTime > 0:
+		c.badSamples = max(c.badSamples-1, 0)
 	}
-	if c.badLooks < looksNeeded || !zone.mayGo(now.Sub(c.struggledAt)) {
+	if c.badSamples < badSampleThreshold || !zone.mayWithdraw(now.Sub(c.strugglingSince)) {
 		return false
 	}
-	c.stepAside(now)
+	c.withdraw(now)
 	return true
 }
 
-// learn takes what is usual: the median of a look, or a little more than before.
-func (c *Core) learn(seen Counts) {
-	if seen.answered() < leastOpenings {
+// updateBaseline takes what is usual: the median of a look, or a little more than before.
+func (c *Detector) updateBaseline(seen Counts) {
+	if seen.answered() < minAttempts {
 		return
 	}
 	median := seen.median()
-	if c.usual == 0 || median < c.usual {
-		c.usual = median
+	if c.baseline == 0 || median < c.baseline {
+		c.baseline = median
 		return
 	}
-	c.usual = min(median, c.usual+time.Duration(usualRise*float64(c.usual)))
+	c.baseline = min(median, c.baseline+time.Duration(baselineGrowth*float64(c.baseline)))
 }
 
-func (c *Core) stepAside(now time.Time) {
-	c.badLooks = 0
-	c.aside = true
-	if c.backAt.IsZero() || now.Sub(c.backAt) > relapseTime {
-		c.stay = shortest
+func (c *Detector) withdraw(now time.Time) {
+	c.badSamples = 0
+	c.withdrawn = true
+	if c.returnedAt.IsZero() || now.Sub(c.returnedAt) > relapseWindow {
+		c.withdrawalDuration = minWithdrawal
 	} else {
-		c.stay = min(2*c.stay, longest)
+		c.withdrawalDuration = min(2*c.withdrawalDuration, maxWithdrawal)
 	}
-	c.until = now.Add(c.stay)
+	c.withdrawnUntil = now.Add(c.withdrawalDuration)
 }
 
-// comeBack ends the time aside. What passed meanwhile says nothing of what comes.
-func (c *Core) comeBack(counts Counts, now time.Time) bool {
-	if now.Before(c.until) {
+// endWithdrawal ends the time aside. What passed meanwhile says nothing of what comes.
+func (c *Detector) endWithdrawal(counts Counts, now time.Time) bool {
+	if now.Before(c.withdrawnUntil) {
 		return false
 	}
-	c.aside, c.backAt = false, now
-	c.before, c.lookedAt = counts, now
+	c.withdrawn, c.returnedAt = false, now
+	c.previous, c.sampledAt = counts, now
 	return true
 }
--- a/internal/aside/aside_test.go
+++ b/internal/aside/aside_test.go
@@ -10,199 +10,199 @@
 	"pgregory.net/rapid"
 )
 
-// machine is a balancer in virtual time. What it opens in each look is given.
-type machine struct {
-	core   *Core
-	counts Counts
-	zone   Zone
-	now    time.Time
-	// left counts how often it stepped aside.
-	left int
+// testBalancer is a balancer in virtual time. What it opens in each look is given.
+type testBalancer struct {
+	detector *Detector
+	counts   Counts
+	zone     Zone
+	now      time.Time
+	// withdrawals counts how often it stepped aside.
+	withdrawals int
 }
 
-func newMachine(place, size int) *machine {
-	return &machine{core: New(), zone: Zone{Place: place, Size: size, Heard: true}, now: time.Unix(1000, 0)}
+func newTestBalancer(place, size int) *testBalancer {
+	return &testBalancer{detector: New(), zone: Zone{Rank: place, Size: size, ReportsComplete: true}, now: time.Unix(1000, 0)}
 }
 
-// opened are flows that opened within so many milliseconds each.
-func opened(prompt, slow, missed uint64) Counts {
-	made := Counts{Missed: missed}
-	made.Opened[StepOf(2*time.Millisecond)] = prompt
-	made.Opened[StepOf(60*time.Millisecond)] = slow
+// countsOf are flows that opened within so many milliseconds each.
+func countsOf(prompt, slow, missed uint64) Counts {
+	made := Counts{Unanswered: missed}
+	made.Opened[BucketOf(2*time.Millisecond)] = prompt
+	made.Opened[BucketOf(60*time.Millisecond)] = slow
 	return made
 }
 
 // What a machine sees in a look: one that is well, one whose packets wait, one beside
 // back ends of which half answer nobody, and one to whom nobody answers.
 var (
-	well      = opened(12, 0, 0)
-	slow      = opened(2, 7, 3)
-	halfDead  = opened(6, 0, 6)
-	unheard   = opened(0, 0, 12)
-	nothing   = Counts{}
-	oneOfFour = opened(9, 3, 0)
+	healthyCounts  = countsOf(12, 0, 0)
+	slowCounts     = countsOf(2, 7, 3)
+	halfUnanswered = countsOf(6, 0, 6)
+	allUnanswered  = countsOf(0, 0, 12)
+	noFlows        = Counts{}
+	quarterSlow    = countsOf(9, 3, 0)
 )
 
-// pass lets time pass in which each look sees the same. One that is aside sees nothing.
-func (m *machine) pass(each Counts, length time.Duration) {
-	for end := m.now.Add(length); m.now.Before(end); m.now = m.now.Add(LookInterval) {
-		if !m.core.Aside() {
+// observe lets time pass in which each look sees the same. One that is aside sees nothing.
+func (m *testBalancer) observe(each Counts, length time.Duration) {
+	for end := m.now.Add(length); m.now.Before(end); m.now = m.now.Add(SampleInterval) {
+		if !m.detector.Withdrawn() {
 			for step, count := range each.Opened {
 				m.counts.Opened[step] += count
 			}
-			m.counts.Missed += each.Missed
+			m.counts.Unanswered += each.Unanswered
 		}
-		if m.core.Look(m.counts, m.zone, m.now) && m.core.Aside() {
-			m.left++
+		if m.detector.Observe(m.counts, m.zone, m.now) && m.detector.Withdrawn() {
+			m.withdrawals++
 		}
 	}
 }
 
-func TestSlowMachineStepsAsideAndReturns(t *testing.T) {
-	machine := newMachine(0, 12)
-	machine.pass(well, 10*time.Second)
-	require.False(t, machine.core.Aside())
-	machine.pass(slow, looksNeeded*LookInterval)
-	require.False(t, machine.core.Aside(), "the others may not have heard yet")
-	machine.pass(slow, LookInterval)
-	require.True(t, machine.core.Aside())
-	require.Equal(t, Seen{Prompt: 2, Slow: 7, Missed: 3}, machine.core.Seen(), "the log says why")
-	machine.pass(nothing, shortest)
-	require.False(t, machine.core.Aside())
-	machine.pass(well, time.Minute)
-	require.Equal(t, 1, machine.left)
+func TestSlowBalancerWithdrawsAndReturns(t *testing.T) {
+	machine := newTestBalancer(0, 12)
+	machine.observe(healthyCounts, 10*time.Second)
+	require.False(t, machine.detector.Withdrawn())
+	machine.observe(slowCounts, badSampleThreshold*SampleInterval)
+	require.False(t, machine.detector.Withdrawn(), "the others may not have heard yet")
+	machine.observe(slowCounts, SampleInterval)
+	require.True(t, machine.detector.Withdrawn())
+	require.Equal(t, Sample{OnTime: 2, Slow: 7, Unanswered: 3}, machine.detector.LastSample(), "the log says why")
+	machine.observe(noFlows, minWithdrawal)
+	require.False(t, machine.detector.Withdrawn())
+	machine.observe(healthyCounts, time.Minute)
+	require.Equal(t, 1, machine.withdrawals)
 }
 
 // Clients repeat after 200 ms, so a machine that stands still for a while has one or
 // two looks full of late openings.
-func TestMachineThatStalledOnceStays(t *testing.T) {
+func TestBalancerThatStalledOnceDoesNotWithdraw(t *testing.T) {
 	for looks := range 3 { // up to a second
-		machine := newMachine(0, 12)
-		machine.pass(well, 5*time.Second)
+		machine := newTestBalancer(0, 12)
+		machine.observe(healthyCounts, 5*time.Second)
 		for range 20 {
-			machine.pass(slow, time.Duration(looks)*LookInterval)
-			machine.pass(well, 5*time.Second)
+			machine.observe(slowCounts, time.Duration(looks)*SampleInterval)
+			machine.observe(healthyCounts, 5*time.Second)
 		}
-		require.Zero(t, machine.left)
+		require.Zero(t, machine.withdrawals)
 	}
 }
 
 // A narrow link is full by fits and starts: two bad looks for each good one are enough,
 // one for each is not.
-func TestBadLooksOutweighGoodOnes(t *testing.T) {
-	machine := newMachine(0, 12)
-	machine.pass(well, 5*time.Second)
+func TestBadSamplesMustOutweighGoodOnes(t *testing.T) {
+	machine := newTestBalancer(0, 12)
+	machine.observe(healthyCounts, 5*time.Second)
 	for range 60 {
-		machine.pass(slow, LookInterval)
-		machine.pass(well, LookInterval)
+		machine.observe(slowCounts, SampleInterval)
+		machine.observe(healthyCounts, SampleInterval)
 	}
-	require.Zero(t, machine.left)
+	require.Zero(t, machine.withdrawals)
 	for range 3 {
-		machine.pass(slow, 2*LookInterval)
-		machine.pass(well, LookInterval)
+		machine.observe(slowCounts, 2*SampleInterval)
+		machine.observe(healthyCounts, SampleInterval)
 	}
-	require.Equal(t, 1, machine.left)
+	require.Equal(t, 1, machine.withdrawals)
 }
 
 // A look without a new flow says nothing, and ends no series.
-func TestQuietLooksSayNothing(t *testing.T) {
-	machine := newMachine(0, 12)
-	machine.pass(well, 5*time.Second)
-	for range looksNeeded {
-		machine.pass(nothing, 3*LookInterval)
-		require.False(t, machine.core.Aside())
-		machine.pass(slow, LookInterval)
+func TestSamplesWithoutFlowsAreIgnored(t *testing.T) {
+	machine := newTestBalancer(0, 12)
+	machine.observe(healthyCounts, 5*time.Second)
+	for range badSampleThreshold {
+		machine.observe(noFlows, 3*SampleInterval)
+		require.False(t, machine.detector.Withdrawn())
+		machine.observe(slowCounts, SampleInterval)
 	}
-	require.True(t, machine.core.Aside())
+	require.True(t, machine.detector.Withdrawn())
 }
 
-func TestBackendsThatAnswerNobodyAreNotItsOwnFault(t *testing.T) {
-	for _, each := range []Counts{halfDead, unheard, oneOfFour, opened(0, 2, 1)} {
-		machine := newMachine(0, 12)
-		machine.pass(each, time.Minute)
-		require.Zero(t, machine.left, "%+v", each)
+func TestUnansweringBackendsCauseNoWithdrawal(t *testing.T) {
+	for _, each := range []Counts{halfUnanswered, allUnanswered, quarterSlow, countsOf(0, 2, 1)} {
+		machine := newTestBalancer(0, 12)
+		machine.observe(each, time.Minute)
+		require.Zero(t, machine.withdrawals, "%+v", each)
 	}
 }
 
 // What is late, but in time, costs clients no repetition.
-func TestMachineThatIsLateInTimeStays(t *testing.T) {
-	machine := newMachine(0, 12)
-	machine.pass(well, 5*time.Second)
-	machine.pass(opened(0, 12, 1), time.Minute)
-	require.Zero(t, machine.left)
+func TestSlowButAnsweredFlowsCauseNoWithdrawal(t *testing.T) {
+	machine := newTestBalancer(0, 12)
+	machine.observe(healthyCounts, 5*time.Second)
+	machine.observe(countsOf(0, 12, 1), time.Minute)
+	require.Zero(t, machine.withdrawals)
 }
 
 // Callers that are far away take long to open a flow through anybody.
-func TestWhatIsUsualIsNotSlow(t *testing.T) {
-	machine := newMachine(0, 12)
-	machine.pass(opened(0, 12, 4), time.Minute)
-	require.Zero(t, machine.left)
-	far := Counts{Missed: 4}
-	far.Opened[StepOf(130*time.Millisecond)] = 12
-	machine.pass(far, (looksNeeded+1)*LookInterval)
-	require.True(t, machine.core.Aside())
+func TestSlownessIsRelativeToBaseline(t *testing.T) {
+	machine := newTestBalancer(0, 12)
+	machine.observe(countsOf(0, 12, 4), time.Minute)
+	require.Zero(t, machine.withdrawals)
+	far := Counts{Unanswered: 4}
+	far.Opened[BucketOf(130*time.Millisecond)] = 12
+	machine.observe(far, (badSampleThreshold+1)*SampleInterval)
+	require.True(t, machine.detector.Withdrawn())
 }
 
-func TestMachineThatStaysSlowDoesNotFlap(t *testing.T) {
-	machine := newMachine(0, 12)
-	machine.pass(well, 5*time.Second)
-	machine.pass(slow, 2*time.Minute)
-	require.LessOrEqual(t, machine.left, 7)
-	require.Equal(t, longest, machine.core.Stay())
-	machine.pass(well, longest+relapseTime+time.Second)
-	machine.pass(slow, (looksNeeded+1)*LookInterval)
-	require.Equal(t, shortest, machine.core.Stay(), "an old relapse is forgotten")
+func TestPersistentlySlowBalancerDoesNotFlap(t *testing.T) {
+	machine := newTestBalancer(0, 12)
+	machine.observe(healthyCounts, 5*time.Second)
+	machine.observe(slowCounts, 2*time.Minute)
+	require.LessOrEqual(t, machine.withdrawals, 7)
+	require.Equal(t, maxWithdrawal, machine.detector.WithdrawalDuration())
+	machine.observe(healthyCounts, maxWithdrawal+relapseWindow+time.Second)
+	machine.observe(slowCounts, (badSampleThreshold+1)*SampleInterval)
+	require.Equal(t, minWithdrawal, machine.detector.WithdrawalDuration(), "an old relapse is forgotten")
 }
 
-// fleet is a zone in virtual time, with messages that take a while.
-type fleet struct {
-	machines []*machine
-	pictures []Picture
-	// under are statements under way, by the looks that they still take.
-	under map[int][]Statement
+// testZone is a zone in virtual time, with messages that take a while.
+type testZone struct {
+	balancers []*testBalancer
+	reports   []ReportSet
+	// inFlight are statements under way, by the looks that they still take.
+	inFlight map[int][]Report
 }
 
-// deliveryLooks is the longest that a statement is under way: two calls up and down a
+// maxDeliverySamples is the longest that a statement is under way: two calls up and down a
 // tree, of half a second each.
-const deliveryLooks = 2
+const maxDeliverySamples = 2
 
-func newFleet(size int) *fleet {
-	made := &fleet{machines: make([]*machine, size), pictures: make([]Picture, size), under: make(map[int][]Statement)}
-	for place := range made.machines {
-		made.machines[place] = newMachine(place, size)
-		made.machines[place].pass(well, 2*time.Second)
+func newTestZone(size int) *testZone {
+	made := &testZone{balancers: make([]*testBalancer, size), reports: make([]ReportSet, size), inFlight: make(map[int][]Report)}
+	for place := range made.balancers {
+		made.balancers[place] = newTestBalancer(place, size)
+		made.balancers[place].observe(healthyCounts, 2*time.Second)
 	}
 	return made
 }
 
 func nameOf(place int) string { return fmt.Sprintf("edge-%02d", place) }
 
-// look lets all machines look once. The delay of each statement is given.
-func (f *fleet) look(seen func(place int) Counts, delay func() int) (away int) {
-	arrived := f.under[0]
-	for looks := range deliveryLooks {
-		f.under[looks] = f.under[looks+1]
+// step lets all machines look once. The delay of each statement is given.
+func (f *testZone) step(seen func(place int) Counts, delay func() int) (away int) {
+	arrived := f.inFlight[0]
+	for looks := range maxDeliverySamples {
+		f.inFlight[looks] = f.inFlight[looks+1]
 	}
-	f.under[deliveryLooks] = nil
-	for place, machine := range f.machines {
+	f.inFlight[maxDeliverySamples] = nil
+	for place, machine := range f.balancers {
 		for _, statement := range arrived {
 			if statement.Name != nameOf(place) {
-				f.pictures[place].Take(statement)
+				f.reports[place].Add(statement)
 			}
 		}
-		machine.zone.Others = nil
-		for _, statement := range f.pictures[place].Now(machine.now) {
+		machine.zone.Struggling = nil
+		for _, statement := range f.reports[place].Current(machine.now) {
 			var other int
 			_, _ = fmt.Sscanf(statement.Name, "edge-%d", &other)
-			machine.zone.Others = append(machine.zone.Others, Other{Place: other, Away: statement.Away})
+			machine.zone.Struggling = append(machine.zone.Struggling, Peer{Rank: other, Withdrawn: statement.Withdrawn})
 		}
 		at := machine.now
-		machine.pass(seen(place), LookInterval)
-		if machine.core.Struggles() {
+		machine.observe(seen(place), SampleInterval)
+		if machine.detector.Struggling() {
 			looks := delay() - 1
-			f.under[looks] = append(f.under[looks], Statement{Name: nameOf(place), Away: machine.core.Aside(), At: at})
+			f.inFlight[looks] = append(f.inFlight[looks], Report{Name: nameOf(place), Withdrawn: machine.detector.Withdrawn(), At: at})
 		}
-		if machine.core.Aside() {
+		if machine.detector.Withdrawn() {
 			away++
 		}
 	}
@@ -211,42 +211,42 @@
 
 // A zone all of whose machines are slow keeps most of them, whatever each sees, when,
 // and however late it hears of the others; a zone of few keeps all.
-func TestZoneKeepsMostOfItsMachines(t *testing.T) {
+func TestZoneKeepsMostOfItsBalancers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "size")
-		fleet := newFleet(size)
-		kinds := []Counts{slow, slow, slow, well, nothing}
+		fleet := newTestZone(size)
+		kinds := []Counts{slowCounts, slowCounts, slowCounts, healthyCounts, noFlows}
 		for range rapid.IntRange(1, 60).Draw(t, "looks") {
-			away := fleet.look(
+			away := fleet.step(
 				func(int) Counts { return rapid.SampledFrom(kinds).Draw(t, "seen") },
-				func() int { return rapid.IntRange(1, deliveryLooks).Draw(t, "delay") })
+				func() int { return rapid.IntRange(1, maxDeliverySamples).Draw(t, "delay") })
 			require.LessOrEqual(t, 2*away, size, "more than half")
-			require.True(t, size >= leastZone || away == 0)
-			for _, machine := range fleet.machines {
-				machine.zone.Heard = rapid.Bool().Draw(t, "heard")
+			require.True(t, size >= minZoneSize || away == 0)
+			for _, machine := range fleet.balancers {
+				machine.zone.ReportsComplete = rapid.Bool().Draw(t, "heard")
 			}
 		}
 	})
 }
 
 // A third of a zone is slow, wherever in the order: most of it goes within 2 s.
-func TestMostOfThoseThatAreSlowGo(t *testing.T) {
+func TestMostSlowBalancersWithdraw(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	went, slowOnes := 0, 0
 	for range 100 {
-		fleet := newFleet(15)
+		fleet := newTestZone(15)
 		bad := make(map[int]bool)
 		for _, place := range chance.Perm(15)[:5] {
 			bad[place] = true
 		}
 		away := 0
 		for range 4 {
-			away = fleet.look(func(place int) Counts {
+			away = fleet.step(func(place int) Counts {
 				if bad[place] {
-					return slow
+					return slowCounts
 				}
-				return well
-			}, func() int { return 1 + chance.IntN(deliveryLooks) })
+				return healthyCounts
+			}, func() int { return 1 + chance.IntN(maxDeliverySamples) })
 		}
 		went, slowOnes = went+away, slowOnes+5
 	}
@@ -255,62 +255,62 @@
 
 // A zone that has too much to do as a whole keeps all: who went would leave it to the
 // rest.
-func TestZoneThatIsSlowAsAWholeKeepsAll(t *testing.T) {
-	fleet := newFleet(15)
+func TestOverloadedZoneKeepsAllBalancers(t *testing.T) {
+	fleet := newTestZone(15)
 	for range 60 {
-		require.Zero(t, fleet.look(func(int) Counts { return slow }, func() int { return deliveryLooks }))
+		require.Zero(t, fleet.step(func(int) Counts { return slowCounts }, func() int { return maxDeliverySamples }))
 	}
 }
 
 // Without a picture only the first places go, a quarter of the zone.
-func TestWhoHearsNobodyGoesByPlaceOnly(t *testing.T) {
+func TestWithoutReportsOnlyFirstRanksWithdraw(t *testing.T) {
 	away := 0
 	for place := range 15 {
-		machine := newMachine(place, 15)
-		machine.zone.Heard = false
-		machine.pass(well, 5*time.Second)
-		machine.pass(slow, 3*time.Second)
-		away += machine.left
+		machine := newTestBalancer(place, 15)
+		machine.zone.ReportsComplete = false
+		machine.observe(healthyCounts, 5*time.Second)
+		machine.observe(slowCounts, 3*time.Second)
+		away += machine.withdrawals
 	}
 	require.Equal(t, 3, away)
 }
 
-func TestPictureHoldsTheLatestAndFades(t *testing.T) {
+func TestReportSetKeepsTheLatestAndExpires(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var picture Picture
-	picture.Take(Statement{Name: "edge-1", Away: true, At: at})
-	picture.Take(Statement{Name: "edge-1", At: at.Add(-time.Second)})
-	require.Equal(t, []Statement{{Name: "edge-1", Away: true, At: at}}, picture.Now(at.Add(pictureFor)))
-	require.Empty(t, picture.Now(at.Add(pictureFor+time.Millisecond)))
-	for number := range 2 * pictureLimit {
-		picture.Take(Statement{Name: nameOf(number), At: at})
+	var picture ReportSet
+	picture.Add(Report{Name: "edge-1", Withdrawn: true, At: at})
+	picture.Add(Report{Name: "edge-1", At: at.Add(-time.Second)})
+	require.Equal(t, []Report{{Name: "edge-1", Withdrawn: true, At: at}}, picture.Current(at.Add(reportLifetime)))
+	require.Empty(t, picture.Current(at.Add(reportLifetime+time.Millisecond)))
+	for number := range 2 * maxReports {
+		picture.Add(Report{Name: nameOf(number), At: at})
 	}
-	require.Len(t, picture.Now(at), pictureLimit)
+	require.Len(t, picture.Current(at), maxReports)
 }
 
-func TestMachineThatTheOthersDoNotKnowStays(t *testing.T) {
-	machine := newMachine(0, 0)
-	machine.pass(slow, time.Minute)
-	require.Zero(t, machine.left)
+func TestUnlistedBalancerDoesNotWithdraw(t *testing.T) {
+	machine := newTestBalancer(0, 0)
+	machine.observe(slowCounts, time.Minute)
+	require.Zero(t, machine.withdrawals)
 }
 
 // In a zone of many, messages hold a part of those that struggle only: each knows of 64 at
 // most, and the zone seems to have room. All 1,200 of one went.
-func TestLargeZoneKeepsMostThoughMessagesLeaveSomeOut(t *testing.T) {
+func TestTruncatedReportsLimitWithdrawalInLargeZones(t *testing.T) {
 	for _, size := range []int{100, 150, 1200} {
-		var picture Picture
+		var picture ReportSet
 		at := time.Unix(1000, 0)
 		for place := range size {
-			picture.Take(Statement{Name: nameOf(place), Away: true, At: at})
+			picture.Add(Report{Name: nameOf(place), Withdrawn: true, At: at})
 		}
-		var others []Other
-		for place := range picture.Now(at) {
-			others = append(others, Other{Place: size - 1 - place, Away: false})
+		var others []Peer
+		for place := range picture.Current(at) {
+			others = append(others, Peer{Rank: size - 1 - place, Withdrawn: false})
 		}
 		away := 0
 		for place := range size {
-			zone := Zone{Place: place, Size: size, Others: others, Heard: picture.Whole()}
-			if zone.mayGo(pictureTime) {
+			zone := Zone{Rank: place, Size: size, Struggling: others, ReportsComplete: picture.Complete()}
+			if zone.mayWithdraw(propagationTime) {
 				away++
 			}
 		}
@@ -319,9 +319,9 @@
 }
 
 // Two machines of 20 are down: with those aside, half is left in.
-func TestRoomLeavesSomeForThoseThatAreGone(t *testing.T) {
+func TestMaxWithdrawnLeavesSpareForFailures(t *testing.T) {
 	for _, size := range []int{10, 15, 20, 30, 60, 1200} {
-		left := size - size/spareOf - Zone{Size: size}.room()
+		left := size - size/spareDivisor - Zone{Size: size}.maxWithdrawn()
 		require.GreaterOrEqual(t, 2*left, size)
 	}
 }
--- a/internal/aside/counts.go
+++ b/internal/aside/counts.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Steps is how many steps the times are counted in.
-const Steps = 16
+// Buckets is how many steps the times are counted in.
+const Buckets = 16
 
-// bounds are the upper ends of the steps; what took longer counts in the last one.
-var bounds = func() (made [Steps]time.Duration) {
+// bucketBounds are the upper ends of the steps; what took longer counts in the last one.
+var bucketBounds = func() (made [Buckets]time.Duration) {
 	bound := time.Millisecond
 	for step := range made {
 		made[step] = bound
@@ -15,29 +15,29 @@
 	return made
 }()
 
-// StepOf is the step in which a time counts.
-func StepOf(took time.Duration) int {
-	for step, bound := range bounds {
+// BucketOf is the step in which a time counts.
+func BucketOf(took time.Duration) int {
+	for step, bound := range bucketBounds {
 		if took <= bound {
 			return step
 		}
 	}
-	return Steps - 1
+	return Buckets - 1
 }
 
 // Counts are the flows of a balancer since its start.
 type Counts struct {
 	// Opened are those that opened, by the step of the time that it took.
-	Opened [Steps]uint64
-	// Missed are first packets that were not answered in time.
-	Missed uint64
+	Opened [Buckets]uint64
+	// Unanswered are first packets that were not answered in time.
+	Unanswered uint64
 }
 
 func (c Counts) since(before Counts) Counts {
 	for step := range c.Opened {
 		c.Opened[step] -= before.Opened[step]
 	}
-	c.Missed -= before.Missed
+	c.Unanswered -= before.Unanswered
 	return c
 }
 
@@ -55,38 +55,38 @@
 	for step, count := range c.Opened {
 		sum += count
 		if sum >= half {
-			return bounds[step]
+			return bucketBounds[step]
 		}
 	}
-	return bounds[Steps-1]
+	return bucketBounds[Buckets-1]
 }
 
-// split tells what took longer than a bound from the rest.
-func (c Counts) split(bound time.Duration) Seen {
-	seen := Seen{Missed: c.Missed}
+// classify tells what took longer than a bound from the rest.
+func (c Counts) classify(bound time.Duration) Sample {
+	seen := Sample{Unanswered: c.Unanswered}
 	for step, count := range c.Opened {
-		if bounds[step] > bound {
+		if bucketBounds[step] > bound {
 			seen.Slow += count
 		} else {
-			seen.Prompt += count
+			seen.OnTime += count
 		}
 	}
 	return seen
 }
 
-// Seen is what a look saw: flows that opened in the usual time, those that took much
+// Sample is what a look saw: flows that opened in the usual time, those that took much
 // longer, and first packets that were not answered in time.
-type Seen struct {
-	Prompt, Slow, Missed uint64
+type Sample struct {
+	OnTime, Slow, Unanswered uint64
 }
 
-// bad tells whether this balancer is slow, and callers pay for it. Of the flows that
+// slowHere tells whether this balancer is slow, and callers pay for it. Of the flows that
 // back ends answered more than a third came late, and with those that nobody answered
 // half of all tries: that is how it differs from back ends that answer nobody. A tenth
 // of all were not answered in time, and cost their clients a repetition, 200 ms: what
 // is only late costs them less than another path may.
-func (s Seen) bad() bool {
-	answered := s.Prompt + s.Slow
-	tries := answered + s.Missed
-	return tries >= leastOpenings && 3*s.Slow > answered && 2*(s.Slow+s.Missed) >= tries && 10*s.Missed >= tries
+func (s Sample) slowHere() bool {
+	answered := s.OnTime + s.Slow
+	tries := answered + s.Unanswered
+	return tries >= minAttempts && 3*s.Slow > answered && 2*(s.Slow+s.Unanswered) >= tries && 10*s.Unanswered >= tries
 }
--- a/internal/aside/picture.go
+++ b/internal/aside/picture.go
@@ -7,57 +7,57 @@
 )
 
 const (
-	// pictureFor is how long a statement holds that is not renewed. Followers call
+	// reportLifetime is how long a statement holds that is not renewed. Followers call
 	// twice a second, and each balancer renews its own with each call.
-	pictureFor = 3 * time.Second
-	// pictureLimit bounds the statements in one message, to some 2 KB.
-	pictureLimit = 64
+	reportLifetime = 3 * time.Second
+	// maxReports bounds the statements in one message, to some 2 KB.
+	maxReports = 64
 )
 
-// Statement is that a balancer struggles.
-type Statement struct {
-	Name string
-	Away bool
+// Report is that a balancer struggles.
+type Report struct {
+	Name      string
+	Withdrawn bool
 	// At is when it said so.
 	At time.Time
 }
 
-// Picture is who struggles, by name, so that nobody counts twice whoever passes it on;
+// ReportSet is who struggles, by name, so that nobody counts twice whoever passes it on;
 // the latest statement holds, and each fades.
-type Picture struct {
-	statements map[string]Statement
+type ReportSet struct {
+	reports map[string]Report
 }
 
-// Take takes a statement. One that is older than what is known says nothing.
-func (p *Picture) Take(statement Statement) {
-	if known, found := p.statements[statement.Name]; found && !statement.At.After(known.At) {
+// Add takes a statement. One that is older than what is known says nothing.
+func (p *ReportSet) Add(statement Report) {
+	if known, found := p.reports[statement.Name]; found && !statement.At.After(known.At) {
 		return
 	}
-	if p.statements == nil {
-		p.statements = make(map[string]Statement)
+	if p.reports == nil {
+		p.reports = make(map[string]Report)
 	}
-	p.statements[statement.Name] = statement
+	p.reports[statement.Name] = statement
 }
 
-// Drop takes that a balancer carries its share, as it says itself.
-func (p *Picture) Drop(name string) { delete(p.statements, name) }
+// Remove takes that a balancer carries its share, as it says itself.
+func (p *ReportSet) Remove(name string) { delete(p.reports, name) }
 
-// Now returns the statements that hold, the latest first.
-func (p *Picture) Now(now time.Time) []Statement {
-	var found []Statement
-	for name, statement := range p.statements {
-		if now.Sub(statement.At) > pictureFor {
-			delete(p.statements, name)
+// Current returns the statements that hold, the latest first.
+func (p *ReportSet) Current(now time.Time) []Report {
+	var found []Report
+	for name, statement := range p.reports {
+		if now.Sub(statement.At) > reportLifetime {
+			delete(p.reports, name)
 			continue
 		}
 		found = append(found, statement)
 	}
-	slices.SortFunc(found, func(a, b Statement) int {
+	slices.SortFunc(found, func(a, b Report) int {
 		return cmp.Or(b.At.Compare(a.At), cmp.Compare(a.Name, b.Name))
 	})
-	return found[:min(len(found), pictureLimit)]
+	return found[:min(len(found), maxReports)]
 }
 
-// Whole tells whether all that struggle may be known: where so many do that messages leave
+// Complete tells whether all that struggle may be known: where so many do that messages leave
 // some out, what is known says too little to go by.
-func (p *Picture) Whole() bool { return len(p.statements) < pictureLimit }
+func (p *ReportSet) Complete() bool { return len(p.reports) < maxReports }
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -26,7 +26,7 @@
 	queue   chan []byte
 	stop    chan struct{}
 	stopped chan struct{}
-	leftOut atomic.Uint64
+	dropped atomic.Uint64
 }
 
 // New starts a writer to an output.
@@ -46,13 +46,13 @@
 	select {
 	case writer.queue <- append([]byte(nil), line...):
 	default:
-		writer.leftOut.Add(1)
+		writer.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// LeftOut is the number of lines left out since the start.
-func (writer *Writer) LeftOut() uint64 { return writer.leftOut.Load() }
+// Dropped is the number of lines left out since the start.
+func (writer *Writer) Dropped() uint64 { return writer.dropped.Load() }
 
 // Close writes what waits and ends the goroutine. It gives up on an output that
 // stalls for longer than the limit.
@@ -71,13 +71,13 @@
 		select {
 		case line := <-writer.queue:
 			_, _ = writer.output.Write(line)
-			writer.gather()
+			writer.writeBatch()
 		case <-writer.stop:
-			writer.drain()
+			writer.writeQueued()
 			_ = writer.output.Flush()
 			return
 		}
-		if left := writer.LeftOut(); left != told {
+		if left := writer.Dropped(); left != told {
 			_, _ = fmt.Fprintf(writer.output, "level=WARN msg=\"Log lines left out.\" lines=%d\n", left-told)
 			told = left
 		}
@@ -85,18 +85,18 @@
 	}
 }
 
-// gather lets more lines come, so that they are written in one call.
-func (writer *Writer) gather() {
+// writeBatch lets more lines come, so that they are written in one call.
+func (writer *Writer) writeBatch() {
 	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-writer.stop:
 	}
-	writer.drain()
+	writer.writeQueued()
 }
 
-func (writer *Writer) drain() {
+func (writer *Writer) writeQueued() {
 	for {
 		select {
 		case line := <-writer.queue:
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -20,19 +20,19 @@
 	require.Equal(t, "one\ntwo\nthree\n", output.String())
 }
 
-// stalled is an output that takes nothing until it is released.
-type stalled struct {
+// stalledWriter is an output that takes nothing until it is released.
+type stalledWriter struct {
 	released chan struct{}
-	taken    bytes.Buffer
+	written  bytes.Buffer
 }
 
-func (stalled *stalled) Write(content []byte) (int, error) {
+func (stalled *stalledWriter) Write(content []byte) (int, error) {
 	<-stalled.released
-	return stalled.taken.Write(content)
+	return stalled.written.Write(content)
 }
 
-func TestAStalledOutputCostsLinesAndNoTime(t *testing.T) {
-	output := &stalled{released: make(chan struct{})}
+func TestStalledOutputDropsLinesWithoutBlocking(t *testing.T) {
+	output := &stalledWriter{released: make(chan struct{})}
 	writer := New(output)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	began := time.Now()
@@ -40,8 +40,8 @@
 		_, _ = writer.Write(line)
 	}
 	require.Less(t, time.Since(began), time.Second)
-	require.Positive(t, writer.LeftOut())
+	require.Positive(t, writer.Dropped())
 	close(output.released)
 	writer.Close(5 * time.Second)
-	require.Contains(t, output.taken.String(), "Log lines left out.")
+	require.Contains(t, output.written.String(), "Log lines left out.")
 }
--- a/internal/balancer/aside.go
+++ b/internal/balancer/aside.go
@@ -17,8 +17,8 @@
 
 // withdrawalState is what control knows of who carries its share.
 type withdrawalState struct {
-	core    *aside.Core
-	reports aside.Picture
+	core    *aside.Detector
+	reports aside.ReportSet
 	// lastReportAt is when another balancer last told who struggles, or that nobody does.
 	lastReportAt time.Time
 	// ranks are the places of the balancers of this zone, by name, in an order that
@@ -34,23 +34,23 @@
 		return
 	}
 	flows := c.balancer.traffic.flows
-	counts := aside.Counts{Missed: flows.Unanswered.Load()}
+	counts := aside.Counts{Unanswered: flows.Unanswered.Load()}
 	for step := range flows.OpenedByTime {
 		counts.Opened[step] = flows.OpenedByTime[step].Load()
 	}
 	core := c.withdrawal.core
-	if !core.Look(counts, c.withdrawalZone(now), now) {
+	if !core.Observe(counts, c.withdrawalZone(now), now) {
 		return
 	}
-	c.balancer.withdrawn.Store(core.Aside())
-	if !core.Aside() {
+	c.balancer.withdrawn.Store(core.Withdrawn())
+	if !core.Withdrawn() {
 		c.balancer.logger.Info("Control: back from aside.")
 		return
 	}
 	c.balancer.withdrawals.Add(1)
-	seen := core.Seen()
-	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.Stay(),
-		"opened_promptly", seen.Prompt, "slowly", seen.Slow, "not_in_time", seen.Missed)
+	seen := core.LastSample()
+	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.WithdrawalDuration(),
+		"opened_promptly", seen.OnTime, "slowly", seen.Slow, "not_in_time", seen.Unanswered)
 }
 
 // withdrawalZone is what is known of this zone by now.
@@ -60,11 +60,11 @@
 	if !listed {
 		return aside.Zone{} // the others don't count on it
 	}
-	heard := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Whole()
-	zone := aside.Zone{Place: place, Size: len(c.withdrawal.ranks), Heard: heard}
-	for _, statement := range c.withdrawal.reports.Now(now) {
+	heard := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Complete()
+	zone := aside.Zone{Rank: place, Size: len(c.withdrawal.ranks), ReportsComplete: heard}
+	for _, statement := range c.withdrawal.reports.Current(now) {
 		if other, here := c.withdrawal.ranks[statement.Name]; here && statement.Name != name {
-			zone.Others = append(zone.Others, aside.Other{Place: other, Away: statement.Away})
+			zone.Struggling = append(zone.Struggling, aside.Peer{Rank: other, Withdrawn: statement.Withdrawn})
 		}
 	}
 	return zone
@@ -74,14 +74,14 @@
 // among them.
 func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
-	if c.withdrawal.core.Struggles() {
-		c.withdrawal.reports.Take(aside.Statement{Name: name, Away: c.withdrawal.core.Aside(), At: now})
+	if c.withdrawal.core.Struggling() {
+		c.withdrawal.reports.Add(aside.Report{Name: name, Withdrawn: c.withdrawal.core.Withdrawn(), At: now})
 	} else {
-		c.withdrawal.reports.Drop(name)
+		c.withdrawal.reports.Remove(name)
 	}
 	var told []*apiv1.Struggling
-	for _, statement := range c.withdrawal.reports.Now(now) {
-		told = append(told, &apiv1.Struggling{Name: statement.Name, Away: statement.Away,
+	for _, statement := range c.withdrawal.reports.Current(now) {
+		told = append(told, &apiv1.Struggling{Name: statement.Name, Away: statement.Withdrawn,
 			Milliseconds: uint32(now.Sub(statement.At).Milliseconds())})
 	}
 	return told
@@ -99,7 +99,7 @@
 		if each.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.withdrawal.reports.Take(aside.Statement{Name: each.GetName(), Away: each.GetAway(),
+		c.withdrawal.reports.Add(aside.Report{Name: each.GetName(), Withdrawn: each.GetAway(),
 			At: now.Add(-time.Duration(each.GetMilliseconds()) * time.Millisecond)})
 	}
 }
--- a/internal/balancer/aside_test.go
+++ b/internal/balancer/aside_test.go
@@ -26,8 +26,8 @@
 // openFlows lets flows open, each in so long, and control look at it for a time. Beside
 // those that take long some are not answered in time.
 func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
-	for end := now.Add(length); now.Before(end); now = now.Add(aside.LookInterval) {
-		control.balancer.traffic.flows.OpenedByTime[aside.StepOf(took)].Add(12)
+	for end := now.Add(length); now.Before(end); now = now.Add(aside.SampleInterval) {
+		control.balancer.traffic.flows.OpenedByTime[aside.BucketOf(took)].Add(12)
 		if took > 50*time.Millisecond {
 			control.balancer.traffic.flows.Unanswered.Add(4)
 		}
@@ -73,7 +73,7 @@
 		control.rankZoneBalancers(known)
 		zone := control.withdrawalZone(time.Now())
 		require.Equal(t, 12, zone.Size)
-		places[zone.Place] = true
+		places[zone.Rank] = true
 	}
 	require.Len(t, places, 12)
 	control := newTestControl()
@@ -90,13 +90,13 @@
 	leaf.balancer.settings.Load().Name = "edge-2"
 	parent.balancer.settings.Load().Name = "edge-3"
 	now = leaf.openFlows(2*time.Millisecond, 3*time.Second, now)
-	now = leaf.openFlows(80*time.Millisecond, aside.LookInterval, now)
+	now = leaf.openFlows(80*time.Millisecond, aside.SampleInterval, now)
 	parent.handleStrugglingReports(leaf.strugglingReports(now), true, now)
 	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
-	require.Equal(t, []aside.Other{{Place: 1}}, other.withdrawalZone(now.Add(time.Second)).Others)
+	require.Equal(t, []aside.Peer{{Rank: 1}}, other.withdrawalZone(now.Add(time.Second)).Struggling)
 	parent.handleStrugglingReports(other.strugglingReports(now.Add(2*time.Second)), true, now.Add(2*time.Second))
 	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "an echo renews nothing")
-	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Others)
+	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Struggling)
 }
 
 // An older program tells nothing of who struggles. In a rolling release its silence is no
@@ -105,7 +105,7 @@
 	now := time.Now()
 	control := newWithdrawalControl()
 	control.handleStrugglingReports(nil, false, now)
-	require.False(t, control.withdrawalZone(now).Heard)
+	require.False(t, control.withdrawalZone(now).ReportsComplete)
 	control.handleStrugglingReports(nil, true, now)
-	require.True(t, control.withdrawalZone(now).Heard)
+	require.True(t, control.withdrawalZone(now).ReportsComplete)
 }
--- a/internal/balancer/burst_test.go
+++ b/internal/balancer/burst_test.go
@@ -55,7 +55,7 @@
 	backend        *tokenroute.Backend
 	requests       int
 	responseLength uint32
-	shed           bool
+	rejected       bool
 }
 
 // burstFleet is balancers before the back ends of one pool, in virtual time. Health takes off
@@ -77,10 +77,10 @@
 	servedLength, errorLength uint32
 	// aggregateDelay is how old the picture of all is.
 	aggregateDelay time.Duration
-	// shedRequests and refusals count the requests that were shed and the flows that were refused, by
+	// rejectedRequests and refusals count the requests that were shed and the flows that were refused, by
 	// second, and found in how many looks each back end counted as unwell.
-	shedRequests, refusedFlows map[int]int
-	unhealthyCounts            map[uint64]int
+	rejectedRequests, refusedFlows map[int]int
+	unhealthyCounts                map[uint64]int
 }
 
 type burstNode struct {
@@ -95,7 +95,7 @@
 func newBurstFleet(seed uint64, served, shedding uint32) *burstFleet {
 	made := &burstFleet{random: rand.New(rand.NewPCG(seed, 0)), now: burstStart, replica: directory.New(time.Minute),
 		servedLength: served, errorLength: shedding, flowShares: [burstBackends]float64{1, 1, 1}, aggregateDelay: 1500 * time.Millisecond,
-		shedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
+		rejectedRequests: make(map[int]int), refusedFlows: make(map[int]int), unhealthyCounts: make(map[uint64]int)}
 	batch := routesBatch(5)
 	pools := []*apiv1.PoolShare{{Pool: "desk", Weight: 1000}}
 	batch.Changes[0].GetRoutes().Routes = []*apiv1.ServiceRoute{
@@ -196,8 +196,8 @@
 
 // startRequest runs a request at a back end, or sheds it.
 func (b *burstFleet) startRequest(caller *burstClient, backend *queueingBackend) {
-	caller.shed = backend.inFlight >= burstSlots+burstQueue
-	if caller.shed || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
+	caller.rejected = backend.inFlight >= burstSlots+burstQueue
+	if caller.rejected || backend.errorFraction > 0 && b.random.Float64() < backend.errorFraction {
 		caller.responseLength, caller.responseAt = b.errorLength, b.now.Add(time.Millisecond)
 		backend.inFlight++
 		return
@@ -223,16 +223,16 @@
 	caller.packet.Length, caller.responseAt = 0, time.Time{}
 	b.decide(caller)
 	caller.nextAt = b.now.Add(60 * time.Millisecond)
-	if caller.shed {
-		b.shedRequests[b.second()]++
+	if caller.rejected {
+		b.rejectedRequests[b.second()]++
 	}
-	if caller.endsAt.IsZero() && caller.requests < 12 && !caller.shed {
+	if caller.endsAt.IsZero() && caller.requests < 12 && !caller.rejected {
 		return
 	}
 	caller.packet.Closing = true
 	b.decide(caller)
 	caller.packet.Closing, caller.backend = false, nil
-	if !caller.endsAt.IsZero() && !caller.shed {
+	if !caller.endsAt.IsZero() && !caller.rejected {
 		caller.nextAt = b.now
 	}
 }
@@ -316,8 +316,8 @@
 					fleet.burst(2 * time.Second)
 					fleet.run(22 * time.Second)
 					require.Empty(t, fleet.unhealthyCounts, "shares %d, seed %d", place, seed)
-					require.Positive(t, sumBetween(fleet.shedRequests, 8, 10))
-					require.Zero(t, sumBetween(fleet.shedRequests, 12, 30), "2 s after the burst all are served as before")
+					require.Positive(t, sumBetween(fleet.rejectedRequests, 8, 10))
+					require.Zero(t, sumBetween(fleet.rejectedRequests, 12, 30), "2 s after the burst all are served as before")
 				}
 			}
 		})
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -40,12 +40,12 @@
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
 		return store.Snapshot(ctx, math.MaxInt)
-	case replication.PollOld:
+	case replication.PollStaleSnapshot:
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
 		return store.StaleSnapshot(ctx)
 	case replication.PollChanges:
-		wait := paceOf(c.balancer.settings.Load()).Wait
+		wait := paceOf(c.balancer.settings.Load()).ChangesWait
 		ctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
 		defer cancel()
 		return store.Changes(ctx, after, wait)
@@ -57,7 +57,7 @@
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		return store.Members(ctx, c.balancer.settings.Load().GetZone())
-	case replication.PollNone, replication.PollPage:
+	case replication.PollNone, replication.PollFirstPage:
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -99,7 +99,7 @@
 		After:           c.replica.Revision(),
 		AgeMilliseconds: uint32(age.Milliseconds()),
 	}
-	request.Everything = peer.Everything
+	request.Everything = peer.Full
 	if peer.Waits() {
 		request.WaitMilliseconds = uint32(replication.FollowWait.Milliseconds())
 	}
@@ -117,8 +117,8 @@
 			request.TakesFindings = true
 			request.Struggling, request.TellsStruggling = c.strugglingReports(now), true
 		}
-		request.Shown = c.core.Shown(now)
-		request.Silent = c.core.Silent(now)
+		request.Shown = c.core.UnlistedEntries(now)
+		request.Silent = c.core.SilentBalancers(now)
 	}
 	return request
 }
@@ -138,7 +138,7 @@
 		Batch:           reply.GetBatch(),
 		AsOfNanoseconds: int64(asOf.Sub(c.balancer.started)),
 		Peer:            peer.Address,
-		Everything:      peer.Everything,
+		Everything:      peer.Full,
 		RevisionOnly:    peer.RevisionOnly,
 		Purpose:         uint32(peer.Purpose),
 		Callers:         reply.GetCallers(),
@@ -163,7 +163,7 @@
 		return c.client
 	}
 	client := replication.NewClient(c.balancer.logger)
-	client.DialTime = c.core.DialTime(peer.Address)
+	client.DialTimeout = c.core.DialTimeout(peer.Address)
 	return client
 }
 
@@ -171,7 +171,7 @@
 	if failure != nil {
 		news.Error = failure.Error()
 	}
-	err := c.balancer.bus.Publish(events.Event{Kind: events.KindNews, Body: news})
+	err := c.balancer.bus.Publish(events.Event{Kind: events.KindDirectoryNews, Body: news})
 	if err != nil && ctx.Err() == nil {
 		c.balancer.logger.Error("Control: event lost.", "error", err)
 	}
--- a/internal/balancer/clientfor_test.go
+++ b/internal/balancer/clientfor_test.go
@@ -12,8 +12,8 @@
 // first, and not as a client does by itself.
 func TestClientUsesTheDialTimeoutOfTheCore(t *testing.T) {
 	control := newTestControl()
-	peer := replication.Peer{Address: "10.0.0.2:8166", Purpose: replication.PurposeAsk}
+	peer := replication.Peer{Address: "10.0.0.2:8166", Purpose: replication.PurposeProbe}
 	first := control.clientFor(peer)
-	require.Equal(t, control.core.DialTime(peer.Address), first.DialTime)
-	require.Less(t, first.DialTime, replication.NewClient(control.balancer.logger).DialTime)
+	require.Equal(t, control.core.DialTimeout(peer.Address), first.DialTimeout)
+	require.Less(t, first.DialTimeout, replication.NewClient(control.balancer.logger).DialTimeout)
 }
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -95,16 +95,16 @@
 		balancer: balancer,
 		replica:  directory.New(retention),
 		core: replication.NewCore(replication.Config{
-			Self:      balancer.ownEntry(),
-			Pace:      paceOf(settings),
-			TreeWidth: replication.DefaultTreeWidth,
+			Self:       balancer.ownEntry(),
+			Timing:     paceOf(settings),
+			TreeFanout: replication.DefaultTreeFanout,
 
 			SharedOrderLimit: replication.DefaultSharedOrderLimit,
 
-			PeerPause:    peerRetryDelay,
-			BackoffLimit: maxStoreBackoff,
+			PeerRetryDelay: peerRetryDelay,
+			MaxBackoff:     maxStoreBackoff,
 
-			StartPatience: startupStoreDelay,
+			StartupWait:   startupStoreDelay,
 			AuditInterval: auditInterval,
 		}, chance, balancer.started),
 		client:      replication.NewClient(balancer.logger),
@@ -165,10 +165,10 @@
 }
 
 // paceOf is the pace that the settings give.
-func paceOf(settings *apiv1.BalancerSettings) replication.Pace {
+func paceOf(settings *apiv1.BalancerSettings) replication.Timing {
 	poll := time.Duration(settings.GetPollMilliseconds()) * time.Millisecond
 	stale := time.Duration(settings.GetStaleMilliseconds()) * time.Millisecond
-	return replication.NewPace(poll, stale)
+	return replication.NewTiming(poll, stale)
 }
 
 // tick starts the calls that are due, answers followers and renews the table.
@@ -198,8 +198,8 @@
 }
 
 // buildPause is the pause after a table that took so long to build.
-func buildPause(took time.Duration, pace replication.Pace) time.Duration {
-	return min(buildPauseFactor*took, pace.Poll/buildPauseDivisor)
+func buildPause(took time.Duration, pace replication.Timing) time.Duration {
+	return min(buildPauseFactor*took, pace.PollInterval/buildPauseDivisor)
 }
 
 // updateShares takes what the traffic goroutine and other balancers have
@@ -213,9 +213,9 @@
 	summary := c.balancer.traffic.latestSummary.Load()
 	changed := c.observed.update(summary, now)
 	c.updateAdmission(summary, now)
-	c.findings.own = nil
+	c.findings.local = nil
 	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
-		c.findings.own = summary.Findings
+		c.findings.local = summary.Findings
 	}
 	changed = c.updateHealth(now) || changed
 	changed = c.planZoneShares(now) || changed
@@ -236,11 +236,11 @@
 	}
 	c.pollInFlight = true
 	c.core.PollStarted(kind, now)
-	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.Reader())
+	c.balancer.logger.Debug("Control: store is read.", "kind", kind, "reader", c.core.IsReader())
 	_, knows := c.core.Age(now)
-	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.Reads()), c.replica.Revision(), now)
+	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.ReadsStore()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
-		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).Poll)
+		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).PollInterval)
 		go c.checkOperatorEntries(ctx)
 	}
 }
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -79,7 +79,7 @@
 func TestStaleSnapshotDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollOld),
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), Poll: uint32(replication.PollStaleSnapshot),
 		AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.Equal(t, uint64(5), control.replica.Revision())
 	control.rebuildTable(now)
@@ -102,7 +102,7 @@
 func TestStaleSnapshotOfLostWritesHidesNothing(t *testing.T) {
 	control := newTestControl()
 	now := time.Now()
-	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollOld),
+	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(80), Poll: uint32(replication.PollStaleSnapshot),
 		AsOfNanoseconds: control.sinceStart(now)}, now)
 	holds := routesBatch(63)
 	holds.Changes = append(holds.Changes, &apiv1.DirectoryChange{Revision: 62, Entry: &apiv1.DirectoryChange_Backend{
@@ -122,7 +122,7 @@
 	old := routesBatch(5)
 	old.Changes = append(old.Changes, &apiv1.DirectoryChange{Revision: 4, Entry: &apiv1.DirectoryChange_Backend{
 		Backend: &apiv1.PoolBackend{Id: "i-1", Number: 1, Pool: "one", Zone: "maadi", Address: 1, Port: 1, Capacity: 1}}})
-	control.handleNews(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollOld), AsOfNanoseconds: control.sinceStart(now)}, now)
+	control.handleNews(&apiv1.DirectoryNews{Batch: old, Poll: uint32(replication.PollStaleSnapshot), AsOfNanoseconds: control.sinceStart(now)}, now)
 	control.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(6), AsOfNanoseconds: control.sinceStart(now)}, now)
 	require.Len(t, control.replica.Backends(), 1)
 	require.True(t, control.replica.Backends()[0].Gone)
@@ -149,8 +149,8 @@
 	entry := &apiv1.Balancer{Name: "edge-9", Zone: "maadi", PeerAddress: "10.0.0.9:8166"}
 	control.pendingWrite = replication.Write{Put: []*apiv1.Balancer{entry}}
 	control.handleNews(&apiv1.DirectoryNews{Write: true}, now)
-	control.core.TakeShown([]*apiv1.Balancer{entry}, now)
-	require.Contains(t, control.core.Shown(now), entry, "it may be lost, and is still to be written")
+	control.core.AddUnlistedEntries([]*apiv1.Balancer{entry}, now)
+	require.Contains(t, control.core.UnlistedEntries(now), entry, "it may be lost, and is still to be written")
 }
 
 // The reader removes the entry that it knows, and no later one.
@@ -313,7 +313,7 @@
 		inForce := time.Duration(loaded.GetConfigurationMilliseconds()) * time.Millisecond
 		require.Equal(t, buildPauseFactor*time.Millisecond, buildPause(time.Millisecond, pace))
 		for _, took := range []time.Duration{0, 10 * time.Millisecond, 600 * time.Millisecond, time.Minute} {
-			require.Less(t, 2*pace.Poll+buildPause(took, pace), inForce)
+			require.Less(t, 2*pace.PollInterval+buildPause(took, pace), inForce)
 		}
 	}
 }
@@ -364,10 +364,10 @@
 	now := time.Now()
 	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
 	order := &apiv1.DirectoryChange{Revision: 7, Entry: &apiv1.DirectoryChange_Evacuation{Evacuation: &apiv1.Evacuation{Zone: "maadi"}}}
-	c.core.PollSucceeded(replication.PollPage, false, now)
+	c.core.PollSucceeded(replication.PollFirstPage, false, now)
 	c.core.PollStarted(replication.PollSnapshot, now)
 	c.core.PollSucceeded(replication.PollSnapshot, false, now)
-	now = now.Add(2 * paceOf(c.balancer.settings.Load()).Poll)
+	now = now.Add(2 * paceOf(c.balancer.settings.Load()).PollInterval)
 	require.NotEqual(t, replication.PollSnapshot, c.core.NextPoll(now))
 	check := routesBatch(6)
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -105,7 +105,7 @@
 // be told. It goes alone or with another call.
 func (c *control) demandReportFor(parent string, alone bool, now time.Time) *apiv1.DemandReport {
 	theirs := c.testimony.parentClock
-	if parent != c.testimony.parent || !theirs.Known() || !c.core.Leads(parent) {
+	if parent != c.testimony.parent || !theirs.Known() || !c.core.MayReportTo(parent) {
 		return nil
 	}
 	report, may := c.demand.tree.ReportTo(demand.Address(parent), now)
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -36,7 +36,7 @@
 	leads.balancer.started = now.Add(-3 * time.Minute)
 	first := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
 	follows.core.SetBalancers([]*apiv1.Balancer{follows.balancer.ownEntry(), first}, now)
-	require.True(t, follows.core.Leads("10.0.0.2:1"))
+	require.True(t, follows.core.MayReportTo("10.0.0.2:1"))
 	follows.testimony.parent = "10.0.0.2:1"
 	follows.testimony.parentClock = evidence.NewRemoteClock(leads.testimony.clock, leads.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{leads, follows} {
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -32,7 +32,7 @@
 // up the tree of followers, each balancer adding its own to those of its
 // followers, and down again as those of all.
 type findings struct {
-	own       map[incarnation.ID]observe.Finding
+	local     map[incarnation.ID]observe.Finding
 	followers map[string]findingsReport
 	// parent is what the balancer that this one follows says of all, this one
 	// included.
@@ -62,8 +62,8 @@
 
 // subtree are the findings of this balancer and of those that follow it.
 func (f *findings) subtree(now time.Time) map[incarnation.ID]observe.Finding {
-	joined := make(map[incarnation.ID]observe.Finding, len(f.own))
-	for backend, finding := range f.own {
+	joined := make(map[incarnation.ID]observe.Finding, len(f.local))
+	for backend, finding := range f.local {
 		joined[backend] = finding
 	}
 	for _, each := range f.followers {
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -25,7 +25,7 @@
 func TestFindingsOfAllBalancersAddUp(t *testing.T) {
 	now := time.Now()
 	var root, middle, leaf findings
-	root.own, middle.own, leaf.own = failingFinding(5), failingFinding(4), failingFinding(4)
+	root.local, middle.local, leaf.local = failingFinding(5), failingFinding(4), failingFinding(4)
 	middle.updateFollower("leaf", encodeFindings(leaf.subtree(now)), now)
 	root.updateFollower("middle", encodeFindings(middle.subtree(now)), now)
 	require.InDelta(t, 13, root.all(now)[backendSeven].Failing.Evidence, 1e-6)
@@ -105,7 +105,7 @@
 			Zone: []string{"maadi", "giza"}[place%2]})
 	}
 	control.core.SetBalancers(known, now)
-	control.findings.own = failingFinding(9)
+	control.findings.local = failingFinding(9)
 	follow := func(address string) *apiv1.FollowRequest {
 		return control.requestTo(replication.Peer{Address: address, Purpose: replication.PurposeFollow}, 0, now)
 	}
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -63,7 +63,7 @@
 const (
 	// fullReplyLimit is how many go out within fullReplyWindow: as many as follow a
 	// strong balancer.
-	fullReplyLimit  = 2 * replication.DefaultTreeWidth
+	fullReplyLimit  = 2 * replication.DefaultTreeFanout
 	fullReplyWindow = 200 * time.Millisecond
 )
 
@@ -99,7 +99,7 @@
 	asking := &followCall{
 		caller: replication.Caller{
 			Address:     request.GetFromAddress(),
-			Knows:       age < unknownAge,
+			HasData:     age < unknownAge,
 			Revision:    request.GetAfter(),
 			ConfirmedAt: now.Add(-age),
 		},
@@ -139,9 +139,9 @@
 
 // enqueueFollow lets a follower wait, or answers it at once when there is no room.
 func (c *control) enqueueFollow(asking *followCall) {
-	c.core.Called(asking.caller, c.replica.Revision(), asking.receivedAt)
-	c.core.TakeShown(asking.shownBalancers, asking.receivedAt)
-	c.core.TakeSilent(asking.silentBalancers, asking.receivedAt)
+	c.core.CallReceived(asking.caller, c.replica.Revision(), asking.receivedAt)
+	c.core.AddUnlistedEntries(asking.shownBalancers, asking.receivedAt)
+	c.core.HandleSilentReport(asking.silentBalancers, asking.receivedAt)
 	if asking.wantsFindings {
 		c.handleStrugglingReports(asking.struggling, asking.reportsStruggling, asking.receivedAt)
 	}
@@ -164,7 +164,7 @@
 		if asking.disconnected() || c.answer(asking, now, found) {
 			continue
 		}
-		c.core.Heard(asking.caller.Address, now)
+		c.core.RecordActivity(asking.caller.Address, now)
 		kept = append(kept, asking)
 	}
 	clear(c.waitingCalls[len(kept):])
@@ -177,7 +177,7 @@
 	if !known && now.Before(asking.deadline) {
 		return false
 	}
-	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).Younger
+	younger := known && now.Add(-age).Sub(asking.confirmedAt) >= paceOf(c.balancer.settings.Load()).MinAdvance
 	statements := c.pendingObservations(asking, now)
 	if asking.afterRevision >= c.replica.Revision() && !younger && len(statements) == 0 && now.Before(asking.deadline) {
 		return false
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -81,7 +81,7 @@
 		Loads: map[demand.PoolZone]demand.Load{lendingPoolZone("maadi"): {InFlight: 40, RequestRate: 100}}}, demand.Position{})
 	picture := control.demand.tree.Aggregate(now)
 	control.demand.aggregate.Store(picture.WithCapacity(control.demand.capacity.slots))
-	control.findings.own = slowFindings(5)
+	control.findings.local = slowFindings(5)
 	require.True(t, control.updateHealth(now), "another table")
 	control.rebuildTable(now)
 	require.Greater(t, control.observed.healthWeight(slow), 0.5)
--- a/internal/balancer/learn.go
+++ b/internal/balancer/learn.go
@@ -71,7 +71,7 @@
 // held, and so does what comes from an era that the store has left.
 func (c *control) confirms(news *apiv1.DirectoryNews) bool {
 	told := news.GetBatch().GetRevision()
-	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollOld {
+	if news.GetPeer() == "" && replication.Poll(news.GetPoll()) == replication.PollStaleSnapshot {
 		return false
 	}
 	return told > 0 && revision.EraOf(told) >= revision.EraOf(c.replica.Revision())
@@ -92,7 +92,7 @@
 	c.rebuildNeeded = true
 	c.core.StoreRestored(c.replica.Balancers(), now)
 	c.balancer.logger.Info("Control: store came back from a copy.", "era", revision.EraOf(after), "revision", revision.NumberOf(after),
-		"known_to", revision.Text(before), "held", c.replica.OverrideCount())
+		"known_to", revision.Format(before), "held", c.replica.OverrideCount())
 }
 
 // countUnreadable counts the entries of the store that could not be read.
@@ -152,7 +152,7 @@
 		c.core.PollFailed(now)
 	default:
 		if replication.Poll(news.GetPoll()) == replication.PollMembers {
-			c.core.StartsIn(int(news.GetBatch().GetZoneSize()))
+			c.core.SetZoneSize(int(news.GetBatch().GetZoneSize()))
 		}
 		c.core.PollSucceeded(replication.Poll(news.GetPoll()), news.GetBatch().GetOnePage(), now)
 	}
@@ -165,7 +165,7 @@
 	batch := news.GetBatch()
 	if c.replica.Contradicts(batch) {
 		c.balancer.logger.Info("Control: orders have changed unseen, the store is read whole.",
-			"revision", revision.Text(batch.GetOrdersRevision()))
+			"revision", revision.Format(batch.GetOrdersRevision()))
 		c.core.HistoryLost(now)
 	}
 	if batch != nil {
@@ -177,9 +177,9 @@
 
 func (c *control) peerCallEnded(news *apiv1.DirectoryNews, asOf, now time.Time) {
 	peer := replication.Peer{
-		Address:    news.GetPeer(),
-		Purpose:    replication.Purpose(news.GetPurpose()),
-		Everything: news.GetEverything(),
+		Address: news.GetPeer(),
+		Purpose: replication.Purpose(news.GetPurpose()),
+		Full:    news.GetEverything(),
 
 		RevisionOnly: news.GetRevisionOnly(),
 	}
@@ -188,7 +188,7 @@
 		return
 	}
 	c.core.PeerAnswered(peer, asOf, now)
-	c.core.Learned(news.GetCallers())
+	c.core.AddCallers(news.GetCallers())
 	if peer.Purpose == replication.PurposeFollow && c.core.SharesOrder(peer.Address) {
 		c.handleStrugglingReports(news.GetStruggling(), news.GetTellsStruggling(), now)
 		c.findings.updateParent(news.GetFindings(), now)
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -11,7 +11,7 @@
 
 // startWrite writes what is due about balancers to the store.
 func (c *control) startWrite(ctx context.Context, now time.Time) {
-	c.core.SetLost(c.replica.LostPolicies())
+	c.core.SetLostPolicies(c.replica.LostPolicies())
 	write, found := c.core.NextWrite(now)
 	if !found {
 		return
@@ -21,7 +21,7 @@
 		c.balancer.logger.Info("Control: policy that the store has lost is written again.", "name", write.Policy.Policy.GetName(), "removed", write.Policy.Removed)
 	}
 	c.balancer.logger.Debug("Control: entries of balancers are written.", "put", len(write.Put), "remove", write.Remove,
-		"first_of_zones", len(write.Leads))
+		"first_of_zones", len(write.ZoneLeads))
 	go c.writeToStore(ctx, write, c.revisionsOf(write.Remove))
 }
 
@@ -36,8 +36,8 @@
 		err = store.WriteBalancers(bounded, write.Put)
 	case write.Policy != nil:
 		err = store.RestorePolicy(bounded, *write.Policy)
-	case len(write.Leads) > 0:
-		err = store.WriteLeads(bounded, write.Leads)
+	case len(write.ZoneLeads) > 0:
+		err = store.WriteLeads(bounded, write.ZoneLeads)
 	default:
 		err = store.RemoveBalancers(bounded, remove)
 	}
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -113,7 +113,7 @@
 	counter(callsDescription, balancer.peerCalls.answered.Load(), "peer", "answered")
 	counter(callsDescription, balancer.peerCalls.failed.Load(), "peer", "failed")
 	counter(withdrawalsDescription, balancer.withdrawals.Load())
-	counter(silentConnectionsDescription, balancer.control.client.GivenUp.Load()+balancer.control.testimony.client.GivenUp.Load())
+	counter(silentConnectionsDescription, balancer.control.client.SilentConnections.Load()+balancer.control.testimony.client.SilentConnections.Load())
 	if confirmed := balancer.confirmedAt.Load(); confirmed > 0 {
 		gauge(eraDescription, float64(balancer.era.Load()))
 		gauge(ageDescription, (time.Since(balancer.started) - time.Duration(confirmed)).Seconds())
--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -59,7 +59,7 @@
 func (p *pageCache) add(made *replication.Pages, now time.Time) {
 	var kept []*replication.Pages
 	for _, each := range p.all() {
-		if !each.Old(now) {
+		if !each.Expired(now) {
 			kept = append(kept, each)
 		}
 	}
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -42,7 +42,7 @@
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
-			"revision", revision.Text(table.Revision), "routes", table.RouteCount())
+			"revision", revision.Format(table.Revision), "routes", table.RouteCount())
 	}
 	if c.balancer.traffic != nil && (previous == nil || table.RestartedBackends() > 0) {
 		c.balancer.traffic.tableChanged()
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -178,12 +178,12 @@
 func (c *control) logEvacuations(before, after map[string]uint64) {
 	for zone, ordered := range after {
 		if before[zone] != ordered {
-			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Text(ordered))
+			c.balancer.logger.Info("Control: zone is evacuated.", "zone", zone, "revision", revision.Format(ordered))
 		}
 	}
 	for zone, ordered := range before {
 		if _, holds := after[zone]; !holds {
-			c.balancer.logger.Info("Control: zone is taken back.", "zone", zone, "ordered_at_revision", revision.Text(ordered))
+			c.balancer.logger.Info("Control: zone is taken back.", "zone", zone, "ordered_at_revision", revision.Format(ordered))
 		}
 	}
 }
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -13,11 +13,11 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// maximumChanges bounds the audit records kept in the configuration.
-const maximumChanges = 128
+// maxAuditRecords bounds the audit records kept in the configuration.
+const maxAuditRecords = 128
 
-// Context is what a change needs to know besides the configuration.
-type Context struct {
+// Environment is what a change needs to know besides the configuration.
+type Environment struct {
 	Now time.Time
 	// MarkIncarnations are the incarnations of the known leaving marks.
 	MarkIncarnations map[uint32]uint64
@@ -30,8 +30,8 @@
 	CheckPolicy func(*apiv1.Policy) error
 }
 
-// Find returns the record of an operation that was accepted before, or nil.
-func Find(configuration *apiv1.Configuration, operation string) *apiv1.Change {
+// FindOperation returns the record of an operation that was accepted before, or nil.
+func FindOperation(configuration *apiv1.Configuration, operation string) *apiv1.Change {
 	for _, accepted := range configuration.GetChanges() {
 		if operation != "" && accepted.GetOperationId() == operation {
 			return accepted
@@ -42,7 +42,7 @@
 
 // Apply returns the next configuration. The given one is not changed; it may
 // be nil for the first change.
-func Apply(configuration *apiv1.Configuration, request *apiv1.ChangeRequest, context Context) (*apiv1.Configuration, *Problem) {
+func Apply(configuration *apiv1.Configuration, request *apiv1.ChangeRequest, context Environment) (*apiv1.Configuration, *Problem) {
 	if problem := checkRequest(configuration, request); problem != nil {
 		return nil, problem
 	}
@@ -51,7 +51,7 @@
 		next = proto.CloneOf(configuration)
 	}
 	next.Revision++
-	summary, problem := edit(next, request, context)
+	summary, problem := applyEdit(next, request, context)
 	if problem != nil {
 		return nil, problem
 	}
@@ -65,7 +65,7 @@
 		Summary:          summary,
 		UnixMilliseconds: context.Now.UnixMilli(),
 	})
-	if excess := len(next.GetChanges()) - maximumChanges; excess > 0 {
+	if excess := len(next.GetChanges()) - maxAuditRecords; excess > 0 {
 		next.Changes = next.GetChanges()[excess:]
 	}
 	return next, nil
@@ -89,7 +89,7 @@
 	return conflict
 }
 
-func edit(next *apiv1.Configuration, request *apiv1.ChangeRequest, context Context) (string, *Problem) {
+func applyEdit(next *apiv1.Configuration, request *apiv1.ChangeRequest, context Environment) (string, *Problem) {
 	switch change := request.GetChange().(type) {
 	case *apiv1.ChangeRequest_PutService:
 		return "put service " + change.PutService.GetName(), putService(next, change.PutService, context)
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-func lending() *apiv1.Service {
+func lendingService() *apiv1.Service {
 	return &apiv1.Service{Name: "lending", Address: "10.200.0.1", Port: 80, Team: "library", Backends: []*apiv1.Backend{
 		{Name: "lending-0", TunnelAddress: "127.0.0.1:6080"}, {Name: "lending-1", TunnelAddress: "127.0.0.2:6080"}}}
 }
@@ -23,31 +23,31 @@
 		Drain: &apiv1.DrainRequest{Service: "lending", Backend: backend, Leaving: leaving}}}
 }
 
-func must(t *testing.T, configuration *apiv1.Configuration, request *apiv1.ChangeRequest, made Context) *apiv1.Configuration {
+func mustApply(t *testing.T, configuration *apiv1.Configuration, request *apiv1.ChangeRequest, made Environment) *apiv1.Configuration {
 	next, problem := Apply(configuration, request, made)
 	require.Nil(t, problem)
 	return next
 }
 
 func TestApply(t *testing.T) {
-	made := Context{Now: time.Unix(1000, 0), MarkIncarnations: map[uint32]uint64{1: 4}}
-	first := must(t, nil, putRequest("one", lending()), made)
+	made := Environment{Now: time.Unix(1000, 0), MarkIncarnations: map[uint32]uint64{1: 4}}
+	first := mustApply(t, nil, putRequest("one", lendingService()), made)
 	require.Equal(t, uint64(1), first.GetRevision())
 	require.Equal(t, uint32(1), first.GetServices()[0].GetBackends()[0].GetId())
-	drained := must(t, first, drainRequest("two", "lending-0", true), made)
+	drained := mustApply(t, first, drainRequest("two", "lending-0", true), made)
 	require.True(t, drained.GetServices()[0].GetBackends()[0].GetLeaving())
 	require.False(t, first.GetServices()[0].GetBackends()[0].GetLeaving(), "the old configuration is not changed")
-	back := must(t, drained, drainRequest("three", "lending-0", false), made)
+	back := mustApply(t, drained, drainRequest("three", "lending-0", false), made)
 	require.Equal(t, uint64(4), back.GetServices()[0].GetBackends()[0].GetClearedMark())
-	require.Equal(t, uint64(2), Find(back, "two").GetRevision())
-	require.Nil(t, Find(back, "four"))
+	require.Equal(t, uint64(2), FindOperation(back, "two").GetRevision())
+	require.Nil(t, FindOperation(back, "four"))
 }
 
 func TestProblems(t *testing.T) {
-	made := Context{Now: time.Unix(1000, 0)}
-	base := must(t, nil, putRequest("one", lending()), made)
+	made := Environment{Now: time.Unix(1000, 0)}
+	base := mustApply(t, nil, putRequest("one", lendingService()), made)
 	changed := func(edit func(*apiv1.Service)) *apiv1.ChangeRequest {
-		service := lending()
+		service := lendingService()
 		edit(service)
 		return putRequest("x", service)
 	}
@@ -84,27 +84,27 @@
 }
 
 func TestLastBackendCannotLeave(t *testing.T) {
-	base := must(t, nil, putRequest("one", lending()), Context{})
-	base = must(t, base, drainRequest("two", "lending-0", true), Context{})
-	_, problem := Apply(base, drainRequest("three", "lending-1", true), Context{})
+	base := mustApply(t, nil, putRequest("one", lendingService()), Environment{})
+	base = mustApply(t, base, drainRequest("two", "lending-0", true), Environment{})
+	_, problem := Apply(base, drainRequest("three", "lending-1", true), Environment{})
 	require.Equal(t, "is the last one that takes new flows", problem.GetMessage())
 }
 
-// TestAddressWaitsForRelease: an address goes to another service only when every
+// TestReleasedAddressIsReusedOnlyWhenSettled: an address goes to another service only when every
 // node has settled the configuration without it.
-func TestAddressWaitsForRelease(t *testing.T) {
-	base := must(t, nil, putRequest("one", lending()), Context{})
+func TestReleasedAddressIsReusedOnlyWhenSettled(t *testing.T) {
+	base := mustApply(t, nil, putRequest("one", lendingService()), Environment{})
 	for _, backend := range base.GetServices()[0].GetBackends() {
 		backend.Leaving = true
 	}
 	deletion := &apiv1.ChangeRequest{OperationId: "two", Change: &apiv1.ChangeRequest_DeleteService{DeleteService: "lending"}}
-	released := must(t, base, deletion, Context{})
-	covers := lending()
+	released := mustApply(t, base, deletion, Environment{})
+	covers := lendingService()
 	covers.Name = "covers"
-	_, problem := Apply(released, putRequest("three", covers), Context{SettledRevision: 1, WaitingFor: []string{"giza-3"}})
+	_, problem := Apply(released, putRequest("three", covers), Environment{SettledRevision: 1, WaitingFor: []string{"giza-3"}})
 	require.Equal(t, CodeUnavailable, problem.GetCode())
 	require.Contains(t, problem.GetMessage(), "giza-3")
-	must(t, released, putRequest("three", covers), Context{SettledRevision: 2})
+	mustApply(t, released, putRequest("three", covers), Environment{SettledRevision: 2})
 }
 
 func TestPolicyRollback(t *testing.T) {
@@ -112,10 +112,10 @@
 		return &apiv1.ChangeRequest{OperationId: id, Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: &apiv1.Policy{Name: "p", Weight: weight}}}
 	}
 	back := &apiv1.ChangeRequest{OperationId: "back", Change: &apiv1.ChangeRequest_RollbackPolicy{RollbackPolicy: "p"}}
-	base := must(t, nil, put("one", "0.5"), Context{})
-	_, problem := Apply(base, back, Context{})
+	base := mustApply(t, nil, put("one", "0.5"), Environment{})
+	_, problem := Apply(base, back, Environment{})
 	require.Equal(t, CodeNotFound, problem.GetCode())
-	base = must(t, must(t, base, put("two", "0.6"), Context{}), back, Context{})
+	base = mustApply(t, mustApply(t, base, put("two", "0.6"), Environment{}), back, Environment{})
 	require.Equal(t, "0.5", FindPolicy(base, "p").GetWeight())
 	require.Equal(t, uint64(3), base.GetRevision())
 }
@@ -123,10 +123,10 @@
 func TestTeamLimits(t *testing.T) {
 	team := &apiv1.ChangeRequest{OperationId: "t", Change: &apiv1.ChangeRequest_PutTeam{
 		PutTeam: &apiv1.Team{Name: "library", MaximumServices: 1, MaximumBackends: 2, MaximumChangesPerMinute: 3}}}
-	base := must(t, nil, team, Context{})
-	base = must(t, base, putRequest("one", lending()), Context{Now: time.Unix(1000, 0)})
-	second := lending()
+	base := mustApply(t, nil, team, Environment{})
+	base = mustApply(t, base, putRequest("one", lendingService()), Environment{Now: time.Unix(1000, 0)})
+	second := lendingService()
 	second.Name, second.Port = "second", 81
-	_, problem := Apply(base, putRequest("two", second), Context{Now: time.Unix(1000, 0)})
+	_, problem := Apply(base, putRequest("two", second), Environment{Now: time.Unix(1000, 0)})
 	require.Equal(t, CodeLimit, problem.GetCode())
 }
--- a/internal/change/policy.go
+++ b/internal/change/policy.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-func putPolicy(next *apiv1.Configuration, policy *apiv1.Policy, context Context) *Problem {
+func putPolicy(next *apiv1.Configuration, policy *apiv1.Policy, context Environment) *Problem {
 	if policy.GetName() == "" {
 		return invalid("name", "", "is missing", "name the policy")
 	}
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// maximumHistory bounds the replaced policies that are kept.
-const maximumHistory = 32
+// maxPolicyHistory bounds the replaced policies that are kept.
+const maxPolicyHistory = 32
 
 // replacePolicy puts a policy in place and keeps the one it replaces.
 func replacePolicy(next *apiv1.Configuration, policy *apiv1.Policy) {
@@ -30,7 +30,7 @@
 		return
 	}
 	next.PolicyHistory = append(next.PolicyHistory, proto.CloneOf(old))
-	if excess := len(next.GetPolicyHistory()) - maximumHistory; excess > 0 {
+	if excess := len(next.GetPolicyHistory()) - maxPolicyHistory; excess > 0 {
 		next.PolicyHistory = next.GetPolicyHistory()[excess:]
 	}
 	proto.Reset(old)
--- a/internal/change/service.go
+++ b/internal/change/service.go
@@ -10,13 +10,13 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-func putService(next *apiv1.Configuration, service *apiv1.Service, context Context) *Problem {
+func putService(next *apiv1.Configuration, service *apiv1.Service, context Environment) *Problem {
 	if problem := checkService(next, service, context); problem != nil {
 		return problem
 	}
 	wanted := proto.CloneOf(service)
 	old := FindService(next, service.GetName())
-	if problem := numberBackends(next, old, wanted); problem != nil {
+	if problem := assignBackendIDs(next, old, wanted); problem != nil {
 		return problem
 	}
 	if old == nil {
@@ -32,9 +32,9 @@
 	return nil
 }
 
-// numberBackends gives new back ends their numbers and keeps those of known
+// assignBackendIDs gives new back ends their numbers and keeps those of known
 // ones. A known back end may be left out only when it is leaving.
-func numberBackends(next *apiv1.Configuration, old, wanted *apiv1.Service) *Problem {
+func assignBackendIDs(next *apiv1.Configuration, old, wanted *apiv1.Service) *Problem {
 	for _, backend := range wanted.GetBackends() {
 		known := FindBackend(old, backend.GetName())
 		if known != nil && known.GetTunnelAddress() == backend.GetTunnelAddress() {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func checkService(next *apiv1.Configuration, service *apiv1.Service, context Context) *Problem {
+func checkService(next *apiv1.Configuration, service *apiv1.Service, context Environment) *Problem {
 	if service.GetName() == "" {
 		return invalid("name", "", "is missing", "name the service")
 	}
@@ -74,7 +74,7 @@
 			return invalid("address", address.String(), "is used by service "+other.GetName(), "choose another address or port")
 		}
 	}
-	if problem := checkRelease(next, service, context); problem != nil {
+	if problem := checkReleasedAddress(next, service, context); problem != nil {
 		return problem
 	}
 	if service.GetPolicy() != "" && FindPolicy(next, service.GetPolicy()) == nil {
@@ -83,9 +83,9 @@
 	return checkBackends(service)
 }
 
-// checkRelease refuses an address that another service has left until every
+// checkReleasedAddress refuses an address that another service has left until every
 // node has settled a configuration without it.
-func checkRelease(next *apiv1.Configuration, service *apiv1.Service, context Context) *Problem {
+func checkReleasedAddress(next *apiv1.Configuration, service *apiv1.Service, context Environment) *Problem {
 	kept := next.GetReleasedAddresses()[:0:0]
 	for _, released := range next.GetReleasedAddresses() {
 		same := released.GetAddress() == service.GetAddress() && released.GetPort() == service.GetPort()
@@ -155,7 +155,7 @@
 }
 
 // drain sets or ends a drain. Draining a draining back end is no error.
-func drain(next *apiv1.Configuration, request *apiv1.DrainRequest, context Context) *Problem {
+func drain(next *apiv1.Configuration, request *apiv1.DrainRequest, context Environment) *Problem {
 	service := FindService(next, request.GetService())
 	if service == nil {
 		return NewProblem(CodeNotFound, "service", request.GetService(), "there is no such service",
@@ -166,7 +166,7 @@
 		return NewProblem(CodeNotFound, "backend", request.GetBackend(), "service "+service.GetName()+" has no such back end",
 			"list them with \"indigobarrow service get "+service.GetName()+"\"")
 	}
-	if request.GetLeaving() && remaining(service) == 1 && !backend.GetLeaving() {
+	if request.GetLeaving() && countActiveBackends(service) == 1 && !backend.GetLeaving() {
 		return invalid("backend", backend.GetName(), "is the last one that takes new flows",
 			"add another back end first")
 	}
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func remaining(service *apiv1.Service) int {
+func countActiveBackends(service *apiv1.Service) int {
 	count := 0
 	for _, backend := range service.GetBackends() {
 		if !backend.GetLeaving() {
--- a/internal/change/team.go
+++ b/internal/change/team.go
@@ -24,10 +24,10 @@
 	return nil
 }
 
-const hashSize = 32
+const tokenHashSize = 32
 
 func putToken(next *apiv1.Configuration, token *apiv1.Token) *Problem {
-	if token.GetName() == "" || len(token.GetSha256()) != hashSize {
+	if token.GetName() == "" || len(token.GetSha256()) != tokenHashSize {
 		return invalid("token", token.GetName(), "lacks a name or a hash of 32 bytes", "send the name and the SHA-256 of the token's text")
 	}
 	if token.GetRole() == apiv1.Role_ROLE_EDITOR && token.GetTeam() == "" {
@@ -45,7 +45,7 @@
 }
 
 // checkLimits applies the limits of the team whose service is changed.
-func checkLimits(next *apiv1.Configuration, request *apiv1.ChangeRequest, context Context) *Problem {
+func checkLimits(next *apiv1.Configuration, request *apiv1.ChangeRequest, context Environment) *Problem {
 	name := request.GetPutService().GetTeam()
 	for _, team := range next.GetTeams() {
 		if team.GetName() != name {
@@ -58,24 +58,24 @@
 				backends += len(service.GetBackends())
 			}
 		}
-		if over(services, team.GetMaximumServices()) {
-			return limit("services", services, team)
+		if exceeds(services, team.GetMaximumServices()) {
+			return limitProblem("services", services, team)
 		}
-		if over(backends, team.GetMaximumBackends()) {
-			return limit("backends", backends, team)
+		if exceeds(backends, team.GetMaximumBackends()) {
+			return limitProblem("backends", backends, team)
 		}
-		if recent := recentChanges(next, request.GetAuthor(), context.Now); over(recent+1, team.GetMaximumChangesPerMinute()) {
-			return limit("changes a minute", recent+1, team)
+		if recent := recentChanges(next, request.GetAuthor(), context.Now); exceeds(recent+1, team.GetMaximumChangesPerMinute()) {
+			return limitProblem("changes a minute", recent+1, team)
 		}
 	}
 	return nil
 }
 
-func over(count int, maximum uint32) bool {
+func exceeds(count int, maximum uint32) bool {
 	return maximum > 0 && count > int(maximum)
 }
 
-func limit(what string, count int, team *apiv1.Team) *Problem {
+func limitProblem(what string, count int, team *apiv1.Team) *Problem {
 	return NewProblem(CodeLimit, "team", team.GetName(),
 		fmt.Sprintf("would have %d %s, above its limit", count, what),
 		"remove some, wait, or ask an administrator for a higher limit")
--- a/internal/change/writer.go
+++ b/internal/change/writer.go
@@ -29,26 +29,26 @@
 }
 
 const (
-	attempts     = 5
-	retryMinimum = 50 * time.Millisecond
+	maxAttempts   = 5
+	minRetryDelay = 50 * time.Millisecond
 )
 
-// ErrStore marks errors of reads: nothing was changed.
-var ErrStore = errors.New("the store does not answer")
+// ErrStoreRead marks errors of reads: nothing was changed.
+var ErrStoreRead = errors.New("the store does not answer")
 
 // Apply applies a change. It returns the answer and the configuration written,
 // nil when the operation had been accepted before. Errors are a *Problem, or
-// marked with ErrStore.
-func (writer *Writer) Apply(ctx context.Context, request *apiv1.ChangeRequest, made Context) (*apiv1.ChangeAnswer, *apiv1.Configuration, error) {
-	for attempt := range attempts {
+// marked with ErrStoreRead.
+func (writer *Writer) Apply(ctx context.Context, request *apiv1.ChangeRequest, made Environment) (*apiv1.ChangeAnswer, *apiv1.Configuration, error) {
+	for attempt := range maxAttempts {
 		current, err := writer.read(ctx)
 		if err != nil {
 			if attempt == 0 {
-				return nil, nil, errors.Mark(err, ErrStore)
+				return nil, nil, errors.Mark(err, ErrStoreRead)
 			}
 			break
 		}
-		if accepted := Find(current, request.GetOperationId()); accepted != nil {
+		if accepted := FindOperation(current, request.GetOperationId()); accepted != nil {
 			return &apiv1.ChangeAnswer{Revision: accepted.GetRevision(), RepeatedOperation: true,
 				Message: "this operation had been accepted before"}, nil, nil
 		}
@@ -65,7 +65,7 @@
 			return &apiv1.ChangeAnswer{Revision: next.GetRevision(), Message: "accepted"}, next, nil
 		}
 		writer.Logger.Warn("Configuration not written.", "error", err)
-		time.Sleep(retryMinimum + time.Duration(rand.Int64N(int64(retryMinimum))))
+		time.Sleep(minRetryDelay + time.Duration(rand.Int64N(int64(minRetryDelay))))
 	}
 	return nil, nil, NewProblem(CodeUnknown, "operation_id", request.GetOperationId(),
 		"the store did not confirm the change; it may have taken effect",
--- a/internal/change/writer_test.go
+++ b/internal/change/writer_test.go
@@ -44,20 +44,20 @@
 	},
 }
 
-// lossyStore drops the compare, for the red run. Before it writes, it lets the
+// noCompareStore drops the compare, for the red run. Before it writes, it lets the
 // other operators write, which on a busy machine happens by chance only.
-type lossyStore struct{ Store }
+type noCompareStore struct{ Store }
 
-// othersWrite is long against a call on loopback.
-const othersWrite = 5 * time.Millisecond
+// concurrentWriteDelay is long against a call on loopback.
+const concurrentWriteDelay = 5 * time.Millisecond
 
-func (lossy lossyStore) CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error {
-	time.Sleep(othersWrite)
+func (lossy noCompareStore) CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error {
+	time.Sleep(concurrentWriteDelay)
 	value, _ := lossy.Get(ctx, key)
 	return lossy.Store.CompareAndSwap(ctx, key, value.Version, data)
 }
 
-func history(t *testing.T, wrap func(Store) Store) []porcupine.Operation {
+func runHistory(t *testing.T, wrap func(Store) Store) []porcupine.Operation {
 	server := standin.New(10_000)
 	server.SetFaults(standin.Faults{LostAnswers: 0.3})
 	listener := httptest.NewServer(server.Handler())
@@ -84,7 +84,7 @@
 				request := &apiv1.ChangeRequest{OperationId: id, Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: policy}}
 				call := time.Now()
 				for range 20 {
-					answer, _, err := writer.Apply(context.Background(), request, Context{Now: time.Now()})
+					answer, _, err := writer.Apply(context.Background(), request, Environment{Now: time.Now()})
 					if err == nil {
 						record(operator, id, call, answer.GetRevision())
 						break
@@ -104,16 +104,16 @@
 // TestChangesAreLinearizable checks histories of three racing operators with a
 // third of the answers lost.
 func TestChangesAreLinearizable(t *testing.T) {
-	operations := history(t, func(client Store) Store { return client })
+	operations := runHistory(t, func(client Store) Store { return client })
 	require.Len(t, operations, 30)
 	require.True(t, porcupine.CheckOperations(model, operations))
 }
 
-// TestWithoutCompareIsNotLinearizable is the red run: the check must notice a
+// TestWritesWithoutCompareAreNotLinearizable is the red run: the check must notice a
 // store that does not compare.
-func TestWithoutCompareIsNotLinearizable(t *testing.T) {
+func TestWritesWithoutCompareAreNotLinearizable(t *testing.T) {
 	for range 10 {
-		if !porcupine.CheckOperations(model, history(t, func(client Store) Store { return lossyStore{client} })) {
+		if !porcupine.CheckOperations(model, runHistory(t, func(client Store) Store { return noCompareStore{client} })) {
 			return
 		}
 	}
--- a/internal/compile/compile.go
+++ b/internal/compile/compile.go
@@ -18,9 +18,9 @@
 // that it does not name have FullWeight.
 type Weights map[uint32]uint32
 
-// WeightsOf reads the weights of a document's newest epoch. A node that does not
+// NewestWeights reads the weights of a document's newest epoch. A node that does not
 // decide weights wants those.
-func WeightsOf(document *apiv1.EpochDocument) Weights {
+func NewestWeights(document *apiv1.EpochDocument) Weights {
 	epoch := document.GetSettled()
 	if document.GetPending() != nil {
 		epoch = document.GetPending()
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -23,34 +23,34 @@
 	KindDocument Kind = "document"
 	// KindConfiguration: the configuration as it stands in the store.
 	KindConfiguration Kind = "configuration"
-	// KindMark: a back end is to leave.
-	KindMark Kind = "mark"
-	// KindMachine: another node of the group may exist.
-	KindMachine Kind = "machine"
+	// KindLeavingMark: a back end is to leave.
+	KindLeavingMark Kind = "mark"
+	// KindMember: another node of the group may exist.
+	KindMember Kind = "machine"
 	// KindRules: the rules that the policies ask for have changed.
 	KindRules Kind = "rules"
 	// KindWritten: a write of the document has ended.
 	KindWritten Kind = "written"
 	// KindAlive: the group's sign of life in the store has changed.
 	KindAlive Kind = "alive"
-	// KindNews: the store or a peer answered a balancer, or failed to.
-	KindNews Kind = "news"
-	// KindLeave: this node is to stop as planned.
-	KindLeave Kind = "leave"
+	// KindDirectoryNews: the store or a peer answered a balancer, or failed to.
+	KindDirectoryNews Kind = "news"
+	// KindStop: this node is to stop as planned.
+	KindStop Kind = "leave"
 )
 
 const (
-	topic       = "control"
-	kindField   = "kind"
-	bufferSize  = 256
-	resultField = "result"
+	topic      = "control"
+	kindKey    = "kind"
+	bufferSize = 256
+	resultKey  = "result"
 )
 
 // Event is one control event. Body depends on the kind and may be nil.
 type Event struct {
-	Kind   Kind
-	Body   proto.Message
-	Result bool
+	Kind      Kind
+	Body      proto.Message
+	Succeeded bool
 }
 
 // Bus carries events from many publishers to one subscriber.
@@ -79,9 +79,9 @@
 		payload = encoded
 	}
 	carried := message.NewMessage(watermill.NewShortUUID(), payload)
-	carried.Metadata.Set(kindField, string(event.Kind))
-	if event.Result {
-		carried.Metadata.Set(resultField, "true")
+	carried.Metadata.Set(kindKey, string(event.Kind))
+	if event.Succeeded {
+		carried.Metadata.Set(resultKey, "true")
 	}
 	return errors.Wrapf(bus.channel.Publish(topic, carried), "event %s: publish", event.Kind)
 }
@@ -96,8 +96,8 @@
 func Decode(carried *message.Message) (Event, error) {
 	defer carried.Ack()
 	event := Event{
-		Kind:   Kind(carried.Metadata.Get(kindField)),
-		Result: carried.Metadata.Get(resultField) != "",
+		Kind:      Kind(carried.Metadata.Get(kindKey)),
+		Succeeded: carried.Metadata.Get(resultKey) != "",
 	}
 	event.Body = newBody(event.Kind)
 	if event.Body == nil {
@@ -113,13 +113,13 @@
 		return &apiv1.EpochDocument{}
 	case KindConfiguration:
 		return &apiv1.Configuration{}
-	case KindMark:
+	case KindLeavingMark:
 		return &apiv1.LeavingMark{}
-	case KindMachine:
+	case KindMember:
 		return &apiv1.Member{}
 	case KindRules:
 		return &apiv1.Epoch{}
-	case KindNews:
+	case KindDirectoryNews:
 		return &apiv1.DirectoryNews{}
 	}
 	return nil
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -25,11 +25,11 @@
 	Start  Start
 }
 
-// clocksDiffer is by how much a flow must be older than a start to have been opened
+// clockSkewMargin is by how much a flow must be older than a start to have been opened
 // before it. Clocks of machines differ, and are set by some seconds at times. A clock that
 // is behind shows itself (Age) unless it is so by less than the news of the start took,
 // which is a second or two while the store answers.
-const clocksDiffer = 5 * time.Second
+const clockSkewMargin = 5 * time.Second
 
 // Age is how long ago a back end started by the clock of this machine, and whether that
 // can be told: it cannot without a start, or when the start lies ahead.
@@ -41,9 +41,9 @@
 	return age, age >= 0
 }
 
-// Outlived tells whether something of a certain age is surely older than the start, so
+// PrecededBy tells whether something of a certain age is surely older than the start, so
 // that it concerns an earlier one.
-func (s Start) Outlived(age time.Duration, now time.Time) bool {
+func (s Start) PrecededBy(age time.Duration, now time.Time) bool {
 	started, told := s.Age(now)
-	return told && age > started+clocksDiffer
+	return told && age > started+clockSkewMargin
 }
--- a/internal/incarnation/incarnation_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -9,7 +9,7 @@
 
 // A flow of the new start must never be taken for one of an earlier start, and clocks
 // differ.
-func TestOnlyWhatIsSurelyOlderIsOutlived(t *testing.T) {
+func TestPrecededByAllowsForClockSkew(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	start := Start(now.Add(-2 * time.Second).UnixMilli())
 	for _, each := range []struct {
@@ -24,6 +24,6 @@
 		{"a start that is not told", 0, time.Hour, false},
 		{"a start ahead of this clock", Start(now.Add(time.Second).UnixMilli()), time.Hour, false},
 	} {
-		require.Equal(t, each.want, each.start.Outlived(each.age, now), each.name)
+		require.Equal(t, each.want, each.start.PrecededBy(each.age, now), each.name)
 	}
 }
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -187,7 +187,7 @@
 	node.followed = version
 	configuration := node.core.Configuration()
 	node.core.SetDesired(node.now(), configuration.GetRevision(),
-		compile.Rules(configuration, compile.WeightsOf(node.core.Document())), compile.ClearedMarks(configuration))
+		compile.Rules(configuration, compile.NewestWeights(node.core.Document())), compile.ClearedMarks(configuration))
 }
 
 // markLeaving spreads the drains of a configuration as marks, which is faster
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestErrorsTakeOneShortLine(t *testing.T) {
+func TestErrorsAreLoggedOnOneLineWithoutStack(t *testing.T) {
 	for _, format := range []string{"text", FormatJSON} {
 		var output bytes.Buffer
 		logger, _ := New(&output, Options{Level: "info", Format: format, Node: "edge-1"})
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestLevelMayChange(t *testing.T) {
+func TestLevelChangesAtRunTime(t *testing.T) {
 	var output bytes.Buffer
 	logger, level := New(&output, Options{Level: "warn"})
 	logger.Info("Left out.")
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -91,7 +91,7 @@
 		Logger: node.logger.With("part", "admin"),
 	}
 	answer, written, err := writer.Apply(ctx, request, node.changeContext(ctx))
-	if errors.Is(err, change.ErrStore) {
+	if errors.Is(err, change.ErrStoreRead) {
 		return node.changeWithoutStore(ctx, request, err)
 	}
 	if err != nil {
@@ -116,15 +116,15 @@
 			"nothing was changed; repeat it when the store is back")
 	}
 	mark := &apiv1.LeavingMark{Backend: backend.GetId(), Reason: "drained by " + request.GetAuthor() + " during a store outage"}
-	if err := node.bus.Publish(events.Event{Kind: events.KindMark, Body: mark}); err != nil {
+	if err := node.bus.Publish(events.Event{Kind: events.KindLeavingMark, Body: mark}); err != nil {
 		return nil, err
 	}
 	return &apiv1.ChangeAnswer{MarkedOnly: true,
 		Message: "the store is out; the back end gets no new flows from now on, repeat the drain when the store is back"}, nil
 }
 
-func (node *Node) changeContext(ctx context.Context) change.Context {
-	made := change.Context{
+func (node *Node) changeContext(ctx context.Context) change.Environment {
+	made := change.Environment{
 		Now:              time.Now(),
 		MarkIncarnations: make(map[uint32]uint64),
 		CheckPolicy:      policy.Check,
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -92,10 +92,10 @@
 	}
 	switch event.Kind {
 	case events.KindWritten:
-		node.core.WriteDone(node.now(), event.Result)
+		node.core.WriteDone(node.now(), event.Succeeded)
 	case events.KindAlive:
 		node.core.ObserveGroupLiveness(node.now())
-	case events.KindLeave:
+	case events.KindStop:
 		node.core.Leave(node.now())
 	}
 }
@@ -112,7 +112,7 @@
 	}
 	weights := state.weights
 	if weights == nil {
-		weights = compile.WeightsOf(node.core.Document())
+		weights = compile.NewestWeights(node.core.Document())
 	}
 	rules := compile.Rules(configuration, weights)
 	node.core.SetDesired(node.now(), configuration.GetRevision(), rules, compile.ClearedMarks(configuration))
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -223,7 +223,7 @@
 		node.facts.explain(backend.GetId(), outcome)
 		if outcome.Leaving {
 			mark := &apiv1.LeavingMark{Backend: backend.GetId(), Reason: "the policy counts it as leaving"}
-			if err := node.bus.Publish(events.Event{Kind: events.KindMark, Body: mark}); err != nil {
+			if err := node.bus.Publish(events.Event{Kind: events.KindLeavingMark, Body: mark}); err != nil {
 				return err
 			}
 		}
@@ -274,7 +274,7 @@
 func (node *Node) Facts(ctx context.Context) (*apiv1.FactsReport, error) {
 	report := &apiv1.FactsReport{Node: node.self.GetId()}
 	var weights map[uint32]uint32
-	if err := node.query(ctx, func(control *core.Core) { weights = compile.WeightsOf(control.Document()) }); err != nil {
+	if err := node.query(ctx, func(control *core.Core) { weights = compile.NewestWeights(control.Document()) }); err != nil {
 		return nil, err
 	}
 	period := node.facts.period()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -158,7 +158,7 @@
 // recorded elsewhere, or the context ends. The caller then ends Run's context.
 func (node *Node) Stop(ctx context.Context) {
 	node.logger.Info("Planned stop announced.")
-	if err := node.bus.Publish(events.Event{Kind: events.KindLeave}); err != nil {
+	if err := node.bus.Publish(events.Event{Kind: events.KindStop}); err != nil {
 		node.logger.Warn("Leave not announced.", "error", err)
 		return
 	}
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -150,7 +150,7 @@
 	} else if err == nil {
 		_ = node.bus.Publish(events.Event{Kind: events.KindDocument, Body: document})
 	}
-	_ = node.bus.Publish(events.Event{Kind: events.KindWritten, Result: err == nil})
+	_ = node.bus.Publish(events.Event{Kind: events.KindWritten, Succeeded: err == nil})
 }
 
 // Machine is one entry of the platform's list of machines.
@@ -177,7 +177,7 @@
 				continue
 			}
 			member := &apiv1.Member{Id: machine.ID, Zone: machine.Zone, PeerAddress: machine.PeerAddress}
-			if err := node.bus.Publish(events.Event{Kind: events.KindMachine, Body: member}); err != nil {
+			if err := node.bus.Publish(events.Event{Kind: events.KindMember, Body: member}); err != nil {
 				return err
 			}
 		}
--- a/internal/replication/call.go
+++ b/internal/replication/call.go
@@ -15,27 +15,27 @@
 const (
 	// PurposeFollow waits for news at the balancer that this one follows.
 	PurposeFollow Purpose = iota
-	// PurposeAsk: a balancer that knows nothing asks several others at once
+	// PurposeProbe: a balancer that knows nothing asks several others at once
 	// whether they know anything, and waits at those that do not.
-	PurposeAsk
+	PurposeProbe
 	// PurposeFetch brings what another balancer has shown to know.
 	PurposeFetch
-	// PurposeTell shows a balancer that was not heard of late what is known
+	// PurposeAnnounce shows a balancer that was not heard of late what is known
 	// here. One that knows less then fetches it.
-	PurposeTell
+	PurposeAnnounce
 	purposeCount
 )
 
 // callLimits bound the calls of each purpose that are under way at once.
-var callLimits = [purposeCount]int{PurposeFollow: 1, PurposeAsk: 3, PurposeFetch: 1, PurposeTell: 4}
+var callLimits = [purposeCount]int{PurposeFollow: 1, PurposeProbe: 3, PurposeFetch: 1, PurposeAnnounce: 4}
 
 // Peer is a balancer to call next.
 type Peer struct {
 	Address string
 	Purpose Purpose
-	// Everything is set until a peer has told all that it holds, tombstones
+	// Full is set until a peer has told all that it holds, tombstones
 	// too, which the store does not have.
-	Everything bool
+	Full bool
 	// RevisionOnly is set when the answer shall only tell whether the peer knows
 	// something, so that not all that are asked tell everything.
 	RevisionOnly bool
@@ -45,10 +45,10 @@
 func (p Peer) Waits() bool {
 	switch p.Purpose {
 	case PurposeFollow:
-		return !p.Everything
-	case PurposeAsk:
+		return !p.Full
+	case PurposeProbe:
 		return true
-	case PurposeFetch, PurposeTell:
+	case PurposeFetch, PurposeAnnounce:
 	}
 	return false
 }
@@ -63,26 +63,26 @@
 // until PeerAnswered or PeerFailed.
 func (c *Core) NextPeer(now time.Time) (Peer, bool) {
 	for purpose, next := range []func(time.Time) (string, bool){
-		PurposeFollow: c.nextFollow,
-		PurposeAsk:    c.nextAsk,
-		PurposeFetch:  c.nextFetch,
-		PurposeTell:   c.nextTell,
+		PurposeFollow:   c.nextFollow,
+		PurposeProbe:    c.nextProbe,
+		PurposeFetch:    c.nextFetch,
+		PurposeAnnounce: c.nextAnnounce,
 	} {
 		purpose := Purpose(purpose)
-		if c.underWay[purpose] >= callLimits[purpose] {
+		if c.activeCounts[purpose] >= callLimits[purpose] {
 			continue
 		}
 		address, found := next(now)
 		if !found {
 			continue
 		}
-		c.calls[callKey{address, purpose}] = true
-		c.underWay[purpose]++
+		c.activeCalls[callKey{address, purpose}] = true
+		c.activeCounts[purpose]++
 		return Peer{
 			Address:      address,
 			Purpose:      purpose,
-			Everything:   !c.caughtUp && purpose != PurposeTell,
-			RevisionOnly: purpose == PurposeAsk && !c.isParent(address),
+			Full:         !c.caughtUp && purpose != PurposeAnnounce,
+			RevisionOnly: purpose == PurposeProbe && !c.isParent(address),
 		}, true
 	}
 	return Peer{}, false
@@ -90,66 +90,66 @@
 
 // isParent tells whether the balancer at an address is the one to follow.
 func (c *Core) isParent(address string) bool {
-	return len(c.tree.above) > 0 && c.tree.above[0].GetPeerAddress() == address
+	return len(c.tree.parentCandidates) > 0 && c.tree.parentCandidates[0].GetPeerAddress() == address
 }
 
 // callEnded takes a call off those under way.
 func (c *Core) callEnded(peer Peer) {
 	key := callKey{peer.Address, peer.Purpose}
-	if !c.calls[key] {
+	if !c.activeCalls[key] {
 		return
 	}
-	delete(c.calls, key)
-	c.underWay[peer.Purpose]--
+	delete(c.activeCalls, key)
+	c.activeCounts[peer.Purpose]--
 }
 
 // nextFollow returns the balancer to follow. The reader follows one only until
 // it has been told everything once, and while its own knowledge is stale.
 func (c *Core) nextFollow(now time.Time) (string, bool) {
-	if !c.knows() || c.Reader() && c.caughtUp && !c.Stale(now) {
+	if !c.hasData() || c.IsReader() && c.caughtUp && !c.Stale(now) {
 		return "", false
 	}
-	if address, found := c.firstFree(addressesOf(c.tree.above), PurposeFollow, now); found {
+	if address, found := c.firstAvailable(addressesOf(c.tree.parentCandidates), PurposeFollow, now); found {
 		return address, true
 	}
 	if c.caughtUp && !c.Stale(now) && c.tree.size > 1 {
 		return "", false
 	}
-	return c.firstFree(c.lastResorts(), PurposeFollow, now)
+	return c.firstAvailable(c.fallbackAddresses(), PurposeFollow, now)
 }
 
-// nextAsk returns a balancer to ask while nothing is known here: one that is
+// nextProbe returns a balancer to ask while nothing is known here: one that is
 // known by now, a seed, or one that called. At first only the one to follow is
 // asked, so that not all take everything from the first of a zone, or a seed.
-func (c *Core) nextAsk(now time.Time) (string, bool) {
-	if c.knows() {
+func (c *Core) nextProbe(now time.Time) (string, bool) {
+	if c.hasData() {
 		return "", false
 	}
-	above := addressesOf(c.tree.above)
-	if now.Before(c.start.parentUntil) {
-		return c.firstToAsk(above, now)
+	above := addressesOf(c.tree.parentCandidates)
+	if now.Before(c.startup.parentOnlyUntil) {
+		return c.firstProbe(above, now)
 	}
-	return c.firstFree(slices.Concat(above, c.lastResorts(), c.callers), PurposeAsk, now)
+	return c.firstAvailable(slices.Concat(above, c.fallbackAddresses(), c.callers), PurposeProbe, now)
 }
 
-// firstToAsk returns the one balancer to ask early in a start: the nearest above,
+// firstProbe returns the one balancer to ask early in a start: the nearest above,
 // or a seed while none is known. Who should read the store itself asks nobody.
-func (c *Core) firstToAsk(above []string, now time.Time) (string, bool) {
+func (c *Core) firstProbe(above []string, now time.Time) (string, bool) {
 	if len(above) == 0 {
 		above = c.config.Seeds
 	}
-	asking := func(address string) bool { return c.calls[callKey{address, PurposeAsk}] }
-	if c.start.members && c.readsFirst() || slices.ContainsFunc(above, asking) {
+	asking := func(address string) bool { return c.activeCalls[callKey{address, PurposeProbe}] }
+	if c.startup.membersRead && c.readsAtStartup() || slices.ContainsFunc(above, asking) {
 		return "", false
 	}
-	return c.firstFree(above, PurposeAsk, now)
+	return c.firstAvailable(above, PurposeProbe, now)
 }
 
-// firstFree returns the first of the addresses that is not passed over and not
+// firstAvailable returns the first of the addresses that is not passed over and not
 // being called for the same purpose.
-func (c *Core) firstFree(addresses []string, purpose Purpose, now time.Time) (string, bool) {
+func (c *Core) firstAvailable(addresses []string, purpose Purpose, now time.Time) (string, bool) {
 	for _, address := range addresses {
-		if address == c.config.Self.GetPeerAddress() || now.Before(c.paused[address]) || c.calls[callKey{address, purpose}] {
+		if address == c.config.Self.GetPeerAddress() || now.Before(c.pausedUntil[address]) || c.activeCalls[callKey{address, purpose}] {
 			continue
 		}
 		return address, true
@@ -157,10 +157,10 @@
 	return "", false
 }
 
-// lastResorts are the addresses to call when no balancer above this one can be
+// fallbackAddresses are the addresses to call when no balancer above this one can be
 // followed: all others, and the seeds.
-func (c *Core) lastResorts() []string {
-	return append(addressesOf(c.tree.rest), c.config.Seeds...)
+func (c *Core) fallbackAddresses() []string {
+	return append(addressesOf(c.tree.others), c.config.Seeds...)
 }
 
 func addressesOf(balancers []*apiv1.Balancer) []string {
@@ -176,58 +176,58 @@
 // nothing has yet to be asked for everything.
 func (c *Core) PeerAnswered(peer Peer, asOf, now time.Time) {
 	c.callEnded(peer)
-	c.Heard(peer.Address, now)
-	c.contactOf(peer.Address).failed = 0
-	if peer.Purpose == PurposeTell {
-		c.told(asOf)
+	c.RecordActivity(peer.Address, now)
+	c.contactOf(peer.Address).failures = 0
+	if peer.Purpose == PurposeAnnounce {
+		c.announceAnswered(asOf)
 		return
 	}
-	if peer.RevisionOnly || peer.Purpose == PurposeAsk && now.Sub(asOf) >= knowsNothingAge {
-		c.askAnswered(peer, asOf, now)
+	if peer.RevisionOnly || peer.Purpose == PurposeProbe && now.Sub(asOf) >= noDataAge {
+		c.probeAnswered(peer, asOf, now)
 		return
 	}
-	stale := now.Sub(asOf) > c.config.Pace.Stale
-	c.contactOf(peer.Address).useless = stale
+	stale := now.Sub(asOf) > c.config.Timing.StaleAge
+	c.contactOf(peer.Address).unusable = stale
 	switch {
-	case stale && !c.knows():
-		c.paused[peer.Address] = now.Add(eagerPause)
+	case stale && !c.hasData():
+		c.pausedUntil[peer.Address] = now.Add(eagerRetryDelay)
 	case stale:
-		c.paused[peer.Address] = now.Add(c.config.PeerPause)
+		c.pausedUntil[peer.Address] = now.Add(c.config.PeerRetryDelay)
 	default:
 		c.caughtUp = true
-		c.alone = c.alone && peer.Purpose != PurposeFollow
+		c.readAsStandby = c.readAsStandby && peer.Purpose != PurposeFollow
 	}
 }
 
-// askAnswered takes the answer of a balancer that was asked whether it knows
+// probeAnswered takes the answer of a balancer that was asked whether it knows
 // anything. Everything is fetched from the first one that does.
-func (c *Core) askAnswered(peer Peer, asOf, now time.Time) {
-	if c.knows() {
+func (c *Core) probeAnswered(peer Peer, asOf, now time.Time) {
+	if c.hasData() {
 		return
 	}
-	c.paused[peer.Address] = now.Add(eagerPause)
-	if now.Sub(asOf) < knowsNothingAge {
-		c.hints = addBounded(c.hints, peer.Address, hintsLimit)
+	c.pausedUntil[peer.Address] = now.Add(eagerRetryDelay)
+	if now.Sub(asOf) < noDataAge {
+		c.fetchCandidates = addBounded(c.fetchCandidates, peer.Address, fetchCandidatesLimit)
 	}
 }
 
-// knowsNothingAge is an age of knowledge that only a balancer tells that knows
+// noDataAge is an age of knowledge that only a balancer tells that knows
 // nothing.
-const knowsNothingAge = 500 * time.Hour
+const noDataAge = 500 * time.Hour
 
 // PeerFailed passes a peer over for a while, a short one while nothing is known
 // here: it may be starting at this moment, as this balancer is.
 func (c *Core) PeerFailed(peer Peer, now time.Time) {
 	c.callEnded(peer)
 	known := c.contactOf(peer.Address)
-	known.useless = true
-	known.failed++
+	known.unusable = true
+	known.failures++
 	switch {
-	case peer.Purpose == PurposeTell:
-		c.tellPause = max(c.tellPause/2, tellShortest)
-	case !c.knows():
-		c.paused[peer.Address] = now.Add(eagerPause)
+	case peer.Purpose == PurposeAnnounce:
+		c.announceInterval = max(c.announceInterval/2, minAnnounceInterval)
+	case !c.hasData():
+		c.pausedUntil[peer.Address] = now.Add(eagerRetryDelay)
 	default:
-		c.paused[peer.Address] = now.Add(c.config.PeerPause)
+		c.pausedUntil[peer.Address] = now.Add(c.config.PeerRetryDelay)
 	}
 }
--- a/internal/replication/core_test.go
+++ b/internal/replication/core_test.go
@@ -11,26 +11,26 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-var start = time.Now()
+var startTime = time.Now()
 
 func after(milliseconds int) time.Time {
-	return start.Add(time.Duration(milliseconds) * time.Millisecond)
+	return startTime.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
 func newCore(place int, seeds ...string) *Core {
 	return NewCore(Config{
-		Self:  &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)},
-		Seeds: seeds,
-		Pace:  NewPace(time.Second, 1400*time.Millisecond), TreeWidth: 2,
-		PeerPause: 2 * time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute,
-	}, rand.New(rand.NewPCG(1, 2)), start)
+		Self:   &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)},
+		Seeds:  seeds,
+		Timing: NewTiming(time.Second, 1400*time.Millisecond), TreeFanout: 2,
+		PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
+	}, rand.New(rand.NewPCG(1, 2)), startTime)
 }
 
 func name(place int) string    { return fmt.Sprintf("edge-%d", place) }
 func address(place int) string { return fmt.Sprintf("10.0.%d.%d:8166", place/250, place%250) }
 
-func zoneOf(count int) []*apiv1.Balancer {
+func newZone(count int) []*apiv1.Balancer {
 	var found []*apiv1.Balancer
 	for place := range count {
 		found = append(found, &apiv1.Balancer{Name: name(place), Zone: "maadi", PeerAddress: address(place)})
@@ -38,26 +38,26 @@
 	return found
 }
 
-func TestOneReaderAZone(t *testing.T) {
+func TestExactlyOneReader(t *testing.T) {
 	readers := 0
 	for place := range 20 {
 		core := newCore(place)
-		core.SetBalancers(zoneOf(20), start)
-		if core.Reader() {
+		core.SetBalancers(newZone(20), startTime)
+		if core.IsReader() {
 			readers++
 		}
 	}
 	require.Equal(t, 1, readers)
 }
 
-func TestFollowersFormATree(t *testing.T) {
+func TestFollowersFormTree(t *testing.T) {
 	const count = 20
 	followers := make(map[string]int)
 	for place := range count {
 		core := newCore(place)
-		core.SetBalancers(zoneOf(count), start)
+		core.SetBalancers(newZone(count), startTime)
 		core.Confirm(after(0))
-		if core.Reader() {
+		if core.IsReader() {
 			continue
 		}
 		peer, found := core.NextPeer(after(100))
@@ -73,9 +73,9 @@
 // On the grown sites, most balancers have a link of 10 Mbit/s and 0.027 to 0.2
 // cores. One of those that read for a zone, and sent it a large configuration,
 // held up its own traffic for a second.
-func TestStrongBalancersServeTheOthers(t *testing.T) {
+func TestStrongBalancersServeOthers(t *testing.T) {
 	const count = 25
-	zone := zoneOf(count)
+	zone := newZone(count)
 	for place, balancer := range zone {
 		balancer.ProcessorCores, balancer.LinkMegabits = 0.027, 10
 		if place == 7 || place == 19 {
@@ -86,10 +86,10 @@
 	readers := 0
 	for place := range count {
 		core := newCore(place)
-		core.config.Self, core.config.TreeWidth = zone[place], DefaultTreeWidth
-		core.SetBalancers(zone, start)
+		core.config.Self, core.config.TreeFanout = zone[place], DefaultTreeFanout
+		core.SetBalancers(zone, startTime)
 		core.Confirm(after(0))
-		if core.Reader() {
+		if core.IsReader() {
 			readers++
 			require.Contains(t, strong, address(place))
 			continue
@@ -112,20 +112,20 @@
 	require.Equal(t, of(0, 0), of(4, 0))
 }
 
-func TestStaleFollowersReadTheStore(t *testing.T) {
-	core := follower(t)
+func TestStaleFollowersReadStore(t *testing.T) {
+	core := newFollower(t)
 	core.Confirm(after(0))
-	core.PollSucceeded(PollPage, true, after(0))
+	core.PollSucceeded(PollFirstPage, true, after(0))
 	require.Equal(t, PollNone, core.NextPoll(after(1400)))
-	require.Equal(t, PollPage, core.NextPoll(after(1401)))
+	require.Equal(t, PollFirstPage, core.NextPoll(after(1401)))
 }
 
-// follower makes a core that is not its zone's reader.
-func follower(t *testing.T) *Core {
+// newFollower makes a core that is not its zone's reader.
+func newFollower(t *testing.T) *Core {
 	for place := range 3 {
 		core := newCore(place)
-		core.SetBalancers(zoneOf(3), start)
-		if !core.Reader() {
+		core.SetBalancers(newZone(3), startTime)
+		if !core.IsReader() {
 			return core
 		}
 	}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-func TestFailedPeersArePassedOver(t *testing.T) {
-	core := follower(t)
+func TestFailedPeersAreSkipped(t *testing.T) {
+	core := newFollower(t)
 	core.Confirm(after(0))
 	one, _ := core.NextPeer(after(10))
 	core.PeerFailed(one, after(10))
@@ -149,8 +149,8 @@
 	require.Equal(t, one.Address, again.Address)
 }
 
-func TestStalePeersArePassedOver(t *testing.T) {
-	core := follower(t)
+func TestStalePeersAreSkipped(t *testing.T) {
+	core := newFollower(t)
 	core.Confirm(after(0))
 	one, _ := core.NextPeer(after(10))
 	core.PeerAnswered(one, after(-5000), after(10))
@@ -163,7 +163,7 @@
 // the usual pace once it answers.
 func TestStoreBackoff(t *testing.T) {
 	core := newCore(1)
-	core.SetBalancers(nil, start)
+	core.SetBalancers(nil, startTime)
 	core.Confirm(after(-5000))
 	now := after(0)
 	calls := 0
@@ -171,28 +171,28 @@
 		now = after(elapsed)
 		if core.NextPoll(now) != PollNone {
 			calls++
-			core.PollStarted(PollPage, now)
+			core.PollStarted(PollFirstPage, now)
 			core.PollFailed(now)
 		}
 	}
 	require.Less(t, calls, 25)
 	require.Greater(t, calls, 9, "it is tried at least once a second")
-	core.PollSucceeded(PollPage, true, now)
-	core.PollStarted(PollPage, now)
+	core.PollSucceeded(PollFirstPage, true, now)
+	core.PollStarted(PollFirstPage, now)
 	require.Equal(t, PollNone, core.NextPoll(now.Add(999*time.Millisecond)))
-	require.Equal(t, PollPage, core.NextPoll(now.Add(time.Second)))
+	require.Equal(t, PollFirstPage, core.NextPoll(now.Add(time.Second)))
 }
 
 // A balancer that knows nothing asks more eagerly, the store for a while only.
-func TestEagerWhileNothingIsKnown(t *testing.T) {
+func TestRetriesAreFasterWithoutData(t *testing.T) {
 	core := newCore(1, address(7), address(8))
-	core.SetBalancers(nil, start)
+	core.SetBalancers(nil, startTime)
 	calls, late := 0, 0
 	for elapsed := 0; elapsed < 30_000; elapsed += 10 {
 		if core.NextPoll(after(elapsed)) == PollNone {
 			continue
 		}
-		core.PollStarted(PollPage, after(elapsed))
+		core.PollStarted(PollFirstPage, after(elapsed))
 		core.PollFailed(after(elapsed))
 		calls++
 		if elapsed > 20_000 {
@@ -209,11 +209,11 @@
 	again, found := core.NextPeer(after(100))
 	require.True(t, found)
 	require.Equal(t, one.Address, again.Address)
-	require.True(t, again.Everything)
+	require.True(t, again.Full)
 }
 
 // Confirmations never go back, whatever arrives late.
-func TestConfirmationIsMonotone(t *testing.T) {
+func TestConfirmationIsMonotonic(t *testing.T) {
 	core := newCore(1)
 	require.True(t, core.Confirm(after(100)))
 	require.False(t, core.Confirm(after(50)))
@@ -222,48 +222,48 @@
 	require.Equal(t, 200*time.Millisecond, age)
 }
 
-func TestStoreIsLeftToOthersAtAStart(t *testing.T) {
+func TestStartingBalancerWaitsForPeers(t *testing.T) {
 	core := newCore(1, address(7))
 	require.Equal(t, PollMembers, core.NextPoll(after(0)))
 	core.PollStarted(PollMembers, after(0))
-	core.SetBalancers(zoneOf(20), after(10))
+	core.SetBalancers(newZone(20), after(10))
 	core.PollSucceeded(PollMembers, false, after(10))
 	// Half a second, and by chance up to as much again for each balancer of the zone but
 	// for the first three, which read in the head's place.
 	longest := 1010
-	if core.tree.place >= startStandbys {
-		longest = 510 + 20*1000/startReadsPerSecond
+	if core.tree.position >= startupStandbys {
+		longest = 510 + 20*1000/startupReadsPerSecond
 	}
 	require.Equal(t, PollNone, core.NextPoll(after(10)), "peers are asked first")
 	require.Equal(t, PollNone, core.NextPoll(after(509)), "for half a second at least")
-	require.Equal(t, PollOld, core.NextPoll(after(longest)), "patience ends")
-	core.PollStarted(PollOld, after(longest))
-	core.PollSucceeded(PollOld, false, after(longest+10))
+	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "patience ends")
+	core.PollStarted(PollStaleSnapshot, after(longest))
+	core.PollSucceeded(PollStaleSnapshot, false, after(longest+10))
 	require.Equal(t, PollNone, core.NextPoll(after(longest+10)), "peers are asked for what is new")
 	require.Equal(t, PollSnapshot, core.NextPoll(after(2*longest+10)), "nobody has answered")
 }
 
 // On the first day nobody is listed, and 300 balancers of which each had everything
 // from one of three seeds cost a seed 51 MB and its link.
-func TestSeedsNeedNotTellEverythingToAll(t *testing.T) {
+func TestUnlistedBalancerReadsStaleSnapshot(t *testing.T) {
 	core := newCore(1, address(7))
 	core.PollStarted(PollMembers, after(0))
 	core.PollSucceeded(PollMembers, false, after(10))
-	require.Equal(t, PollOld, core.NextPoll(after(10)))
-	core.PollStarted(PollOld, after(10))
-	core.PollSucceeded(PollOld, false, after(20))
+	require.Equal(t, PollStaleSnapshot, core.NextPoll(after(10)))
+	core.PollStarted(PollStaleSnapshot, after(10))
+	core.PollSucceeded(PollStaleSnapshot, false, after(20))
 	require.Equal(t, PollNone, core.NextPoll(after(20)), "a seed is asked for what is new")
 	require.Equal(t, PollSnapshot, core.NextPoll(after(1020)), "nobody has answered")
 }
 
-func TestSeedReadsTheStoreAtOnce(t *testing.T) {
+func TestSeedReadsStoreImmediately(t *testing.T) {
 	core := newCore(1, address(1))
 	core.PollStarted(PollMembers, after(0))
 	core.PollSucceeded(PollMembers, false, after(10))
 	require.Equal(t, PollSnapshot, core.NextPoll(after(10)))
 }
 
-func TestLargeStoreIsFollowedByItsChanges(t *testing.T) {
+func TestLargeStoreIsReadByChanges(t *testing.T) {
 	core := newCore(1, address(1))
 	core.PollStarted(PollSnapshot, after(0))
 	core.PollSucceeded(PollSnapshot, false, after(50))
@@ -275,7 +275,7 @@
 
 // A store that keeps hardly any history answers each call for changes with that. It
 // is then read whole at the usual pace, and not again and again.
-func TestStoreWithoutHistoryIsReadAtItsPace(t *testing.T) {
+func TestStoreWithoutHistoryIsReadAtPollInterval(t *testing.T) {
 	core := newCore(1, address(1))
 	snapshots := 0
 	for elapsed := 0; elapsed < 10_000; elapsed += 10 {
@@ -302,30 +302,30 @@
 	core.PollSucceeded(PollSnapshot, true, after(50))
 	core.Confirm(after(0))
 	require.Equal(t, PollNone, core.NextPoll(after(51)))
-	require.Equal(t, PollPage, core.NextPoll(after(1050)))
+	require.Equal(t, PollFirstPage, core.NextPoll(after(1050)))
 }
 
 // Everything is told once, not again by each new parent.
-func TestFollowersCatchUpOnce(t *testing.T) {
-	core := follower(t)
+func TestFollowersRequestFullStateOnce(t *testing.T) {
+	core := newFollower(t)
 	core.Confirm(after(0))
 	one, _ := core.NextPeer(after(10))
-	require.True(t, one.Everything)
+	require.True(t, one.Full)
 	core.PeerAnswered(one, after(5), after(10))
 	core.PeerFailed(one, after(20))
 	two, found := core.NextPeer(after(30))
 	require.True(t, found)
 	require.NotEqual(t, one.Address, two.Address)
-	require.False(t, two.Everything)
+	require.False(t, two.Full)
 }
 
-func TestReaderAsksForTombstonesOnceAtItsStart(t *testing.T) {
+func TestReaderFetchesTombstonesOnceAtStartup(t *testing.T) {
 	core := newCore(1, address(1), address(7))
 	core.Confirm(after(0))
 	peer, found := core.NextPeer(after(1))
 	require.True(t, found)
 	require.Equal(t, address(7), peer.Address)
-	require.True(t, peer.Everything)
+	require.True(t, peer.Full)
 	core.PeerAnswered(peer, after(1), after(2))
 	_, found = core.NextPeer(after(3))
 	require.False(t, found)
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -15,41 +15,41 @@
 // time. One step is ten milliseconds, which is also what a message takes. What
 // the store holds is its revision and the entries of the balancers.
 type fleet struct {
-	t       *testing.T
-	now     time.Time
-	chance  *rand.Rand
-	nodes   []*fleetNode
-	byPlace map[string]*fleetNode
-	seeds   []string
+	t         *testing.T
+	now       time.Time
+	random    *rand.Rand
+	nodes     []*fleetNode
+	byAddress map[string]*fleetNode
+	seeds     []string
 	// revision is the store's, and lists are the balancers as of revisions.
 	revision uint64
 	lists    []listing
-	// refuses tells which nodes the store does not answer.
-	refuses func(*fleetNode) bool
-	// cut tells between which nodes messages are lost.
-	cut func(a, b *fleetNode) bool
-	// dark is set while nodes that are not alive have no power, and say nothing.
-	dark bool
-	// telling is what the link of a strong balancer needs to tell everything once, a weak one
+	// storeRefuses tells which nodes the store does not answer.
+	storeRefuses func(*fleetNode) bool
+	// isCut tells between which nodes messages are lost.
+	isCut func(a, b *fleetNode) bool
+	// poweredOff is set while nodes that are not alive have no power, and say nothing.
+	poweredOff bool
+	// fullReplyTime is what the link of a strong balancer needs to tell everything once, a weak one
 	// ten times as long, and reading what the store's needs for a whole read. Who tells or
 	// reads more at a time shares the link.
-	telling, reading time.Duration
-	linkFree         map[*fleetNode]time.Time
-	storeFree        time.Time
-	// whole counts the whole reads of the store, and named the reads of all names of a zone.
-	whole, named int
-	// leads are the lists of the first balancers of zones in the store.
-	leads map[string]*apiv1.ZoneLeads
+	fullReplyTime, snapshotTime time.Duration
+	linkFreeAt                  map[*fleetNode]time.Time
+	storeFreeAt                 time.Time
+	// snapshotReads counts the whole reads of the store, and named the reads of all names of a zone.
+	snapshotReads, zoneMemberReads int
+	// zoneLeads are the lists of the first balancers of zones in the store.
+	zoneLeads map[string]*apiv1.ZoneLeads
 	// listWrites counts the writes of such lists.
 	listWrites int
-	// exact and old count the calls at full price and at that of an old answer.
-	exact, old int
-	polls      []*fleetPoll
-	calls      []*fleetCall
-	// served counts whom a node has told everything.
-	served map[*fleetNode]int
-	// mostStale is the largest number of nodes whose knowledge was stale at once.
-	mostStale int
+	// exactCalls and old count the calls at full price and at that of an old answer.
+	exactCalls, staleCalls int
+	polls                  []*fleetPoll
+	calls                  []*fleetCall
+	// fullReplies counts whom a node has told everything.
+	fullReplies map[*fleetNode]int
+	// maxStale is the largest number of nodes whose knowledge was stale at once.
+	maxStale int
 }
 
 type listing struct {
@@ -58,52 +58,52 @@
 }
 
 type fleetNode struct {
-	entry    *apiv1.Balancer
-	place    int
-	core     *Core
-	revision uint64
-	listed   uint64
-	polling  bool
-	alive    bool
-	started  int
-	startAt  time.Time
+	entry          *apiv1.Balancer
+	index          int
+	core           *Core
+	revision       uint64
+	listedRevision uint64
+	polling        bool
+	alive          bool
+	starts         int
+	startAt        time.Time
 }
 
 type fleetPoll struct {
-	node    *fleetNode
-	started int
-	poll    Poll
-	write   Write
-	sentAt  time.Time
-	readAt  time.Time
+	node       *fleetNode
+	starts     int
+	poll       Poll
+	write      Write
+	sentAt     time.Time
+	finishedAt time.Time
 }
 
 type fleetCall struct {
-	from, to *fleetNode
-	started  int
-	peer     Peer
-	dialTime time.Duration
-	arrived  bool
-	sentAt   time.Time
-	toldAt   time.Time
-	shown    []*apiv1.Balancer
-	silent   []string
+	from, to  *fleetNode
+	starts    int
+	peer      Peer
+	dialTime  time.Duration
+	delivered bool
+	sentAt    time.Time
+	repliedAt time.Time
+	unlisted  []*apiv1.Balancer
+	silent    []string
 }
 
 const fleetZones = 5
 
 // fleetPace is that of the large sites.
-func fleetPace() Pace { return NewPace(2*time.Second, 2800*time.Millisecond) }
+func fleetPace() Timing { return NewTiming(2*time.Second, 2800*time.Millisecond) }
 
 // newFleet starts balancers that nobody has listed, as on the first day.
 func newFleet(t *testing.T, count int) *fleet {
 	made := &fleet{
-		t: t, now: start, chance: rand.New(rand.NewPCG(uint64(count), 1)), revision: 1,
-		byPlace: make(map[string]*fleetNode), linkFree: make(map[*fleetNode]time.Time),
-		leads:   make(map[string]*apiv1.ZoneLeads),
-		served:  make(map[*fleetNode]int),
-		refuses: func(*fleetNode) bool { return false },
-		cut:     func(_, _ *fleetNode) bool { return false },
+		t: t, now: startTime, random: rand.New(rand.NewPCG(uint64(count), 1)), revision: 1,
+		byAddress: make(map[string]*fleetNode), linkFreeAt: make(map[*fleetNode]time.Time),
+		zoneLeads:    make(map[string]*apiv1.ZoneLeads),
+		fullReplies:  make(map[*fleetNode]int),
+		storeRefuses: func(*fleetNode) bool { return false },
+		isCut:        func(_, _ *fleetNode) bool { return false },
 	}
 	for place := range count {
 		entry := &apiv1.Balancer{Name: name(place), Zone: fmt.Sprintf("zone-%d", place%fleetZones),
@@ -111,9 +111,9 @@
 		if place < max(3*fleetZones, count/20) {
 			entry.ProcessorCores, entry.LinkMegabits = 0.8, 200
 		}
-		node := &fleetNode{entry: entry, place: place}
+		node := &fleetNode{entry: entry, index: place}
 		made.nodes = append(made.nodes, node)
-		made.byPlace[entry.GetPeerAddress()] = node
+		made.byAddress[entry.GetPeerAddress()] = node
 	}
 	for _, place := range []int{count / 2, count / 3, count - 1} {
 		made.seeds = append(made.seeds, address(place))
@@ -126,13 +126,13 @@
 
 func (f *fleet) start(node *fleetNode) {
 	node.core = NewCore(Config{
-		Self: node.entry, Seeds: f.seeds, Pace: fleetPace(), TreeWidth: DefaultTreeWidth,
-		SharedOrderLimit: DefaultSharedOrderLimit, PeerPause: 2 * time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute,
-	}, f.chance, f.now)
-	node.revision, node.listed, node.polling = 0, 0, false
+		Self: node.entry, Seeds: f.seeds, Timing: fleetPace(), TreeFanout: DefaultTreeFanout,
+		SharedOrderLimit: DefaultSharedOrderLimit, PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
+	}, f.random, f.now)
+	node.revision, node.listedRevision, node.polling = 0, 0, false
 	node.alive, node.startAt = true, f.now
-	node.started++
+	node.starts++
 }
 
 // kill ends a node, which starts again after a pause; 0 is never.
@@ -149,16 +149,16 @@
 	}
 }
 
-// count runs for a time and returns the calls at full price meanwhile.
-func (f *fleet) count(length time.Duration) int {
-	f.exact, f.old, f.mostStale = 0, 0, 0
-	f.served = make(map[*fleetNode]int)
+// countExactCalls runs for a time and returns the calls at full price meanwhile.
+func (f *fleet) countExactCalls(length time.Duration) int {
+	f.exactCalls, f.staleCalls, f.maxStale = 0, 0, 0
+	f.fullReplies = make(map[*fleetNode]int)
 	f.run(length)
-	return f.exact
+	return f.exactCalls
 }
 
 func (f *fleet) step() {
-	f.now = f.now.Add(outageStep)
+	f.now = f.now.Add(simulationStep)
 	stale := 0
 	for _, node := range f.nodes {
 		if !node.alive && !node.startAt.IsZero() && !f.now.Before(node.startAt) {
@@ -170,9 +170,9 @@
 		if node.core.Stale(f.now) {
 			stale++
 		}
-		f.act(node)
+		f.startCalls(node)
 	}
-	f.mostStale = max(f.mostStale, stale)
+	f.maxStale = max(f.maxStale, stale)
 	polls := f.polls
 	f.polls = nil
 	for _, poll := range polls {
@@ -180,38 +180,38 @@
 	}
 	kept := f.calls[:0]
 	for _, call := range f.calls {
-		if !f.move(call) {
+		if !f.advanceCall(call) {
 			kept = append(kept, call)
 		}
 	}
 	f.calls = kept
 }
 
-// act makes the calls of a node that are due.
-func (f *fleet) act(node *fleetNode) {
+// startCalls makes the calls of a node that are due.
+func (f *fleet) startCalls(node *fleetNode) {
 	if poll := node.core.NextPoll(f.now); poll != PollNone && !node.polling {
 		node.polling = true
 		node.core.PollStarted(poll, f.now)
-		f.polls = append(f.polls, &fleetPoll{node: node, started: node.started, poll: poll, sentAt: f.now})
-		if poll == PollMembers || poll == PollOld {
-			f.old++
+		f.polls = append(f.polls, &fleetPoll{node: node, starts: node.starts, poll: poll, sentAt: f.now})
+		if poll == PollMembers || poll == PollStaleSnapshot {
+			f.staleCalls++
 		} else {
-			f.exact++
+			f.exactCalls++
 		}
 	}
 	if write, found := node.core.NextWrite(f.now); found {
-		f.exact++
-		f.polls = append(f.polls, &fleetPoll{node: node, started: node.started, write: write, sentAt: f.now})
+		f.exactCalls++
+		f.polls = append(f.polls, &fleetPoll{node: node, starts: node.starts, write: write, sentAt: f.now})
 	}
 	for {
 		peer, found := node.core.NextPeer(f.now)
 		if !found {
 			return
 		}
-		made := &fleetCall{from: node, to: f.byPlace[peer.Address], started: node.started, peer: peer, sentAt: f.now,
-			dialTime: node.core.DialTime(peer.Address)}
+		made := &fleetCall{from: node, to: f.byAddress[peer.Address], starts: node.starts, peer: peer, sentAt: f.now,
+			dialTime: node.core.DialTimeout(peer.Address)}
 		if peer.Purpose == PurposeFollow {
-			made.shown, made.silent = node.core.Shown(f.now), node.core.Silent(f.now)
+			made.unlisted, made.silent = node.core.UnlistedEntries(f.now), node.core.SilentBalancers(f.now)
 		}
 		f.calls = append(f.calls, made)
 	}
@@ -220,21 +220,21 @@
 // answerPoll answers a call to the store, or lets it wait on.
 func (f *fleet) answerPoll(poll *fleetPoll) {
 	node := poll.node
-	if !node.alive || node.started != poll.started {
+	if !node.alive || node.starts != poll.starts {
 		return
 	}
-	refused := f.refuses(node)
-	waits := poll.poll == PollChanges && f.now.Sub(poll.sentAt) < fleetPace().Wait && f.revision == node.revision
+	refused := f.storeRefuses(node)
+	waits := poll.poll == PollChanges && f.now.Sub(poll.sentAt) < fleetPace().ChangesWait && f.revision == node.revision
 	if waits && !refused {
 		f.polls = append(f.polls, poll)
 		return
 	}
 	if poll.poll == PollNone {
-		f.write(poll.write, refused)
+		f.applyWrite(poll.write, refused)
 		node.core.WriteEnded(poll.write, refused, f.now)
 		return
 	}
-	if !refused && !f.read(poll) {
+	if !refused && !f.readFinished(poll) {
 		f.polls = append(f.polls, poll)
 		return
 	}
@@ -246,49 +246,49 @@
 	node.core.PollSucceeded(poll.poll, false, f.now)
 	switch poll.poll {
 	case PollMembers:
-		if leads := f.leads[node.entry.GetZone()]; leads != nil {
-			node.core.StartsIn(int(leads.GetSize()))
+		if leads := f.zoneLeads[node.entry.GetZone()]; leads != nil {
+			node.core.SetZoneSize(int(leads.GetSize()))
 			node.core.SetBalancers(leads.GetFirst(), f.now)
 			return
 		}
-		f.named++
-		f.list(node, f.revision, node.entry.GetZone())
-	case PollOld:
+		f.zoneMemberReads++
+		f.applyListing(node, f.revision, node.entry.GetZone())
+	case PollStaleSnapshot:
 		node.revision = f.revision
-		f.list(node, f.revision, "")
-	case PollPage:
+		f.applyListing(node, f.revision, "")
+	case PollFirstPage:
 	case PollNone, PollSnapshot, PollChanges, PollCatchUp:
-		f.learn(node, f.revision, poll.sentAt)
+		f.apply(node, f.revision, poll.sentAt)
 	}
 }
 
-// read tells whether the store has been read as far as a call asks.
-func (f *fleet) read(poll *fleetPoll) bool {
-	if poll.poll != PollOld && poll.poll != PollSnapshot {
+// readFinished tells whether the store has been read as far as a call asks.
+func (f *fleet) readFinished(poll *fleetPoll) bool {
+	if poll.poll != PollStaleSnapshot && poll.poll != PollSnapshot {
 		return true
 	}
-	if poll.readAt.IsZero() {
-		f.whole++
-		f.storeFree = later(f.storeFree, f.now).Add(f.reading)
-		poll.readAt = f.storeFree
+	if poll.finishedAt.IsZero() {
+		f.snapshotReads++
+		f.storeFreeAt = later(f.storeFreeAt, f.now).Add(f.snapshotTime)
+		poll.finishedAt = f.storeFreeAt
 	}
-	return !f.now.Before(poll.readAt)
+	return !f.now.Before(poll.finishedAt)
 }
 
-// told tells whether all that a node knows has been told to a caller who knows nothing.
-func (f *fleet) told(call *fleetCall) bool {
-	if f.telling == 0 || call.from.revision != 0 || call.peer.RevisionOnly {
+// fullReplySent tells whether all that a node knows has been told to a caller who knows nothing.
+func (f *fleet) fullReplySent(call *fleetCall) bool {
+	if f.fullReplyTime == 0 || call.from.revision != 0 || call.peer.RevisionOnly {
 		return true
 	}
-	if call.toldAt.IsZero() {
-		takes := f.telling
+	if call.repliedAt.IsZero() {
+		takes := f.fullReplyTime
 		if call.to.entry.GetLinkMegabits() < 100 {
 			takes *= 10
 		}
-		f.linkFree[call.to] = later(f.linkFree[call.to], f.now).Add(takes)
-		call.toldAt = f.linkFree[call.to]
+		f.linkFreeAt[call.to] = later(f.linkFreeAt[call.to], f.now).Add(takes)
+		call.repliedAt = f.linkFreeAt[call.to]
 	}
-	return !f.now.Before(call.toldAt)
+	return !f.now.Before(call.repliedAt)
 }
 
 func later(one, other time.Time) time.Time {
@@ -298,16 +298,16 @@
 	return one
 }
 
-// write changes the entries of the store.
-func (f *fleet) write(write Write, refused bool) {
+// applyWrite changes the entries of the store.
+func (f *fleet) applyWrite(write Write, refused bool) {
 	if refused {
 		return
 	}
 	f.revision++
-	for _, list := range write.Leads {
-		f.leads[list.GetZone()] = list
+	for _, list := range write.ZoneLeads {
+		f.zoneLeads[list.GetZone()] = list
 	}
-	if len(write.Leads) > 0 {
+	if len(write.ZoneLeads) > 0 {
 		f.listWrites++
 		return
 	}
@@ -332,14 +332,14 @@
 	f.lists = append(f.lists, made)
 }
 
-// list lets a node take the balancers that are listed as of a revision.
-func (f *fleet) list(node *fleetNode, revision uint64, zone string) {
+// applyListing lets a node take the balancers that are listed as of a revision.
+func (f *fleet) applyListing(node *fleetNode, revision uint64, zone string) {
 	for place := len(f.lists) - 1; place >= 0; place-- {
 		found := f.lists[place]
 		if found.revision > revision {
 			continue
 		}
-		if zone == "" && node.listed == found.revision {
+		if zone == "" && node.listedRevision == found.revision {
 			return
 		}
 		entries := found.entries
@@ -351,58 +351,58 @@
 				}
 			}
 		} else {
-			node.listed = found.revision
+			node.listedRevision = found.revision
 		}
 		node.core.SetBalancers(entries, f.now)
 		return
 	}
 }
 
-func (f *fleet) learn(node *fleetNode, revision uint64, confirmedAt time.Time) {
+func (f *fleet) apply(node *fleetNode, revision uint64, confirmedAt time.Time) {
 	node.core.Confirm(confirmedAt)
-	if revision > node.revision || node.listed == 0 {
+	if revision > node.revision || node.listedRevision == 0 {
 		node.revision = max(node.revision, revision)
-		f.list(node, node.revision, "")
+		f.applyListing(node, node.revision, "")
 	}
 }
 
-// move tells whether a call between balancers has ended.
-func (f *fleet) move(call *fleetCall) bool {
+// advanceCall tells whether a call between balancers has ended.
+func (f *fleet) advanceCall(call *fleetCall) bool {
 	from, to := call.from, call.to
-	if !from.alive || from.started != call.started {
+	if !from.alive || from.starts != call.starts {
 		return true
 	}
-	cut := f.cut(from, to)
+	cut := f.isCut(from, to)
 	waited := f.now.Sub(call.sentAt)
-	if !to.alive && f.dark && !call.arrived && waited < call.dialTime {
+	if !to.alive && f.poweredOff && !call.delivered && waited < call.dialTime {
 		return false
 	}
-	if !to.alive || cut && !call.arrived && waited >= 300*time.Millisecond || cut && waited >= 2*time.Second {
+	if !to.alive || cut && !call.delivered && waited >= 300*time.Millisecond || cut && waited >= 2*time.Second {
 		from.core.PeerFailed(call.peer, f.now)
 		return true
 	}
 	if cut {
 		return false
 	}
-	if !call.arrived {
-		call.arrived = true
-		f.arrive(call)
+	if !call.delivered {
+		call.delivered = true
+		f.deliver(call)
 		return false
 	}
 	age, knows := to.core.Age(f.now)
 	_, knew := from.core.Age(f.now)
-	younger := knows && (!knew || to.core.ConfirmedAt().Sub(from.core.ConfirmedAt()) >= fleetPace().Younger)
+	younger := knows && (!knew || to.core.ConfirmedAt().Sub(from.core.ConfirmedAt()) >= fleetPace().MinAdvance)
 	news := knows && to.revision > from.revision || younger
 	if call.peer.Waits() && waited < followTime && !news {
-		to.core.Heard(from.entry.GetPeerAddress(), f.now)
+		to.core.RecordActivity(from.entry.GetPeerAddress(), f.now)
 		return false
 	}
 	if !knows {
 		from.core.PeerAnswered(call.peer, f.now.Add(-1000*time.Hour), f.now)
-		from.core.Learned(to.core.Callers())
+		from.core.AddCallers(to.core.Callers())
 		return true
 	}
-	if !f.told(call) {
+	if !f.fullReplySent(call) {
 		return false
 	}
 	from.core.PeerAnswered(call.peer, f.now.Add(-age), f.now)
@@ -410,25 +410,25 @@
 		return true
 	}
 	if from.revision == 0 {
-		f.served[to]++
+		f.fullReplies[to]++
 	}
-	f.learn(from, to.revision, f.now.Add(-age))
+	f.apply(from, to.revision, f.now.Add(-age))
 	return true
 }
 
-func (f *fleet) arrive(call *fleetCall) {
+func (f *fleet) deliver(call *fleetCall) {
 	age, knows := call.from.core.Age(f.now)
-	call.to.core.Called(Caller{Address: call.from.entry.GetPeerAddress(), Knows: knows, Revision: call.from.revision,
+	call.to.core.CallReceived(Caller{Address: call.from.entry.GetPeerAddress(), HasData: knows, Revision: call.from.revision,
 		ConfirmedAt: f.now.Add(-age)}, call.to.revision, f.now)
-	call.to.core.TakeShown(call.shown, f.now)
-	call.to.core.TakeSilent(call.silent, f.now)
+	call.to.core.AddUnlistedEntries(call.unlisted, f.now)
+	call.to.core.HandleSilentReport(call.silent, f.now)
 }
 
 // readers are the nodes that read the store for others by now.
 func (f *fleet) readers() []*fleetNode {
 	var found []*fleetNode
 	for _, node := range f.nodes {
-		if node.alive && node.core.Reads() {
+		if node.alive && node.core.ReadsStore() {
 			found = append(found, node)
 		}
 	}
@@ -443,8 +443,8 @@
 	return f.lists[len(f.lists)-1].entries
 }
 
-// settled starts a fleet and runs it until all are listed.
-func settled(t *testing.T, count int) *fleet {
+// newSettledFleet starts a fleet and runs it until all are listed.
+func newSettledFleet(t *testing.T, count int) *fleet {
 	made := newFleet(t, count)
 	made.run(15 * time.Second)
 	require.Len(t, made.listedEntries(), count)
@@ -452,8 +452,8 @@
 	return made
 }
 
-// forSizes runs a test for fleets of several sizes.
-func forSizes(t *testing.T, test func(t *testing.T, count int), sizes ...int) {
+// runForSizes runs a test for fleets of several sizes.
+func runForSizes(t *testing.T, test func(t *testing.T, count int), sizes ...int) {
 	t.Parallel()
 	for _, count := range append([]int{8, 30, 300}, sizes...) {
 		t.Run(fmt.Sprintf("%d balancers", count), func(t *testing.T) {
@@ -466,37 +466,37 @@
 // All 295 to 351 balancers of kayalpath-edge-large read the store in six single
 // seconds of a quiet day: their knowledge grew stale at the same moment, since a
 // call waited longer for changes than knowledge may be old.
-func TestQuietMinuteCostsOneReader(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
-		require.LessOrEqual(t, f.count(time.Minute), 100, "two calls each 1.4 s")
-		require.Zero(t, f.mostStale)
+func TestQuietMinuteCostsOneReadersCalls(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
+		require.LessOrEqual(t, f.countExactCalls(time.Minute), 100, "two calls each 1.4 s")
+		require.Zero(t, f.maxStale)
 	}, 1000)
 }
 
 // Each start made a lease and an entry, and read the store whole.
-func TestStartOfEverythingIsWrittenAndReadByFew(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
+func TestColdStartCausesFewStoreCalls(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
 		f := newFleet(t, count)
-		calls := f.count(15 * time.Second)
+		calls := f.countExactCalls(15 * time.Second)
 		require.Len(t, f.listedEntries(), count)
 		require.LessOrEqual(t, calls, 60+3*count/WriteLimit)
-		require.LessOrEqual(t, f.old, 2*count)
+		require.LessOrEqual(t, f.staleCalls, 2*count)
 	}, 1000)
 }
 
-func TestHerdRestartIsReadByTheHeads(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
+func TestMassRestartIsReadByZoneHeads(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
 		for _, part := range []int{1, 2} {
-			f := settled(t, count)
+			f := newSettledFleet(t, count)
 			for _, node := range f.nodes {
-				if node.place%part == 0 {
-					f.kill(node, time.Second+time.Duration(f.chance.IntN(300))*time.Millisecond)
+				if node.index%part == 0 {
+					f.kill(node, time.Second+time.Duration(f.random.IntN(300))*time.Millisecond)
 				}
 			}
-			calls := f.count(20 * time.Second)
+			calls := f.countExactCalls(20 * time.Second)
 			require.LessOrEqual(t, calls, 70, "every %d. restarts", part)
-			require.LessOrEqual(t, f.old, 2*count/part+1)
+			require.LessOrEqual(t, f.staleCalls, 2*count/part+1)
 			require.Len(t, f.readers(), 1)
 		}
 	})
@@ -505,81 +505,81 @@
 // All start at once before ten back ends for each of them, which take their time to be told
 // and to be read. Where each that was not told within a second read the store itself, its
 // link was full for as long as all of them read: 985 times 3.4 MB.
-func TestStoreIsReadWholeByFewWhereTellingTakesLong(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
+func TestFewSnapshotReadsWithSlowFullReplies(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
 		// 350 bytes of a back end's entry over 125 MB a second, 35 packed over 25 MB a second.
-		f.reading = time.Duration(10*count*350/125) * time.Microsecond
-		f.telling = time.Duration(10*count*35/25) * time.Microsecond
+		f.snapshotTime = time.Duration(10*count*350/125) * time.Microsecond
+		f.fullReplyTime = time.Duration(10*count*35/25) * time.Microsecond
 		for _, node := range f.nodes {
-			f.kill(node, time.Second+time.Duration(f.chance.IntN(300))*time.Millisecond)
+			f.kill(node, time.Second+time.Duration(f.random.IntN(300))*time.Millisecond)
 		}
-		f.whole, f.named = 0, 0
-		f.count(time.Second)
+		f.snapshotReads, f.zoneMemberReads = 0, 0
+		f.countExactCalls(time.Second)
 		// What is to be told grows with the fleet, and so does the time.
 		limit := 3 * time.Second * time.Duration(max(1000, count)) / 1000
 		for waited := time.Duration(0); ; waited += 100 * time.Millisecond {
 			knowing := 0
 			for _, node := range f.nodes {
-				if node.alive && node.core.knows() {
+				if node.alive && node.core.hasData() {
 					knowing++
 				}
 			}
 			if knowing == count {
-				t.Logf("all know %v after their start, %d whole reads", waited, f.whole)
+				t.Logf("all know %v after their start, %d whole reads", waited, f.snapshotReads)
 				break
 			}
 			require.Less(t, waited, limit, "%d know", knowing)
 			f.run(100 * time.Millisecond)
 		}
-		if count > leadsCount*fleetZones {
-			require.Zero(t, f.named, "the names of a large zone are read by nobody")
+		if count > zoneLeadsCount*fleetZones {
+			require.Zero(t, f.zoneMemberReads, "the names of a large zone are read by nobody")
 		}
-		require.LessOrEqual(t, f.whole, 40, "the heads, those that stand in for them, some by lot")
+		require.LessOrEqual(t, f.snapshotReads, 40, "the heads, those that stand in for them, some by lot")
 	}, 1000, 2000)
 }
 
 // After a loss of power, 241 of 295 balancers asked a seed, a weak one, for
 // everything at once and got nothing within half a second.
-func TestEverythingComesFromTheBalancerToFollow(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
+func TestFullReplyComesFromParent(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
 		for _, node := range f.nodes {
-			f.kill(node, time.Second+time.Duration(f.chance.IntN(50))*time.Millisecond)
+			f.kill(node, time.Second+time.Duration(f.random.IntN(50))*time.Millisecond)
 		}
-		f.count(1500 * time.Millisecond)
+		f.countExactCalls(1500 * time.Millisecond)
 		for _, node := range f.nodes {
-			require.True(t, node.core.knows(), node.entry.GetName())
+			require.True(t, node.core.hasData(), node.entry.GetName())
 			// Whose parent has not started yet is told by the next one above.
-			require.LessOrEqual(t, f.served[node], 2*widthFactor*DefaultTreeWidth, node.entry.GetName())
+			require.LessOrEqual(t, f.fullReplies[node], 2*maxFanoutFactor*DefaultTreeFanout, node.entry.GetName())
 		}
-		require.LessOrEqual(t, f.old, count, "nobody ran out of patience")
+		require.LessOrEqual(t, f.staleCalls, count, "nobody ran out of patience")
 	})
 }
 
 // After a loss of power machines are back some tenths of a second apart. Where the head
 // of a zone was the last, the others waited for its connection, and dropped their
 // clients' packets for 0.5 s.
-func TestZoneWhoseHeadIsBackLastIsToldByTheNext(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
-		f.dark = true
+func TestZoneIsServedByStandbyWhenHeadReturnsLast(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
+		f.poweredOff = true
 		for _, node := range f.nodes {
 			late := 400 * time.Millisecond
-			if node.core.tree.place > 0 {
+			if node.core.tree.position > 0 {
 				late = 0
 			}
 			f.kill(node, time.Second+late)
 		}
-		exact := f.count(1300 * time.Millisecond)
+		exact := f.countExactCalls(1300 * time.Millisecond)
 		for _, node := range f.nodes {
 			if node.alive {
-				require.True(t, node.core.knows(), node.entry.GetName())
+				require.True(t, node.core.hasData(), node.entry.GetName())
 			}
 		}
 		// Where a zone has few, all of them read.
-		most := fleetZones * startStandbys
-		if len(f.nodes[0].core.tree.own()) <= togetherLimit {
+		most := fleetZones * startupStandbys
+		if len(f.nodes[0].core.tree.ownZone()) <= smallZoneSize {
 			most = count
 		}
 		require.LessOrEqual(t, exact, most)
@@ -589,32 +589,32 @@
 // Many start some milliseconds before the one that they are to follow, and the call to
 // it fails. Another one above tells them then, not the seeds: in one of fifteen draws
 // up to 72 of 300 took everything from one weak seed.
-func TestSeedsTellNobodyWhileOneAboveMay(t *testing.T) {
+func TestSeedsAreSparedWhileParentCandidatesRemain(t *testing.T) {
 	for draw := range 8 {
 		t.Run(fmt.Sprint(draw), func(t *testing.T) {
 			t.Parallel()
-			f := settled(t, 300)
+			f := newSettledFleet(t, 300)
 			for range draw {
-				f.chance.Uint64()
+				f.random.Uint64()
 			}
 			for _, node := range f.nodes {
-				f.kill(node, time.Second+time.Duration(f.chance.IntN(50))*time.Millisecond)
+				f.kill(node, time.Second+time.Duration(f.random.IntN(50))*time.Millisecond)
 			}
-			f.count(1500 * time.Millisecond)
+			f.countExactCalls(1500 * time.Millisecond)
 			for _, seed := range f.seeds {
-				require.LessOrEqual(t, f.served[f.byPlace[seed]], 8, seed)
+				require.LessOrEqual(t, f.fullReplies[f.byAddress[seed]], 8, seed)
 			}
 		})
 	}
 }
 
-func TestDeadReaderCostsSomeCalls(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
+func TestDeadReaderCostsFewCalls(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
 		for range 3 {
 			f.kill(f.readers()[0], 0)
-			require.LessOrEqual(t, f.count(time.Minute), 150)
-			require.LessOrEqual(t, f.mostStale, count/4)
+			require.LessOrEqual(t, f.countExactCalls(time.Minute), 150)
+			require.LessOrEqual(t, f.maxStale, count/4)
 			require.Len(t, f.readers(), 1)
 		}
 		if count > 2*fleetZones {
@@ -625,11 +625,11 @@
 
 // The store refuses a third of the balancers, the readers among them.
 func TestRefusedReadersAreReplaced(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
 		first := f.readers()[0]
-		f.refuses = func(node *fleetNode) bool { return node == first || node.place%3 == 0 }
-		calls := f.count(9 * time.Second)
+		f.storeRefuses = func(node *fleetNode) bool { return node == first || node.index%3 == 0 }
+		calls := f.countExactCalls(9 * time.Second)
 		require.LessOrEqual(t, calls, 150)
 		for _, node := range f.nodes {
 			age, _ := node.core.Age(f.now)
@@ -638,12 +638,12 @@
 	})
 }
 
-func TestSilentStoreIsTriedByFew(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
-		f.refuses = func(*fleetNode) bool { return true }
-		require.LessOrEqual(t, f.count(10*time.Second), 250, "standbys once a second, the others together eight times")
-		f.refuses = func(*fleetNode) bool { return false }
+func TestUnresponsiveStoreIsTriedByFew(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
+		f.storeRefuses = func(*fleetNode) bool { return true }
+		require.LessOrEqual(t, f.countExactCalls(10*time.Second), 250, "standbys once a second, the others together eight times")
+		f.storeRefuses = func(*fleetNode) bool { return false }
 		f.run(2 * time.Second)
 		for _, node := range f.nodes {
 			require.False(t, node.core.Stale(f.now), node.entry.GetName())
@@ -652,12 +652,12 @@
 }
 
 // A zone that is cut off from the others reads the store itself.
-func TestZoneCutOffReadsForItself(t *testing.T) {
-	forSizes(t, func(t *testing.T, count int) {
-		f := settled(t, count)
+func TestPartitionedZoneReadsStoreItself(t *testing.T) {
+	runForSizes(t, func(t *testing.T, count int) {
+		f := newSettledFleet(t, count)
 		zone := f.readers()[0].entry.GetZone()
-		f.cut = func(a, b *fleetNode) bool { return (a.entry.GetZone() == zone) != (b.entry.GetZone() == zone) }
-		require.LessOrEqual(t, f.count(20*time.Second), 200)
+		f.isCut = func(a, b *fleetNode) bool { return (a.entry.GetZone() == zone) != (b.entry.GetZone() == zone) }
+		require.LessOrEqual(t, f.countExactCalls(20*time.Second), 200)
 		for _, node := range f.nodes {
 			require.False(t, node.core.Stale(f.now), node.entry.GetName())
 		}
--- a/internal/replication/members_test.go
+++ b/internal/replication/members_test.go
@@ -10,13 +10,13 @@
 	"github.com/indigobarrow/indigobarrow/internal/directory"
 )
 
-// reader makes the core that reads for three balancers.
-func reader(t *testing.T) *Core {
+// newReader makes the core that reads for three balancers.
+func newReader(t *testing.T) *Core {
 	for place := range 3 {
 		core := newCore(place)
-		core.SetBalancers(zoneOf(3), start)
-		core.Confirm(start)
-		if core.Reader() {
+		core.SetBalancers(newZone(3), startTime)
+		core.Confirm(startTime)
+		if core.IsReader() {
 			return core
 		}
 	}
@@ -26,29 +26,29 @@
 
 // On warraq-nile-grown 127 starts cost 254 calls for leases and entries. A
 // balancer that starts again is still listed.
-func TestBalancerThatStartsAgainWritesNothing(t *testing.T) {
+func TestRestartedBalancerWritesNothing(t *testing.T) {
 	core := newCore(1)
-	require.Len(t, core.Shown(start), 1, "it does not know yet that it is listed")
-	core.SetBalancers(zoneOf(3), start)
-	require.Empty(t, core.Shown(start))
+	require.Len(t, core.UnlistedEntries(startTime), 1, "it does not know yet that it is listed")
+	core.SetBalancers(newZone(3), startTime)
+	require.Empty(t, core.UnlistedEntries(startTime))
 }
 
-func TestEntryThatIsNoLongerTrueIsShownAnew(t *testing.T) {
+func TestOutdatedEntryIsSentAgain(t *testing.T) {
 	core := newCore(1)
-	listed := zoneOf(3)
+	listed := newZone(3)
 	listed[1].PeerAddress = "10.0.9.9:1"
-	core.SetBalancers(listed, start)
-	require.Equal(t, []*apiv1.Balancer{core.config.Self}, core.Shown(start))
+	core.SetBalancers(listed, startTime)
+	require.Equal(t, []*apiv1.Balancer{core.config.Self}, core.UnlistedEntries(startTime))
 }
 
-func TestReaderWritesManyEntriesAtOnce(t *testing.T) {
-	core := reader(t)
+func TestReaderWritesEntriesInBatches(t *testing.T) {
+	core := newReader(t)
 	var joining []*apiv1.Balancer
 	for place := range 50 {
 		joining = append(joining, &apiv1.Balancer{Name: name(100 + place), Zone: "maadi", PeerAddress: address(100 + place)})
 	}
-	core.TakeShown(joining, after(10))
-	core.TakeShown(joining[:5], after(20))
+	core.AddUnlistedEntries(joining, after(10))
+	core.AddUnlistedEntries(joining[:5], after(20))
 	first, found := core.NextWrite(after(500))
 	require.True(t, found)
 	require.Len(t, first.Put, WriteLimit)
@@ -72,9 +72,9 @@
 
 // Nobody passes the entry on, or it was lost on the way: in the end the balancer
 // writes it itself.
-func TestBalancerThatNobodyListsWritesItsEntry(t *testing.T) {
+func TestUnlistedBalancerWritesOwnEntry(t *testing.T) {
 	core := newCore(7)
-	core.SetBalancers(zoneOf(3), start)
+	core.SetBalancers(newZone(3), startTime)
 	writes := 0
 	for elapsed := 0; elapsed < 12_000; elapsed += 50 {
 		core.Confirm(after(elapsed))
@@ -83,7 +83,7 @@
 			continue
 		}
 		writes++
-		require.GreaterOrEqual(t, elapsed, int(writeOwnAfter.Milliseconds()))
+		require.GreaterOrEqual(t, elapsed, int(ownWriteDelay.Milliseconds()))
 		require.Equal(t, []*apiv1.Balancer{core.config.Self}, write.Put)
 		core.WriteEnded(write, false, after(elapsed))
 	}
@@ -93,15 +93,15 @@
 // A balancer that its parent does not hear is removed once, and not while it is
 // only restarted or just listed.
 func TestSilentBalancerIsRemoved(t *testing.T) {
-	core := reader(t)
-	dead := core.tree.below[0]
+	core := newReader(t)
+	dead := core.tree.followers[0]
 	removedAt := -1
 	for elapsed := 0; elapsed < 35_000; elapsed += 50 {
 		now := after(elapsed)
 		core.Confirm(now)
 		core.NextPeer(now)
-		for _, other := range core.tree.below[1:] {
-			core.Heard(other.GetPeerAddress(), now)
+		for _, other := range core.tree.followers[1:] {
+			core.RecordActivity(other.GetPeerAddress(), now)
 		}
 		write, found := core.NextWrite(now)
 		if !found {
@@ -112,21 +112,21 @@
 		removedAt = elapsed
 		core.WriteEnded(write, true, now)
 	}
-	require.Greater(t, removedAt, int(silentAfter.Milliseconds()))
-	require.Less(t, removedAt, int(silentAfter.Milliseconds())+1000)
+	require.Greater(t, removedAt, int(removalTimeout.Milliseconds()))
+	require.Less(t, removedAt, int(removalTimeout.Milliseconds())+1000)
 }
 
-func TestReportOfASilentBalancerIsCheckedByTheReader(t *testing.T) {
-	core := reader(t)
-	below := core.tree.below
-	now := start.Add(time.Minute)
+func TestReaderChecksSilentReports(t *testing.T) {
+	core := newReader(t)
+	below := core.tree.followers
+	now := startTime.Add(time.Minute)
 	core.Confirm(now)
-	core.Heard(below[0].GetPeerAddress(), now)
-	core.TakeSilent([]string{below[0].GetName(), "edge-99", core.config.Self.GetName()}, now)
-	require.Empty(t, core.members.silent, "one was heard here, one is not listed, one is this one")
-	core.TakeSilent([]string{below[1].GetName()}, now)
-	require.Equal(t, []string{below[1].GetName()}, core.Silent(now))
-	require.Empty(t, core.Silent(now.Add(2*showFor)), "a report is passed on for a while only")
+	core.RecordActivity(below[0].GetPeerAddress(), now)
+	core.HandleSilentReport([]string{below[0].GetName(), "edge-99", core.config.Self.GetName()}, now)
+	require.Empty(t, core.members.silentReports, "one was heard here, one is not listed, one is this one")
+	core.HandleSilentReport([]string{below[1].GetName()}, now)
+	require.Equal(t, []string{below[1].GetName()}, core.SilentBalancers(now))
+	require.Empty(t, core.SilentBalancers(now.Add(2*forwardTTL)), "a report is passed on for a while only")
 }
 
 // Story: a balancer's entry was written and the store had said so, but the store came back from an
@@ -135,29 +135,29 @@
 //
 // Evidence: what was written counts as listed until the directory lists something new; a copy that
 // lacks it brings nothing new.
-func TestEntryThatAStoreLosesIsWrittenAgain(t *testing.T) {
-	core := reader(t)
+func TestEntryLostByRestoreIsWrittenAgain(t *testing.T) {
+	core := newReader(t)
 	joining := []*apiv1.Balancer{{Name: name(100), Zone: "maadi", PeerAddress: address(100)}}
-	core.TakeShown(joining, after(10))
+	core.AddUnlistedEntries(joining, after(10))
 	first, found := core.NextWrite(after(500))
 	require.True(t, found)
 	core.WriteEnded(first, false, after(510))
-	core.TakeShown(joining, after(600))
+	core.AddUnlistedEntries(joining, after(600))
 	_, found = core.NextWrite(after(800))
 	require.False(t, found, "it is written")
 
-	core.StoreRestored(zoneOf(3), after(900))
-	core.TakeShown(joining, after(910))
+	core.StoreRestored(newZone(3), after(900))
+	core.AddUnlistedEntries(joining, after(910))
 	again, found := core.NextWrite(after(1200))
 	require.True(t, found)
 	require.Equal(t, joining, again.Put)
 }
 
 // Lost policies are written one at a time, and one that can't be written holds up no other.
-func TestLostPoliciesAreWrittenByTheReader(t *testing.T) {
-	core := reader(t)
+func TestReaderWritesLostPolicies(t *testing.T) {
+	core := newReader(t)
 	lost := []directory.LostPolicy{{Policy: &apiv1.Policy{Name: "one"}}, {Policy: &apiv1.Policy{Name: "two"}}}
-	core.SetLost(lost)
+	core.SetLostPolicies(lost)
 	tried := make(map[string]bool)
 	for now := after(500); len(tried) < 2; now = now.Add(2 * time.Second) {
 		core.Confirm(now)
@@ -165,9 +165,9 @@
 		require.True(t, found)
 		tried[write.Policy.Policy.GetName()] = true
 		core.WriteEnded(write, true, now)
-		require.Less(t, now.Sub(start), time.Minute)
+		require.Less(t, now.Sub(startTime), time.Minute)
 	}
-	core.SetLost(nil)
+	core.SetLostPolicies(nil)
 	core.Confirm(after(70_000))
 	_, found := core.NextWrite(after(70_000))
 	require.False(t, found)
--- a/internal/replication/order.go
+++ b/internal/replication/order.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// What a balancer needs to serve DefaultTreeWidth followers without its own
+// What a balancer needs to serve DefaultTreeFanout followers without its own
 // traffic being held up: a large table of routes goes out to all of them at
 // once, and a large store comes in whole.
 const (
@@ -20,30 +20,30 @@
 // unknownTier ranks balancers whose strength is unknown behind the others.
 const unknownTier = math.MinInt32
 
-// byRank puts balancers in the order that all of them know: the strong ones
+// sortByRank puts balancers in the order that all of them know: the strong ones
 // first, those that are about as strong by a hash of their names.
-func byRank(balancers []*apiv1.Balancer) {
-	order := make([]ranking, 0, len(balancers))
+func sortByRank(balancers []*apiv1.Balancer) {
+	order := make([]rankKey, 0, len(balancers))
 	for _, b := range balancers {
-		order = append(order, rankingOf(b))
+		order = append(order, rankKeyOf(b))
 	}
-	slices.SortFunc(order, ranking.compare)
+	slices.SortFunc(order, rankKey.compare)
 	for place, ranked := range order {
 		balancers[place] = ranked.balancer
 	}
 }
 
-// ranking is what the order of balancers goes by, worked out once for each.
-type ranking struct {
+// rankKey is what the order of balancers goes by, worked out once for each.
+type rankKey struct {
 	balancer *apiv1.Balancer
 	tier     int
-	hash     uint64
+	nameHash uint64
 }
 
-func (r ranking) compare(other ranking) int {
+func (r rankKey) compare(other rankKey) int {
 	return cmp.Or(
 		cmp.Compare(other.tier, r.tier),
-		cmp.Compare(r.hash, other.hash),
+		cmp.Compare(r.nameHash, other.nameHash),
 		cmp.Compare(r.balancer.GetName(), other.balancer.GetName()),
 	)
 }
@@ -58,7 +58,7 @@
 	return int(math.Floor(math.Log2(strength)))
 }
 
-func rank(name string) uint64 {
+func nameHash(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	return hash.Sum64()
--- a/internal/replication/outage_test.go
+++ b/internal/replication/outage_test.go
@@ -12,87 +12,87 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// outage is balancers beside a store that answers nobody, in virtual time. One
+// storeOutage is balancers beside a store that answers nobody, in virtual time. One
 // step is ten milliseconds, which is also what a message takes.
-type outage struct {
+type storeOutage struct {
 	now   time.Time
 	nodes []*outageNode
 	// cutUntil is until when messages from one node to another are lost.
 	cutUntil map[[2]int]time.Time
 	calls    []*outageCall
-	chance   *rand.Rand
+	random   *rand.Rand
 	seeds    []string
 }
 
 type outageNode struct {
-	place    int
+	index    int
 	core     *Core
 	revision uint64
 	// startAt is when the node starts or has started; dark tells that nothing
 	// answers for it until then.
-	startAt time.Time
-	alive   bool
-	dark    bool
-	started int
+	startAt    time.Time
+	alive      bool
+	poweredOff bool
+	starts     int
 }
 
 type outageCall struct {
-	from, to *outageNode
-	started  int
-	peer     Peer
-	arrived  bool
-	sentAt   time.Time
-	expires  time.Time
+	from, to  *outageNode
+	starts    int
+	peer      Peer
+	delivered bool
+	sentAt    time.Time
+	deadline  time.Time
 }
 
 const (
-	outageStep = 10 * time.Millisecond
+	simulationStep = 10 * time.Millisecond
 	// followTime is how long a call may wait for news.
 	followTime = FollowWait
 )
 
-func newOutage(count int, seed uint64) *outage {
-	made := &outage{now: start, cutUntil: make(map[[2]int]time.Time), chance: rand.New(rand.NewPCG(seed, 1))}
+func newStoreOutage(count int, seed uint64) *storeOutage {
+	made := &storeOutage{now: startTime, cutUntil: make(map[[2]int]time.Time), random: rand.New(rand.NewPCG(seed, 1))}
 	for place := range min(count, 3) {
 		made.seeds = append(made.seeds, address(place))
 	}
 	for place := range count {
-		node := &outageNode{place: place}
+		node := &outageNode{index: place}
 		made.nodes = append(made.nodes, node)
 		made.start(node)
-		made.learn(node, 1, start)
+		made.apply(node, 1, startTime)
 	}
 	return made
 }
 
-func (o *outage) start(node *outageNode) {
+func (o *storeOutage) start(node *outageNode) {
 	node.core = NewCore(Config{
-		Self:  &apiv1.Balancer{Name: name(node.place), Zone: "maadi", PeerAddress: address(node.place)},
-		Seeds: o.seeds, Pace: NewPace(time.Second, 1400*time.Millisecond), TreeWidth: 16,
-		PeerPause: 2 * time.Second, BackoffLimit: time.Second,
-		StartPatience: 500 * time.Millisecond, AuditInterval: time.Minute,
-	}, o.chance, o.now)
-	node.core.SetBalancers(nil, start)
+		Self:  &apiv1.Balancer{Name: name(node.index), Zone: "maadi", PeerAddress: address(node.index)},
+		Seeds: o.seeds, Timing: NewTiming(time.Second, 1400*time.Millisecond), TreeFanout: 16,
+		PeerRetryDelay: 2 * time.Second, MaxBackoff: time.Second,
+		StartupWait: 500 * time.Millisecond, AuditInterval: time.Minute,
+	}, o.random, o.now)
+	node.core.SetBalancers(nil, startTime)
 	node.revision, node.alive, node.startAt = 0, true, o.now
-	node.started++
+	node.starts++
 }
 
-func (o *outage) learn(node *outageNode, revision uint64, confirmedAt time.Time) {
+func (o *storeOutage) apply(node *outageNode, revision uint64, confirmedAt time.Time) {
 	if revision == 0 {
 		return
 	}
 	node.core.Confirm(confirmedAt)
 	node.revision = max(node.revision, revision)
-	node.core.SetBalancers(zoneOf(len(o.nodes)), start)
+	node.core.SetBalancers(newZone(len(o.nodes)), startTime)
 }
 
-func (o *outage) cut(from, to *outageNode) bool {
-	return o.now.Before(o.cutUntil[[2]int{from.place, to.place}])
+func (o *storeOutage) isCut(from, to *outageNode) bool {
+	return o.now.Before(o.cutUntil[[2]int{from.index, to.index}])
 }
 
 // step makes the calls that are due and moves those under way.
-func (o *outage) step() {
-	o.now = o.now.Add(outageStep)
+func (o *storeOutage) step() {
+	o.now = o.now.Add(simulationStep)
 	for _, node := range o.nodes {
 		if !node.alive && !node.startAt.IsZero() && !o.now.Before(node.startAt) {
 			o.start(node)
@@ -105,124 +105,124 @@
 			if !found {
 				break
 			}
-			o.call(node, peer)
+			o.startCall(node, peer)
 		}
 	}
 	kept := o.calls[:0]
 	for _, call := range o.calls {
-		if !o.move(call) {
+		if !o.advanceCall(call) {
 			kept = append(kept, call)
 		}
 	}
 	o.calls = kept
 }
 
-func (o *outage) call(node *outageNode, peer Peer) {
-	made := &outageCall{from: node, started: node.started, peer: peer, sentAt: o.now, expires: o.now.Add(answerTimeout)}
+func (o *storeOutage) startCall(node *outageNode, peer Peer) {
+	made := &outageCall{from: node, starts: node.starts, peer: peer, sentAt: o.now, deadline: o.now.Add(replyTimeout)}
 	if peer.Waits() {
-		made.expires = o.now.Add(followTime + answerTimeout)
+		made.deadline = o.now.Add(followTime + replyTimeout)
 	}
 	for _, node := range o.nodes {
-		if address(node.place) == peer.Address {
+		if address(node.index) == peer.Address {
 			made.to = node
 		}
 	}
 	o.calls = append(o.calls, made)
 }
 
-// move tells whether a call has ended.
-func (o *outage) move(call *outageCall) bool {
-	if !call.from.alive || call.from.started != call.started {
+// advanceCall tells whether a call has ended.
+func (o *storeOutage) advanceCall(call *outageCall) bool {
+	if !call.from.alive || call.from.starts != call.starts {
 		// The connection of a balancer without power stays open at the other end.
-		over := !call.from.dark || !call.peer.Waits() || o.now.Sub(call.sentAt) >= followTime
-		if !over && call.arrived {
-			call.to.core.Heard(address(call.from.place), o.now)
+		over := !call.from.poweredOff || !call.peer.Waits() || o.now.Sub(call.sentAt) >= followTime
+		if !over && call.delivered {
+			call.to.core.RecordActivity(address(call.from.index), o.now)
 		}
 		return over
 	}
-	reached := call.to.alive && !o.cut(call.from, call.to) && !o.cut(call.to, call.from)
-	refused := !call.to.alive && !call.to.dark
-	dialing := !call.arrived && o.now.Sub(call.sentAt) >= 300*time.Millisecond
-	if refused || !reached && dialing || !o.now.Before(call.expires) {
+	reached := call.to.alive && !o.isCut(call.from, call.to) && !o.isCut(call.to, call.from)
+	refused := !call.to.alive && !call.to.poweredOff
+	dialing := !call.delivered && o.now.Sub(call.sentAt) >= 300*time.Millisecond
+	if refused || !reached && dialing || !o.now.Before(call.deadline) {
 		call.from.core.PeerFailed(call.peer, o.now)
 		return true
 	}
 	if !reached {
 		return false
 	}
-	if !call.arrived {
-		call.arrived = true
-		o.arrive(call)
+	if !call.delivered {
+		call.delivered = true
+		o.deliver(call)
 		return false
 	}
 	waits := call.peer.Waits() && o.now.Sub(call.sentAt) < followTime
 	news := call.to.revision > call.from.revision
 	if waits && !news {
-		call.to.core.Heard(address(call.from.place), o.now)
+		call.to.core.RecordActivity(address(call.from.index), o.now)
 		return false
 	}
 	o.answer(call)
 	return true
 }
 
-func (o *outage) arrive(call *outageCall) {
+func (o *storeOutage) deliver(call *outageCall) {
 	age, knows := call.from.core.Age(o.now)
 	shown := call.from.revision
-	if call.peer.Everything {
+	if call.peer.Full {
 		shown = 0
 	}
-	call.to.core.Called(Caller{Address: address(call.from.place), Knows: knows, Revision: shown,
+	call.to.core.CallReceived(Caller{Address: address(call.from.index), HasData: knows, Revision: shown,
 		ConfirmedAt: o.now.Add(-age)}, call.to.revision, o.now)
 }
 
-func (o *outage) answer(call *outageCall) {
+func (o *storeOutage) answer(call *outageCall) {
 	age, knows := call.to.core.Age(o.now)
 	if !knows {
 		call.from.core.PeerAnswered(call.peer, o.now.Add(-1000*time.Hour), o.now)
-		call.from.core.Learned(call.to.core.Callers())
+		call.from.core.AddCallers(call.to.core.Callers())
 		return
 	}
 	call.from.core.PeerAnswered(call.peer, o.now.Add(-age), o.now)
 	if call.peer.RevisionOnly {
 		return
 	}
-	o.learn(call.from, call.to.revision, o.now.Add(-age))
+	o.apply(call.from, call.to.revision, o.now.Add(-age))
 }
 
-// together tells whether two nodes have lived and reached each other for a time.
-func (o *outage) together(a, b *outageNode, since time.Duration) bool {
+// connectedFor tells whether two nodes have lived and reached each other for a time.
+func (o *storeOutage) connectedFor(a, b *outageNode, since time.Duration) bool {
 	for _, node := range []*outageNode{a, b} {
 		if !node.alive || o.now.Sub(node.startAt) < since {
 			return false
 		}
 	}
-	return o.now.Sub(o.cutUntil[[2]int{a.place, b.place}]) >= since && o.now.Sub(o.cutUntil[[2]int{b.place, a.place}]) >= since
+	return o.now.Sub(o.cutUntil[[2]int{a.index, b.index}]) >= since && o.now.Sub(o.cutUntil[[2]int{b.index, a.index}]) >= since
 }
 
 // The times within which a balancer that knows nothing learns from one in
 // reach, and one that knows less catches up with it: knowledge may be as old as
 // StaleAfter before anybody looks for younger one.
 const (
-	learnTime   = time.Second
-	catchUpTime = learnTime + 1400*time.Millisecond
+	firstDataTime = time.Second
+	catchUpTime   = firstDataTime + 1400*time.Millisecond
 )
 
-// behind describes a node that does not know what another one in reach has
+// describeBehind describes a node that does not know what another one in reach has
 // known for long enough, or is empty.
-func (o *outage) behind(knownSince map[int]time.Time) string {
+func (o *storeOutage) describeBehind(knownSince map[int]time.Time) string {
 	for _, knower := range o.nodes {
 		for _, other := range o.nodes {
 			limit := catchUpTime
 			switch {
-			case other.revision == 0 && !other.dark:
-				limit = learnTime
+			case other.revision == 0 && !other.poweredOff:
+				limit = firstDataTime
 			case other.revision == 0:
-				limit = learnTime + followTime
+				limit = firstDataTime + followTime
 			}
-			known := knower.alive && o.now.Sub(knownSince[knower.place]) >= limit
-			if known && other.revision < knower.revision && o.together(knower, other, limit) {
-				return fmt.Sprintf("at %v edge-%d knows %d, edge-%d beside it %d", o.now.Sub(start),
-					knower.place, knower.revision, other.place, other.revision)
+			known := knower.alive && o.now.Sub(knownSince[knower.index]) >= limit
+			if known && other.revision < knower.revision && o.connectedFor(knower, other, limit) {
+				return fmt.Sprintf("at %v edge-%d knows %d, edge-%d beside it %d", o.now.Sub(startTime),
+					knower.index, knower.revision, other.index, other.revision)
 			}
 		}
 	}
@@ -231,24 +231,24 @@
 
 // Whatever is killed, cut off or started again while the store answers nobody,
 // seeds included: who lives beside one that knows comes to know as much.
-func TestKnowledgeSpreadsInAnOutage(t *testing.T) {
+func TestDataSpreadsDuringOutage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 9).Draw(t, "balancers")
-		world := newOutage(count, rapid.Uint64().Draw(t, "chance"))
+		world := newStoreOutage(count, rapid.Uint64().Draw(t, "chance"))
 		knownSince := make(map[int]time.Time)
 		revisions := make(map[int]uint64)
 		most := 0
 		for second := range rapid.IntRange(2, 10).Draw(t, "seconds") {
-			world.disturb(t, second)
+			world.injectFaults(t, second)
 			before := len(world.calls)
 			for range 100 {
 				world.step()
 				for _, node := range world.nodes {
-					if revisions[node.place] != node.revision {
-						revisions[node.place], knownSince[node.place] = node.revision, world.now
+					if revisions[node.index] != node.revision {
+						revisions[node.index], knownSince[node.index] = node.revision, world.now
 					}
 				}
-				require.Empty(t, world.behind(knownSince))
+				require.Empty(t, world.describeBehind(knownSince))
 			}
 			most = max(most, len(world.calls)-before)
 		}
@@ -256,13 +256,13 @@
 	})
 }
 
-// disturb kills, cuts or informs some of the balancers.
-func (o *outage) disturb(t *rapid.T, second int) {
+// injectFaults kills, cuts or informs some of the balancers.
+func (o *storeOutage) injectFaults(t *rapid.T, second int) {
 	for place, node := range o.nodes {
 		label := fmt.Sprintf("%d s edge-%d", second, place)
 		switch rapid.IntRange(0, 9).Draw(t, label) {
 		case 0, 1, 2:
-			node.alive, node.dark = false, rapid.Bool().Draw(t, label+" dark")
+			node.alive, node.poweredOff = false, rapid.Bool().Draw(t, label+" dark")
 			dead := rapid.IntRange(0, 1500).Draw(t, label+" dead ms")
 			node.startAt = o.now.Add(time.Duration(dead) * time.Millisecond)
 			node.revision = 0
@@ -273,8 +273,8 @@
 		case 4:
 			// The store has answered this one alone.
 			if node.alive {
-				o.learn(node, uint64(second)+2, o.now)
-				node.core.PollSucceeded(PollPage, true, o.now)
+				o.apply(node, uint64(second)+2, o.now)
+				node.core.PollSucceeded(PollFirstPage, true, o.now)
 			}
 		}
 	}
@@ -282,11 +282,11 @@
 
 // What a balancer spends on telling does not grow with the number of those that
 // it does not hear.
-func TestTellingIsBounded(t *testing.T) {
+func TestAnnouncementsAreBounded(t *testing.T) {
 	for _, count := range []int{7, 2000} {
 		core := newCore(0)
-		core.SetBalancers(zoneOf(count), start)
-		core.Confirm(start)
+		core.SetBalancers(newZone(count), startTime)
+		core.Confirm(startTime)
 		calls := 0
 		for elapsed := 2000; elapsed < 12_000; elapsed += 50 {
 			now := after(elapsed)
@@ -295,7 +295,7 @@
 				if !found {
 					break
 				}
-				if peer.Purpose == PurposeTell {
+				if peer.Purpose == PurposeAnnounce {
 					calls++
 				}
 				core.PeerFailed(peer, now)
@@ -307,20 +307,20 @@
 
 // A balancer that has had nobody to seek for long finds one that was lost just now
 // as fast as in a hurry. At a calm pace it was 1.2 s later, and the second of two
-// lost ones later still (found once by TestKnowledgeSpreadsInAnOutage).
-func TestThoseLostJustNowAreToldAtOnce(t *testing.T) {
-	core := reader(t)
-	below := core.tree.below
+// lost ones later still (found once by TestDataSpreadsDuringOutage).
+func TestNewlySilentBalancersAreAnnouncedToPromptly(t *testing.T) {
+	core := newReader(t)
+	below := core.tree.followers
 	told := make(map[string]int)
 	for elapsed := 0; elapsed < 20_000; elapsed += 10 {
 		now := after(elapsed)
 		core.Confirm(now)
 		if elapsed >= 5000 && elapsed < 10_000 {
-			core.Heard(below[0].GetPeerAddress(), now)
-			core.Heard(below[1].GetPeerAddress(), now)
+			core.RecordActivity(below[0].GetPeerAddress(), now)
+			core.RecordActivity(below[1].GetPeerAddress(), now)
 		}
 		peer, found := core.NextPeer(now)
-		if !found || peer.Purpose != PurposeTell {
+		if !found || peer.Purpose != PurposeAnnounce {
 			continue
 		}
 		if elapsed >= 10_000 && told[peer.Address] == 0 {
@@ -330,27 +330,27 @@
 		core.PeerAnswered(peer, now, now)
 	}
 	for _, b := range below {
-		require.Less(t, told[b.GetPeerAddress()], 10_000+int(lostAfter.Milliseconds())+200, b.GetName())
+		require.Less(t, told[b.GetPeerAddress()], 10_000+int(activityTimeout.Milliseconds())+200, b.GetName())
 	}
 }
 
 // A calm day costs no call that tells, as long as the calls of followers wait.
-func TestNobodyIsToldOnACalmDay(t *testing.T) {
+func TestNoAnnouncementsWhileAllAreActive(t *testing.T) {
 	const count = 12
 	for place := range count {
 		core := newCore(place)
-		core.SetBalancers(zoneOf(count), start)
+		core.SetBalancers(newZone(count), startTime)
 		for elapsed := 0; elapsed < 30_000; elapsed += 50 {
 			now := after(elapsed)
 			core.Confirm(now)
 			for other := range count {
 				if other != place {
-					core.Heard(address(other), now)
+					core.RecordActivity(address(other), now)
 				}
 			}
 			peer, found := core.NextPeer(now)
 			if found {
-				require.NotEqual(t, PurposeTell, peer.Purpose)
+				require.NotEqual(t, PurposeAnnounce, peer.Purpose)
 				core.PeerAnswered(peer, now, now)
 			}
 		}
@@ -358,9 +358,9 @@
 }
 
 // Asking brings word of who knows; everything is fetched from one of them.
-func TestFreshBalancerFetchesEverythingOnce(t *testing.T) {
+func TestNewBalancerFetchesFullStateOnce(t *testing.T) {
 	core := newCore(1, address(7), address(8), address(9))
-	core.SetBalancers(nil, start)
+	core.SetBalancers(nil, startTime)
 	var asked []Peer
 	ask := func(now time.Time) int {
 		for {
@@ -368,7 +368,7 @@
 			if !found {
 				return len(asked)
 			}
-			require.Equal(t, PurposeAsk, peer.Purpose)
+			require.Equal(t, PurposeProbe, peer.Purpose)
 			require.True(t, peer.RevisionOnly)
 			asked = append(asked, peer)
 		}
@@ -380,7 +380,7 @@
 	core.PeerAnswered(asked[2], after(-5000), after(162))
 	peer, found := core.NextPeer(after(163))
 	require.True(t, found)
-	require.Equal(t, Peer{Address: address(8), Purpose: PurposeFetch, Everything: true}, peer)
+	require.Equal(t, Peer{Address: address(8), Purpose: PurposeFetch, Full: true}, peer)
 	core.PeerAnswered(peer, after(-5000), after(170))
 	core.Confirm(after(-5000))
 	for {
@@ -394,7 +394,7 @@
 
 // What a seed knows is fetched from it at once where the store has refused to say
 // whom to follow, and not while it may.
-func TestSeedIsFetchedFromOnlyWhereTheStoreDoesNotAnswer(t *testing.T) {
+func TestSeedIsFetchedFromOnlyWithoutStore(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		core := newCore(1, address(7))
 		core.PollStarted(PollMembers, after(0))
@@ -419,7 +419,7 @@
 
 // After an outage, all balancers of a large site read the whole store, each over
 // its own link, and served 2 s later than the store did.
-func TestLargeSiteLeavesTheStoreToItsReadersAfterAnOutage(t *testing.T) {
+func TestOnlyReadersReadStoreAfterOutageOfLargeSite(t *testing.T) {
 	readers, soon := 0, 0
 	for place := range 40 {
 		core := newCore(place, address(1))
@@ -428,7 +428,7 @@
 		core.PollFailed(after(1000))
 		require.Equal(t, PollMembers, core.NextPoll(after(2000)))
 		core.PollStarted(PollMembers, after(2000))
-		core.SetBalancers(zoneOf(40), start)
+		core.SetBalancers(newZone(40), startTime)
 		core.PollSucceeded(PollMembers, false, after(2010))
 		if core.NextPoll(after(2011)) == PollSnapshot {
 			readers++
@@ -436,20 +436,20 @@
 		}
 		require.Equal(t, PollNone, core.NextPoll(after(2011)))
 		longest := 2510 + 500
-		if core.tree.place >= startStandbys {
-			longest = 2510 + 40*1000/startReadsPerSecond
+		if core.tree.position >= startupStandbys {
+			longest = 2510 + 40*1000/startupReadsPerSecond
 		}
-		if core.NextPoll(after(3100)) == PollOld {
+		if core.NextPoll(after(3100)) == PollStaleSnapshot {
 			soon++
 		}
-		require.Equal(t, PollOld, core.NextPoll(after(longest)), "patience ends")
+		require.Equal(t, PollStaleSnapshot, core.NextPoll(after(longest)), "patience ends")
 	}
 	require.Equal(t, 1, readers)
 	require.LessOrEqual(t, soon, 8, "two in a second, and the standbys")
 	small := newCore(1, address(1))
 	small.config.SharedOrderLimit = 16
 	small.PollFailed(after(0))
-	small.SetBalancers(zoneOf(8), start)
+	small.SetBalancers(newZone(8), startTime)
 	small.PollSucceeded(PollMembers, false, after(2010))
 	require.Equal(t, PollSnapshot, small.NextPoll(after(2011)), "a small site reads at once")
 }
--- a/internal/replication/packing.go
+++ b/internal/replication/packing.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// packedRoutesLimit is from how many routes on a table is packed.
-	packedRoutesLimit = 32
+	// minPackedRoutes is from how many routes on a table is packed.
+	minPackedRoutes = 32
 	// unpackedLimit bounds the size in bytes of a table that is unpacked.
 	unpackedLimit = 64 << 20
 )
@@ -18,17 +18,17 @@
 // Packer packs large tables of routes in batches for followers. A table goes
 // to many followers, so the last one is kept packed.
 type Packer struct {
-	routes, packed *apiv1.DirectoryChange
+	packedFrom, packed *apiv1.DirectoryChange
 }
 
 // Pack returns a batch in which a large table of routes is packed. The given
 // batch is not changed.
 func (p *Packer) Pack(batch *apiv1.DirectoryBatch) (*apiv1.DirectoryBatch, error) {
 	for place, change := range batch.GetChanges() {
-		if len(change.GetRoutes().GetRoutes()) < packedRoutesLimit {
+		if len(change.GetRoutes().GetRoutes()) < minPackedRoutes {
 			continue
 		}
-		packed, err := p.packedForm(change)
+		packed, err := p.packChange(change)
 		if err != nil {
 			return nil, err
 		}
@@ -39,15 +39,15 @@
 	return batch, nil
 }
 
-func (p *Packer) packedForm(change *apiv1.DirectoryChange) (*apiv1.DirectoryChange, error) {
-	if p.routes == change {
+func (p *Packer) packChange(change *apiv1.DirectoryChange) (*apiv1.DirectoryChange, error) {
+	if p.packedFrom == change {
 		return p.packed, nil
 	}
 	encoded, err := proto.Marshal(change.GetRoutes())
 	if err != nil {
 		return nil, errors.Wrap(err, "peers: pack routes")
 	}
-	p.routes = change
+	p.packedFrom = change
 	p.packed = &apiv1.DirectoryChange{
 		Revision: change.GetRevision(),
 		Gone:     change.GetGone(),
--- a/internal/replication/packing_test.go
+++ b/internal/replication/packing_test.go
@@ -10,7 +10,7 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-func tableOf(count int) *apiv1.DirectoryBatch {
+func routesBatch(count int) *apiv1.DirectoryBatch {
 	table := &apiv1.RouteTable{Version: 9, IdleMilliseconds: 12000}
 	for place := range count {
 		table.Routes = append(table.Routes, &apiv1.ServiceRoute{
@@ -27,7 +27,7 @@
 // A configuration of 3,000 routes filled the link of a balancer that sent it to
 // its followers, 150 KB to each.
 func TestLargeTablesArePacked(t *testing.T) {
-	batch := tableOf(3000)
+	batch := routesBatch(3000)
 	whole := proto.Size(batch)
 	kept := proto.CloneOf(batch)
 	packer := &Packer{}
@@ -43,15 +43,15 @@
 	require.True(t, proto.Equal(kept, received))
 }
 
-func TestSmallTablesStayAsTheyAre(t *testing.T) {
-	batch := tableOf(8)
+func TestSmallTablesAreNotPacked(t *testing.T) {
+	batch := routesBatch(8)
 	packed, err := (&Packer{}).Pack(batch)
 	require.NoError(t, err)
 	require.Same(t, batch, packed)
 	require.NoError(t, Unpack(batch))
 }
 
-func TestDamagedTablesAreRefused(t *testing.T) {
+func TestCorruptTablesAreRejected(t *testing.T) {
 	for _, damaged := range [][]byte{nil, {0xff}, {0xff, 0xff, 0xff, 0xff, 0x0f, 1}, []byte("no table")} {
 		batch := &apiv1.DirectoryBatch{Changes: []*apiv1.DirectoryChange{
 			{Revision: 1, Entry: &apiv1.DirectoryChange_PackedRoutes{PackedRoutes: damaged}}}}
--- a/internal/replication/pages.go
+++ b/internal/replication/pages.go
@@ -13,7 +13,7 @@
 
 // All that is known does not fit into one answer where back ends are many: with ten thousand
 // it is some 0.8 MB, which a strong balancer sends to 21 followers in 0.7 s, and none of them
-// waits longer than answerTimeout. Then each began anew, and nobody was ever told: after a
+// waits longer than replyTimeout. Then each began anew, and nobody was ever told: after a
 // kill of all 985 balancers none served for the 6 s that were played. So it is sent in pages, each within the
 // time of an answer whatever there is to tell: the time of a page rests on the link and the
 // number of followers, and their number alone on the size. They are packed once for all
@@ -23,11 +23,11 @@
 	// pageBytes is up to how many bytes of changes make a page, before it is packed. The 32
 	// followers of one at 20 Mbit/s, a weak one, get pages of half as much within 0.42 s.
 	pageBytes = 64 << 10
-	// pagesFor is for how long pages are kept: their followers are weak, and many.
-	pagesFor = 5 * time.Second
-	// pagesReused is for how long pages are given to further followers, though there is
+	// pagesTTL is for how long pages are kept: their followers are weak, and many.
+	pagesTTL = 5 * time.Second
+	// pagesReuseTTL is for how long pages are given to further followers, though there is
 	// news since, which they are told next.
-	pagesReused = time.Second
+	pagesReuseTTL = time.Second
 )
 
 // Pages is all that was known at one time, cut into pages. It is immutable.
@@ -37,14 +37,14 @@
 	ConfirmedAt time.Time
 	// ID tells these pages from others of the same revision, whose changes may come in
 	// another order, and from those of an earlier process at the same address.
-	ID     uint64
-	madeAt time.Time
-	packed [][]byte
+	ID        uint64
+	createdAt time.Time
+	packed    [][]byte
 }
 
 // NewPages cuts a complete batch into pages.
 func NewPages(batch *apiv1.DirectoryBatch, confirmedAt, now time.Time) (*Pages, error) {
-	made := &Pages{Revision: batch.GetRevision(), ConfirmedAt: confirmedAt, ID: uint64(now.UnixNano()), madeAt: now}
+	made := &Pages{Revision: batch.GetRevision(), ConfirmedAt: confirmedAt, ID: uint64(now.UnixNano()), createdAt: now}
 	page, size := &apiv1.DirectoryBatch{}, 0
 	for _, change := range batch.GetChanges() {
 		page.Changes = append(page.Changes, change)
@@ -78,10 +78,10 @@
 }
 
 // Reusable tells whether further followers may be given these pages.
-func (p *Pages) Reusable(now time.Time) bool { return now.Sub(p.madeAt) < pagesReused }
+func (p *Pages) Reusable(now time.Time) bool { return now.Sub(p.createdAt) < pagesReuseTTL }
 
-// Old tells whether nobody needs these pages any more.
-func (p *Pages) Old(now time.Time) bool { return now.Sub(p.madeAt) >= pagesFor }
+// Expired tells whether nobody needs these pages any more.
+func (p *Pages) Expired(now time.Time) bool { return now.Sub(p.createdAt) >= pagesTTL }
 
 // unpackPage returns the changes of a page.
 func unpackPage(page *apiv1.Page) ([]*apiv1.DirectoryChange, error) {
@@ -103,8 +103,8 @@
 	return batch.GetChanges(), nil
 }
 
-// pageTries is how often one page is asked for.
-const pageTries = 2
+// pageAttempts is how often one page is asked for.
+const pageAttempts = 2
 
 // fetchPages completes an answer of which the first page has come.
 func (c *Client) fetchPages(ctx context.Context, address string, reply *apiv1.FollowReply) error {
@@ -138,8 +138,8 @@
 		return err
 	}
 	var err error
-	for range pageTries {
-		if _, err = c.try(ctx, address, answerTimeout, call); err == nil {
+	for range pageAttempts {
+		if _, err = c.attempt(ctx, address, replyTimeout, call); err == nil {
 			break
 		}
 	}
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -29,7 +29,7 @@
 	if err := apiv1.DRPCRegisterDirectory(mux, handler); err != nil {
 		return errors.Wrap(err, "peers: register")
 	}
-	err := drpcserver.New(mux).Serve(ctx, boundedListener{listener})
+	err := drpcserver.New(mux).Serve(ctx, idleTimeoutListener{listener})
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -42,13 +42,13 @@
 const (
 	// dialTimeout bounds the making of a connection.
 	dialTimeout = 300 * time.Millisecond
-	// startDialTimeout bounds the first try of it by a balancer that knows nothing: its
+	// startupDialTimeout bounds the first try of it by a balancer that knows nothing: its
 	// clients wait meanwhile, and a machine without power says nothing. The last of
-	// startStandbys so finds the two above it without power within half of parentTime,
+	// startupStandbys so finds the two above it without power within half of parentOnlyPeriod,
 	// with a fifth of that to spare; the other half is for reading and telling.
-	startDialTimeout = 80 * time.Millisecond
-	// answerTimeout is what a call may take beyond the time it asks to wait.
-	answerTimeout = 500 * time.Millisecond
+	startupDialTimeout = 80 * time.Millisecond
+	// replyTimeout is what a call may take beyond the time it asks to wait.
+	replyTimeout = 500 * time.Millisecond
 	// FollowWait is how long a call to a peer waits for news. While the store
 	// answers there is some twice a second, so the wait ends calls in its outages
 	// only.
@@ -58,19 +58,19 @@
 // Client calls one other balancer at a time and keeps the connection to it.
 type Client struct {
 	logger *slog.Logger
-	// DialTime bounds the making of a connection.
-	DialTime   time.Duration
-	mutex      sync.Mutex
-	address    string
-	connection *drpcconn.Conn
-	// used is set once the connection has brought an answer.
-	used bool
-	// GivenUp counts connections that went silent.
-	GivenUp atomic.Uint64
+	// DialTimeout bounds the making of a connection.
+	DialTimeout time.Duration
+	mutex       sync.Mutex
+	address     string
+	connection  *drpcconn.Conn
+	// hasReplied is set once the connection has brought an answer.
+	hasReplied bool
+	// SilentConnections counts connections that went silent.
+	SilentConnections atomic.Uint64
 }
 
 // NewClient makes a client without a connection.
-func NewClient(logger *slog.Logger) *Client { return &Client{logger: logger, DialTime: dialTimeout} }
+func NewClient(logger *slog.Logger) *Client { return &Client{logger: logger, DialTimeout: dialTimeout} }
 
 // Follow calls the balancer at an address. A call that fails or takes too long
 // closes the connection. One that took too long on a connection that had brought
@@ -89,10 +89,10 @@
 		return Unpack(reply.GetBatch())
 	}
 	wait := time.Duration(request.GetWaitMilliseconds()) * time.Millisecond
-	silent, err := c.try(ctx, address, wait+answerTimeout, call)
+	silent, err := c.attempt(ctx, address, wait+replyTimeout, call)
 	if silent {
 		request.WaitMilliseconds = 0
-		err = c.tryAnew(ctx, address, call)
+		err = c.retry(ctx, address, call)
 	}
 	if err == nil {
 		err = c.fetchPages(ctx, address, reply)
@@ -111,27 +111,27 @@
 		_, err := directory.Testify(ctx, request)
 		return err
 	}
-	silent, err := c.try(ctx, address, answerTimeout, call)
+	silent, err := c.attempt(ctx, address, replyTimeout, call)
 	if silent {
-		err = c.tryAnew(ctx, address, call)
+		err = c.retry(ctx, address, call)
 	}
 	return errors.Wrapf(err, "peer %s: testify", address)
 }
 
-// tryAnew makes the second of two calls, whose connection is new: dial and answer
-// together take answerTimeout, so that news comes within 2 s also where the dial is
+// retry makes the second of two calls, whose connection is new: dial and answer
+// together take replyTimeout, so that news comes within 2 s also where the dial is
 // slow.
-func (c *Client) tryAnew(ctx context.Context, address string, call func(context.Context, apiv1.DRPCDirectoryClient) error) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+func (c *Client) retry(ctx context.Context, address string, call func(context.Context, apiv1.DRPCDirectoryClient) error) error {
+	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
-	_, err := c.try(ctx, address, answerTimeout, call)
+	_, err := c.attempt(ctx, address, replyTimeout, call)
 	return err
 }
 
-// try makes a call once, within a limit, and closes the connection if it fails. It
+// attempt makes a call once, within a limit, and closes the connection if it fails. It
 // tells whether the connection may have gone silent: it had brought answers before,
 // and now none in time.
-func (c *Client) try(ctx context.Context, address string, limit time.Duration,
+func (c *Client) attempt(ctx context.Context, address string, limit time.Duration,
 	call func(context.Context, apiv1.DRPCDirectoryClient) error) (silent bool, err error) {
 	connection, used, err := c.connect(ctx, address)
 	if err != nil {
@@ -141,13 +141,13 @@
 	defer cancel()
 	err = call(bounded, apiv1.NewDRPCDirectoryClient(connection))
 	if err == nil {
-		c.setUsed()
+		c.markReplied()
 		return false, nil
 	}
 	c.Close()
 	silent = used && ctx.Err() == nil && errors.Is(bounded.Err(), context.DeadlineExceeded)
 	if silent {
-		c.GivenUp.Add(1)
+		c.SilentConnections.Add(1)
 		c.logger.Info("Peers: connection is silent, a new one is tried.", "peer", address, "after", limit)
 	}
 	return silent, err
@@ -158,21 +158,21 @@
 func (c *Client) connect(ctx context.Context, address string) (*drpcconn.Conn, bool, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.connection != nil && c.address == address && !hasEnded(c.connection) {
-		return c.connection, c.used, nil
+	if c.connection != nil && c.address == address && !isClosed(c.connection) {
+		return c.connection, c.hasReplied, nil
 	}
 	c.closeLocked()
-	dialer := &net.Dialer{Timeout: c.DialTime}
+	dialer := &net.Dialer{Timeout: c.DialTimeout}
 	socket, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, false, errors.Wrapf(err, "peer %s: dial", address)
 	}
-	c.address, c.connection, c.used = address, drpcconn.New(socket), false
+	c.address, c.connection, c.hasReplied = address, drpcconn.New(socket), false
 	return c.connection, false, nil
 }
 
-// hasEnded tells whether the other side has closed a connection meanwhile.
-func hasEnded(connection *drpcconn.Conn) bool {
+// isClosed tells whether the other side has closed a connection meanwhile.
+func isClosed(connection *drpcconn.Conn) bool {
 	select {
 	case <-connection.Closed():
 		return true
@@ -181,10 +181,10 @@
 	}
 }
 
-func (c *Client) setUsed() {
+func (c *Client) markReplied() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.used = true
+	c.hasReplied = true
 }
 
 // Close closes the connection; the next call opens one.
