--- a/internal/replication/silent_test.go
+++ b/internal/replication/silent_test.go
@@ -21,9 +21,9 @@
 
 // waitingHandler answers a call after the time that it asks to wait.
 type waitingHandler struct {
-	mutex sync.Mutex
-	calls []*apiv1.FollowRequest
-	gone  int
+	mutex    sync.Mutex
+	calls    []*apiv1.FollowRequest
+	canceled int
 }
 
 func (h *waitingHandler) Follow(ctx context.Context, request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
@@ -35,7 +35,7 @@
 		return &apiv1.FollowReply{Batch: &apiv1.DirectoryBatch{Revision: 7}}, nil
 	case <-ctx.Done():
 		h.mutex.Lock()
-		h.gone++
+		h.canceled++
 		h.mutex.Unlock()
 		return nil, ctx.Err()
 	}
@@ -45,15 +45,15 @@
 	return &apiv1.TestifyReply{}, nil
 }
 
-func (h *waitingHandler) seen() (calls, gone int) {
+func (h *waitingHandler) counts() (calls, gone int) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return len(h.calls), h.gone
+	return len(h.calls), h.canceled
 }
 
-// peerBehind is a balancer that answers calls, behind connections that can go
+// startProxiedPeer is a balancer that answers calls, behind connections that can go
 // silent.
-func peerBehind(t *testing.T) (*waitingHandler, *swallow.Proxy) {
+func startProxiedPeer(t *testing.T) (*waitingHandler, *swallow.Proxy) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	proxy, err := swallow.Start(listener.Addr().String())
@@ -70,36 +70,36 @@
 	return handler, proxy
 }
 
-func newQuietClient(t *testing.T) *Client {
+func newTestClient(t *testing.T) *Client {
 	client := NewClient(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(client.Close)
 	return client
 }
 
-// follow makes a call that waits for so long.
-func follow(client *Client, address string, wait time.Duration) (*apiv1.FollowReply, error) {
-	reply, _, err := client.Follow(context.Background(), address, waiting(wait))
+// followFor makes a call that waits for so long.
+func followFor(client *Client, address string, wait time.Duration) (*apiv1.FollowReply, error) {
+	reply, _, err := client.Follow(context.Background(), address, followRequest(wait))
 	return reply, err
 }
 
-func waiting(wait time.Duration) *apiv1.FollowRequest {
+func followRequest(wait time.Duration) *apiv1.FollowRequest {
 	return &apiv1.FollowRequest{WaitMilliseconds: uint32(wait.Milliseconds())}
 }
 
 // A connection that goes silent under a call that waits is given up after its wait
 // and the time for an answer, and the same call brings news on a new one.
-func TestFollowOverASilentConnectionBringsNews(t *testing.T) {
-	handler, proxy := peerBehind(t)
-	client := newQuietClient(t)
-	_, err := follow(client, proxy.Address(), 0)
+func TestFollowRetriesOverNewConnection(t *testing.T) {
+	handler, proxy := startProxiedPeer(t)
+	client := newTestClient(t)
+	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
 	time.AfterFunc(50*time.Millisecond, func() { proxy.Silence(swallow.There, swallow.Back) })
 	began := time.Now()
-	reply, sentAt, err := client.Follow(context.Background(), proxy.Address(), waiting(FollowWait))
+	reply, sentAt, err := client.Follow(context.Background(), proxy.Address(), followRequest(FollowWait))
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), reply.GetBatch().GetRevision())
-	require.Less(t, time.Since(began), FollowWait+2*answerTimeout, "news within 2 s")
-	require.GreaterOrEqual(t, sentAt.Sub(began), FollowWait+answerTimeout, "the call that was answered")
+	require.Less(t, time.Since(began), FollowWait+2*replyTimeout, "news within 2 s")
+	require.GreaterOrEqual(t, sentAt.Sub(began), FollowWait+replyTimeout, "the call that was answered")
 	require.Equal(t, 2, proxy.Accepted())
 	handler.mutex.Lock()
 	defer handler.mutex.Unlock()
@@ -109,35 +109,35 @@
 }
 
 // The caller's request is as it was, also after a second call.
-func TestFollowLeavesTheRequest(t *testing.T) {
-	_, proxy := peerBehind(t)
-	client := newQuietClient(t)
-	_, err := follow(client, proxy.Address(), 0)
+func TestFollowDoesNotModifyRequest(t *testing.T) {
+	_, proxy := startProxiedPeer(t)
+	client := newTestClient(t)
+	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
 	proxy.Silence(swallow.There, swallow.Back)
-	request := waiting(100 * time.Millisecond)
+	request := followRequest(100 * time.Millisecond)
 	_, _, err = client.Follow(context.Background(), proxy.Address(), request)
 	require.NoError(t, err)
-	require.True(t, proto.Equal(waiting(100*time.Millisecond), request))
+	require.True(t, proto.Equal(followRequest(100*time.Millisecond), request))
 }
 
 // onceListener takes one connection and no more, so that later ones are not made.
 type onceListener struct {
 	net.Listener
-	taken atomic.Bool
-	over  chan struct{}
+	accepted atomic.Bool
+	closed   chan struct{}
 }
 
 func (l *onceListener) Accept() (net.Conn, error) {
-	if l.taken.Swap(true) {
-		<-l.over
+	if l.accepted.Swap(true) {
+		<-l.closed
 		return nil, net.ErrClosed
 	}
 	return l.Listener.Accept()
 }
 
-// listenWithoutQueue listens, with room for one connection that is not yet taken.
-func listenWithoutQueue(t *testing.T) net.Listener {
+// listenWithMinimalBacklog listens, with room for one connection that is not yet taken.
+func listenWithMinimalBacklog(t *testing.T) net.Listener {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -150,8 +150,8 @@
 	return listener
 }
 
-// fill makes connections until one more is not made.
-func fill(t *testing.T, address string) {
+// fillBacklog makes connections until one more is not made.
+func fillBacklog(t *testing.T, address string) {
 	for range 10 {
 		socket, err := net.DialTimeout("tcp4", address, 100*time.Millisecond)
 		if err != nil {
@@ -164,37 +164,37 @@
 
 // The second call's dial counts to its limit: one that takes all the time for dials
 // left its answer 0.5 s more, and news came after 2.3 s.
-func TestSecondCallBoundsDialAndAnswer(t *testing.T) {
-	listener := listenWithoutQueue(t)
-	once := &onceListener{Listener: listener, over: make(chan struct{})}
+func TestRetryBoundsDialAndReply(t *testing.T) {
+	listener := listenWithMinimalBacklog(t)
+	once := &onceListener{Listener: listener, closed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- Serve(ctx, once, &waitingHandler{}) }()
 	t.Cleanup(func() {
 		cancel()
-		close(once.over)
+		close(once.closed)
 		<-done
 	})
-	client := newQuietClient(t)
-	client.DialTime = 5 * time.Second
-	_, err := follow(client, listener.Addr().String(), 0)
+	client := newTestClient(t)
+	client.DialTimeout = 5 * time.Second
+	_, err := followFor(client, listener.Addr().String(), 0)
 	require.NoError(t, err)
-	fill(t, listener.Addr().String())
+	fillBacklog(t, listener.Addr().String())
 	silent := func(ctx context.Context, _ apiv1.DRPCDirectoryClient) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	began := time.Now()
-	given, err := client.try(context.Background(), listener.Addr().String(), answerTimeout, silent)
+	given, err := client.attempt(context.Background(), listener.Addr().String(), replyTimeout, silent)
 	require.Error(t, err)
 	require.True(t, given, "it had brought an answer")
-	require.Error(t, client.tryAnew(context.Background(), listener.Addr().String(), silent))
-	require.Less(t, time.Since(began), 3*answerTimeout)
+	require.Error(t, client.retry(context.Background(), listener.Addr().String(), silent))
+	require.Less(t, time.Since(began), 3*replyTimeout)
 }
 
-func TestTestifyOverASilentConnectionIsToldAnew(t *testing.T) {
-	_, proxy := peerBehind(t)
-	client := newQuietClient(t)
+func TestTestifyRetriesOverNewConnection(t *testing.T) {
+	_, proxy := startProxiedPeer(t)
+	client := newTestClient(t)
 	require.NoError(t, client.Testify(context.Background(), proxy.Address(), &apiv1.TestifyRequest{}))
 	proxy.Silence(swallow.There, swallow.Back)
 	require.NoError(t, client.Testify(context.Background(), proxy.Address(), &apiv1.TestifyRequest{}))
@@ -203,38 +203,38 @@
 
 // A peer that is dead, and not only silent on a connection, costs one call on a new
 // connection and no more.
-func TestCallOnANewConnectionIsNotRepeated(t *testing.T) {
-	handler, proxy := peerBehind(t)
-	client := newQuietClient(t)
+func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
+	handler, proxy := startProxiedPeer(t)
+	client := newTestClient(t)
 	time.AfterFunc(50*time.Millisecond, func() { proxy.Silence(swallow.There, swallow.Back) })
-	_, err := follow(client, proxy.Address(), 200*time.Millisecond)
+	_, err := followFor(client, proxy.Address(), 200*time.Millisecond)
 	require.Error(t, err)
-	calls, _ := handler.seen()
+	calls, _ := handler.counts()
 	require.Equal(t, 1, calls)
 }
 
 // A follower that has fallen silent leaves nothing behind at the one that it
 // followed: neither the call that waits nor the connection.
-func TestSilentFollowerIsGivenUp(t *testing.T) {
-	handler, proxy := peerBehind(t)
-	client := newQuietClient(t)
+func TestSilentFollowerIsDisconnected(t *testing.T) {
+	handler, proxy := startProxiedPeer(t)
+	client := newTestClient(t)
 	time.AfterFunc(50*time.Millisecond, func() { proxy.Silence(swallow.There, swallow.Back) })
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_, _, err := client.Follow(ctx, proxy.Address(), waiting(30*time.Second))
+	_, _, err := client.Follow(ctx, proxy.Address(), followRequest(30*time.Second))
 	require.Error(t, err)
-	require.Eventually(t, func() bool { _, gone := handler.seen(); return gone == 1 },
-		silentFollower+time.Second, 20*time.Millisecond)
-	require.Less(t, time.Since(began), silentFollower+time.Second)
+	require.Eventually(t, func() bool { _, gone := handler.counts(); return gone == 1 },
+		idleTimeout+time.Second, 20*time.Millisecond)
+	require.Less(t, time.Since(began), idleTimeout+time.Second)
 }
 
 // A connection that the other side has ended meanwhile, as when it restarts, costs no
 // call: the next one is made on a new connection.
-func TestEndedConnectionIsNotUsedAgain(t *testing.T) {
-	_, proxy := peerBehind(t)
-	client := newQuietClient(t)
-	_, err := follow(client, proxy.Address(), 0)
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	_, proxy := startProxiedPeer(t)
+	client := newTestClient(t)
+	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
 	proxy.End()
 	select {
@@ -242,17 +242,17 @@
 	case <-time.After(2 * time.Second):
 		require.Fail(t, "the end is not seen")
 	}
-	_, err = follow(client, proxy.Address(), 0)
+	_, err = followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
 	require.Equal(t, 2, proxy.Accepted())
-	require.Zero(t, client.GivenUp.Load(), "it was not silent")
+	require.Zero(t, client.SilentConnections.Load(), "it was not silent")
 }
 
 // A follower that takes nothing does not hold the answer to it for good.
-func TestAnswerThatDoesNotLeaveIsGivenUp(t *testing.T) {
+func TestBlockedReplyTimesOut(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	listener := boundedListener{inner}
+	listener := idleTimeoutListener{inner}
 	t.Cleanup(func() { _ = listener.Close() })
 	follower, err := net.Dial("tcp4", listener.Addr().String())
 	require.NoError(t, err)
@@ -272,7 +272,7 @@
 	select {
 	case err := <-outcome:
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	case <-time.After(silentFollower + 2*time.Second):
+	case <-time.After(idleTimeout + 2*time.Second):
 		require.Fail(t, "the answer still waits to leave")
 	}
 }
--- a/internal/replication/start_test.go
+++ b/internal/replication/start_test.go
@@ -10,7 +10,7 @@
 // The first try at a balancer is short, since a machine without power says nothing; a
 // link whose queues take longer is reached by the third one at the latest. With the
 // first time alone a balancer that knows nothing never reached anybody over such links.
-func TestDialTimeGrowsWithFailures(t *testing.T) {
+func TestDialTimeoutGrowsWithFailures(t *testing.T) {
 	core := newCore(1, address(7), address(8))
 	core.PollStarted(PollMembers, after(0))
 	var times []time.Duration
@@ -21,38 +21,38 @@
 			continue
 		}
 		if peer.Address == address(7) {
-			times = append(times, core.DialTime(peer.Address))
+			times = append(times, core.DialTimeout(peer.Address))
 		}
 		core.PeerFailed(peer, after(elapsed))
 	}
-	require.Equal(t, []time.Duration{startDialTimeout, 2 * startDialTimeout, dialTimeout, dialTimeout}, times)
-	require.Equal(t, startDialTimeout, core.DialTime(address(9)), "another one, not tried yet")
+	require.Equal(t, []time.Duration{startupDialTimeout, 2 * startupDialTimeout, dialTimeout, dialTimeout}, times)
+	require.Equal(t, startupDialTimeout, core.DialTimeout(address(9)), "another one, not tried yet")
 
-	core.PeerAnswered(Peer{Address: address(7), Purpose: PurposeAsk}, after(2000), after(2000))
-	require.Equal(t, startDialTimeout, core.DialTime(address(7)), "it has answered")
+	core.PeerAnswered(Peer{Address: address(7), Purpose: PurposeProbe}, after(2000), after(2000))
+	require.Equal(t, startupDialTimeout, core.DialTimeout(address(7)), "it has answered")
 	core.Confirm(after(2000))
-	require.Equal(t, dialTimeout, core.DialTime(address(9)), "no client waits")
+	require.Equal(t, dialTimeout, core.DialTimeout(address(9)), "no client waits")
 }
 
 // A head that does not answer has the next two of its zone read the store, each only
 // when all above it have failed; the others wait for them.
-func TestOnlyTheNextTwoReadForAHead(t *testing.T) {
+func TestOnlyNextTwoReadForSilentHead(t *testing.T) {
 	const count = 20
 	readers := 0
 	for place := range count {
 		core := newCore(place)
 		core.PollStarted(PollMembers, after(0))
-		core.SetBalancers(zoneOf(count), start)
+		core.SetBalancers(newZone(count), startTime)
 		core.PollSucceeded(PollMembers, false, after(10))
-		if core.tree.place > 0 {
+		if core.tree.position > 0 {
 			require.Equal(t, PollNone, core.NextPoll(after(11)), "the head may answer")
 		}
-		for _, above := range core.tree.above {
-			core.PeerFailed(Peer{Address: above.GetPeerAddress(), Purpose: PurposeAsk}, after(12))
+		for _, above := range core.tree.parentCandidates {
+			core.PeerFailed(Peer{Address: above.GetPeerAddress(), Purpose: PurposeProbe}, after(12))
 		}
 		if core.NextPoll(after(13)) == PollSnapshot {
 			readers++
-			require.Less(t, core.tree.place, startStandbys)
+			require.Less(t, core.tree.position, startupStandbys)
 		}
 	}
 	require.Equal(t, 3, readers, "the head and two more")
--- a/internal/replication/tree.go
+++ b/internal/replication/tree.go
@@ -14,42 +14,42 @@
 type tree struct {
 	// zones are the balancers by zone, each zone and the zones by rank.
 	zones [][]*apiv1.Balancer
-	// zone and place are where this balancer stands, and width is how many
+	// zoneIndex and place are where this balancer stands, and width is how many
 	// follow one.
-	zone, place, width int
-	size               int
-	// few is set while all zones share one order.
-	few bool
-	// above are the balancers that this one may follow, the best first: its
+	zoneIndex, position, fanout int
+	size                        int
+	// sharedOrder is set while all zones share one order.
+	sharedOrder bool
+	// parentCandidates are the balancers that this one may follow, the best first: its
 	// parent, its parents, those before it in its zone, heads of earlier zones.
 	// Who is above whom has no cycles.
-	above []*apiv1.Balancer
-	// below are those whose parent this one is, and rest all that are not above.
-	below, rest []*apiv1.Balancer
+	parentCandidates []*apiv1.Balancer
+	// followers are those whose parent this one is, and rest all that are not above.
+	followers, others []*apiv1.Balancer
 }
 
 // newTree orders the known balancers and this one. Up to sharedLimit of them
 // share one order; leastWidth of them follow one, or more where the strong ones
 // are few.
 func newTree(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit, leastWidth int) *tree {
-	made := &tree{zones: byZone(self, known, sharedLimit), few: len(known) <= sharedLimit}
+	made := &tree{zones: groupByZone(self, known, sharedLimit), sharedOrder: len(known) <= sharedLimit}
 	for zone, balancers := range made.zones {
 		made.size += len(balancers)
 		place := slices.IndexFunc(balancers, func(b *apiv1.Balancer) bool { return b.GetName() == self.GetName() })
 		if place >= 0 {
-			made.zone, made.place = zone, place
+			made.zoneIndex, made.position = zone, place
 		}
 	}
-	made.width = widthOf(made.own(), leastWidth)
-	made.above = made.whomToFollow()
-	made.below = made.followers()
-	made.rest = made.allBut(made.above)
+	made.fanout = fanoutOf(made.ownZone(), leastWidth)
+	made.parentCandidates = made.findParentCandidates()
+	made.followers = made.findFollowers()
+	made.others = made.allExcept(made.parentCandidates)
 	return made
 }
 
-// byZone groups balancers by zone and ranks zones and balancers. While this one is
+// groupByZone groups balancers by zone and ranks zones and balancers. While this one is
 // not listed, the others do not know it, and it stands last whatever its strength.
-func byZone(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit int) [][]*apiv1.Balancer {
+func groupByZone(self *apiv1.Balancer, known []*apiv1.Balancer, sharedLimit int) [][]*apiv1.Balancer {
 	few := len(known) <= sharedLimit
 	listed := false
 	groups := make(map[string][]*apiv1.Balancer)
@@ -63,7 +63,7 @@
 		}
 		groups[zone] = append(groups[zone], b)
 	}
-	ordered := ranked(groups)
+	ordered := sortGroups(groups)
 	if listed {
 		return ordered
 	}
@@ -76,17 +76,17 @@
 	return append(ordered, []*apiv1.Balancer{self})
 }
 
-// ranked puts the balancers of each group by rank, and the groups by their first
+// sortGroups puts the balancers of each group by rank, and the groups by their first
 // ones.
-func ranked(groups map[string][]*apiv1.Balancer) [][]*apiv1.Balancer {
+func sortGroups(groups map[string][]*apiv1.Balancer) [][]*apiv1.Balancer {
 	heads := make([]*apiv1.Balancer, 0, len(groups))
 	byHead := make(map[*apiv1.Balancer][]*apiv1.Balancer, len(groups))
 	for _, group := range groups {
-		byRank(group)
+		sortByRank(group)
 		heads = append(heads, group[0])
 		byHead[group[0]] = group
 	}
-	byRank(heads)
+	sortByRank(heads)
 	ordered := make([][]*apiv1.Balancer, 0, len(heads))
 	for _, head := range heads {
 		ordered = append(ordered, byHead[head])
@@ -94,9 +94,9 @@
 	return ordered
 }
 
-// widthOf is how many balancers of a zone follow one. Where the strong ones are
+// fanoutOf is how many balancers of a zone follow one. Where the strong ones are
 // few, each takes more, so that weak ones need not serve others.
-func widthOf(zone []*apiv1.Balancer, least int) int {
+func fanoutOf(zone []*apiv1.Balancer, least int) int {
 	strong := 0
 	for _, b := range zone {
 		if tier(b) >= 0 {
@@ -106,82 +106,82 @@
 	if strong == 0 {
 		return least
 	}
-	return min(max(least, (len(zone)-1+strong-1)/strong), widthFactor*least)
+	return min(max(least, (len(zone)-1+strong-1)/strong), maxFanoutFactor*least)
 }
 
-// widthFactor bounds how many more balancers follow a strong one than is usual.
-const widthFactor = 2
+// maxFanoutFactor bounds how many more balancers follow a strong one than is usual.
+const maxFanoutFactor = 2
 
-func (t *tree) own() []*apiv1.Balancer { return t.zones[t.zone] }
+func (t *tree) ownZone() []*apiv1.Balancer { return t.zones[t.zoneIndex] }
 
 func (t *tree) head(zone int) *apiv1.Balancer { return t.zones[zone][0] }
 
 // parentOf is the place that a later place follows. It holds for the places in a
 // zone and for the zones themselves.
-func (t *tree) parentOf(place int) int { return (place - 1) / t.width }
+func (t *tree) parentOf(place int) int { return (place - 1) / t.fanout }
 
 // rank is the place of this balancer among all: the heads of the zones first,
 // then the second ones.
-func (t *tree) rank() int { return t.place*len(t.zones) + t.zone }
+func (t *tree) rank() int { return t.position*len(t.zones) + t.zoneIndex }
 
-func (t *tree) whomToFollow() []*apiv1.Balancer {
-	own := t.own()
+func (t *tree) findParentCandidates() []*apiv1.Balancer {
+	own := t.ownZone()
 	var found []*apiv1.Balancer
-	for place := t.place; place > 0; {
+	for place := t.position; place > 0; {
 		place = t.parentOf(place)
 		found = append(found, own[place])
 	}
-	for _, b := range own[:t.place] {
-		found = appendNew(found, b)
+	for _, b := range own[:t.position] {
+		found = appendIfMissing(found, b)
 	}
-	last := t.zone
-	if t.place > 0 {
+	last := t.zoneIndex
+	if t.position > 0 {
 		last = len(t.zones)
 	}
-	for zone := last; zone > 0 && t.place == 0; {
+	for zone := last; zone > 0 && t.position == 0; {
 		zone = t.parentOf(zone)
 		found = append(found, t.head(zone))
 	}
 	for zone := range last {
-		if zone != t.zone {
-			found = appendNew(found, t.head(zone))
+		if zone != t.zoneIndex {
+			found = appendIfMissing(found, t.head(zone))
 		}
 	}
 	return found
 }
 
-func appendNew(list []*apiv1.Balancer, b *apiv1.Balancer) []*apiv1.Balancer {
+func appendIfMissing(list []*apiv1.Balancer, b *apiv1.Balancer) []*apiv1.Balancer {
 	if slices.Contains(list, b) {
 		return list
 	}
 	return append(list, b)
 }
 
-func (t *tree) followers() []*apiv1.Balancer {
+func (t *tree) findFollowers() []*apiv1.Balancer {
 	var found []*apiv1.Balancer
-	own := t.own()
-	first := t.place*t.width + 1
-	for place := first; place < min(first+t.width, len(own)); place++ {
+	own := t.ownZone()
+	first := t.position*t.fanout + 1
+	for place := first; place < min(first+t.fanout, len(own)); place++ {
 		found = append(found, own[place])
 	}
-	if t.place > 0 {
+	if t.position > 0 {
 		return found
 	}
-	first = t.zone*t.width + 1
-	for zone := first; zone < min(first+t.width, len(t.zones)); zone++ {
+	first = t.zoneIndex*t.fanout + 1
+	for zone := first; zone < min(first+t.fanout, len(t.zones)); zone++ {
 		found = append(found, t.head(zone))
 	}
 	return found
 }
 
-// allBut are all other balancers that are not in a list, those of this zone
+// allExcept are all other balancers that are not in a list, those of this zone
 // first.
-func (t *tree) allBut(list []*apiv1.Balancer) []*apiv1.Balancer {
+func (t *tree) allExcept(list []*apiv1.Balancer) []*apiv1.Balancer {
 	listed := make(map[*apiv1.Balancer]bool, len(list)+1)
 	for _, b := range list {
 		listed[b] = true
 	}
-	listed[t.own()[t.place]] = true
+	listed[t.ownZone()[t.position]] = true
 	found := make([]*apiv1.Balancer, 0, t.size)
 	add := func(zone []*apiv1.Balancer) {
 		for _, b := range zone {
@@ -190,9 +190,9 @@
 			}
 		}
 	}
-	add(t.own())
+	add(t.ownZone())
 	for zone, balancers := range t.zones {
-		if zone != t.zone {
+		if zone != t.zoneIndex {
 			add(balancers)
 		}
 	}
--- a/internal/replication/tree_test.go
+++ b/internal/replication/tree_test.go
@@ -11,8 +11,8 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// drawFleet draws balancers of several zones and strengths.
-func drawFleet(t *rapid.T) []*apiv1.Balancer {
+// drawBalancers draws balancers of several zones and strengths.
+func drawBalancers(t *rapid.T) []*apiv1.Balancer {
 	zones := rapid.IntRange(1, 10).Draw(t, "zones")
 	var found []*apiv1.Balancer
 	for place := range rapid.IntRange(1, 120).Draw(t, "balancers") {
@@ -28,34 +28,34 @@
 
 // All balancers see the same tree: one reads for all, each of the others is below
 // exactly one, whom it would follow first, and nobody is above one that is above it.
-func TestTreesOfAllBalancersAgree(t *testing.T) {
+func TestTreesOfAllBalancersAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		known := drawFleet(t)
+		known := drawBalancers(t)
 		trees := make(map[string]*tree, len(known))
 		parents := make(map[string][]string)
 		readers := 0
 		for _, self := range known {
-			made := newTree(self, known, DefaultSharedOrderLimit, DefaultTreeWidth)
+			made := newTree(self, known, DefaultSharedOrderLimit, DefaultTreeFanout)
 			trees[self.GetName()] = made
 			require.Equal(t, len(known), made.size)
-			require.Len(t, made.rest, len(known)-1-len(made.above))
+			require.Len(t, made.others, len(known)-1-len(made.parentCandidates))
 			if made.rank() == 0 {
 				readers++
 			}
-			for _, follower := range made.below {
+			for _, follower := range made.followers {
 				parents[follower.GetName()] = append(parents[follower.GetName()], self.GetName())
 			}
 		}
 		require.Equal(t, 1, readers)
 		for name, made := range trees {
 			if made.rank() == 0 {
-				require.Empty(t, made.above)
+				require.Empty(t, made.parentCandidates)
 				require.Empty(t, parents[name])
 				continue
 			}
-			require.Equal(t, []string{made.above[0].GetName()}, parents[name])
-			for _, b := range made.above {
-				require.NotContains(t, trees[b.GetName()].above, made.own()[made.place])
+			require.Equal(t, []string{made.parentCandidates[0].GetName()}, parents[name])
+			for _, b := range made.parentCandidates {
+				require.NotContains(t, trees[b.GetName()].parentCandidates, made.ownZone()[made.position])
 			}
 		}
 	})
@@ -63,7 +63,7 @@
 
 // Until the others know a balancer, it reads for nobody, however strong it is. At
 // a first start each of 300 otherwise took itself for the reader.
-func TestBalancerThatIsNotListedStandsLast(t *testing.T) {
+func TestUnlistedBalancerRanksLast(t *testing.T) {
 	known := []*apiv1.Balancer{
 		{Name: "edge-1", Zone: "maadi", ProcessorCores: 0.06, LinkMegabits: 20},
 		{Name: "edge-2", Zone: "nasr", ProcessorCores: 0.06, LinkMegabits: 20},
@@ -71,16 +71,16 @@
 	for _, zone := range []string{"maadi", "nasr", "giza"} {
 		for _, limit := range []int{0, DefaultSharedOrderLimit} {
 			self := &apiv1.Balancer{Name: "edge-3", Zone: zone, ProcessorCores: 0.8, LinkMegabits: 200}
-			require.NotZero(t, newTree(self, known, limit, DefaultTreeWidth).rank())
-			require.Zero(t, newTree(self, append(known, self), limit, DefaultTreeWidth).rank())
+			require.NotZero(t, newTree(self, known, limit, DefaultTreeFanout).rank())
+			require.Zero(t, newTree(self, append(known, self), limit, DefaultTreeFanout).rank())
 		}
 	}
 }
 
 // Three strong balancers of a zone of 63 serve all others of it, so that none
 // with a link of 20 Mbit/s has to.
-func TestFewStrongBalancersTakeMoreFollowers(t *testing.T) {
-	zone := zoneOf(63)
+func TestFewStrongBalancersServeMoreFollowers(t *testing.T) {
+	zone := newZone(63)
 	for place, b := range zone {
 		b.ProcessorCores, b.LinkMegabits = 0.061, 20
 		if place%30 == 0 {
@@ -88,23 +88,23 @@
 		}
 	}
 	for _, self := range zone {
-		made := newTree(self, zone, DefaultSharedOrderLimit, DefaultTreeWidth)
-		require.LessOrEqual(t, len(made.below), widthFactor*DefaultTreeWidth)
+		made := newTree(self, zone, DefaultSharedOrderLimit, DefaultTreeFanout)
+		require.LessOrEqual(t, len(made.followers), maxFanoutFactor*DefaultTreeFanout)
 		if self.GetProcessorCores() < 0.1 {
-			require.Empty(t, made.below)
+			require.Empty(t, made.followers)
 		}
 	}
 }
 
 // With the settings that are accepted, knowledge is never stale while nothing
 // fails: the figures of a pace fit each other by construction.
-func TestNobodyIsStaleAtAnyPace(t *testing.T) {
+func TestDataStaysFreshAtAnyPollInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		poll := time.Duration(rapid.IntRange(100, 60_000).Draw(t, "poll ms")) * time.Millisecond
-		pace := NewPace(poll, LeastStale(poll))
+		pace := NewTiming(poll, MinStaleAge(poll))
 		call := poll / 100
-		require.Less(t, pace.Oldest(call), pace.Stale)
-		require.Less(t, pace.Stale+standbys*pace.Turn, 2*poll, "the turns of the standbys end in time")
+		require.Less(t, pace.MaxAge(call), pace.StaleAge)
+		require.Less(t, pace.StaleAge+standbyCount*pace.StandbyDelay, 2*poll, "the turns of the standbys end in time")
 	})
 }
 
@@ -124,7 +124,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				newTree(known[size/2], known, DefaultSharedOrderLimit, DefaultTreeWidth)
+				newTree(known[size/2], known, DefaultSharedOrderLimit, DefaultTreeFanout)
 			}
 		})
 	}
--- a/internal/replication/zoneleads.go
+++ b/internal/replication/zoneleads.go
@@ -15,52 +15,52 @@
 // zone, and who starts reads that alone: 32 entries whatever the size.
 
 const (
-	// leadsCount is how many balancers of a zone are listed: the strong ones of some 600,
-	// each with widthFactor*DefaultTreeWidth followers, and more where the first are dead.
+	// zoneLeadsCount is how many balancers of a zone are listed: the strong ones of some 600,
+	// each with maxFanoutFactor*DefaultTreeFanout followers, and more where the first are dead.
 	// Smaller zones have no list; their names are read.
-	leadsCount = 32
-	// leadsPause is the least time between two writes of lists: at a first start zones grow
+	zoneLeadsCount = 32
+	// zoneLeadsWriteInterval is the least time between two writes of lists: at a first start zones grow
 	// by WriteLimit entries at a time.
-	leadsPause = 2 * time.Second
-	// leadsRenewed is after what time a list is written again as it was. A zone that was cut
+	zoneLeadsWriteInterval = 2 * time.Second
+	// zoneLeadsRefreshInterval is after what time a list is written again as it was. A zone that was cut
 	// off may have written its own.
-	leadsRenewed = time.Minute
+	zoneLeadsRefreshInterval = time.Minute
 )
 
-// leads are the lists that this balancer has written.
-type leads struct {
+// zoneLeadLists are the lists that this balancer has written.
+type zoneLeadLists struct {
 	written   map[string]*apiv1.ZoneLeads
 	writtenAt time.Time
 }
 
-// leadsToWrite returns the lists that are not in the store as this balancer has written them.
-func (c *Core) leadsToWrite(now time.Time) []*apiv1.ZoneLeads {
-	l := &c.members.leads
+// zoneLeadsToWrite returns the lists that are not in the store as this balancer has written them.
+func (c *Core) zoneLeadsToWrite(now time.Time) []*apiv1.ZoneLeads {
+	l := &c.members.zoneLeads
 	since := now.Sub(l.writtenAt)
-	if since < leadsPause {
+	if since < zoneLeadsWriteInterval {
 		return nil
 	}
 	var changed []*apiv1.ZoneLeads
 	for _, zone := range c.tree.zones {
-		if len(zone) <= leadsCount || c.tree.few {
+		if len(zone) <= zoneLeadsCount || c.tree.sharedOrder {
 			continue
 		}
 		wanted := &apiv1.ZoneLeads{
 			Zone:  zone[0].GetZone(),
-			First: zone[:leadsCount],
-			Size:  uint32((len(zone) + leadsCount - 1) / leadsCount * leadsCount),
+			First: zone[:zoneLeadsCount],
+			Size:  uint32((len(zone) + zoneLeadsCount - 1) / zoneLeadsCount * zoneLeadsCount),
 		}
-		if since >= leadsRenewed || !proto.Equal(l.written[wanted.GetZone()], wanted) {
+		if since >= zoneLeadsRefreshInterval || !proto.Equal(l.written[wanted.GetZone()], wanted) {
 			changed = append(changed, wanted)
 		}
 	}
 	return changed
 }
 
-// leadsWritten takes the end of a write of lists. Those of a write that failed are written
+// zoneLeadsWriteEnded takes the end of a write of lists. Those of a write that failed are written
 // again.
-func (c *Core) leadsWritten(lists []*apiv1.ZoneLeads, failed bool, now time.Time) {
-	l := &c.members.leads
+func (c *Core) zoneLeadsWriteEnded(lists []*apiv1.ZoneLeads, failed bool, now time.Time) {
+	l := &c.members.zoneLeads
 	l.writtenAt = now
 	if l.written == nil {
 		l.written = make(map[string]*apiv1.ZoneLeads)
@@ -73,27 +73,27 @@
 	}
 }
 
-// StartsIn takes about how many balancers this one's zone has, of which only the first are
+// SetZoneSize takes about how many balancers this one's zone has, of which only the first are
 // listed; 0 lists all.
-func (c *Core) StartsIn(size int) { c.start.zoneSize = size }
+func (c *Core) SetZoneSize(size int) { c.startup.zoneSize = size }
 
 // zoneSize is about how many balancers the zone has.
-func (c *Core) zoneSize() int { return max(len(c.tree.own()), c.start.zoneSize) }
+func (c *Core) zoneSize() int { return max(len(c.tree.ownZone()), c.startup.zoneSize) }
 
-// spreads tells whether only the first of this balancer's zone are known, and it is none of
+// hasPartialZone tells whether only the first of this balancer's zone are known, and it is none of
 // them. In the order it would stand just behind them, as would all others.
-func (c *Core) spreads(known []*apiv1.Balancer) bool {
-	if c.knows() || c.start.zoneSize <= len(c.tree.own()) || c.tree.place == 0 {
+func (c *Core) hasPartialZone(known []*apiv1.Balancer) bool {
+	if c.hasData() || c.startup.zoneSize <= len(c.tree.ownZone()) || c.tree.position == 0 {
 		return false
 	}
 	itself := func(b *apiv1.Balancer) bool { return b.GetName() == c.config.Self.GetName() }
 	return !slices.ContainsFunc(known, itself)
 }
 
-// spread lets a balancer that knows only the first of its zone ask one of them by a hash of
+// choosePartialZoneParents lets a balancer that knows only the first of its zone ask one of them by a hash of
 // names, a strong one if there is any, and the others after it.
-func (t *tree) spread(self *apiv1.Balancer) {
-	before := t.own()[:t.place]
+func (t *tree) choosePartialZoneParents(self *apiv1.Balancer) {
+	before := t.ownZone()[:t.position]
 	carriers := 0
 	for carriers < len(before) && tier(before[carriers]) >= 0 {
 		carriers++
@@ -101,9 +101,9 @@
 	if carriers == 0 {
 		carriers = len(before)
 	}
-	first := int(rank(self.GetName()) % uint64(carriers))
+	first := int(nameHash(self.GetName()) % uint64(carriers))
 	var above []*apiv1.Balancer
 	above = append(above, before[first:carriers]...)
 	above = append(above, before[:first]...)
-	t.above = append(above, before[carriers:]...)
+	t.parentCandidates = append(above, before[carriers:]...)
 }
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -50,8 +50,8 @@
 // NumberOf returns what the store itself calls a revision.
 func NumberOf(joined uint64) uint64 { return joined & maxNumber }
 
-// Text returns a revision as operators read it.
-func Text(joined uint64) string {
+// Format returns a revision as operators read it.
+func Format(joined uint64) string {
 	number := strconv.FormatUint(NumberOf(joined), 10)
 	if EraOf(joined) == 0 {
 		return number
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestErasComeBeforeNumbers(t *testing.T) {
+func TestRevisionsAreOrderedByEraThenNumber(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		eras, numbers := rapid.Uint64Range(0, maxEra), rapid.Uint64Range(0, maxNumber)
 		era, other := Era(eras.Draw(t, "era")), Era(eras.Draw(t, "other era"))
@@ -22,16 +22,16 @@
 	})
 }
 
-func TestWhatCannotBeJoinedIsNamed(t *testing.T) {
+func TestJoinRejectsValuesOutOfRange(t *testing.T) {
 	_, err := Join(maxEra+1, 0)
 	require.ErrorContains(t, err, "era 1048576 is above 1048575")
 	_, err = Join(0, maxNumber+1)
 	require.ErrorContains(t, err, "revision 17592186044416 is above 17592186044415")
 }
 
-func TestText(t *testing.T) {
+func TestFormat(t *testing.T) {
 	joined, err := Join(3, 52)
 	require.NoError(t, err)
-	require.Equal(t, "3:52", Text(joined))
-	require.Equal(t, "52", Text(52))
+	require.Equal(t, "3:52", Format(joined))
+	require.Equal(t, "52", Format(52))
 }
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -59,59 +59,59 @@
 	}
 	checker.oneOf("log_level", loaded.GetLogLevel(), "debug", "info", "warn", "error")
 	checker.oneOf("log_format", loaded.GetLogFormat(), "text", "json")
-	checker.number("flow_seconds", loaded.GetFlowSeconds(), 1, 86_400)
-	checker.number("stop_seconds", loaded.GetStopSeconds(), 0, 600)
-	checker.number("configuration_milliseconds", loaded.GetConfigurationMilliseconds(), 300, 600_000)
-	checker.number("drain_milliseconds", loaded.GetDrainMilliseconds(), 300, 600_000)
+	checker.numberInRange("flow_seconds", loaded.GetFlowSeconds(), 1, 86_400)
+	checker.numberInRange("stop_seconds", loaded.GetStopSeconds(), 0, 600)
+	checker.numberInRange("configuration_milliseconds", loaded.GetConfigurationMilliseconds(), 300, 600_000)
+	checker.numberInRange("drain_milliseconds", loaded.GetDrainMilliseconds(), 300, 600_000)
 	if loaded.GetEvacuationMilliseconds() == 0 {
 		loaded.EvacuationMilliseconds = loaded.GetConfigurationMilliseconds()
 	}
-	checker.number("evacuation_milliseconds", loaded.GetEvacuationMilliseconds(), 300, 600_000)
-	checker.number("warmup_overshoot", loaded.GetWarmupOvershoot(), 0, 1000)
-	checker.number("warmup_slack", loaded.GetWarmupSlack(), 0, 1_000_000)
-	checker.between("lapse_milliseconds", loaded.GetLapseMilliseconds(), 0, 60_000)
-	checker.between("heartbeat_milliseconds", loaded.GetHeartbeatMilliseconds(), 1, 60_000)
-	checker.number("processor_cores", loaded.GetProcessorCores(), 0, 4096)
-	checker.number("link_megabits", loaded.GetLinkMegabits(), 0, 10_000_000)
+	checker.numberInRange("evacuation_milliseconds", loaded.GetEvacuationMilliseconds(), 300, 600_000)
+	checker.numberInRange("warmup_overshoot", loaded.GetWarmupOvershoot(), 0, 1000)
+	checker.numberInRange("warmup_slack", loaded.GetWarmupSlack(), 0, 1_000_000)
+	checker.inRange("lapse_milliseconds", loaded.GetLapseMilliseconds(), 0, 60_000)
+	checker.inRange("heartbeat_milliseconds", loaded.GetHeartbeatMilliseconds(), 1, 60_000)
+	checker.numberInRange("processor_cores", loaded.GetProcessorCores(), 0, 4096)
+	checker.numberInRange("link_megabits", loaded.GetLinkMegabits(), 0, 10_000_000)
 	if _, err := mechanism.Parse(loaded.GetWithout()); err != nil {
 		checker.fault("without", strings.Join(loaded.GetWithout(), ","), "names what is no mechanism: "+err.Error(),
 			"leave out what is not in that list")
 	}
-	derivePace(loaded)
-	checker.between("poll_milliseconds", loaded.GetPollMilliseconds(), 100, 60_000)
-	checker.between("stale_milliseconds", loaded.GetStaleMilliseconds(), leastStale(loaded), 120_000)
+	derivePollInterval(loaded)
+	checker.inRange("poll_milliseconds", loaded.GetPollMilliseconds(), 100, 60_000)
+	checker.inRange("stale_milliseconds", loaded.GetStaleMilliseconds(), minStaleMilliseconds(loaded), 120_000)
 	return checker.faults
 }
 
 const (
-	// pollsInTime is how many reads of the store fit into the time that a
+	// pollsPerDeadline is how many reads of the store fit into the time that a
 	// change may take, so that one may fail.
-	pollsInTime = 3
-	// slowestPoll is the pace where changes have much time.
-	slowestPoll = 2000
+	pollsPerDeadline = 3
+	// maxPollMilliseconds is the pace where changes have much time.
+	maxPollMilliseconds = 2000
 )
 
-// derivePace fills the pace of reading where the settings leave it open.
-func derivePace(loaded *apiv1.BalancerSettings) {
+// derivePollInterval fills the pace of reading where the settings leave it open.
+func derivePollInterval(loaded *apiv1.BalancerSettings) {
 	if loaded.GetPollMilliseconds() == 0 {
 		inForce := min(loaded.GetConfigurationMilliseconds(), loaded.GetDrainMilliseconds(),
 			loaded.GetEvacuationMilliseconds())
-		loaded.PollMilliseconds = uint32(min(inForce/pollsInTime, slowestPoll))
+		loaded.PollMilliseconds = uint32(min(inForce/pollsPerDeadline, maxPollMilliseconds))
 	}
 	if loaded.GetStaleMilliseconds() == 0 {
-		loaded.StaleMilliseconds = leastStale(loaded)
+		loaded.StaleMilliseconds = minStaleMilliseconds(loaded)
 	}
 }
 
-// leastStale is the least age, in milliseconds, that may count as stale at the
+// minStaleMilliseconds is the least age, in milliseconds, that may count as stale at the
 // pace of the settings.
-func leastStale(loaded *apiv1.BalancerSettings) uint32 {
+func minStaleMilliseconds(loaded *apiv1.BalancerSettings) uint32 {
 	poll := time.Duration(loaded.GetPollMilliseconds()) * time.Millisecond
-	return uint32(replication.LeastStale(poll).Milliseconds())
+	return uint32(replication.MinStaleAge(poll).Milliseconds())
 }
 
-// number checks a field that may be a fraction.
-func (checker *checker) number(field string, value, low, high float64) {
+// numberInRange checks a field that may be a fraction.
+func (checker *checker) numberInRange(field string, value, low, high float64) {
 	if value < low || value > high {
 		checker.fault(field, strconv.FormatFloat(value, 'g', -1, 64), "is out of range",
 			fmt.Sprintf("set it between %g and %g", low, high))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -152,7 +152,7 @@
 	field := fieldOf(loaded, name)
 	if field == nil {
 		return Faults{{Line: line, Field: name, Value: value, Message: "there is no such field",
-			Remedy: remedyForUnknown(loaded, name)}}
+			Remedy: unknownFieldRemedy(loaded, name)}}
 	}
 	message := loaded.ProtoReflect()
 	switch {
@@ -190,14 +190,14 @@
 	return nil
 }
 
-// nearDistance is how many letters of a field's name may be wrong for it to be
+// suggestionDivisor is how many letters of a field's name may be wrong for it to be
 // proposed: a third of them.
-const nearDistance = 3
+const suggestionDivisor = 3
 
-// remedyForUnknown proposes a field whose name is near, else tells to remove it.
-func remedyForUnknown(loaded proto.Message, name string) string {
+// unknownFieldRemedy proposes a field whose name is near, else tells to remove it.
+func unknownFieldRemedy(loaded proto.Message, name string) string {
 	nearest := nearestField(loaded, name)
-	if editDistance(name, nearest)*nearDistance > len(nearest) {
+	if editDistance(name, nearest)*suggestionDivisor > len(nearest) {
 		return "remove it"
 	}
 	return "did you mean " + nearest + "?"
@@ -250,17 +250,17 @@
 	for _, seed := range loaded.GetSeeds() {
 		checker.seed(seed)
 	}
-	checker.between("flow_capacity", loaded.GetFlowCapacity(), 1024, 16_000_000)
-	checker.between("flow_idle_seconds", loaded.GetFlowIdleSeconds(), 60, 86_400)
-	checker.between("control_bytes_per_second", loaded.GetControlBytesPerSecond(), 512, 1_000_000)
-	checker.between("heartbeat_milliseconds", loaded.GetHeartbeatMilliseconds(), 50, 10_000)
-	checker.between("explain_records", loaded.GetExplainRecords(), 1, 4_000_000)
-	checker.between("fencing_milliseconds", loaded.GetFencingMilliseconds(),
+	checker.inRange("flow_capacity", loaded.GetFlowCapacity(), 1024, 16_000_000)
+	checker.inRange("flow_idle_seconds", loaded.GetFlowIdleSeconds(), 60, 86_400)
+	checker.inRange("control_bytes_per_second", loaded.GetControlBytesPerSecond(), 512, 1_000_000)
+	checker.inRange("heartbeat_milliseconds", loaded.GetHeartbeatMilliseconds(), 50, 10_000)
+	checker.inRange("explain_records", loaded.GetExplainRecords(), 1, 4_000_000)
+	checker.inRange("fencing_milliseconds", loaded.GetFencingMilliseconds(),
 		3*loaded.GetHeartbeatMilliseconds(), 120_000)
 	checker.oneOf("log_level", loaded.GetLogLevel(), "debug", "info", "warn", "error")
 	checker.oneOf("log_format", loaded.GetLogFormat(), "text", "json")
-	checker.together(loaded, "admin_certificate", "admin_key")
-	checker.together(loaded, "peer_certificate", "peer_key", "peer_authority")
+	checker.allOrNone(loaded, "admin_certificate", "admin_key")
+	checker.allOrNone(loaded, "peer_certificate", "peer_key", "peer_authority")
 	checker.hash("admin_token_sha256", loaded.GetAdminTokenSha256())
 	return checker.faults
 }
@@ -275,10 +275,10 @@
 		Line: checker.lines[field], Field: field, Value: value, Message: message, Remedy: remedy})
 }
 
-const maximumName = 63
+const maxNameLength = 63
 
 func (checker *checker) name(field, value string) {
-	valid := value != "" && len(value) <= maximumName
+	valid := value != "" && len(value) <= maxNameLength
 	for _, letter := range value {
 		lower := letter >= 'a' && letter <= 'z' || letter >= '0' && letter <= '9'
 		valid = valid && (lower || letter == '-' || letter == '.')
@@ -306,7 +306,7 @@
 	}
 }
 
-func (checker *checker) between(field string, value, low, high uint32) {
+func (checker *checker) inRange(field string, value, low, high uint32) {
 	if value < low || value > high {
 		checker.fault(field, strconv.FormatUint(uint64(value), 10), "is out of range",
 			fmt.Sprintf("set it between %d and %d", low, high))
@@ -322,8 +322,8 @@
 	checker.fault(field, value, "is not known", "use one of "+strings.Join(allowed, ", "))
 }
 
-// together checks that files which belong together are all set, or none.
-func (checker *checker) together(loaded *apiv1.NodeSettings, fields ...string) {
+// allOrNone checks that files which belong together are all set, or none.
+func (checker *checker) allOrNone(loaded *apiv1.NodeSettings, fields ...string) {
 	set := 0
 	for _, field := range fields {
 		if loaded.ProtoReflect().Get(fieldOf(loaded, field)).String() != "" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `id: maadi-1
+const goodNode = `id: maadi-1
 group: main
 zone: maadi
 store_address: 127.0.0.1:7000
@@ -16,14 +16,14 @@
 flow_capacity: 200000
 `
 
-func write(t *testing.T, content string) string {
+func writeNodeSettings(t *testing.T, content string) string {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
 func TestLoad(t *testing.T) {
-	loaded, err := Load(write(t, good), map[string]string{"zone": "giza"})
+	loaded, err := Load(writeNodeSettings(t, goodNode), map[string]string{"zone": "giza"})
 	require.NoError(t, err)
 	require.Equal(t, "giza", loaded.GetZone(), "a flag goes over the file")
 	require.Equal(t, uint32(200_000), loaded.GetFlowCapacity())
@@ -46,14 +46,14 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Load(write(t, good+test.line+"\n"), nil)
+			_, err := Load(writeNodeSettings(t, goodNode+test.line+"\n"), nil)
 			require.EqualError(t, err, test.want)
 		})
 	}
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
-	_, err := Load(write(t, "id: A\nzone: maadi\nlog_level: loud\n"), nil)
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
+	_, err := Load(writeNodeSettings(t, "id: A\nzone: maadi\nlog_level: loud\n"), nil)
 	var faults Faults
 	require.ErrorAs(t, err, &faults)
 	require.Len(t, faults, 3, "the name, the level and the missing store: %v", err)
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -28,7 +28,7 @@
 	Text string
 }
 
-const maximumLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // timeField starts each line; what stands before it was added by a collector.
 const timeField = "time="
@@ -36,7 +36,7 @@
 // Read reads the lines of a log. Lines of another form are passed over.
 func Read(input io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(make([]byte, 0, maximumLine), maximumLine)
+	scanner.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		if line, ok := parse(scanner.Text()); ok {
@@ -79,9 +79,9 @@
 	}
 }
 
-// surroundings is how much of what the balancers went through is shown before
+// eventMargin is how much of what the balancers went through is shown before
 // and after the flow.
-const surroundings = 3 * time.Second
+const eventMargin = 3 * time.Second
 
 // client is the address of the client of the line's flow.
 func (line *Line) client() string {
@@ -110,7 +110,7 @@
 		return nil
 	}
 	byTime(found)
-	first, last := found[0].At.Add(-surroundings), found[len(found)-1].At.Add(surroundings)
+	first, last := found[0].At.Add(-eventMargin), found[len(found)-1].At.Add(eventMargin)
 	for _, line := range lines {
 		if line.Flow == "" && nodes[line.Node] && line.At.After(first) && line.At.Before(last) {
 			found = append(found, line)
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -18,7 +18,7 @@
    9.9 edge-b time=2026-06-07T12:04:09.900Z level=INFO msg=Stopped. node=edge-b
 `
 
-func TestStoryOfARequest(t *testing.T) {
+func TestFindByRequest(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
 	require.Len(t, lines, 7)
@@ -39,7 +39,7 @@
 }
 
 // A request that was refused never told its id; its client is all that is known of it.
-func TestStoryOfAClient(t *testing.T) {
+func TestFindByClient(t *testing.T) {
 	lines, err := Read(strings.NewReader(log + `   3.0 edge-a time=2026-06-07T12:04:03.000Z level=WARN msg="Traffic: flow refused." node=edge-a flow=1.1.1.12:7-2.2.2.2:443 reason=no_room pressure=5.1
    3.1 edge-b time=2026-06-07T12:04:03.100Z level=WARN msg="Traffic: flow refused." node=edge-b flow=1.1.1.12:8-2.2.2.2:443 reason=no_room pressure=5.2
 `))
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -44,7 +44,7 @@
 	// Unanswered counts back ends that did not answer in time.
 	Unanswered atomic.Uint64
 	// OpenedByTime counts flows by how long they took to open.
-	OpenedByTime [aside.Steps]atomic.Uint64
+	OpenedByTime [aside.Buckets]atomic.Uint64
 	// TokenOverrides counts packets sent to the back end that opened their flow although
 	// their token named another.
 	TokenOverrides atomic.Uint64
@@ -221,7 +221,7 @@
 // answer may is counted as missed.
 func (f *Flows) countOpened(took time.Duration) {
 	if took < ResponseTimeout {
-		f.OpenedByTime[aside.StepOf(took)].Add(1)
+		f.OpenedByTime[aside.BucketOf(took)].Add(1)
 	}
 }
 
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -32,7 +32,7 @@
 func (f *Flows) abandonEarlierStarts(backend *Backend, now time.Time) {
 	former := func(id incarnation.ID) bool { return id.Number == backend.Number && id.Start != backend.Start }
 	outlived := func(seenAt time.Time) bool {
-		return !seenAt.IsZero() && backend.Start.Outlived(now.Sub(seenAt), now)
+		return !seenAt.IsZero() && backend.Start.PrecededBy(now.Sub(seenAt), now)
 	}
 	giveUp := func(key flow.Key, acknowledged uint32) {
 		f.failureDetector.abandoned = append(f.failureDetector.abandoned,
