--- a/internal/core/expiry.go
+++ b/internal/core/expiry.go
@@ -5,7 +5,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// expiryState is about the records that have not been used for long.
+// expiryState is the state of the query about records that have not been used
+// for a long time.
 type expiryState struct {
 	scannedAt uint32
 	query     uint64
@@ -15,18 +16,19 @@
 }
 
 const (
-	// expiryInterval is how often, in milliseconds, a keeper looks for records
-	// of flows that may have ended.
+	// expiryInterval is the time, in milliseconds, between two scans of a
+	// keeper for records of flows that may have ended.
 	expiryInterval = 10_000
-	// expiryTimeout is how long answers to a query are awaited.
+	// expiryTimeout is how long, in milliseconds, a keeper waits for the
+	// replies to a query.
 	expiryTimeout = 5_000
-	// expiryBatch bounds the flows of one query.
+	// expiryBatch limits the number of flows in one query.
 	expiryBatch = 256
 )
 
-// tickExpiry asks the other nodes about records without use. A record is
-// dropped only when every participant has answered that it has not seen the
-// flow: a node that cannot answer may hold it.
+// tickExpiry queries the other nodes about unused records. A record is dropped
+// only when every participant has replied that it has not seen the flow,
+// because a node that cannot reply may hold it.
 func (core *Core) tickExpiry() {
 	if core.expiry.query != 0 {
 		if core.now >= core.expiry.deadline {
@@ -61,11 +63,11 @@
 
 func (core *Core) idleRecords() []flow.Key {
 	var keys []flow.Key
-	for key, kept := range core.records {
+	for key, record := range core.records {
 		if entry, found := core.flows.Get(key, key.Hash()); found {
-			kept.lastSeen = max(kept.lastSeen, entry.LastSeen)
+			record.lastSeen = max(record.lastSeen, entry.LastSeen)
 		}
-		if core.now-kept.lastSeen > milliseconds(core.config.RecordIdleTime) && len(keys) < expiryBatch {
+		if core.now-record.lastSeen > milliseconds(core.config.RecordIdleTime) && len(keys) < expiryBatch {
 			keys = append(keys, key)
 		}
 	}
@@ -92,8 +94,8 @@
 		return
 	}
 	for index, key := range core.expiry.keys {
-		if kept := core.records[key]; kept != nil && hasBit(reply.GetBitmap(), index) {
-			kept.lastSeen = core.now
+		if record := core.records[key]; record != nil && hasBit(reply.GetBitmap(), index) {
+			record.lastSeen = core.now
 		}
 	}
 	core.expiry.responded[from] = true
@@ -107,8 +109,8 @@
 
 func (core *Core) dropIdleRecords() {
 	for _, key := range core.expiry.keys {
-		kept := core.records[key]
-		if kept != nil && core.now-kept.lastSeen > milliseconds(core.config.RecordIdleTime) {
+		record := core.records[key]
+		if record != nil && core.now-record.lastSeen > milliseconds(core.config.RecordIdleTime) {
 			core.dropRecord(key)
 		}
 	}
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -11,21 +11,22 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// markState is one leaving mark as this node sees it.
+// markState is the state of one leaving mark on this node.
 type markState struct {
 	mark      *apiv1.LeavingMark
 	learnedAt uint32
 	active    bool
-	// viewVersion must be in force before the flows are listed.
+	// viewVersion must be in force before the flows are listed and offered.
 	viewVersion  uint64
 	flowsOffered bool
-	// flowsRecorded is set when the flows that were opened here lately at the back
-	// end are recorded: their SYN may come again through another node.
+	// flowsRecorded is set when the flows recently opened here at the back end
+	// are recorded, because their SYN may be retransmitted through another
+	// node.
 	flowsRecorded bool
 }
 
-// MarkLeaving keeps new flows from a back end, without the store. Marking a marked
-// back end again changes nothing.
+// MarkLeaving excludes a back end from new flows; it does not require the
+// store. Marking a marked back end again has no effect.
 func (core *Core) MarkLeaving(now uint32, backend uint32, reason string) {
 	core.advanceTime(now)
 	if core.marks[backend] != nil || core.isLeavingInSettled(backend) {
@@ -40,11 +41,12 @@
 	})
 }
 
-// LeavingMarks returns the known marks by back end.
+// LeavingMarks returns the known marks, sorted by back end.
 func (core *Core) LeavingMarks() []*apiv1.LeavingMark { return core.sortedMarks() }
 
-// addMark takes a new mark. A node that does not trust its view yet has opened
-// nothing under it that the others do not know, so it heeds the mark at once.
+// addMark adds a new mark. A node that does not trust its view has opened no
+// flows under it that the other nodes do not know, so the mark is active at
+// once.
 func (core *Core) addMark(mark *apiv1.LeavingMark) {
 	core.marks[mark.GetBackend()] = &markState{
 		mark:        proto.CloneOf(mark),
@@ -55,17 +57,17 @@
 	core.viewChanged = true
 }
 
-// mergeMarks takes over marks of a peer. Merging is monotone: marks are added,
-// a higher incarnation replaces a lower one, and a mark that a settled epoch
-// has cleared does not come back.
+// mergeMarks adopts the marks of a peer. Merging is monotonic: marks are added,
+// a higher incarnation replaces a lower one, and a mark cleared by a settled
+// epoch is not restored.
 func (core *Core) mergeMarks(marks []*apiv1.LeavingMark) {
 	for _, mark := range marks {
-		known := core.marks[mark.GetBackend()]
-		ended := mark.GetIncarnation() <= core.clearedIncarnation(mark.GetBackend())
-		if ended || core.isLeavingInSettled(mark.GetBackend()) {
+		state := core.marks[mark.GetBackend()]
+		cleared := mark.GetIncarnation() <= core.clearedIncarnation(mark.GetBackend())
+		if cleared || core.isLeavingInSettled(mark.GetBackend()) {
 			continue
 		}
-		if known == nil || known.mark.GetIncarnation() < mark.GetIncarnation() {
+		if state == nil || state.mark.GetIncarnation() < mark.GetIncarnation() {
 			core.addMark(mark)
 		}
 	}
@@ -84,18 +86,19 @@
 	return 0
 }
 
-// dropClearedMarks drops the marks that the settled epoch has ended, and those
-// that it makes needless because its rule already leaves the back end out.
+// dropClearedMarks drops the marks that the settled epoch has cleared, and
+// those that it makes redundant because its rule already excludes the back end.
 func (core *Core) dropClearedMarks() {
-	for backend, known := range core.marks {
-		ended := known.mark.GetIncarnation() <= core.clearedIncarnation(backend)
-		if ended || core.isLeavingInSettled(backend) {
+	for backend, state := range core.marks {
+		cleared := state.mark.GetIncarnation() <= core.clearedIncarnation(backend)
+		if cleared || core.isLeavingInSettled(backend) {
 			delete(core.marks, backend)
 		}
 	}
 }
 
-// isLeavingInSettled reports whether the settled epoch has a back end as leaving.
+// isLeavingInSettled reports whether a back end is leaving in the settled
+// epoch.
 func (core *Core) isLeavingInSettled(backend uint32) bool {
 	for _, service := range core.document.GetSettled().GetServices() {
 		for _, candidate := range service.GetCandidates() {
@@ -107,34 +110,37 @@
 	return false
 }
 
-// tickMarks makes marks active: at once when every participant knows the same
-// marks and has recorded its new flows, else after MarkDelay.
+// tickMarks activates marks: at once when every participant knows the same
+// marks and has recorded its new flows, otherwise after MarkDelay.
 func (core *Core) tickMarks() {
-	for _, known := range core.marks {
-		core.recordFlowsForMark(known)
-		if known.active {
+	for _, state := range core.marks {
+		core.recordFlowsForMark(state)
+		if state.active {
 			continue
 		}
-		late := core.now-known.learnedAt >= milliseconds(core.config.MarkDelay)
-		if late || core.marksCompletedEverywhere() {
-			known.active = true
+		delayElapsed := core.now-state.learnedAt >= milliseconds(core.config.MarkDelay)
+		if delayElapsed || core.marksCompletedEverywhere() {
+			state.active = true
 			core.viewChanged = true
 		}
 	}
 }
 
-// recordFlowsForMark records the flows opened here lately at a marked back end.
-func (core *Core) recordFlowsForMark(known *markState) {
-	if known.flowsRecorded || core.settled == nil || core.viewInForce < known.viewVersion {
+// recordFlowsForMark records the flows recently opened here at a marked back
+// end.
+func (core *Core) recordFlowsForMark(state *markState) {
+	if state.flowsRecorded || core.settled == nil || core.viewInForce < state.viewVersion {
 		return
 	}
-	if !known.flowsOffered {
-		known.flowsOffered = true
-		core.offerEmbryonic(known.mark.GetBackend())
+	if !state.flowsOffered {
+		state.flowsOffered = true
+		core.offerEmbryonic(state.mark.GetBackend())
 	}
-	known.flowsRecorded = !core.hasOutstandingOffers(purposeMark)
+	state.flowsRecorded = !core.hasOutstandingOffers(purposeMark)
 }
 
+// marksCompletedEverywhere reports whether this node and all participants know
+// the same marks and have recorded the new flows of all of them.
 func (core *Core) marksCompletedEverywhere() bool {
 	if !core.marksCompleted() {
 		return false
@@ -152,22 +158,24 @@
 	return true
 }
 
-// marksCompleted reports whether the new flows of all marks are recorded.
+// marksCompleted reports whether this node has recorded the new flows of all
+// marks.
 func (core *Core) marksCompleted() bool {
-	for _, known := range core.marks {
-		if !known.flowsRecorded {
+	for _, state := range core.marks {
+		if !state.flowsRecorded {
 			return false
 		}
 	}
 	return true
 }
 
-// marksDigest is equal on nodes that know the same marks. 0 is no mark.
+// marksDigest returns a value that is equal on nodes that know the same marks.
+// It is 0 without marks.
 func (core *Core) marksDigest() uint32 {
 	var digest uint32
-	for backend, known := range core.marks {
+	for backend, state := range core.marks {
 		text := strconv.FormatUint(uint64(backend), 10) + "/" +
-			strconv.FormatUint(known.mark.GetIncarnation(), 10)
+			strconv.FormatUint(state.mark.GetIncarnation(), 10)
 		digest ^= uint32(xxhash.Sum64String(text))
 	}
 	return digest
@@ -175,43 +183,43 @@
 
 func (core *Core) sortedMarks() []*apiv1.LeavingMark {
 	marks := make([]*apiv1.LeavingMark, 0, len(core.marks))
-	for _, known := range core.marks {
-		marks = append(marks, known.mark)
+	for _, state := range core.marks {
+		marks = append(marks, state.mark)
 	}
 	sort.Slice(marks, func(i, j int) bool { return marks[i].GetBackend() < marks[j].GetBackend() })
 	return marks
 }
 
 func (core *Core) knownMarks() map[uint32]bool {
-	known := make(map[uint32]bool, len(core.marks))
+	backends := make(map[uint32]bool, len(core.marks))
 	for backend := range core.marks {
-		known[backend] = true
+		backends[backend] = true
 	}
-	return known
+	return backends
 }
 
-// leavingBackends are the back ends that take no new flows, by a mark or by the settled
-// rule.
+// leavingBackends returns the back ends that take no new flows, because of a
+// mark or the settled rule.
 func (core *Core) leavingBackends() map[uint32]bool {
-	leaving := core.knownMarks()
+	leavingBackends := core.knownMarks()
 	for _, service := range core.document.GetSettled().GetServices() {
 		for _, candidate := range service.GetCandidates() {
 			if candidate.GetLeaving() {
-				leaving[candidate.GetBackend()] = true
+				leavingBackends[candidate.GetBackend()] = true
 			}
 		}
 	}
-	return leaving
+	return leavingBackends
 }
 
-// activeMarks are the marks that new flows heed. A pending epoch that clears a
-// mark ends it for new flows once it is active.
+// activeMarks returns the back ends whose marks apply to new flows. A pending
+// epoch that clears a mark ends it for new flows once the epoch is active.
 func (core *Core) activeMarks() map[uint32]bool {
 	active := make(map[uint32]bool, len(core.marks))
-	for backend, known := range core.marks {
+	for backend, state := range core.marks {
 		cleared := core.phase >= router.PhaseActive &&
-			known.mark.GetIncarnation() <= clearedIncarnationIn(core.document.GetPending(), backend)
-		if known.active && !cleared {
+			state.mark.GetIncarnation() <= clearedIncarnationIn(core.document.GetPending(), backend)
+		if state.active && !cleared {
 			active[backend] = true
 		}
 	}
--- a/internal/core/offer.go
+++ b/internal/core/offer.go
@@ -8,33 +8,35 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// offer is a list of flows that a keeper is asked to record. Most of them are
-// known to the keeper, which sees the same traffic, so the two first compare
-// digests of buckets; the flows of differing buckets are offered by their
-// fingerprints, and only those that the keeper lacks are sent whole.
+// offer is a list of flows that a keeper is asked to record. The keeper sees
+// the same traffic and knows most of them, so the two nodes first compare
+// digests of buckets. The flows of buckets that differ are offered by their
+// fingerprints, and only those that the keeper lacks are sent in full.
 type offer struct {
 	id      uint64
 	purpose offerPurpose
 	keeper  string
 	flows   []assignedFlow
-	// stage is what is sent next, or was sent and is not answered.
+	// stage is the message to be sent next, or the one that was sent and has
+	// not been answered.
 	stage offerStage
-	// sentAt is when it was sent; 0 is not yet.
+	// sentAt is when that message was sent; 0 means that it has not been sent.
 	sentAt uint32
 }
 
-// offerPurpose is what waits for an offer to be answered.
+// offerPurpose is the operation that waits for an offer to be answered.
 type offerPurpose uint8
 
 const (
-	// purposePhase: the duty of a phase.
+	// purposePhase is the task of a phase.
 	purposePhase offerPurpose = iota
-	// purposeMark: a leaving mark.
+	// purposeMark is a leaving mark.
 	purposeMark
-	// purposeRejoin: nothing waits.
+	// purposeRejoin is an offer by a rejoining node; no operation waits for it.
 	purposeRejoin
 )
 
+// offerStage is the kind of message in the exchange of an offer.
 type offerStage uint8
 
 const (
@@ -46,37 +48,41 @@
 const (
 	// digestSize is the length of a bucket's digest in bytes.
 	digestSize = 4
-	// flowsPerBucket weighs the digests' bytes against the fingerprints of
-	// differing buckets.
+	// flowsPerBucket balances the bytes of the digests against those of the
+	// fingerprints in buckets that differ.
 	flowsPerBucket = 6
-	// minDigestFlows is the number of flows below which digests do not pay.
+	// minDigestFlows is the number of flows below which digests cost more than
+	// they save.
 	minDigestFlows = 16
 )
 
-// offerRetryInterval is after how many milliseconds an unanswered offer is sent again.
+// offerRetryInterval is the time, in milliseconds, after which an unanswered
+// offer is sent again.
 const offerRetryInterval = 300
 
-// maxBurstSeconds is how many seconds of the budget may be saved up.
+// maxBurstSeconds limits the unused byte budget that accumulates, in seconds of
+// the rate.
 const maxBurstSeconds = 0.5
 
-// maxDebtSeconds is how many seconds of the budget may be owed.
+// maxDebtSeconds limits the overdraft of the byte budget, in seconds of the
+// rate.
 const maxDebtSeconds = 1.0
 
-// offerOverhead approximates the bytes of an envelope around an offer.
+// offerOverhead is the approximate size, in bytes, of the envelope around an
+// offer.
 const offerOverhead = 40
 
-// offerFlows lists flows for the keepers of the target epoch and starts to
-// send them, as fast as the budget allows. What this node keeps itself is
-// recorded at once.
+// offerFlows offers flows to the keepers of the target epoch, at the rate that
+// the byte budget allows. Flows whose keeper is this node are recorded at once.
 func (core *Core) offerFlows(purpose offerPurpose, flows []assignedFlow) {
 	byKeeper := make(map[string][]assignedFlow)
-	for _, held := range flows {
-		for _, keeper := range keepersFor(core.pendingKeeper, held.key) {
+	for _, assigned := range flows {
+		for _, keeper := range keepersFor(core.pendingKeeper, assigned.key) {
 			if keeper == core.self.GetId() {
-				core.recordFlow(held)
+				core.recordFlow(assigned)
 				continue
 			}
-			byKeeper[keeper] = append(byKeeper[keeper], held)
+			byKeeper[keeper] = append(byKeeper[keeper], assigned)
 		}
 	}
 	for _, keeper := range sortedKeys(byKeeper) {
@@ -88,28 +94,28 @@
 	}
 }
 
-// hasOutstandingOffers reports whether an offer of a purpose is unanswered.
+// hasOutstandingOffers reports whether an offer for a purpose is unanswered.
 func (core *Core) hasOutstandingOffers(purpose offerPurpose) bool {
-	for _, waiting := range core.offers {
-		if waiting.purpose == purpose {
+	for _, pending := range core.offers {
+		if pending.purpose == purpose {
 			return true
 		}
 	}
 	return false
 }
 
-// dropOffers forgets the offers of a purpose.
+// dropOffers discards the offers for a purpose.
 func (core *Core) dropOffers(purpose offerPurpose) {
-	for id, waiting := range core.offers {
-		if waiting.purpose == purpose {
+	for id, pending := range core.offers {
+		if pending.purpose == purpose {
 			delete(core.offers, id)
 		}
 	}
 }
 
-func (core *Core) recordFlow(held assignedFlow) {
-	if core.records[held.key] == nil && len(core.records) < core.config.MaximumRecords {
-		core.setRecord(held.key, held.backend, false)
+func (core *Core) recordFlow(assigned assignedFlow) {
+	if core.records[assigned.key] == nil && len(core.records) < core.config.MaximumRecords {
+		core.setRecord(assigned.key, assigned.backend, false)
 	}
 }
 
@@ -121,94 +127,96 @@
 	}
 }
 
-func (core *Core) queueOffer(queued *offer) {
-	queued.id = core.newID()
-	core.offers[queued.id] = queued
-	core.offerQueue = append(core.offerQueue, queued)
+func (core *Core) queueOffer(pending *offer) {
+	pending.id = core.newID()
+	core.offers[pending.id] = pending
+	core.offerQueue = append(core.offerQueue, pending)
 }
 
-// tickOffers sends queued offers within the byte budget and repeats those that
-// were not answered. An offer to a keeper that is fenced meanwhile is dropped.
+// tickOffers sends queued offers within the byte budget and retries unanswered
+// ones. It drops offers to a keeper that has been fenced in the meantime.
 func (core *Core) tickOffers() {
 	rate := float64(core.config.RecordBytesPerSecond)
 	core.budgetTokens = min(core.budgetTokens+rate*float64(core.now-core.budgetUpdatedAt)/1000, rate*maxBurstSeconds)
 	core.budgetUpdatedAt = core.now
 	members := core.members()
-	for id, waiting := range core.offers {
-		if members[waiting.keeper] == nil {
+	for id, pending := range core.offers {
+		if members[pending.keeper] == nil {
 			delete(core.offers, id)
 		}
 	}
 	core.sendQueuedOffers()
-	for _, waiting := range core.offers {
-		if waiting.sentAt != 0 && core.now-waiting.sentAt >= offerRetryInterval {
-			waiting.sentAt = 0
-			core.offerQueue = append(core.offerQueue, waiting)
+	for _, pending := range core.offers {
+		if pending.sentAt != 0 && core.now-pending.sentAt >= offerRetryInterval {
+			pending.sentAt = 0
+			core.offerQueue = append(core.offerQueue, pending)
 		}
 	}
 }
 
-// sendQueuedOffers sends what the budget allows. Offers of newly opened flows go at
-// once: they are few, and until they are answered new flows still follow the
-// old rule.
+// sendQueuedOffers sends the offers that the budget allows. Offers of newly
+// opened flows are sent at once: they are few, and until they are answered new
+// flows still follow the old rule.
 func (core *Core) sendQueuedOffers() {
 	queue := core.offerQueue
 	core.offerQueue = nil
-	for _, next := range queue {
+	for _, pending := range queue {
 		switch {
-		case core.offers[next.id] == nil:
-		case core.budgetTokens > 0 || core.isUrgent(next):
-			core.sendOffer(next)
+		case core.offers[pending.id] == nil:
+		case core.budgetTokens > 0 || core.isUrgent(pending):
+			core.sendOffer(pending)
 		default:
-			core.offerQueue = append(core.offerQueue, next)
+			core.offerQueue = append(core.offerQueue, pending)
 		}
 	}
 }
 
-func (core *Core) isUrgent(waiting *offer) bool {
-	return waiting.purpose == purposeMark || waiting.purpose == purposePhase && core.phase == router.PhaseLearned
+// isUrgent reports whether an offer is sent regardless of the budget.
+func (core *Core) isUrgent(pending *offer) bool {
+	return pending.purpose == purposeMark || pending.purpose == purposePhase && core.phase == router.PhaseLearned
 }
 
-// spendBudget charges the budget for bytes that are sent, up to a bounded debt: a
-// large filter must not hold up the offers after it for long.
+// spendBudget charges sent bytes to the budget. The debt is limited, so that a
+// large filter does not delay the offers after it for long.
 func (core *Core) spendBudget(bytes int) {
 	debt := -maxDebtSeconds * float64(core.config.RecordBytesPerSecond)
 	core.budgetTokens = max(debt, core.budgetTokens-float64(bytes+offerOverhead))
 }
 
-func (core *Core) sendOffer(next *offer) {
-	next.sentAt = max(core.now, 1)
-	switch next.stage {
+func (core *Core) sendOffer(pending *offer) {
+	pending.sentAt = max(core.now, 1)
+	switch pending.stage {
 	case stageDigest:
-		core.sendDigest(next)
+		core.sendDigest(pending)
 	case stageFingerprints:
-		core.sendFingerprints(next)
+		core.sendFingerprints(pending)
 	case stageRecords:
-		core.sendBatch(next)
+		core.sendBatch(pending)
 	}
 }
 
 func bucketCount(flows int) int { return max(1, flows/flowsPerBucket) }
 
-// addToDigest puts a fingerprint into its bucket's digest.
-func addToDigest(digests []byte, print fingerprint) {
-	bucket := int(print % fingerprint(len(digests)/digestSize))
-	place := digests[bucket*digestSize : (bucket+1)*digestSize]
-	mixed := uint32(uint64(print) * 0x9e3779b97f4a7c15 >> 32)
-	binary.LittleEndian.PutUint32(place, binary.LittleEndian.Uint32(place)^mixed)
+// addToDigest adds a fingerprint to the digest of its bucket.
+func addToDigest(digests []byte, fp fingerprint) {
+	bucket := int(fp % fingerprint(len(digests)/digestSize))
+	slot := digests[bucket*digestSize : (bucket+1)*digestSize]
+	mixed := uint32(uint64(fp) * 0x9e3779b97f4a7c15 >> 32)
+	binary.LittleEndian.PutUint32(slot, binary.LittleEndian.Uint32(slot)^mixed)
 }
 
-func (core *Core) sendDigest(next *offer) {
-	digests := make([]byte, bucketCount(len(next.flows))*digestSize)
-	for _, held := range next.flows {
-		addToDigest(digests, fingerprintOf(held.key))
+func (core *Core) sendDigest(pending *offer) {
+	digests := make([]byte, bucketCount(len(pending.flows))*digestSize)
+	for _, assigned := range pending.flows {
+		addToDigest(digests, fingerprintOf(assigned.key))
 	}
 	core.spendBudget(len(digests))
-	message := &apiv1.RecordDigest{Offer: next.id, EpochNumber: core.targetEpochNumber(), Digests: digests}
-	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordDigest{RecordDigest: message}})
+	message := &apiv1.RecordDigest{Offer: pending.id, EpochNumber: core.targetEpochNumber(), Digests: digests}
+	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordDigest{RecordDigest: message}})
 }
 
-// targetEpochNumber is the epoch from which the offered flows are displaced.
+// targetEpochNumber returns the number of the epoch from whose rule the offered
+// flows differ.
 func (core *Core) targetEpochNumber() uint64 {
 	if core.pending != nil {
 		return core.pending.Number
@@ -216,9 +224,9 @@
 	return core.settled.Number
 }
 
-// handleRecordDigest compares a digest with this node's own records of flows that
-// are displaced from the same epoch. A node at another epoch does not answer;
-// the offer comes again.
+// handleRecordDigest compares the digests of an offer with this node's own
+// records of flows that are displaced from the same epoch. A node at another
+// epoch does not reply; the offer is sent again.
 func (core *Core) handleRecordDigest(from string, message *apiv1.RecordDigest) {
 	count := len(message.GetDigests()) / digestSize
 	if core.settled == nil || message.GetEpochNumber() != core.targetEpochNumber() || count == 0 {
@@ -226,16 +234,16 @@
 	}
 	core.recordOwnFlows()
 	digests := make([]byte, count*digestSize)
-	for key, kept := range core.records {
+	for key, record := range core.records {
 		first, second := core.pendingKeeper.Pick(key.Hash())
-		if (first == core.self.GetId() || second == core.self.GetId()) && core.isDisplaced(key, kept.backend) {
+		if (first == core.self.GetId() || second == core.self.GetId()) && core.isDisplaced(key, record.backend) {
 			addToDigest(digests, fingerprintOf(key))
 		}
 	}
 	mismatch := &apiv1.RecordMismatch{Offer: message.GetOffer(), Bitmap: newBitmap(count)}
 	for bucket := range count {
-		place := bucket * digestSize
-		if !bytes.Equal(digests[place:place+digestSize], message.GetDigests()[place:place+digestSize]) {
+		offset := bucket * digestSize
+		if !bytes.Equal(digests[offset:offset+digestSize], message.GetDigests()[offset:offset+digestSize]) {
 			setBit(mismatch.Bitmap, bucket)
 		}
 	}
@@ -243,66 +251,67 @@
 	core.send(from, &apiv1.Envelope{Body: &apiv1.Envelope_RecordMismatch{RecordMismatch: mismatch}})
 }
 
-// recordOwnFlows records the displaced flows of this node's table that it
-// keeps, so that its digests can match. It does so once an epoch.
+// recordOwnFlows records the displaced flows in the flow table of this node for
+// which the node is a keeper, so that its digests can match. It does so once
+// per epoch.
 func (core *Core) recordOwnFlows() {
 	if core.ownFlowsRecordedEpoch == core.targetEpochNumber() {
 		return
 	}
 	core.ownFlowsRecordedEpoch = core.targetEpochNumber()
-	for _, held := range core.displacedFlows() {
-		for _, keeper := range keepersFor(core.pendingKeeper, held.key) {
+	for _, assigned := range core.displacedFlows() {
+		for _, keeper := range keepersFor(core.pendingKeeper, assigned.key) {
 			if keeper == core.self.GetId() {
-				core.recordFlow(held)
+				core.recordFlow(assigned)
 			}
 		}
 	}
 }
 
-// handleRecordMismatch offers the flows of the differing buckets.
+// handleRecordMismatch offers the flows of the buckets that differ.
 func (core *Core) handleRecordMismatch(from string, message *apiv1.RecordMismatch) {
-	waiting := core.offers[message.GetOffer()]
-	if waiting == nil || waiting.keeper != from || waiting.stage != stageDigest {
+	pending := core.offers[message.GetOffer()]
+	if pending == nil || pending.keeper != from || pending.stage != stageDigest {
 		return
 	}
-	delete(core.offers, waiting.id)
-	count := fingerprint(bucketCount(len(waiting.flows)))
+	delete(core.offers, pending.id)
+	count := fingerprint(bucketCount(len(pending.flows)))
 	var differing []assignedFlow
-	for _, held := range waiting.flows {
-		if hasBit(message.GetBitmap(), int(fingerprintOf(held.key)%count)) {
-			differing = append(differing, held)
+	for _, assigned := range pending.flows {
+		if hasBit(message.GetBitmap(), int(fingerprintOf(assigned.key)%count)) {
+			differing = append(differing, assigned)
 		}
 	}
-	core.queueOffers(waiting.purpose, from, differing)
+	core.queueOffers(pending.purpose, from, differing)
 	core.tickOffers()
 }
 
-func (core *Core) sendFingerprints(next *offer) {
-	prints := make([]byte, 0, len(next.flows)*fingerprintSize)
-	for _, held := range next.flows {
-		prints = appendFingerprint(prints, fingerprintOf(held.key))
+func (core *Core) sendFingerprints(pending *offer) {
+	fingerprints := make([]byte, 0, len(pending.flows)*fingerprintSize)
+	for _, assigned := range pending.flows {
+		fingerprints = appendFingerprint(fingerprints, fingerprintOf(assigned.key))
 	}
-	core.spendBudget(len(prints))
-	message := &apiv1.RecordOffer{Offer: next.id, Fingerprints: prints}
-	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordOffer{RecordOffer: message}})
+	core.spendBudget(len(fingerprints))
+	message := &apiv1.RecordOffer{Offer: pending.id, Fingerprints: fingerprints}
+	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordOffer{RecordOffer: message}})
 }
 
-func (core *Core) sendBatch(next *offer) {
-	batch := &apiv1.RecordBatch{Offer: next.id}
-	for _, held := range next.flows {
-		batch.Keys = appendKey(batch.Keys, held.key)
-		batch.Backends = append(batch.Backends, held.backend)
+func (core *Core) sendBatch(pending *offer) {
+	batch := &apiv1.RecordBatch{Offer: pending.id}
+	for _, assigned := range pending.flows {
+		batch.Keys = appendKey(batch.Keys, assigned.key)
+		batch.Backends = append(batch.Backends, assigned.backend)
 	}
 	core.spendBudget(len(batch.Keys) + 2*len(batch.Backends))
-	core.send(next.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordBatch{RecordBatch: batch}})
+	core.send(pending.keeper, &apiv1.Envelope{Body: &apiv1.Envelope_RecordBatch{RecordBatch: batch}})
 }
 
 func (core *Core) handleRecordOffer(from string, message *apiv1.RecordOffer) {
 	count := len(message.GetFingerprints()) / fingerprintSize
 	wanted := &apiv1.RecordWanted{Offer: message.GetOffer(), Bitmap: newBitmap(count)}
 	for index := range count {
-		print := parseFingerprint(message.GetFingerprints()[index*fingerprintSize:])
-		if core.fingerprints[print] == 0 {
+		fp := parseFingerprint(message.GetFingerprints()[index*fingerprintSize:])
+		if core.fingerprints[fp] == 0 {
 			setBit(wanted.Bitmap, index)
 		}
 	}
@@ -311,24 +320,24 @@
 }
 
 func (core *Core) handleRecordWanted(from string, message *apiv1.RecordWanted) {
-	waiting := core.offers[message.GetOffer()]
-	if waiting == nil || waiting.keeper != from || waiting.stage != stageFingerprints {
+	pending := core.offers[message.GetOffer()]
+	if pending == nil || pending.keeper != from || pending.stage != stageFingerprints {
 		return
 	}
 	var wanted []assignedFlow
-	for index, held := range waiting.flows {
+	for index, assigned := range pending.flows {
 		if hasBit(message.GetBitmap(), index) {
-			wanted = append(wanted, held)
+			wanted = append(wanted, assigned)
 		}
 	}
 	if len(wanted) == 0 {
-		delete(core.offers, waiting.id)
+		delete(core.offers, pending.id)
 		return
 	}
-	waiting.flows = wanted
-	waiting.stage = stageRecords
-	waiting.sentAt = 0
-	core.offerQueue = append([]*offer{waiting}, core.offerQueue...)
+	pending.flows = wanted
+	pending.stage = stageRecords
+	pending.sentAt = 0
+	core.offerQueue = append([]*offer{pending}, core.offerQueue...)
 	core.tickOffers()
 }
 
@@ -344,20 +353,20 @@
 }
 
 func (core *Core) handleRecordAck(from string, ack *apiv1.RecordAck) {
-	if waiting := core.offers[ack.GetOffer()]; waiting != nil && waiting.keeper == from {
+	if pending := core.offers[ack.GetOffer()]; pending != nil && pending.keeper == from {
 		delete(core.offers, ack.GetOffer())
 	}
 }
 
-func appendFingerprint(prints []byte, print fingerprint) []byte {
+func appendFingerprint(fingerprints []byte, fp fingerprint) []byte {
 	var buffer [8]byte
-	binary.LittleEndian.PutUint64(buffer[:], uint64(print))
-	return append(prints, buffer[:fingerprintSize]...)
+	binary.LittleEndian.PutUint64(buffer[:], uint64(fp))
+	return append(fingerprints, buffer[:fingerprintSize]...)
 }
 
-func parseFingerprint(prints []byte) fingerprint {
+func parseFingerprint(fingerprints []byte) fingerprint {
 	var buffer [8]byte
-	copy(buffer[:fingerprintSize], prints)
+	copy(buffer[:fingerprintSize], fingerprints)
 	return fingerprint(binary.LittleEndian.Uint64(buffer[:]))
 }
 
@@ -365,7 +374,7 @@
 
 func setBit(bitmap []byte, index int) { bitmap[index/8] |= 1 << (index % 8) }
 
-// hasBit reports a bit; bits past the end are 0.
+// hasBit reports whether a bit is set; bits past the end are 0.
 func hasBit(bitmap []byte, index int) bool {
 	return index/8 < len(bitmap) && bitmap[index/8]&(1<<(index%8)) != 0
 }
