--- a/internal/core/rejoin.go
+++ b/internal/core/rejoin.go
@@ -65,7 +65,7 @@
 	case core.peerRejoiningSince == 0:
 		core.peerRejoiningSince = max(core.now, 1)
 	}
-	if dropping := core.view != nil && core.view.HoldUnknown; dropping != core.dropsUnknownFlows() {
+	if dropping := core.view != nil && core.view.DropUnknownFlows; dropping != core.dropsUnknownFlows() {
 		core.viewChanged = true
 	}
 }
