--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -141,7 +141,7 @@
 	out := node.core.Ready()
 	if out.View != nil {
 		node.plane.SetView(out.View, out.ViewVersion, backendTargets(node.core))
-		node.decisionLog.SetFacts(node.viewDetails(out))
+		node.decisionLog.AddView(node.viewDetails(out))
 	}
 	node.plane.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, envelope := range out.Messages {
@@ -203,8 +203,8 @@
 }
 
 // viewDetails gathers what the explanations of a view's decisions need.
-func (node *Node) viewDetails(out core.Output) *explain.Facts {
-	gathered := &explain.Facts{
+func (node *Node) viewDetails(out core.Output) *explain.ViewDetails {
+	gathered := &explain.ViewDetails{
 		Version:  out.ViewVersion,
 		View:     out.View,
 		Backends: make(map[uint32]string),
