--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -25,13 +25,13 @@
 	ID   string
 	Pool string
 	// clientPort is the port at which clients take packets.
-	clientPort  uint16
-	numericID   uint64
-	checksumKey uint64
-	socket      *net.UDPConn
-	mutex       sync.Mutex
-	flows       map[flowKey]uint32
-	requests    requestState
+	clientPort   uint16
+	numericID    uint64
+	checksumKey  uint64
+	socket       *net.UDPConn
+	mutex        sync.Mutex
+	flows        map[flowKey]uint32
+	requestState requestState
 	// opened counts first packets taken, foreign those for other back ends,
 	// unknown packets of flows that it does not hold, and forged ones whose
 	// sum was wrong.
@@ -45,7 +45,7 @@
 		return nil, errors.Wrapf(err, "back end %s: listen on %s", id, address)
 	}
 	made := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: key, socket: socket, flows: make(map[flowKey]uint32),
-		requests: newRequestState()}
+		requestState: newRequestState()}
 	if _, err := fmt.Sscanf(id, "i-%x", &made.numericID); err != nil {
 		return nil, errors.Wrapf(err, "back end %s", id)
 	}
@@ -120,7 +120,7 @@
 			backend.opened++
 			seq = rand.Uint32()
 			backend.flows[name] = seq
-			backend.requests.openedPorts[packet.SourcePort] = true
+			backend.requestState.openedPorts[packet.SourcePort] = true
 		}
 		backend.send(packet.reply(FlagSYN|FlagACK, seq, packet.Seq+1, nil))
 	case !held:
@@ -128,7 +128,7 @@
 		backend.send(packet.reply(FlagRST, packet.Ack, 0, nil))
 	case packet.Flags&FlagFIN != 0:
 		delete(backend.flows, name)
-		delete(backend.requests.latest, name)
+		delete(backend.requestState.latest, name)
 	case len(packet.Data) > 0:
 		backend.handleRequest(name, packet)
 	}
--- a/internal/standin/echonet/work.go
+++ b/internal/standin/echonet/work.go
@@ -52,7 +52,7 @@
 func (backend *Backend) SetLoadModel(load LoadModel) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	backend.requests.load, backend.requests.slotFreeAt = load, make([]time.Time, load.Slots)
+	backend.requestState.load, backend.requestState.slotFreeAt = load, make([]time.Time, load.Slots)
 }
 
 // Executions returns how often each request has run, and the ports of the clients whose
@@ -60,19 +60,19 @@
 func (backend *Backend) Executions() (runs map[string]int, took map[uint16]bool) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	return maps.Clone(backend.requests.executions), maps.Clone(backend.requests.openedPorts)
+	return maps.Clone(backend.requestState.executions), maps.Clone(backend.requestState.openedPorts)
 }
 
 // handleRequest takes a request or a copy of one. A copy of an older request comes after its
 // answer and is passed over.
 func (backend *Backend) handleRequest(name flowKey, packet Packet) {
-	known, found := backend.requests.latest[name]
+	known, found := backend.requestState.latest[name]
 	if found && int32(packet.Seq-known.seq) < 0 {
 		return
 	}
 	if !found || known.seq != packet.Seq {
 		known = &exchange{seq: packet.Seq}
-		backend.requests.latest[name] = known
+		backend.requestState.latest[name] = known
 		backend.startRequest(name, packet, known)
 	}
 	// While there is no answer this is an acknowledgement.
@@ -81,13 +81,13 @@
 
 // startRequest runs a request, lets it wait, or sheds it.
 func (backend *Backend) startRequest(name flowKey, packet Packet, begun *exchange) {
-	load := backend.requests.load
+	load := backend.requestState.load
 	answer := append([]byte(backend.Pool+"/"+backend.ID+" "), packet.Data...)
-	if load.Slots > 0 && backend.requests.pending >= load.Slots+load.QueueLength {
+	if load.Slots > 0 && backend.requestState.pending >= load.Slots+load.QueueLength {
 		begun.response = append([]byte(shedPrefix), answer...)
 		return
 	}
-	backend.requests.executions[string(packet.Data)]++
+	backend.requestState.executions[string(packet.Data)]++
 	if load.Slots == 0 {
 		begun.response = answer
 		return
@@ -95,11 +95,11 @@
 	if missing := load.MinimumResponseSize - len(answer); missing > 0 {
 		answer = append(answer, strings.Repeat(padding, missing)...)
 	}
-	backend.requests.pending++
+	backend.requestState.pending++
 	time.AfterFunc(backend.reserveSlot(time.Now()), func() {
 		backend.mutex.Lock()
 		defer backend.mutex.Unlock()
-		backend.requests.pending--
+		backend.requestState.pending--
 		begun.response = answer
 		if _, held := backend.flows[name]; held {
 			backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), answer))
@@ -110,15 +110,15 @@
 // reserveSlot takes the slot that is free first and returns when its request will end.
 func (backend *Backend) reserveSlot(now time.Time) time.Duration {
 	first := 0
-	for slot, free := range backend.requests.slotFreeAt {
-		if free.Before(backend.requests.slotFreeAt[first]) {
+	for slot, free := range backend.requestState.slotFreeAt {
+		if free.Before(backend.requestState.slotFreeAt[first]) {
 			first = slot
 		}
 	}
-	begin := backend.requests.slotFreeAt[first]
+	begin := backend.requestState.slotFreeAt[first]
 	if begin.Before(now) {
 		begin = now
 	}
-	backend.requests.slotFreeAt[first] = begin.Add(backend.requests.load.ServiceTime)
-	return backend.requests.slotFreeAt[first].Sub(now)
+	backend.requestState.slotFreeAt[first] = begin.Add(backend.requestState.load.ServiceTime)
+	return backend.requestState.slotFreeAt[first].Sub(now)
 }
