--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -84,16 +84,16 @@
 		"store-throttles-some": zoneStoreFaultStep(metadata.Faults{Throttled: true}),
 
 		"store-link-silent": func(soak *soak, next event) {
-			soak.blackholeLinks(soak.storeProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
+			soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
 		},
-		"store-link-deaf":  func(soak *soak, next event) { soak.blackholeLinks(soak.storeProxies, next.balancer, swallow.ToClient) },
-		"store-link-mute":  func(soak *soak, next event) { soak.blackholeLinks(soak.storeProxies, next.balancer, swallow.ToTarget) },
+		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToClient) },
+		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget) },
 		"store-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.storeProxies, next.balancer) },
 		"peer-link-silent": func(soak *soak, next event) {
-			soak.blackholeLinks(soak.peerProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
+			soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
 		},
-		"peer-link-deaf":  func(soak *soak, next event) { soak.blackholeLinks(soak.peerProxies, next.balancer, swallow.ToClient) },
-		"peer-link-mute":  func(soak *soak, next event) { soak.blackholeLinks(soak.peerProxies, next.balancer, swallow.ToTarget) },
+		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToClient) },
+		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget) },
 		"peer-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.peerProxies, next.balancer) },
 		"peer-link-slow":  func(soak *soak, next event) { soak.delayLinks(next.balancer, next.duration) },
 
