--- a/test/e2e/settings_test.go
+++ b/test/e2e/settings_test.go
@@ -35,7 +35,7 @@
 	soak.write(path, changed)
 	soak.signalReload(place, length)
 	soak.activeFaults.Go(func() {
-		soak.requireLogLine(place, skipped, "Settings: in force.")
+		soak.checkLogLine(place, skipped, "Settings: in force.")
 		soak.reservations.releaseSettings(place)
 	})
 }
@@ -56,7 +56,7 @@
 	soak.write(path, faulty)
 	soak.signalReload(place, length)
 	soak.activeFaults.Go(func() {
-		soak.requireLogLine(place, skipped, "Settings: refused, the old ones stay.")
+		soak.checkLogLine(place, skipped, "Settings: refused, the old ones stay.")
 		soak.write(path, content)
 		soak.reservations.releaseSettings(place)
 	})
@@ -72,9 +72,9 @@
 	}
 }
 
-// requireLogLine requires that a balancer's log tells something soon, unless the balancer
+// checkLogLine requires that a balancer's log tells something soon, unless the balancer
 // is disturbed meanwhile. Skipped is the size of the log before.
-func (soak *soak) requireLogLine(place int, skipped int64, wanted string) {
+func (soak *soak) checkLogLine(place int, skipped int64, wanted string) {
 	began := time.Now()
 	watched := soak.process(place)
 	time.Sleep(settingsTimeout)
