--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -35,17 +35,17 @@
 }
 
 func (baseline *baseline) route(arrived packet) {
-	found := baseline.rules[arrived.conn.key.Address()]
+	found := baseline.rules[arrived.flow.key.Address()]
 	if found == nil {
 		baseline.node.world.Result.Dropped++
 		return
 	}
-	key := arrived.conn.key
+	key := arrived.flow.key
 	if backend, known := baseline.table[key]; known && baseline.algorithm == AlgorithmTable {
 		baseline.node.forward(arrived, backend)
 		return
 	}
-	backend := baseline.selectBackend(found, arrived.conn.hash)
+	backend := baseline.selectBackend(found, arrived.flow.hash)
 	if baseline.algorithm == AlgorithmTable {
 		baseline.table[key] = backend
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -38,7 +38,7 @@
 
 // Result is what a run has measured.
 type Result struct {
-	Flows, Established, Completed, NeverEstablished, Refused int
+	Flows, Established, Completed, Unopened, Refused int
 	// Broken counts broken flows by cause; BrokenWeighted counts those with a
 	// Return Notice or purchase double.
 	Broken         map[string]int
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestDrainAndKillBreakNoFlow(t *testing.T) {
-	world := New(DarAlWarraqSettings(1).ScaleFlows(0.15))
+	world := New(DarAlWarraqSettings(1).Scale(0.15))
 	world.Clock.RunUntil(40 * time.Second)
 	world.Drain(0, 3)
 	world.Clock.RunUntil(80 * time.Second)
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -35,7 +35,7 @@
 	controlBytes      uint64
 	bytesByKind       map[string]uint64
 	controlRates      []float64
-	observedLiveness  uint64
+	groupLiveness     uint64
 	// weightsDocumentVersion is the document whose weights the node wants.
 	weightsDocumentVersion uint64
 	startedAt              time.Duration
@@ -113,8 +113,8 @@
 	if node.dead {
 		return
 	}
-	if alive := node.world.store.groupLivenessCount; alive != node.observedLiveness && node.canReachStore() && !node.paused {
-		node.observedLiveness = alive
+	if alive := node.world.store.groupLiveness; alive != node.groupLiveness && node.canReachStore() && !node.paused {
+		node.groupLiveness = alive
 		node.core.ObserveGroupLiveness(node.now())
 	}
 	node.world.Clock.After(livenessPollInterval, node.pollGroupLiveness)
@@ -164,7 +164,7 @@
 		node.resolve(resolution)
 	}
 	if out.RefreshGroupLiveness && node.canReachStore() {
-		node.world.store.groupLivenessCount++
+		node.world.store.groupLiveness++
 	}
 	if out.Write != nil {
 		node.world.store.write(node, out.Write.Document, func(written bool) {
@@ -255,7 +255,7 @@
 		node.baseline.route(arrived)
 		return
 	}
-	verdict := node.router.Decide(node.now(), arrived.conn.key, arrived.conn.hash, arrived.flags)
+	verdict := node.router.Decide(node.now(), arrived.flow.key, arrived.flow.hash, arrived.flags)
 	node.world.Result.Paths[verdict.Path]++
 	node.traceDecision(arrived, verdict)
 	switch verdict.Action {
@@ -282,7 +282,7 @@
 		return
 	}
 	node.queuedPacketCount++
-	key := arrived.conn.key
+	key := arrived.flow.key
 	node.queuedPackets[key] = append(node.queuedPackets[key], arrived)
 	node.core.Lookup(node.now(), key, verdict.Proposal, verdict.Bind, verdict.Opens)
 	node.applyCoreOutput()
@@ -298,11 +298,11 @@
 			node.world.Result.Dropped++
 			continue
 		}
-		hash := arrived.conn.hash
+		hash := arrived.flow.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
 			node.router.InsertFlow(node.now(), resolution.Key, hash, resolution.Backend, arrived.flags)
 		}
-		node.world.traceFlow(arrived.conn, "%s resolved to %d", node.id, resolution.Backend)
+		node.world.traceFlow(arrived.flow, "%s resolved to %d", node.id, resolution.Backend)
 		node.forward(arrived, resolution.Backend)
 	}
 }
@@ -311,7 +311,7 @@
 func (node *node) traceDecision(arrived packet, verdict router.Decision) {
 	if node.world.settings.Trace {
 		view := node.router.View()
-		node.world.traceFlow(arrived.conn, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
+		node.world.traceFlow(arrived.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
 			node.id, arrived.flags, verdict.Path, verdict.Action, verdict.Backend, verdict.Proposal, verdict.Bind,
 			view.Settled.Number, view.Phase, view.ActiveMarks, view.KnownMarks)
 	}
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -28,7 +28,7 @@
 
 // packet is one packet on its way.
 type packet struct {
-	conn     *connection
+	flow     *connection
 	flags    router.PacketFlags
 	attempts int
 	// delivered is shared by the copies of a packet.
@@ -102,20 +102,20 @@
 	}
 	if tries >= maxSYNAttempts {
 		opened.ended = true
-		world.Result.NeverEstablished++
+		world.Result.Unopened++
 		return
 	}
-	world.spray(packet{conn: opened, flags: router.PacketOpens, delivered: new(bool)})
+	world.spray(packet{flow: opened, flags: router.PacketOpens, delivered: new(bool)})
 	world.Clock.After(initialSYNTimeout<<tries, func() { world.sendSYN(opened, tries+1) })
 }
 
 // sendData sends a packet of an open flow until it arrives.
 func (world *Simulation) sendData(sent packet) {
-	if sent.conn.ended || *sent.delivered {
+	if sent.flow.ended || *sent.delivered {
 		return
 	}
 	if sent.attempts >= maxDataAttempts {
-		world.breakFlow(sent.conn, "stalled")
+		world.breakFlow(sent.flow, "stalled")
 		return
 	}
 	world.spray(sent)
@@ -128,7 +128,7 @@
 func (world *Simulation) spray(sent packet) {
 	candidates := world.fabric[:0:0]
 	for _, node := range world.fabric {
-		if !world.partitioned(sent.conn.zone, node.zone) {
+		if !world.partitioned(sent.flow.zone, node.zone) {
 			candidates = append(candidates, node)
 		}
 	}
@@ -141,7 +141,7 @@
 
 // receiveAtBackend is a packet at a back end: the place where the promises are checked.
 func (world *Simulation) receiveAtBackend(target *backend, arrived packet) {
-	held := arrived.conn
+	held := arrived.flow
 	if target.service != held.service {
 		world.Result.WrongService++
 	}
@@ -207,7 +207,7 @@
 		if held.ended {
 			return
 		}
-		next := packet{conn: held, delivered: new(bool)}
+		next := packet{flow: held, delivered: new(bool)}
 		if world.Clock.Now() >= held.endsAt {
 			next.flags = router.PacketCloses
 			world.sendData(next)
@@ -247,7 +247,7 @@
 
 // refuseFlow is a RST to a SYN that was forwarded to nobody.
 func (world *Simulation) refuseFlow(arrived packet) {
-	held := arrived.conn
+	held := arrived.flow
 	if held.acceptedBy != nil {
 		world.Result.RefusedAfterAccept++
 	}
