--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -63,7 +63,7 @@
 func (world *World) checkLevels() error {
 	var lowest, highest *node
 	for _, node := range world.nodes {
-		if node.dead || node.router.View() == nil || !node.router.Fresh(node.now()) {
+		if node.dead || node.router.View() == nil || !node.router.HasContact(node.now()) {
 			continue
 		}
 		if lowest == nil || node.level() < lowest.level() {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -261,7 +261,7 @@
 	switch verdict.Action {
 	case router.ActionForward:
 		node.forward(arrived, verdict.Backend)
-	case router.ActionAsk:
+	case router.ActionLookup:
 		node.park(arrived, verdict)
 	case router.ActionRefuse:
 		node.world.refused(arrived)
@@ -276,7 +276,7 @@
 	world.Clock.After(world.delay(node.zone, target.zone), func() { world.arrive(target, arrived) })
 }
 
-func (node *node) park(arrived packet, verdict router.Verdict) {
+func (node *node) park(arrived packet, verdict router.Decision) {
 	if node.parkedCount >= parkedLimit {
 		node.world.Result.Dropped++
 		return
@@ -300,7 +300,7 @@
 		}
 		hash := arrived.flow.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
-			node.router.Learn(node.now(), resolution.Key, hash, resolution.Backend, arrived.flags)
+			node.router.InsertFlow(node.now(), resolution.Key, hash, resolution.Backend, arrived.flags)
 		}
 		node.world.traceFlow(arrived.flow, "%s resolved to %d", node.id, resolution.Backend)
 		node.forward(arrived, resolution.Backend)
@@ -308,7 +308,7 @@
 }
 
 // trace notes a decision in the flow's history.
-func (node *node) trace(arrived packet, verdict router.Verdict) {
+func (node *node) trace(arrived packet, verdict router.Decision) {
 	if node.world.settings.Trace {
 		view := node.router.View()
 		node.world.traceFlow(arrived.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
