--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -1,7 +1,10 @@
-// Package dataplane moves packets: it reads batches of datagrams, lets the
-// router decide, and writes them to the back ends. Its goroutines read
-// immutable state only; questions and answers about flows pass to and from the
-// control goroutine over bounded channels.
+// Package dataplane forwards packets: it reads batches of datagrams, lets the
+// router decide on each, and writes them to the back ends.
+//
+// Listen opens the data socket and Run forwards packets until its context is
+// canceled. The goroutines of a Plane read only immutable state. Lookups of flows
+// go to the control goroutine over a bounded channel, and their results come
+// back over another one.
 package dataplane
 
 import (
@@ -27,13 +30,14 @@
 	bufferedPacketLimit = 2048
 	lookupQueueLimit    = 4096
 	resultQueueLimit    = 4096
-	// idleVersion marks a worker that processes no batch.
+	// idleVersion is the version of a worker that is not processing a batch.
 	idleVersion = ^uint64(0)
-	// RetryAfter is when a refused caller is told to come back.
+	// RetryAfter is the time after which a refused caller is told to retry.
 	RetryAfter = 2 * time.Second
 )
 
-// Lookup asks the control goroutine about a flow.
+// Lookup asks the control goroutine for the back end of a flow. Proposal and Bind
+// are those of the router's decision; Opens is set if the packet is a SYN.
 type Lookup struct {
 	Key      flow.Key
 	Proposal uint32
@@ -41,23 +45,23 @@
 	Opens    bool
 }
 
-// LookupResult is the control goroutine's answer.
+// LookupResult is the response of the control goroutine to a Lookup.
 type LookupResult struct {
 	Key      flow.Key
 	Backend  uint32
 	Recorded bool
 }
 
-// Observer sees every decision that is not a plain local forward; it must be
-// quick and safe for use by many goroutines.
+// Observer is notified of every decision other than a forward by the node's own
+// flow table. It must be fast and safe for concurrent use.
 type Observer interface {
 	Decided(now uint32, key flow.Key, path router.Path, backend uint32)
 }
 
-// Targets gives the tunnel address of each back end. It is immutable.
+// Targets maps back ends to their tunnel addresses. It is immutable.
 type Targets map[uint32]*net.UDPAddr
 
-// Plane is the data path of one node.
+// Plane is the data path of one node. Listen returns one.
 type Plane struct {
 	router   *router.Router
 	targets  atomic.Pointer[Targets]
@@ -71,15 +75,17 @@
 	lookups  chan Lookup
 	results  chan LookupResult
 	workers  []*worker
-	// Counts are packets by path and by cause of an early drop.
+	// pathCounts counts packets by path, and dropCounts those dropped before
+	// routing by cause.
 	pathCounts [router.PathCount]atomic.Uint64
 	dropCounts [frame.CauseCount]atomic.Uint64
-	// overflow counts packets dropped because a bound was reached.
-	overflow    atomic.Uint64
+	// overflow counts packets dropped because a queue or buffer was full.
+	overflow atomic.Uint64
+	// failedSends counts datagrams that could not be sent.
 	failedSends atomic.Uint64
 }
 
-// Settings are what a Plane needs.
+// Settings holds the parameters of a Plane.
 type Settings struct {
 	Address  string
 	Workers  int
@@ -89,7 +95,7 @@
 	Observer Observer
 }
 
-// Listen opens the data socket.
+// Listen opens the data socket and returns the Plane that uses it.
 func Listen(settings Settings) (*Plane, error) {
 	socket, err := net.ListenPacket("udp4", settings.Address)
 	if err != nil {
@@ -118,7 +124,7 @@
 	return plane, nil
 }
 
-// Run moves packets until the context ends.
+// Run forwards packets until the context is canceled.
 func (plane *Plane) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = plane.socket.Close() })
 	defer stop()
@@ -135,32 +141,34 @@
 	return nil
 }
 
-// Lookups is the channel of questions for the control goroutine.
+// Lookups returns the channel of lookups for the control goroutine.
 func (plane *Plane) Lookups() <-chan Lookup { return plane.lookups }
 
-// CompleteLookup hands in an answer of the control goroutine. It does not block: with
-// the channel full, the parked packets are dropped and TCP sends them again.
-func (plane *Plane) CompleteLookup(answer LookupResult) {
+// CompleteLookup passes a lookup result of the control goroutine to the data
+// path. It does not block: if the channel is full, the buffered packets are
+// dropped and TCP retransmits them.
+func (plane *Plane) CompleteLookup(result LookupResult) {
 	select {
-	case plane.results <- answer:
+	case plane.results <- result:
 	default:
-		plane.overflow.Add(uint64(len(plane.buffer.take(answer.Key))))
+		plane.overflow.Add(uint64(len(plane.buffer.take(result.Key))))
 	}
 }
 
-// SetView publishes a view and the tunnel addresses that go with it.
+// SetView publishes a view, its version and the tunnel addresses of its back
+// ends.
 func (plane *Plane) SetView(view *router.View, version uint64, targets Targets) {
 	plane.targets.Store(&targets)
 	plane.router.SetView(view)
 	plane.version.Store(version)
 }
 
-// SetContact passes on until when the view may be trusted; see Router.SetContact.
-func (plane *Plane) SetContact(freshUntil uint32, serveIsolated bool) {
-	plane.router.SetContact(freshUntil, serveIsolated)
+// SetContact sets the end of the contact lease; see Router.SetContact.
+func (plane *Plane) SetContact(contactLeaseEnd uint32, serveIsolated bool) {
+	plane.router.SetContact(contactLeaseEnd, serveIsolated)
 }
 
-// InForce returns the newest view version that every worker uses.
+// InForce returns the newest view version that all workers use.
 func (plane *Plane) InForce() uint64 {
 	lowest := plane.version.Load()
 	for _, worker := range plane.workers {
@@ -169,7 +177,8 @@
 	return lowest
 }
 
-// Paths returns the packets by path.
+// Paths returns the number of packets by path, by cause of a drop before routing,
+// dropped at full buffers and failed to send.
 func (plane *Plane) Paths() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for path := range router.PathCount {
@@ -183,6 +192,7 @@
 	return counts
 }
 
+// recordDecision counts a decision and passes it to the observer.
 func (plane *Plane) recordDecision(now uint32, key flow.Key, path router.Path, backend uint32) {
 	plane.pathCounts[path].Add(1)
 	if path != router.PathLocal && plane.observer != nil {
@@ -190,37 +200,40 @@
 	}
 }
 
-// forwardResults forwards parked packets when their answers come.
+// forwardResults forwards the buffered packets of a flow when its lookup
+// completes.
 func (plane *Plane) forwardResults(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case answer := <-plane.results:
-			plane.forwardBuffered(answer)
+		case result := <-plane.results:
+			plane.forwardBuffered(result)
 		}
 	}
 }
 
-func (plane *Plane) forwardBuffered(answer LookupResult) {
+// forwardBuffered forwards the buffered packets of one flow, or drops them if the
+// result names no back end with a tunnel address.
+func (plane *Plane) forwardBuffered(result LookupResult) {
 	now := plane.clock()
-	for _, parked := range plane.buffer.take(answer.Key) {
-		target := (*plane.targets.Load())[answer.Backend]
-		if answer.Backend == rule.NoBackend || target == nil {
-			plane.recordDecision(now, answer.Key, router.PathDroppedKeepers, rule.NoBackend)
+	for _, buffered := range plane.buffer.take(result.Key) {
+		target := (*plane.targets.Load())[result.Backend]
+		if result.Backend == rule.NoBackend || target == nil {
+			plane.recordDecision(now, result.Key, router.PathDroppedKeepers, rule.NoBackend)
 			continue
 		}
-		if _, found := plane.router.Table().Get(answer.Key, parked.packet.Hash); !found {
-			plane.router.InsertFlow(now, answer.Key, parked.packet.Hash, answer.Backend, parked.packet.Flags)
+		if _, found := plane.router.Table().Get(result.Key, buffered.packet.Hash); !found {
+			plane.router.InsertFlow(now, result.Key, buffered.packet.Hash, result.Backend, buffered.packet.Flags)
 		}
-		plane.recordDecision(now, answer.Key, router.PathKeeper, answer.Backend)
-		if _, err := plane.socket.WriteTo(parked.datagram, target); err != nil {
+		plane.recordDecision(now, result.Key, router.PathKeeper, result.Backend)
+		if _, err := plane.socket.WriteTo(buffered.datagram, target); err != nil {
 			plane.failedSends.Add(1)
 		}
 	}
 }
 
-// refuse answers a SYN with a RST, at once.
+// refuse responds to a SYN with a RST immediately.
 func (plane *Plane) refuse(packet frame.Packet, path router.Path, from net.Addr) {
 	datagram, err := frame.Refusal(packet, path.String(), RetryAfter)
 	if err != nil {
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -29,7 +29,7 @@
 	return buffer.Bytes()
 }
 
-func udp(t testing.TB) *net.UDPConn {
+func listenUDP(t testing.TB) *net.UDPConn {
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	require.NoError(t, socket.SetReadBuffer(4<<20))
@@ -37,9 +37,10 @@
 	return socket
 }
 
-// testPlane is a plane with one service and one back end.
+// testPlane starts a plane with one service and one back end, and returns it with
+// the socket of the back end.
 func testPlane(t testing.TB, leaving bool) (*Plane, *net.UDPConn) {
-	back := udp(t)
+	back := listenUDP(t)
 	service := &apiv1.ServiceRule{Name: "lending", Address: "10.200.0.1", Port: 80,
 		Candidates: []*apiv1.Candidate{{Backend: 1, Weight: 100, Leaving: leaving}}}
 	set, err := rule.NewSet(&apiv1.Epoch{Number: 1, Services: []*apiv1.ServiceRule{service}})
@@ -68,7 +69,7 @@
 
 func TestForwardsUnchanged(t *testing.T) {
 	plane, back := testPlane(t, false)
-	client := udp(t)
+	client := listenUDP(t)
 	sent := datagram(t, 40000, true)
 	_, err := client.WriteTo(sent, plane.socket.LocalAddr())
 	require.NoError(t, err)
@@ -76,23 +77,23 @@
 	require.Eventually(t, func() bool { return plane.InForce() == 1 }, time.Second, time.Millisecond)
 }
 
-func TestRefusesAtOnce(t *testing.T) {
+func TestRefusesWithReset(t *testing.T) {
 	plane, _ := testPlane(t, true)
-	client := udp(t)
+	client := listenUDP(t)
 	_, err := client.WriteTo(datagram(t, 40000, true), plane.socket.LocalAddr())
 	require.NoError(t, err)
-	answer := gopacket.NewPacket(receive(t, client), layers.LayerTypeIPv4, gopacket.Default)
-	tcp, isTCP := answer.Layer(layers.LayerTypeTCP).(*layers.TCP)
+	response := gopacket.NewPacket(receive(t, client), layers.LayerTypeIPv4, gopacket.Default)
+	tcp, isTCP := response.Layer(layers.LayerTypeTCP).(*layers.TCP)
 	require.True(t, isTCP)
 	require.True(t, tcp.RST)
 	require.Contains(t, string(tcp.Payload), "not run: refused_no_backend; retry after 2000 ms")
 }
 
-func TestBadDatagramsAreCounted(t *testing.T) {
+func TestInvalidDatagramsAreCounted(t *testing.T) {
 	plane, back := testPlane(t, false)
-	client := udp(t)
-	for _, bad := range [][]byte{{}, {0x45}, make([]byte, frame.MaximumSize+1), append([]byte{0x65}, make([]byte, 40)...)} {
-		_, err := client.WriteTo(bad, plane.socket.LocalAddr())
+	client := listenUDP(t)
+	for _, invalid := range [][]byte{{}, {0x45}, make([]byte, frame.MaximumSize+1), append([]byte{0x65}, make([]byte, 40)...)} {
+		_, err := client.WriteTo(invalid, plane.socket.LocalAddr())
 		require.NoError(t, err)
 	}
 	_, err := client.WriteTo(datagram(t, 40001, true), plane.socket.LocalAddr())
@@ -104,30 +105,30 @@
 	require.Equal(t, uint64(1), paths["bad_wrong_version"])
 }
 
-func TestParkingHasABound(t *testing.T) {
-	parked := newPacketBuffer(2)
+func TestPacketBufferIsBounded(t *testing.T) {
+	buffer := newPacketBuffer(2)
 	first := frame.Packet{}
 	second := frame.Packet{}
 	second.Key.SourcePort = 2
-	stored, asks := parked.add(first, []byte{1}, nil)
-	require.True(t, stored && asks)
-	stored, asks = parked.add(first, []byte{2}, nil)
-	require.True(t, stored && !asks)
-	stored, _ = parked.add(second, []byte{3}, nil)
-	require.False(t, stored, "the bound holds")
-	require.Len(t, parked.take(first.Key), 2)
-	stored, asks = parked.add(second, []byte{3}, nil)
-	require.True(t, stored && asks)
+	stored, isFirst := buffer.add(first, []byte{1}, nil)
+	require.True(t, stored && isFirst)
+	stored, isFirst = buffer.add(first, []byte{2}, nil)
+	require.True(t, stored && !isFirst)
+	stored, _ = buffer.add(second, []byte{3}, nil)
+	require.False(t, stored, "a full buffer accepts no packet")
+	require.Len(t, buffer.take(first.Key), 2)
+	stored, isFirst = buffer.add(second, []byte{3}, nil)
+	require.True(t, stored && isFirst)
 }
 
-// preload is how many datagrams wait in the socket before the clock runs; it
-// fits the default limit of socket buffers.
+// preload is the number of datagrams queued in the socket before the timer runs.
+// It fits the default limit of socket buffers.
 const preload = 128
 
-// benchmarkHop times one traffic goroutine alone: the datagrams wait in its
-// socket before the clock starts. What leaves is read by nobody.
-func benchmarkHop(b *testing.B, plane *Plane, process func(worker *worker, count int)) {
-	client := udp(b)
+// benchmarkWorker times one traffic goroutine alone: the datagrams are queued in
+// its socket before the timer starts, and nobody reads the output.
+func benchmarkWorker(b *testing.B, plane *Plane, process func(worker *worker, count int)) {
+	client := listenUDP(b)
 	var datagrams [][]byte
 	for port := range 1024 {
 		datagrams = append(datagrams, datagram(b, uint16(2000+port), port == 0))
@@ -155,7 +156,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "packets/s")
 }
 
-// idlePlane is a plane whose traffic goroutine is the benchmark's.
+// idlePlane returns a plane that runs no traffic goroutine; the benchmark takes
+// its place.
 func idlePlane(b *testing.B) *Plane {
 	plane, _ := testPlane(b, false)
 	idle, err := Listen(Settings{Address: "127.0.0.1:0", Router: plane.router, Logger: plane.logger, Clock: plane.clock})
@@ -167,14 +169,15 @@
 
 func BenchmarkForward(b *testing.B) {
 	plane := idlePlane(b)
-	benchmarkHop(b, plane, func(worker *worker, count int) { worker.process(count) })
+	benchmarkWorker(b, plane, func(worker *worker, count int) { worker.process(count) })
 }
 
-// BenchmarkRelay is the ceiling: the same batches without any decision.
+// BenchmarkRelay measures the upper bound of throughput: the same batches are
+// relayed without a decision.
 func BenchmarkRelay(b *testing.B) {
 	plane := idlePlane(b)
 	target := (*plane.targets.Load())[1]
-	benchmarkHop(b, plane, func(worker *worker, count int) {
+	benchmarkWorker(b, plane, func(worker *worker, count int) {
 		for index := range count {
 			output := &worker.output[index]
 			output.Buffers[0] = worker.input[index].Buffers[0][:worker.input[index].N]
--- /dev/null
+++ b/internal/dataplane/packetbuffer.go
@@ -0,0 +1,54 @@
+package dataplane
+
+import (
+	"net"
+	"sync"
+
+	"github.com/indigobarrow/indigobarrow/internal/flow"
+	"github.com/indigobarrow/indigobarrow/internal/frame"
+)
+
+// bufferedPacket is a packet that waits for the lookup of its flow.
+type bufferedPacket struct {
+	packet   frame.Packet
+	datagram []byte
+	from     net.Addr
+}
+
+// packetBuffer holds at most limit packets while their flows are looked up.
+type packetBuffer struct {
+	mutex   sync.Mutex
+	packets map[flow.Key][]bufferedPacket
+	count   int
+	limit   int
+}
+
+func newPacketBuffer(limit int) *packetBuffer {
+	return &packetBuffer{packets: make(map[flow.Key][]bufferedPacket), limit: limit}
+}
+
+// add buffers a copy of a datagram. It reports whether there was space for it,
+// and whether it is the first packet of its flow in the buffer, in which case the
+// caller must start a lookup.
+func (buffer *packetBuffer) add(packet frame.Packet, datagram []byte, from net.Addr) (stored, first bool) {
+	buffer.mutex.Lock()
+	defer buffer.mutex.Unlock()
+	if buffer.count >= buffer.limit {
+		return false, false
+	}
+	waiting := buffer.packets[packet.Key]
+	copied := bufferedPacket{packet: packet, datagram: append([]byte(nil), datagram...), from: from}
+	buffer.packets[packet.Key] = append(waiting, copied)
+	buffer.count++
+	return true, len(waiting) == 0
+}
+
+// take removes and returns the buffered packets of a flow.
+func (buffer *packetBuffer) take(key flow.Key) []bufferedPacket {
+	buffer.mutex.Lock()
+	defer buffer.mutex.Unlock()
+	waiting := buffer.packets[key]
+	delete(buffer.packets, key)
+	buffer.count -= len(waiting)
+	return waiting
+}
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -11,26 +11,27 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// worker is one traffic goroutine.
+// worker is the state of one traffic goroutine.
 type worker struct {
 	plane   *Plane
 	decoder *frame.Decoder
 	input   []ipv4.Message
 	output  []ipv4.Message
-	queued  int
+	// queued is the number of datagrams in output.
+	queued int
 	// version is the oldest view version that the worker may be using.
 	version atomic.Uint64
 }
 
 func newWorker(plane *Plane) *worker {
-	made := &worker{plane: plane, decoder: frame.NewDecoder()}
+	created := &worker{plane: plane, decoder: frame.NewDecoder()}
 	for range batchSize {
-		// One byte more than allowed shows oversize datagrams.
-		made.input = append(made.input, ipv4.Message{Buffers: [][]byte{make([]byte, frame.MaximumSize+1)}})
-		made.output = append(made.output, ipv4.Message{Buffers: [][]byte{nil}})
+		// One byte more than MaximumSize makes oversize datagrams detectable.
+		created.input = append(created.input, ipv4.Message{Buffers: [][]byte{make([]byte, frame.MaximumSize+1)}})
+		created.output = append(created.output, ipv4.Message{Buffers: [][]byte{nil}})
 	}
-	made.version.Store(idleVersion)
-	return made
+	created.version.Store(idleVersion)
+	return created
 }
 
 const readRetryDelay = 10 * time.Millisecond
@@ -40,7 +41,7 @@
 		count, err := worker.plane.batch.ReadBatch(worker.input, 0)
 		if err != nil {
 			if ctx.Err() == nil {
-				worker.plane.logger.Warn("Read failed.", "error", err)
+				worker.plane.logger.Warn("Traffic: reading datagrams failed.", "error", err)
 				time.Sleep(readRetryDelay)
 			}
 			continue
@@ -49,8 +50,8 @@
 	}
 }
 
-// process handles one batch. The version is lowered to 0 before the current
-// one is read, so that the control goroutine never sees one too high.
+// process handles one batch. It sets the version to 0 before it reads the current
+// one, so that the control goroutine never sees a version that is too high.
 func (worker *worker) process(count int) {
 	worker.version.Store(0)
 	worker.version.Store(worker.plane.version.Load())
@@ -63,6 +64,7 @@
 	worker.version.Store(idleVersion)
 }
 
+// handle decodes one datagram and acts on the router's decision.
 func (worker *worker) handle(now uint32, message *ipv4.Message, datagram []byte) {
 	plane := worker.plane
 	packet, cause := worker.decoder.Decode(datagram)
@@ -70,20 +72,21 @@
 		plane.dropCounts[cause].Add(1)
 		return
 	}
-	verdict := plane.router.Decide(now, packet.Key, packet.Hash, packet.Flags)
-	if verdict.Action != router.ActionLookup {
-		plane.recordDecision(now, packet.Key, verdict.Path, verdict.Backend)
+	decision := plane.router.Decide(now, packet.Key, packet.Hash, packet.Flags)
+	if decision.Action != router.ActionLookup {
+		plane.recordDecision(now, packet.Key, decision.Path, decision.Backend)
 	}
-	switch verdict.Action {
+	switch decision.Action {
 	case router.ActionForward:
-		worker.forward(verdict.Backend, datagram)
+		worker.forward(decision.Backend, datagram)
 	case router.ActionRefuse:
-		plane.refuse(packet, verdict.Path, message.Addr)
+		plane.refuse(packet, decision.Path, message.Addr)
 	case router.ActionLookup:
-		worker.bufferPacket(packet, datagram, message, verdict)
+		worker.bufferPacket(packet, datagram, message, decision)
 	}
 }
 
+// forward queues a datagram for a back end.
 func (worker *worker) forward(backend uint32, datagram []byte) {
 	target := (*worker.plane.targets.Load())[backend]
 	if target == nil {
@@ -99,8 +102,8 @@
 	}
 }
 
-// flush writes the waiting datagrams. A datagram that cannot be written is
-// passed over, so that one bad back end does not hold up the others.
+// flush writes the queued datagrams. It skips a datagram that cannot be written,
+// so that one unreachable back end does not delay the others.
 func (worker *worker) flush() {
 	waiting := worker.output[:worker.queued]
 	worker.queued = 0
@@ -114,7 +117,9 @@
 	}
 }
 
-func (worker *worker) bufferPacket(packet frame.Packet, datagram []byte, message *ipv4.Message, verdict router.Decision) {
+// bufferPacket buffers a datagram, and starts a lookup if it is the first of its
+// flow.
+func (worker *worker) bufferPacket(packet frame.Packet, datagram []byte, message *ipv4.Message, decision router.Decision) {
 	plane := worker.plane
 	stored, first := plane.buffer.add(packet, datagram, message.Addr)
 	if !stored {
@@ -124,9 +129,9 @@
 	if !first {
 		return
 	}
-	question := Lookup{Key: packet.Key, Proposal: verdict.Proposal, Bind: verdict.Bind, Opens: verdict.Opens}
+	lookup := Lookup{Key: packet.Key, Proposal: decision.Proposal, Bind: decision.Bind, Opens: decision.Opens}
 	select {
-	case plane.lookups <- question:
+	case plane.lookups <- lookup:
 	default:
 		plane.overflow.Add(uint64(len(plane.buffer.take(packet.Key))))
 	}
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,10 +1,10 @@
-// Package flow names and hashes transport flows.
+// Package flow identifies and hashes transport flows.
 //
-// A flow is one TCP connection as a balancer sees it: the five values that
-// every packet of the connection carries. All nodes must derive the same hash
-// from the same flow, on every kind of processor, because the hash decides the
-// back end; the hash is therefore a fixed function (xxHash64) of the 13 bytes
-// that AppendBinary yields.
+// A flow is one TCP connection as a balancer sees it: the 5-tuple that every
+// packet of the connection carries. Key holds the 5-tuple, and Key.Hash selects
+// the back end. All nodes must derive the same hash from the same flow on every
+// processor architecture, so the hash is a fixed function (xxHash64) of the 13
+// bytes that Key.Bytes returns.
 package flow
 
 import (
@@ -18,20 +18,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// BinarySize is the length in bytes of a key's binary form.
+// BinarySize is the length in bytes of the binary form of a key.
 const BinarySize = 13
 
 // ProtocolTCP is the protocol number of TCP in an IPv4 header.
 const ProtocolTCP = 6
 
-// Address is the destination that names a service: IPv4 address and port.
+// Address is the destination that identifies a service: IPv4 address, port and
+// protocol.
 type Address struct {
 	IP       [4]byte
 	Port     uint16
 	Protocol uint8
 }
 
-// Key identifies a flow.
+// Key identifies a flow by its 5-tuple.
 type Key struct {
 	Source          [4]byte
 	Destination     [4]byte
@@ -40,7 +41,7 @@
 	Protocol        uint8
 }
 
-// Address returns the destination of the flow.
+// Address returns the destination of the flow, which identifies its service.
 func (key Key) Address() Address {
 	return Address{IP: key.Destination, Port: key.DestinationPort, Protocol: key.Protocol}
 }
@@ -56,14 +57,14 @@
 	return bytes
 }
 
-// Hash returns the hash of the flow that all nodes agree on.
+// Hash returns the hash of the flow. It is the same on all nodes.
 func (key Key) Hash() uint64 {
 	bytes := key.Bytes()
 	return xxhash.Sum64(bytes[:])
 }
 
-// FromBytes reads a key from its binary form. It fails when the length is not
-// BinarySize.
+// FromBytes parses the binary form of a key. It returns an error if the length
+// is not BinarySize.
 func FromBytes(bytes []byte) (Key, error) {
 	if len(bytes) != BinarySize {
 		return Key{}, errors.Newf("flow key has %d bytes, want %d", len(bytes), BinarySize)
@@ -77,7 +78,7 @@
 	return key, nil
 }
 
-// String gives the key in the form that Parse reads:
+// String returns the key in the form that Parse accepts:
 // "10.1.0.5:40000-10.9.0.1:80".
 func (key Key) String() string {
 	return fmt.Sprintf("%s-%s",
@@ -85,7 +86,7 @@
 		netip.AddrPortFrom(netip.AddrFrom4(key.Destination), key.DestinationPort))
 }
 
-// Parse reads a TCP flow from the form "source:port-destination:port".
+// Parse parses a TCP flow of the form "source:port-destination:port".
 func Parse(text string) (Key, error) {
 	source, destination, found := strings.Cut(text, "-")
 	if !found {
@@ -108,7 +109,8 @@
 	}, nil
 }
 
-// ParseAddress makes a TCP service address from an IPv4 text and a port.
+// ParseAddress returns the TCP service address for an IPv4 address in text form
+// and a port.
 func ParseAddress(ip string, port uint32) (Address, error) {
 	parsed, err := netip.ParseAddr(ip)
 	if err != nil || !parsed.Is4() {
@@ -120,7 +122,7 @@
 	return Address{IP: parsed.As4(), Port: uint16(port), Protocol: ProtocolTCP}, nil
 }
 
-// String gives the address as IP:port.
+// String returns the address in the form IP:port.
 func (address Address) String() string {
 	return netip.AddrPortFrom(netip.AddrFrom4(address.IP), address.Port).String()
 }
--- a/internal/flowtable/flowtable.go
+++ b/internal/flowtable/flowtable.go
@@ -1,9 +1,11 @@
-// Package flowtable holds the flows that one node has seen.
+// Package flowtable stores the flows that one node has seen, with the back end
+// of each.
 //
-// The table is a cache with a duty: an entry fixes the back end of a flow for
-// as long as the node sees its packets, and the entries that differ from the
-// agreed rule are what the node records at the keepers. Entries hold no
-// pointers, so that the garbage collector does not scan them.
+// The table is more than a cache: an entry fixes the back end of a flow for as
+// long as the node sees its packets, and the entries that differ from the agreed
+// rule are the ones that the node records at the keepers. The table is sharded
+// by flow hash, each shard with its own lock. Entries hold no pointers, so that
+// the garbage collector does not scan them.
 package flowtable
 
 import (
@@ -12,16 +14,16 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// ShardCount is the number of independently locked parts.
+// ShardCount is the number of independently locked shards.
 const ShardCount = 256
 
-// Entry is what a node knows of one flow. Times are milliseconds since the
-// node's start.
+// Entry is the state of one flow. Times are in milliseconds since the node
+// started.
 type Entry struct {
 	Backend uint32
-	// Opened is when the flow was first seen here.
+	// Opened is the time at which this node first saw the flow.
 	Opened uint32
-	// LastSeen is when its last packet was seen here.
+	// LastSeen is the time at which this node last saw a packet of the flow.
 	LastSeen uint32
 	Flags    Flags
 }
@@ -43,13 +45,13 @@
 	entries map[flow.Key]Entry
 }
 
-// Table is safe for use by many goroutines.
+// Table maps flows to entries. It is safe for concurrent use.
 type Table struct {
 	shards        [ShardCount]shard
 	shardCapacity int
 }
 
-// New makes a table that holds about capacity flows.
+// New returns a table that holds about capacity flows.
 func New(capacity int) *Table {
 	table := &Table{shardCapacity: max(1, (capacity+ShardCount-1)/ShardCount)}
 	for index := range table.shards {
@@ -62,100 +64,102 @@
 	return &table.shards[hash>>56]
 }
 
-// Touch returns the entry of a flow and notes that it was seen at now; it adds
-// flags to the entry. It does not allocate.
+// Touch returns the entry of a flow, if there is one, after setting its
+// LastSeen to now and adding flags to it. It does not allocate.
 func (table *Table) Touch(key flow.Key, hash uint64, now uint32, flags Flags) (Entry, bool) {
-	part := table.shard(hash)
-	part.mutex.Lock()
-	entry, found := part.entries[key]
+	shard := table.shard(hash)
+	shard.mutex.Lock()
+	entry, found := shard.entries[key]
 	if found && (entry.LastSeen != now || entry.Flags|flags != entry.Flags) {
 		entry.LastSeen = now
 		entry.Flags |= flags
-		part.entries[key] = entry
+		shard.entries[key] = entry
 	}
-	part.mutex.Unlock()
+	shard.mutex.Unlock()
 	return entry, found
 }
 
-// Get returns the entry of a flow.
+// Get returns the entry of a flow and whether there is one. It does not change
+// the entry.
 func (table *Table) Get(key flow.Key, hash uint64) (Entry, bool) {
-	part := table.shard(hash)
-	part.mutex.Lock()
-	entry, found := part.entries[key]
-	part.mutex.Unlock()
+	shard := table.shard(hash)
+	shard.mutex.Lock()
+	entry, found := shard.entries[key]
+	shard.mutex.Unlock()
 	return entry, found
 }
 
 // Put sets the entry of a flow. It returns false and stores nothing when the
-// flow is new and its part of the table is full.
+// flow is new and its shard is full.
 func (table *Table) Put(key flow.Key, hash uint64, entry Entry) bool {
-	part := table.shard(hash)
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	if len(part.entries) >= table.shardCapacity {
-		if _, found := part.entries[key]; !found {
+	shard := table.shard(hash)
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
+	if len(shard.entries) >= table.shardCapacity {
+		if _, found := shard.entries[key]; !found {
 			return false
 		}
 	}
-	part.entries[key] = entry
+	shard.entries[key] = entry
 	return true
 }
 
-// Delete removes a flow.
+// Delete removes the entry of a flow.
 func (table *Table) Delete(key flow.Key, hash uint64) {
-	part := table.shard(hash)
-	part.mutex.Lock()
-	delete(part.entries, key)
-	part.mutex.Unlock()
+	shard := table.shard(hash)
+	shard.mutex.Lock()
+	delete(shard.entries, key)
+	shard.mutex.Unlock()
 }
 
-// Full reports whether the part that would hold a new flow is at or above the
-// share (in percent) of its capacity.
+// Full reports whether the shard for a flow hash is filled to at least the given
+// percentage of its capacity.
 func (table *Table) Full(hash uint64, percent int) bool {
-	part := table.shard(hash)
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	return len(part.entries)*100 >= table.shardCapacity*percent
+	shard := table.shard(hash)
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
+	return len(shard.entries)*100 >= table.shardCapacity*percent
 }
 
-// Visit calls visit for each entry of one shard, with the shard locked; visit
-// must not call the table. When it returns false, the entry is removed.
+// Visit calls visit for each entry of one shard. The shard is locked meanwhile,
+// so visit must not call methods of the table. An entry for which visit returns
+// false is removed.
 func (table *Table) Visit(index int, visit func(flow.Key, Entry) bool) {
-	part := &table.shards[index]
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	for key, entry := range part.entries {
+	shard := &table.shards[index]
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
+	for key, entry := range shard.entries {
 		if !visit(key, entry) {
-			delete(part.entries, key)
+			delete(shard.entries, key)
 		}
 	}
 }
 
-// Expire removes entries that were closed before closedBefore or last seen
-// before idleBefore, and returns how many.
+// Expire removes the entries last seen before idleBefore, and the closed entries
+// last seen before closedBefore. It returns the number of entries removed.
 func (table *Table) Expire(idleBefore, closedBefore uint32) int {
 	removed := 0
 	for index := range table.shards {
 		table.Visit(index, func(_ flow.Key, entry Entry) bool {
-			gone := entry.LastSeen < idleBefore ||
+			expired := entry.LastSeen < idleBefore ||
 				entry.Flags&FlagClosed != 0 && entry.LastSeen < closedBefore
-			if gone {
+			if expired {
 				removed++
 			}
-			return !gone
+			return !expired
 		})
 	}
 	return removed
 }
 
-// Len returns the number of entries.
+// Len returns the number of entries in the table.
 func (table *Table) Len() int {
 	total := 0
 	for index := range table.shards {
-		part := &table.shards[index]
-		part.mutex.Lock()
-		total += len(part.entries)
-		part.mutex.Unlock()
+		shard := &table.shards[index]
+		shard.mutex.Lock()
+		total += len(shard.entries)
+		shard.mutex.Unlock()
 	}
 	return total
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,7 +1,10 @@
-// Package frame reads and writes the packets that reach a node: UDP datagrams
-// that carry one IPv4 packet each, with nothing in between (Generic UDP
-// Encapsulation, variant 1). What is balanced is thus real TCP. Parsing and
-// serialisation are gopacket's.
+// Package frame decodes the datagrams that reach a node and encodes the resets
+// that a node returns.
+//
+// Each UDP datagram carries one IPv4 packet with no header in between (Generic
+// UDP Encapsulation, variant 1), so the balanced traffic is real TCP. A Decoder
+// parses datagrams, and Refusal builds the RST that refuses a SYN. Both use
+// gopacket.
 package frame
 
 import (
@@ -20,26 +23,28 @@
 // Port is the port that IANA has assigned to Generic UDP Encapsulation.
 const Port = 6080
 
-// MaximumSize is the largest datagram taken, in bytes.
+// MaximumSize is the size in bytes of the largest datagram accepted.
 const MaximumSize = 2048
 
-// Cause is why a datagram was dropped before it was routed.
+// Cause is the reason why a datagram was dropped before routing.
 type Cause uint8
 
 const (
-	// CauseNone: the datagram is good.
+	// CauseNone means that the datagram is valid.
 	CauseNone Cause = iota
-	// CauseTruncated: shorter than its headers say.
+	// CauseTruncated means that the datagram is shorter than its headers say.
 	CauseTruncated
-	// CauseVersion: not an IPv4 packet.
+	// CauseVersion means that the datagram does not carry an IPv4 packet.
 	CauseVersion
-	// CauseFragment: a fragment, which lacks the ports.
+	// CauseFragment means that the packet is a fragment. Fragments are dropped
+	// because they lack the ports.
 	CauseFragment
-	// CauseProtocol: not TCP.
+	// CauseProtocol means that the packet is not TCP.
 	CauseProtocol
-	// CauseOversize: longer than MaximumSize or than the packet within.
+	// CauseOversize means that the datagram is longer than MaximumSize or than
+	// the packet it carries.
 	CauseOversize
-	// CauseHeader: a malformed header.
+	// CauseHeader means that a header is malformed.
 	CauseHeader
 	// CauseCount is the number of causes.
 	CauseCount
@@ -49,7 +54,7 @@
 	"none", "truncated", "wrong_version", "fragment", "wrong_protocol", "oversize", "bad_header",
 }
 
-// String names the cause, as in metrics.
+// String returns the name of the cause as used in metrics.
 func (cause Cause) String() string {
 	if cause < CauseCount {
 		return causeNames[cause]
@@ -57,17 +62,19 @@
 	return "unknown"
 }
 
-// Packet is what the router needs of a datagram.
+// Packet holds the fields of a datagram that the router needs.
 type Packet struct {
 	Key   flow.Key
 	Hash  uint64
 	Flags router.PacketFlags
-	// Sequence and Length serve a refusal.
+	// Sequence is the TCP sequence number and Length the size of the payload;
+	// Refusal uses them to compute the acknowledgment number.
 	Sequence uint32
 	Length   int
 }
 
-// Decoder reads datagrams without allocating. It is for one goroutine.
+// Decoder decodes datagrams without allocating. It must not be used by several
+// goroutines at once.
 type Decoder struct {
 	ip      layers.IPv4
 	tcp     layers.TCP
@@ -76,7 +83,7 @@
 	decoded []gopacket.LayerType
 }
 
-// NewDecoder makes a decoder.
+// NewDecoder returns a decoder for use by one goroutine.
 func NewDecoder() *Decoder {
 	decoder := &Decoder{decoded: make([]gopacket.LayerType, 0, 3)}
 	decoder.parser = gopacket.NewDecodingLayerParser(layers.LayerTypeIPv4,
@@ -91,7 +98,8 @@
 	fragmentMask      = 0x3fff
 )
 
-// Decode reads one datagram. The packet is valid only with CauseNone.
+// Decode decodes one datagram. The packet is valid only if the cause is
+// CauseNone.
 func (decoder *Decoder) Decode(datagram []byte) (Packet, Cause) {
 	if cause := checkHeader(datagram); cause != CauseNone {
 		return Packet{}, cause
@@ -110,7 +118,7 @@
 	return decoder.packet(), CauseNone
 }
 
-// checkHeader checks what gopacket would only report by allocating an error.
+// checkHeader detects the faults for which gopacket would allocate an error.
 func checkHeader(datagram []byte) Cause {
 	if len(datagram) < minimumIPv4Header {
 		return CauseTruncated
@@ -159,9 +167,9 @@
 
 const refusalTimeToLive = 64
 
-// Refusal makes the datagram that refuses a SYN: a RST with the cause and the
-// time to come back as its data (RFC 1122, section 4.2.2.12).
-func Refusal(packet Packet, cause string, comeBack time.Duration) ([]byte, error) {
+// Refusal returns the datagram that refuses a SYN: a RST whose data states the
+// cause and the time after which to retry (RFC 1122, section 4.2.2.12).
+func Refusal(packet Packet, cause string, retryAfter time.Duration) ([]byte, error) {
 	ip := &layers.IPv4{
 		Version:  versionIPv4,
 		IHL:      minimumIPv4Header / 4,
@@ -182,14 +190,14 @@
 	}
 	buffer := gopacket.NewSerializeBuffer()
 	options := gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
-	text := gopacket.Payload(RefusalText(cause, comeBack))
+	text := gopacket.Payload(RefusalText(cause, retryAfter))
 	if err := gopacket.SerializeLayers(buffer, options, ip, tcp, text); err != nil {
 		return nil, errors.Wrap(err, "refusal: serialise")
 	}
 	return buffer.Bytes(), nil
 }
 
-// RefusalText is the data of a refusal.
-func RefusalText(cause string, comeBack time.Duration) string {
-	return fmt.Sprintf("not run: %s; retry after %d ms", cause, comeBack.Milliseconds())
+// RefusalText returns the text that a refusal carries as data.
+func RefusalText(cause string, retryAfter time.Duration) string {
+	return fmt.Sprintf("not run: %s; retry after %d ms", cause, retryAfter.Milliseconds())
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -12,7 +12,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-func syn(t testing.TB) []byte {
+func synDatagram(t testing.TB) []byte {
 	ip := &layers.IPv4{Version: 4, IHL: 5, TTL: 64, Protocol: layers.IPProtocolTCP,
 		SrcIP: net.IPv4(10, 64, 0, 5).To4(), DstIP: net.IPv4(10, 200, 0, 1).To4()}
 	tcp := &layers.TCP{SrcPort: 40000, DstPort: 80, SYN: true, Seq: 77}
@@ -23,27 +23,27 @@
 }
 
 func TestDecode(t *testing.T) {
-	packet, cause := NewDecoder().Decode(syn(t))
+	packet, cause := NewDecoder().Decode(synDatagram(t))
 	require.Equal(t, CauseNone, cause)
 	require.Equal(t, "10.64.0.5:40000-10.200.0.1:80", packet.Key.String())
 	require.Equal(t, router.PacketOpens, packet.Flags)
 }
 
-func TestDecodeBad(t *testing.T) {
-	change := func(edit func([]byte) []byte) []byte { return edit(append([]byte(nil), syn(t)...)) }
+func TestDecodeInvalid(t *testing.T) {
+	modify := func(edit func([]byte) []byte) []byte { return edit(append([]byte(nil), synDatagram(t)...)) }
 	cases := map[string]struct {
 		datagram []byte
 		cause    Cause
 	}{
 		"empty":     {nil, CauseTruncated},
-		"short":     {change(func(b []byte) []byte { return b[:30] }), CauseTruncated},
-		"tail":      {change(func(b []byte) []byte { return append(b, 0) }), CauseOversize},
+		"short":     {modify(func(b []byte) []byte { return b[:30] }), CauseTruncated},
+		"tail":      {modify(func(b []byte) []byte { return append(b, 0) }), CauseOversize},
 		"oversize":  {make([]byte, MaximumSize+1), CauseOversize},
-		"version 6": {change(func(b []byte) []byte { b[0] = 0x65; return b }), CauseVersion},
-		"fragment":  {change(func(b []byte) []byte { b[6] = 0x20; return b }), CauseFragment},
-		"udp":       {change(func(b []byte) []byte { b[9] = 17; return b }), CauseProtocol},
-		"ihl":       {change(func(b []byte) []byte { b[0] = 0x41; return b }), CauseHeader},
-		"offset":    {change(func(b []byte) []byte { b[32] = 0x10; return b }), CauseHeader},
+		"version 6": {modify(func(b []byte) []byte { b[0] = 0x65; return b }), CauseVersion},
+		"fragment":  {modify(func(b []byte) []byte { b[6] = 0x20; return b }), CauseFragment},
+		"udp":       {modify(func(b []byte) []byte { b[9] = 17; return b }), CauseProtocol},
+		"ihl":       {modify(func(b []byte) []byte { b[0] = 0x41; return b }), CauseHeader},
+		"offset":    {modify(func(b []byte) []byte { b[32] = 0x10; return b }), CauseHeader},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 }
 
 func TestRefusal(t *testing.T) {
-	packet, _ := NewDecoder().Decode(syn(t))
+	packet, _ := NewDecoder().Decode(synDatagram(t))
 	datagram, err := Refusal(packet, "refused_overload", 2*time.Second)
 	require.NoError(t, err)
 	parsed := gopacket.NewPacket(datagram, layers.LayerTypeIPv4, gopacket.Default)
@@ -66,19 +66,19 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(syn(f))
+	f.Add(synDatagram(f))
 	f.Add([]byte{0x45})
 	decoder := NewDecoder()
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		packet, cause := decoder.Decode(datagram)
 		if cause == CauseNone && packet.Key.Protocol != 6 {
-			t.Fatalf("good packet with protocol %d", packet.Key.Protocol)
+			t.Fatalf("accepted packet has protocol %d, want 6", packet.Key.Protocol)
 		}
 	})
 }
 
 func BenchmarkDecode(b *testing.B) {
-	decoder, datagram := NewDecoder(), syn(b)
+	decoder, datagram := NewDecoder(), synDatagram(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		decoder.Decode(datagram)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -85,11 +85,11 @@
 	if err != nil {
 		return err
 	}
-	security, err := peerTLS(node.settings)
+	mutualTLS, err := peerTLS(node.settings)
 	if err != nil {
 		return err
 	}
-	node.transport, err = transport.Listen(node.settings.GetPeerAddress(), node.logger.With("part", "transport"), security)
+	node.transport, err = transport.Listen(node.settings.GetPeerAddress(), node.logger.With("part", "transport"), mutualTLS)
 	if err != nil {
 		return err
 	}
--- a/internal/router/keepers.go
+++ b/internal/router/keepers.go
@@ -6,8 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Keepers chooses the two nodes that keep a flow's record, in two zones where
-// the members allow it. It is immutable.
+// Keepers selects the two nodes that keep the record of a flow, by rendezvous
+// hashing. The two are in different zones if the members allow it. Keepers is
+// immutable.
 type Keepers struct {
 	members []keeperMember
 }
@@ -18,7 +19,8 @@
 	seed uint64
 }
 
-// NewKeepers makes the choice over members given as ID to zone.
+// NewKeepers returns the keepers for a set of members, given as a map from node
+// ID to zone.
 func NewKeepers(zones map[string]string) *Keepers {
 	keepers := &Keepers{}
 	for id, zone := range zones {
@@ -39,8 +41,8 @@
 	return len(keepers.members)
 }
 
-// Pick returns the two keepers of a flow hash, the first one ranked highest.
-// With one member the second is ""; with none both are. It does not allocate.
+// Pick returns the two keepers of a flow hash, the highest ranked one first.
+// With one member, second is empty; with none, both are. It does not allocate.
 func (keepers *Keepers) Pick(hash uint64) (first, second string) {
 	var bestScore uint64
 	best := -1
@@ -63,6 +65,9 @@
 	return keepers.members[best].id, keepers.members[next].id
 }
 
+// pickSecond returns the index of the highest ranked member other than first, or
+// -1 if there is none. With otherZone, it considers only members in other zones
+// than that of first.
 func (keepers *Keepers) pickSecond(hash uint64, first int, otherZone bool) int {
 	var bestScore uint64
 	best := -1
@@ -79,6 +84,7 @@
 	return best
 }
 
+// keeperScore mixes the hash of a flow with the seed of a member.
 func keeperScore(hash, seed uint64) uint64 {
 	value := hash ^ seed
 	value *= 0xbf58476d1ce4e5b9
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,10 +1,12 @@
-// Package router decides, packet by packet, which back end a flow goes to.
+// Package router decides for each packet which back end its flow goes to.
 //
-// Decide is called by the traffic goroutines. It reads an immutable View and
-// the node's flow table and takes no other lock. It yields one of four
-// actions: forward, ask the keepers, refuse (a new flow only), or drop. A drop
-// is harmless to a flow, since TCP sends the packet again; a wrong forward
-// would break it. So whenever the node cannot know, it asks or drops.
+// The traffic goroutines call Router.Decide. It reads an immutable View and the
+// flow table of the node, and takes no lock but those of the table. The control
+// goroutine publishes a new View with SetView. A decision has one of four
+// actions: forward, look the flow up at the keepers, refuse (new flows only), or
+// drop. A drop does no harm to a flow, since TCP retransmits the packet; a
+// forward to the wrong back end would break the flow. So whenever the node
+// cannot know the back end, it looks the flow up or drops the packet.
 package router
 
 import (
@@ -19,42 +21,43 @@
 type Action uint8
 
 const (
-	// ActionForward sends the packet to the verdict's back end.
+	// ActionForward sends the packet to the back end of the decision.
 	ActionForward Action = iota
-	// ActionLookup parks the packet and asks the keepers.
+	// ActionLookup buffers the packet and looks the flow up at the keepers.
 	ActionLookup
-	// ActionRefuse answers a SYN with a RST: the flow was not opened.
+	// ActionRefuse responds to a SYN with a RST: the flow is not opened.
 	ActionRefuse
 	// ActionDrop drops the packet.
 	ActionDrop
 )
 
-// Path is how a decision was reached.
+// Path is the way in which a decision was reached.
 type Path uint8
 
 const (
-	// PathLocal: the node's own entry.
+	// PathLocal means that the flow table of the node has an entry.
 	PathLocal Path = iota
-	// PathSettled: the settled rule.
+	// PathSettled means that the settled rule decided.
 	PathSettled
-	// PathPending: the pending rule.
+	// PathPending means that the pending rule decided.
 	PathPending
-	// PathKeeper: a keeper's record or binding.
+	// PathKeeper means that a record or binding of a keeper decided.
 	PathKeeper
-	// PathRefusedOverload: the flow table is nearly full.
+	// PathRefusedOverload means that the flow table is nearly full.
 	PathRefusedOverload
-	// PathRefusedNoBackend: no back end takes new flows.
+	// PathRefusedNoBackend means that no back end accepts new flows.
 	PathRefusedNoBackend
-	// PathRefusedNoService: no service has the address.
+	// PathRefusedNoService means that no service has the destination address.
 	PathRefusedNoService
-	// PathDroppedNoContact: the node is out of contact with its group.
+	// PathDroppedNoContact means that the node has no contact with its group.
 	PathDroppedNoContact
-	// PathDroppedNotReady: the node has no agreed state yet, or the service is
-	// not in force yet.
+	// PathDroppedNotReady means that the node has no agreed state yet, or that
+	// the service is not in force yet.
 	PathDroppedNotReady
-	// PathDroppedKeepers: the keepers did not answer in time.
+	// PathDroppedKeepers means that the keepers did not respond in time.
 	PathDroppedKeepers
-	// PathDroppedRejoin: a node that was cut off is recording its flows.
+	// PathDroppedRejoin means that a node that was isolated from its group is
+	// recording its flows.
 	PathDroppedRejoin
 	// PathCount is the number of paths.
 	PathCount
@@ -66,7 +69,7 @@
 	"dropped_not_ready", "dropped_keepers", "dropped_rejoin",
 }
 
-// String names the path, as in metrics and explanations.
+// String returns the name of the path as used in metrics and explanations.
 func (path Path) String() string {
 	if path < PathCount {
 		return pathNames[path]
@@ -74,7 +77,7 @@
 	return "unknown"
 }
 
-// PacketFlags are the TCP flags that matter here.
+// PacketFlags holds the TCP flags that the router needs.
 type PacketFlags uint8
 
 const (
@@ -84,71 +87,76 @@
 	PacketCloses
 )
 
-// Decision is the outcome of a decision.
+// Decision is the result of Router.Decide.
 type Decision struct {
 	Action  Action
 	Path    Path
 	Backend uint32
-	// Proposal and Bind are the question to the keepers for ActionLookup: bind
-	// the proposal if there is no record, or only look.
+	// Proposal and Bind are the lookup to send to the keepers for ActionLookup.
+	// If there is no record, Bind asks the keepers to bind the flow to the
+	// proposal; without Bind they only read.
 	Proposal uint32
 	Bind     bool
-	// Opens is set when the question is about a SYN.
+	// Opens is set if the lookup is for a SYN.
 	Opens bool
 }
 
 const (
-	// refuseFillPercent is the fill of the table at which SYNs are refused, so
-	// that open flows always find room.
+	// refuseFillPercent is the fill level of the table at which SYNs are refused,
+	// so that there is always space for open flows.
 	refuseFillPercent = 95
-	// portReuseTime is how long, in milliseconds, a closed or leaving flow must
-	// have been silent before a SYN counts as a new flow on the same ports.
+	// portReuseTime is the time in milliseconds for which a closed flow, or a flow
+	// of a leaving back end, must have been idle before a SYN counts as a new flow
+	// on the same ports.
 	portReuseTime = 30_000
 )
 
-// Router is safe for use by many goroutines.
+// Router decides packets by a View and a flow table. It is safe for concurrent
+// use.
 type Router struct {
 	table *flowtable.Table
 	view  atomic.Pointer[View]
-	// contactLeaseEnd is the time in milliseconds since the node's start until
-	// which the view may be trusted; see core's contact lease.
+	// contactLeaseEnd is the end of the contact lease, in milliseconds since the
+	// node started. The view may be trusted until then; see package core.
 	contactLeaseEnd atomic.Uint32
 	// serveIsolated lets the node decide by its rule after contactLeaseEnd.
 	serveIsolated atomic.Bool
 }
 
-// New makes a router without a view; it drops everything until SetView.
+// New returns a router without a view. It drops all packets until SetView is
+// called.
 func New(table *flowtable.Table) *Router {
 	return &Router{table: table}
 }
 
-// SetView publishes a compiled view.
+// SetView publishes a view that Compile has prepared.
 func (router *Router) SetView(view *View) { router.view.Store(view) }
 
 // View returns the view in use, or nil.
 func (router *Router) View() *View { return router.view.Load() }
 
-// SetContact sets until when the view may be trusted, in milliseconds since
-// the node's start, and whether the node serves by its rule after that.
-func (router *Router) SetContact(freshUntil uint32, serveIsolated bool) {
-	router.contactLeaseEnd.Store(freshUntil)
+// SetContact sets the end of the contact lease, in milliseconds since the node
+// started, and whether the node decides by its rule after that.
+func (router *Router) SetContact(contactLeaseEnd uint32, serveIsolated bool) {
+	router.contactLeaseEnd.Store(contactLeaseEnd)
 	router.serveIsolated.Store(serveIsolated)
 }
 
-// HasContact reports whether the view may be trusted at now.
+// HasContact reports whether the contact lease holds at now, so that the view may
+// be trusted.
 func (router *Router) HasContact(now uint32) bool { return now <= router.contactLeaseEnd.Load() }
 
-// Table returns the flow table.
+// Table returns the flow table of the router.
 func (router *Router) Table() *flowtable.Table { return router.table }
 
-// Decide decides one packet at now, in milliseconds since the node's start. It
-// does not allocate.
+// Decide returns the decision for one packet at now, in milliseconds since the
+// node started. It does not allocate.
 func (router *Router) Decide(now uint32, key flow.Key, hash uint64, flags PacketFlags) Decision {
 	view := router.view.Load()
 	if view == nil {
 		return Decision{Action: ActionDrop, Path: PathDroppedNotReady}
 	}
-	mark := entryFlags(flags)
+	observed := entryFlags(flags)
 	if flags&PacketOpens != 0 {
 		if !router.HasContact(now) && !router.serveIsolated.Load() {
 			return Decision{Action: ActionDrop, Path: PathDroppedNoContact}
@@ -157,25 +165,26 @@
 			router.table.Delete(key, hash)
 		}
 	}
-	if entry, found := router.table.Touch(key, hash, now, mark); found {
+	if entry, found := router.table.Touch(key, hash, now, observed); found {
 		return Decision{Action: ActionForward, Path: PathLocal, Backend: entry.Backend}
 	}
 	return router.decideUnknownFlow(view, now, key, hash, flags)
 }
 
-// entryFlags gives what a packet shows of its flow.
+// entryFlags returns the flags that a packet sets in the entry of its flow.
 func entryFlags(flags PacketFlags) flowtable.Flags {
-	var mark flowtable.Flags
+	var result flowtable.Flags
 	if flags&PacketCloses != 0 {
-		mark |= flowtable.FlagClosed
+		result |= flowtable.FlagClosed
 	}
 	if flags&PacketOpens == 0 {
-		mark |= flowtable.FlagEstablished
+		result |= flowtable.FlagEstablished
 	}
-	return mark
+	return result
 }
 
-// reusesPorts reports whether a SYN on an existing entry opens a new flow.
+// reusesPorts reports whether a SYN that matches an existing entry opens a new
+// flow on the same ports.
 func reusesPorts(view *View, entry flowtable.Entry, now uint32) bool {
 	if now-entry.LastSeen < portReuseTime {
 		return false
@@ -183,6 +192,7 @@
 	return entry.Flags&flowtable.FlagClosed != 0 || view.Leaving[entry.Backend]
 }
 
+// decideUnknownFlow decides a packet whose flow has no entry in the table.
 func (router *Router) decideUnknownFlow(view *View, now uint32, key flow.Key, hash uint64, flags PacketFlags) Decision {
 	service := view.services[key.Address()]
 	opens := flags&PacketOpens != 0
@@ -229,8 +239,8 @@
 	return Decision{Action: ActionForward, Path: path, Backend: result.fallback}
 }
 
-// InsertFlow enters a flow in the table after a decision. A full table leaves the
-// flow out; its next packet is decided anew, with the same outcome.
+// InsertFlow adds a flow to the table after a decision. If the table is full, the
+// flow is not added, and its next packet is decided again, with the same result.
 func (router *Router) InsertFlow(now uint32, key flow.Key, hash uint64, backend uint32, flags PacketFlags) {
 	entry := flowtable.Entry{Backend: backend, Opened: now, LastSeen: now, Flags: entryFlags(flags)}
 	if flags&PacketOpens != 0 {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -51,71 +51,72 @@
 	return router
 }
 
-// differing finds a flow on which the two rules differ, and one on which not.
-func differing(view *View) (differs, same flow.Key) {
-	foundDiffers, foundSame := false, false
-	for number := 0; !foundDiffers || !foundSame; number++ {
+// findFlows returns a flow for which the two rules differ and one for which they
+// agree.
+func findFlows(view *View) (ambiguous, agreed flow.Key) {
+	foundAmbiguous, foundAgreed := false, false
+	for number := 0; !foundAmbiguous || !foundAgreed; number++ {
 		key := testKey(number)
 		if view.Ambiguous(key, key.Hash()) {
-			differs, foundDiffers = key, true
+			ambiguous, foundAmbiguous = key, true
 		} else {
-			same, foundSame = key, true
+			agreed, foundAgreed = key, true
 		}
 	}
-	return differs, same
+	return ambiguous, agreed
 }
 
 func TestDecideByPhase(t *testing.T) {
 	pending := testSet(t, 2, 3)
 	view := testView(t, pending, PhaseLearned)
-	differs, same := differing(view)
-	settled := view.Settled.Rule(address).Pick(differs.Hash())
-	next := pending.Rule(address).Pick(differs.Hash())
+	ambiguous, agreed := findFlows(view)
+	settled := view.Settled.Rule(address).Pick(ambiguous.Hash())
+	next := pending.Rule(address).Pick(ambiguous.Hash())
 	cases := []struct {
 		name     string
 		phase    Phase
 		flags    PacketFlags
 		proposal uint32
 	}{
-		{"learned, opens", PhaseLearned, PacketOpens, settled},
-		{"learned, goes on", PhaseLearned, 0, settled},
-		{"active, opens", PhaseActive, PacketOpens, next},
-		{"active, goes on", PhaseActive, 0, settled},
-		{"flipped, opens", PhaseFlipped, PacketOpens, next},
-		{"flipped, goes on", PhaseFlipped, 0, next},
+		{"learned, new flow", PhaseLearned, PacketOpens, settled},
+		{"learned, open flow", PhaseLearned, 0, settled},
+		{"active, new flow", PhaseActive, PacketOpens, next},
+		{"active, open flow", PhaseActive, 0, settled},
+		{"flipped, new flow", PhaseFlipped, PacketOpens, next},
+		{"flipped, open flow", PhaseFlipped, 0, next},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			router := testRouter(t, testView(t, pending, test.phase))
-			verdict := router.Decide(10, differs, differs.Hash(), test.flags)
+			decision := router.Decide(10, ambiguous, ambiguous.Hash(), test.flags)
 			require.Equal(t, Decision{Action: ActionLookup, Path: PathKeeper, Proposal: test.proposal, Bind: true,
-				Opens: test.flags&PacketOpens != 0}, verdict)
-			require.Equal(t, ActionForward, router.Decide(10, same, same.Hash(), test.flags).Action)
+				Opens: test.flags&PacketOpens != 0}, decision)
+			require.Equal(t, ActionForward, router.Decide(10, agreed, agreed.Hash(), test.flags).Action)
 		})
 	}
 }
 
-func TestFilterLeadsToQuestion(t *testing.T) {
+func TestFilterMatchCausesLookup(t *testing.T) {
 	view := testView(t, nil, PhaseNone)
 	key := testKey(5)
 	first, _ := view.Keepers.Pick(key.Hash())
 	bytes := key.Bytes()
 	view.Filters[first].Add(bytes[:])
-	verdict := testRouter(t, view).Decide(10, key, key.Hash(), 0)
-	require.Equal(t, ActionLookup, verdict.Action)
-	require.False(t, verdict.Bind)
+	decision := testRouter(t, view).Decide(10, key, key.Hash(), 0)
+	require.Equal(t, ActionLookup, decision.Action)
+	require.False(t, decision.Bind)
 	delete(view.Filters, first)
-	require.Equal(t, ActionForward, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "the other keeper's filter serves")
+	require.Equal(t, ActionForward, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "the filter of the second keeper is used")
 	view.Filters = nil
-	require.Equal(t, ActionLookup, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "without a filter the node asks")
+	require.Equal(t, ActionLookup, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "without a filter the node looks the flow up")
 }
 
 func TestWithoutContact(t *testing.T) {
 	router := testRouter(t, testView(t, nil, PhaseNone))
 	known, unknown := testKey(1), testKey(2)
 	require.Equal(t, ActionForward, router.Decide(10, known, known.Hash(), PacketOpens).Action)
-	require.Equal(t, ActionForward, router.Decide(2000, known, known.Hash(), 0).Action, "a known flow goes on")
-	require.Equal(t, PathDroppedNoContact, router.Decide(2000, known, known.Hash(), PacketOpens).Path, "its ports may be used anew")
+	require.Equal(t, ActionForward, router.Decide(2000, known, known.Hash(), 0).Action, "a known flow is still forwarded")
+	require.Equal(t, PathDroppedNoContact, router.Decide(2000, known, known.Hash(), PacketOpens).Path, "a SYN may open a new flow on the same ports")
 	require.Equal(t, PathDroppedNoContact, router.Decide(2000, unknown, unknown.Hash(), PacketOpens).Path)
 	require.Equal(t, PathDroppedNoContact, router.Decide(2000, unknown, unknown.Hash(), 0).Path)
 	router.SetContact(1000, true)
@@ -125,9 +126,9 @@
 func TestRefusals(t *testing.T) {
 	view := testView(t, nil, PhaseNone)
 	router := testRouter(t, view)
-	foreign := testKey(1)
-	foreign.DestinationPort = 81
-	require.Equal(t, PathRefusedNoService, router.Decide(10, foreign, foreign.Hash(), PacketOpens).Path)
+	unknownService := testKey(1)
+	unknownService.DestinationPort = 81
+	require.Equal(t, PathRefusedNoService, router.Decide(10, unknownService, unknownService.Hash(), PacketOpens).Path)
 	all := make(map[uint32]bool)
 	for backend := uint32(1); backend <= 14; backend++ {
 		all[backend] = true
@@ -143,24 +144,24 @@
 		other := testKey(number)
 		full.InsertFlow(10, other, other.Hash(), 1, 0)
 	}
-	fresh := testKey(9999)
-	require.Equal(t, PathRefusedOverload, full.Decide(10, fresh, fresh.Hash(), PacketOpens).Path)
-	require.Equal(t, ActionForward, full.Decide(10, fresh, fresh.Hash(), 0).Action, "open flows are served at the bound")
+	unknown := testKey(9999)
+	require.Equal(t, PathRefusedOverload, full.Decide(10, unknown, unknown.Hash(), PacketOpens).Path)
+	require.Equal(t, ActionForward, full.Decide(10, unknown, unknown.Hash(), 0).Action, "open flows are forwarded when the table is full")
 }
 
-func TestLeavingMarkKeepsNewFlowsAway(t *testing.T) {
+func TestLeavingMarkExcludesNewFlows(t *testing.T) {
 	view := testView(t, nil, PhaseNone)
 	view.ActiveMarks, view.KnownMarks = map[uint32]bool{3: true}, map[uint32]bool{3: true}
 	router := testRouter(t, view.Compile())
 	for number := range 2000 {
 		key := testKey(number)
-		verdict := router.Decide(10, key, key.Hash(), PacketOpens)
-		require.NotEqual(t, uint32(3), verdict.Backend)
-		require.NotEqual(t, uint32(3), verdict.Proposal)
+		decision := router.Decide(10, key, key.Hash(), PacketOpens)
+		require.NotEqual(t, uint32(3), decision.Backend)
+		require.NotEqual(t, uint32(3), decision.Proposal)
 	}
 }
 
-// TestEntrySize keeps the promise of 400,000 flows in at most 64 MB.
+// TestEntrySize checks that 400,000 flows take at most 64 MB.
 func TestEntrySize(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -198,14 +199,14 @@
 	}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		place := number & (len(keys) - 1)
-		router.Decide(11, keys[place], hashes[place], 0)
+		index := number & (len(keys) - 1)
+		router.Decide(11, keys[index], hashes[index], 0)
 	}
 }
 
-// BenchmarkDecideEpochs decides unknown flows while an epoch is pending; the
-// table is full, so that nothing is learned.
-func BenchmarkDecideEpochs(b *testing.B) {
+// BenchmarkDecidePendingEpoch decides unknown flows while an epoch is pending; the
+// table is full, so that no flow is added to it.
+func BenchmarkDecidePendingEpoch(b *testing.B) {
 	router := New(flowtable.New(0))
 	router.SetView(testView(b, testSet(b, 2, 3), PhaseActive))
 	router.SetContact(1000, false)
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -7,23 +7,25 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// Phase is how far a node is with the pending epoch. Two nodes are never more
-// than one phase apart; package core explains why that is enough.
+// Phase is the progress of a node with the pending epoch. Two nodes are never
+// more than one phase apart; package core explains why that is sufficient.
 type Phase uint32
 
 const (
-	// PhaseNone: nothing is pending; the settled rule is the only one.
+	// PhaseNone means that no epoch is pending; only the settled rule exists.
 	PhaseNone Phase = 0
-	// PhaseLearned: the pending epoch is known. New flows still follow the
-	// settled rule, but flows on which the two rules differ are bound.
+	// PhaseLearned means that the node has the pending epoch. New flows still
+	// follow the settled rule, but flows for which the two rules differ are bound
+	// at the keepers.
 	PhaseLearned Phase = 1
-	// PhaseActive: new flows follow the pending rule, bound where they differ.
+	// PhaseActive means that new flows follow the pending rule, and are bound at
+	// the keepers where the two rules differ.
 	PhaseActive Phase = 2
-	// PhaseFlipped: flows that no record names follow the pending rule.
+	// PhaseFlipped means that flows without a record follow the pending rule.
 	PhaseFlipped Phase = 3
 )
 
-// String names the phase for operators.
+// String returns the name of the phase as shown to operators.
 func (phase Phase) String() string {
 	switch phase {
 	case PhaseNone:
@@ -38,42 +40,45 @@
 	return "unknown"
 }
 
-// View is what the traffic goroutines know of the agreed state. The control
-// goroutine replaces it as a whole; it is never changed.
+// View is the part of the agreed state that the traffic goroutines read. The
+// control goroutine replaces it as a whole; a published view is never modified.
 type View struct {
 	Settled *rule.Set
 	Pending *rule.Set
 	Phase   Phase
-	// DropUnknownFlows drops packets of unknown flows that are open already: a node
-	// that was cut off is about to record such flows.
+	// DropUnknownFlows drops packets of unknown flows other than SYNs: a node that
+	// was isolated from its group is about to record such flows.
 	DropUnknownFlows bool
-	// ActiveMarks are the back ends that new flows avoid already.
+	// ActiveMarks holds the marked back ends that new flows avoid already.
 	ActiveMarks map[uint32]bool
-	// KnownMarks are all marked back ends.
+	// KnownMarks holds all marked back ends.
 	KnownMarks map[uint32]bool
-	// Leaving are all back ends that take no new flows by a mark or by a rule.
+	// Leaving holds all back ends that accept no new flows, by a mark or by a
+	// rule.
 	Leaving map[uint32]bool
-	// Keepers and Filters tell which flows may be displaced.
+	// Keepers and Filters determine which flows may have a record. Filters holds a
+	// Bloom filter of the recorded flows for each keeper.
 	Keepers *Keepers
 	Filters map[string]*bloom.BloomFilter
 
 	services map[flow.Address]*serviceView
 }
 
-// serviceView holds the rules that matter for one service, ready to use.
+// serviceView holds the rules that apply to one service.
 type serviceView struct {
-	// fallback is the rule for a flow that no record names.
+	// fallback is the rule for flows without a record.
 	fallback *rule.Rule
-	// proposal is the rule for a new flow; nil refuses new flows.
+	// proposal is the rule for new flows; if it is nil, new flows are refused.
 	proposal *rule.Rule
-	// alternatives are the further rules that nodes at hand may follow. A flow on
-	// which any of them differs from the fallback is ambiguous.
+	// alternatives are the other rules that nodes of the group may follow. A flow
+	// is ambiguous if any of them and the fallback pick different back ends.
 	alternatives []*rule.Rule
-	// notInForce is set while a new service is not in force yet.
+	// notInForce is set until a new service comes into force.
 	notInForce bool
 }
 
-// Compile prepares the view for use; it is called once, before publication.
+// Compile prepares the view for use and returns it. It must be called once,
+// before the view is published.
 func (view *View) Compile() *View {
 	view.services = make(map[flow.Address]*serviceView)
 	for address := range view.Settled.Rules() {
@@ -126,7 +131,7 @@
 	service.alternatives = append(service.alternatives, candidate)
 }
 
-// choice is what the rules of a view say about one flow.
+// choice holds the back ends that the rules of a view pick for one flow.
 type choice struct {
 	fallback  uint32
 	proposal  uint32
@@ -150,14 +155,15 @@
 	return result
 }
 
-// Ambiguous reports whether the rules of the view differ on a flow.
+// Ambiguous reports whether the rules of the view pick different back ends for a
+// flow.
 func (view *View) Ambiguous(key flow.Key, hash uint64) bool {
 	service := view.services[key.Address()]
 	return service != nil && service.choose(hash).ambiguous
 }
 
-// mayHaveRecord reports whether a flow may have a record although the rules
-// agree on it. Without the filter of either keeper the answer is yes.
+// mayHaveRecord reports whether a flow may have a record although the rules agree
+// on it. It returns true if the filters of both keepers are missing.
 func (view *View) mayHaveRecord(key flow.Key, hash uint64) bool {
 	if view.Keepers == nil || view.Keepers.Len() == 0 {
 		return false
@@ -174,7 +180,7 @@
 	return filter.Test(bytes[:])
 }
 
-// Service returns the name of the service at an address, or "".
+// Service returns the name of the service at an address, or "" if there is none.
 func (view *View) Service(address flow.Address) string {
 	service := view.services[address]
 	if service == nil || service.fallback == nil {
@@ -183,7 +189,7 @@
 	return service.fallback.Service
 }
 
-// Proposal returns the rule for new flows at an address, or nil.
+// Proposal returns the rule for new flows at an address, or nil if there is none.
 func (view *View) Proposal(address flow.Address) *rule.Rule {
 	if service := view.services[address]; service != nil {
 		return service.proposal
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,8 +1,11 @@
 // Package transport carries messages between the nodes of a group over drpc.
 //
-// Each node keeps one outgoing stream to each peer it has messages for; it is
-// opened on demand and again after an error. Messages may be lost: the control
-// state is made for it. Queues are bounded, and the oldest message gives way.
+// Listen opens the listener of a node, Run serves it, Send queues a message for
+// a peer and Inbox delivers the received messages. Each node keeps one outgoing
+// stream to each peer that it has messages for; the stream is opened on demand
+// and reopened after an error. Messages may be lost, and the control state
+// tolerates that. Queues are bounded; a full outgoing queue drops its oldest
+// message.
 package transport
 
 import (
@@ -31,11 +34,12 @@
 	dialTimeout = time.Second
 	redialDelay = 100 * time.Millisecond
 	idleTimeout = time.Minute
-	// frameOverhead approximates the bytes that drpc and TCP add to a message.
+	// frameOverhead is the approximate number of bytes that drpc and TCP add to a
+	// message.
 	frameOverhead = 24
 )
 
-// Transport is the peer listener and the streams to the peers of one node.
+// Transport holds the peer listener of one node and its streams to the peers.
 type Transport struct {
 	listener  net.Listener
 	mutualTLS *MutualTLS
@@ -43,39 +47,42 @@
 	inbox     chan *apiv1.Envelope
 	mutex     sync.Mutex
 	links     map[string]*link
-	// dropped counts messages dropped because a queue was full.
+	// dropped counts messages dropped at full queues and messages discarded when
+	// a stream failed.
 	dropped   atomic.Uint64
 	sentBytes sync.Map
 }
 
-// MutualTLS is mutual TLS between nodes; nil is none.
+// MutualTLS holds the key pair of a node and the authorities that its peers'
+// certificates must be signed by. A nil *MutualTLS means plain connections.
 type MutualTLS struct {
 	Pair        *certificate.Pair
 	Authorities *x509.CertPool
 }
 
-// Listen opens the peer listener.
-func Listen(address string, logger *slog.Logger, security *MutualTLS) (*Transport, error) {
+// Listen opens the peer listener on an address. Without mutualTLS, connections
+// are plain TCP.
+func Listen(address string, logger *slog.Logger, mutualTLS *MutualTLS) (*Transport, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "peers: listen on %s", address)
 	}
-	if security != nil {
-		listener = tls.NewListener(listener, security.Pair.Server(security.Authorities))
+	if mutualTLS != nil {
+		listener = tls.NewListener(listener, mutualTLS.Pair.Server(mutualTLS.Authorities))
 	}
 	return &Transport{
 		listener:  listener,
-		mutualTLS: security,
+		mutualTLS: mutualTLS,
 		logger:    logger,
 		inbox:     make(chan *apiv1.Envelope, inboxLimit),
 		links:     make(map[string]*link),
 	}, nil
 }
 
-// Inbox is the channel of received messages.
+// Inbox returns the channel of received messages.
 func (transport *Transport) Inbox() <-chan *apiv1.Envelope { return transport.inbox }
 
-// Run serves until the context ends.
+// Run accepts the streams of peers until the context is canceled.
 func (transport *Transport) Run(ctx context.Context) error {
 	mux := drpcmux.New()
 	if err := apiv1.DRPCRegisterPeer(mux, &receiver{transport: transport}); err != nil {
@@ -88,12 +95,13 @@
 	return errors.Wrap(err, "peers: serve")
 }
 
-// receiver is the called side of Exchange.
+// receiver implements the server side of the Exchange RPC.
 type receiver struct {
 	transport *Transport
 }
 
-// Exchange takes the messages of one peer.
+// Exchange receives the messages of one peer. A message that finds the inbox
+// full is dropped.
 func (receiver *receiver) Exchange(stream apiv1.DRPCPeer_ExchangeStream) error {
 	for {
 		envelope, err := stream.Recv()
@@ -108,7 +116,8 @@
 	}
 }
 
-// Send queues a message for the peer at an address. It does not block.
+// Send queues a message for the peer at an address. It does not block: if the
+// queue is full, the oldest message is dropped.
 func (transport *Transport) Send(ctx context.Context, address string, envelope *apiv1.Envelope) {
 	transport.countSent(envelope)
 	transport.mutex.Lock()
@@ -143,7 +152,7 @@
 	counter.(*atomic.Uint64).Add(uint64(proto.Size(envelope) + frameOverhead))
 }
 
-// SentBytes returns the bytes sent by message kind.
+// SentBytes returns the number of bytes passed to Send, by message kind.
 func (transport *Transport) SentBytes() map[string]uint64 {
 	counts := make(map[string]uint64)
 	transport.sentBytes.Range(func(kind, counter any) bool {
@@ -153,23 +162,25 @@
 	return counts
 }
 
-// Dropped returns the number of messages dropped at full queues.
+// Dropped returns the number of messages dropped at full queues or discarded
+// when a stream failed.
 func (transport *Transport) Dropped() uint64 { return transport.dropped.Load() }
 
-// link is the outgoing stream to one peer.
+// link is the outgoing stream to one peer with its queue.
 type link struct {
 	address string
 	queue   chan *apiv1.Envelope
 }
 
-// runLink sends a link's messages. It ends when the link has been idle.
+// runLink sends the messages of a link and reconnects after an error. It returns
+// when the link has been idle for idleTimeout or the context is canceled.
 func (transport *Transport) runLink(ctx context.Context, link *link) {
 	for ctx.Err() == nil {
 		err := transport.sendQueued(ctx, link)
 		if err == nil {
 			return
 		}
-		transport.logger.Debug("Stream ended.", "peer", link.address, "error", err)
+		transport.logger.Debug("Peers: stream ended.", "peer", link.address, "error", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
@@ -178,8 +189,8 @@
 	}
 }
 
-// dropQueued drops what waited for a peer that could not be reached: by the time it
-// is reached, newer messages say more.
+// dropQueued discards the messages queued for a peer that could not be reached.
+// By the time the peer is reachable, newer messages supersede them.
 func (transport *Transport) dropQueued(link *link) {
 	for {
 		select {
@@ -191,6 +202,8 @@
 	}
 }
 
+// sendQueued waits for the first message, opens a stream and sends messages until
+// the link is idle or an error occurs.
 func (transport *Transport) sendQueued(ctx context.Context, link *link) error {
 	first, open := transport.nextMessage(ctx, link)
 	if !open {
@@ -229,8 +242,8 @@
 	return secure.DialContext(ctx, "tcp4", address)
 }
 
-// nextMessage waits for a message. It returns false when the context ends, or when
-// the link has been idle and is removed.
+// nextMessage waits for a message. It returns false when the context is canceled,
+// or when the link has been idle for idleTimeout and has been removed.
 func (transport *Transport) nextMessage(ctx context.Context, link *link) (*apiv1.Envelope, bool) {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -22,7 +22,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/certificate"
 )
 
-// writePair makes a self-signed certificate for 127.0.0.1 in two files.
+// writePair writes a self-signed certificate for 127.0.0.1 and its key to two
+// files.
 func writePair(t *testing.T, directory, name string) (certificateFile, keyFile string) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -40,7 +41,7 @@
 	return certificateFile, keyFile
 }
 
-func security(t *testing.T, certificateFile, keyFile, authority string) *MutualTLS {
+func loadTLS(t *testing.T, certificateFile, keyFile, authority string) *MutualTLS {
 	pair, err := certificate.LoadPair(certificateFile, keyFile)
 	require.NoError(t, err)
 	authorities, err := certificate.LoadAuthorities(authority)
@@ -48,17 +49,17 @@
 	return &MutualTLS{Pair: pair, Authorities: authorities}
 }
 
-func listen(t *testing.T, security *MutualTLS) *Transport {
-	made, err := Listen("127.0.0.1:0", slog.New(slog.DiscardHandler), security)
+func listen(t *testing.T, mutualTLS *MutualTLS) *Transport {
+	transport, err := Listen("127.0.0.1:0", slog.New(slog.DiscardHandler), mutualTLS)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = made.Run(ctx) }()
-	return made
+	go func() { _ = transport.Run(ctx) }()
+	return transport
 }
 
-// arrives reports whether a message gets from one node to the other.
-func arrives(from, to *Transport) bool {
+// delivers reports whether a message sent by one node reaches the other.
+func delivers(from, to *Transport) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range 20 {
@@ -72,9 +73,9 @@
 	return false
 }
 
-func TestPlain(t *testing.T) {
+func TestPlainConnection(t *testing.T) {
 	from, to := listen(t, nil), listen(t, nil)
-	require.True(t, arrives(from, to))
+	require.True(t, delivers(from, to))
 	require.NotEmpty(t, from.SentBytes())
 }
 
@@ -82,13 +83,13 @@
 	directory := t.TempDir()
 	goodFile, goodKey := writePair(t, directory, "good")
 	otherFile, otherKey := writePair(t, directory, "other")
-	good := listen(t, security(t, goodFile, goodKey, goodFile))
-	require.True(t, arrives(good, listen(t, security(t, goodFile, goodKey, goodFile))))
-	require.False(t, arrives(listen(t, security(t, otherFile, otherKey, goodFile)), good), "a foreign certificate is refused")
-	require.False(t, arrives(listen(t, nil), good), "plain connections are refused")
+	good := listen(t, loadTLS(t, goodFile, goodKey, goodFile))
+	require.True(t, delivers(good, listen(t, loadTLS(t, goodFile, goodKey, goodFile))))
+	require.False(t, delivers(listen(t, loadTLS(t, otherFile, otherKey, goodFile)), good), "a certificate of an untrusted authority is refused")
+	require.False(t, delivers(listen(t, nil), good), "plain connections are refused")
 }
 
-func TestKeysAreReloaded(t *testing.T) {
+func TestCertificateIsReloaded(t *testing.T) {
 	directory := t.TempDir()
 	oldFile, oldKey := writePair(t, directory, "node")
 	pair, err := certificate.LoadPair(oldFile, oldKey)
