--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -63,18 +63,18 @@
 
 // Plane is the data path of one node. Listen returns one.
 type Plane struct {
-	router   *router.Router
-	targets  atomic.Pointer[Targets]
-	version  atomic.Uint64
-	socket   net.PacketConn
-	batch    *ipv4.PacketConn
-	clock    func() uint32
-	logger   *slog.Logger
-	observer Observer
-	buffer   *packetBuffer
-	lookups  chan Lookup
-	results  chan LookupResult
-	workers  []*worker
+	router       *router.Router
+	targets      atomic.Pointer[Targets]
+	version      atomic.Uint64
+	socket       net.PacketConn
+	batch        *ipv4.PacketConn
+	clock        func() uint32
+	logger       *slog.Logger
+	observer     Observer
+	packetBuffer *packetBuffer
+	lookups      chan Lookup
+	results      chan LookupResult
+	workers      []*worker
 	// pathCounts counts packets by path, and dropCounts those dropped before
 	// routing by cause.
 	pathCounts [router.PathCount]atomic.Uint64
@@ -106,15 +106,15 @@
 		_ = udp.SetWriteBuffer(socketBuffer)
 	}
 	plane := &Plane{
-		router:   settings.Router,
-		socket:   socket,
-		batch:    ipv4.NewPacketConn(socket),
-		clock:    settings.Clock,
-		logger:   settings.Logger,
-		observer: settings.Observer,
-		buffer:   newPacketBuffer(bufferedPacketLimit),
-		lookups:  make(chan Lookup, lookupQueueLimit),
-		results:  make(chan LookupResult, resultQueueLimit),
+		router:       settings.Router,
+		socket:       socket,
+		batch:        ipv4.NewPacketConn(socket),
+		clock:        settings.Clock,
+		logger:       settings.Logger,
+		observer:     settings.Observer,
+		packetBuffer: newPacketBuffer(bufferedPacketLimit),
+		lookups:      make(chan Lookup, lookupQueueLimit),
+		results:      make(chan LookupResult, resultQueueLimit),
 	}
 	empty := Targets{}
 	plane.targets.Store(&empty)
@@ -151,7 +151,7 @@
 	select {
 	case plane.results <- result:
 	default:
-		plane.overflow.Add(uint64(len(plane.buffer.take(result.Key))))
+		plane.overflow.Add(uint64(len(plane.packetBuffer.take(result.Key))))
 	}
 }
 
@@ -217,7 +217,7 @@
 // result names no back end with a tunnel address.
 func (plane *Plane) forwardBuffered(result LookupResult) {
 	now := plane.clock()
-	for _, buffered := range plane.buffer.take(result.Key) {
+	for _, buffered := range plane.packetBuffer.take(result.Key) {
 		target := (*plane.targets.Load())[result.Backend]
 		if result.Backend == rule.NoBackend || target == nil {
 			plane.recordDecision(now, result.Key, router.PathDroppedKeepers, rule.NoBackend)
--- a/internal/dataplane/packetbuffer.go
+++ b/internal/dataplane/packetbuffer.go
@@ -30,25 +30,25 @@
 // add buffers a copy of a datagram. It reports whether there was space for it,
 // and whether it is the first packet of its flow in the buffer, in which case the
 // caller must start a lookup.
-func (buffer *packetBuffer) add(packet frame.Packet, datagram []byte, from net.Addr) (stored, first bool) {
-	buffer.mutex.Lock()
-	defer buffer.mutex.Unlock()
-	if buffer.count >= buffer.limit {
+func (packetBuffer *packetBuffer) add(packet frame.Packet, datagram []byte, from net.Addr) (stored, first bool) {
+	packetBuffer.mutex.Lock()
+	defer packetBuffer.mutex.Unlock()
+	if packetBuffer.count >= packetBuffer.limit {
 		return false, false
 	}
-	waiting := buffer.packets[packet.Key]
+	waiting := packetBuffer.packets[packet.Key]
 	copied := bufferedPacket{packet: packet, datagram: append([]byte(nil), datagram...), from: from}
-	buffer.packets[packet.Key] = append(waiting, copied)
-	buffer.count++
+	packetBuffer.packets[packet.Key] = append(waiting, copied)
+	packetBuffer.count++
 	return true, len(waiting) == 0
 }
 
 // take removes and returns the buffered packets of a flow.
-func (buffer *packetBuffer) take(key flow.Key) []bufferedPacket {
-	buffer.mutex.Lock()
-	defer buffer.mutex.Unlock()
-	waiting := buffer.packets[key]
-	delete(buffer.packets, key)
-	buffer.count -= len(waiting)
+func (packetBuffer *packetBuffer) take(key flow.Key) []bufferedPacket {
+	packetBuffer.mutex.Lock()
+	defer packetBuffer.mutex.Unlock()
+	waiting := packetBuffer.packets[key]
+	delete(packetBuffer.packets, key)
+	packetBuffer.count -= len(waiting)
 	return waiting
 }
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -121,7 +121,7 @@
 // flow.
 func (worker *worker) bufferPacket(packet frame.Packet, datagram []byte, message *ipv4.Message, decision router.Decision) {
 	plane := worker.plane
-	stored, first := plane.buffer.add(packet, datagram, message.Addr)
+	stored, first := plane.packetBuffer.add(packet, datagram, message.Addr)
 	if !stored {
 		plane.overflow.Add(1)
 		return
@@ -133,6 +133,6 @@
 	select {
 	case plane.lookups <- lookup:
 	default:
-		plane.overflow.Add(uint64(len(plane.buffer.take(packet.Key))))
+		plane.overflow.Add(uint64(len(plane.packetBuffer.take(packet.Key))))
 	}
 }
--- a/internal/flowtable/flowtable.go
+++ b/internal/flowtable/flowtable.go
@@ -67,70 +67,70 @@
 // Touch returns the entry of a flow, if there is one, after setting its
 // LastSeen to now and adding flags to it. It does not allocate.
 func (table *Table) Touch(key flow.Key, hash uint64, now uint32, flags Flags) (Entry, bool) {
-	shard := table.shard(hash)
-	shard.mutex.Lock()
-	entry, found := shard.entries[key]
+	s := table.shard(hash)
+	s.mutex.Lock()
+	entry, found := s.entries[key]
 	if found && (entry.LastSeen != now || entry.Flags|flags != entry.Flags) {
 		entry.LastSeen = now
 		entry.Flags |= flags
-		shard.entries[key] = entry
+		s.entries[key] = entry
 	}
-	shard.mutex.Unlock()
+	s.mutex.Unlock()
 	return entry, found
 }
 
 // Get returns the entry of a flow and whether there is one. It does not change
 // the entry.
 func (table *Table) Get(key flow.Key, hash uint64) (Entry, bool) {
-	shard := table.shard(hash)
-	shard.mutex.Lock()
-	entry, found := shard.entries[key]
-	shard.mutex.Unlock()
+	s := table.shard(hash)
+	s.mutex.Lock()
+	entry, found := s.entries[key]
+	s.mutex.Unlock()
 	return entry, found
 }
 
 // Put sets the entry of a flow. It returns false and stores nothing when the
 // flow is new and its shard is full.
 func (table *Table) Put(key flow.Key, hash uint64, entry Entry) bool {
-	shard := table.shard(hash)
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	if len(shard.entries) >= table.shardCapacity {
-		if _, found := shard.entries[key]; !found {
+	s := table.shard(hash)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(s.entries) >= table.shardCapacity {
+		if _, found := s.entries[key]; !found {
 			return false
 		}
 	}
-	shard.entries[key] = entry
+	s.entries[key] = entry
 	return true
 }
 
 // Delete removes the entry of a flow.
 func (table *Table) Delete(key flow.Key, hash uint64) {
-	shard := table.shard(hash)
-	shard.mutex.Lock()
-	delete(shard.entries, key)
-	shard.mutex.Unlock()
+	s := table.shard(hash)
+	s.mutex.Lock()
+	delete(s.entries, key)
+	s.mutex.Unlock()
 }
 
 // Full reports whether the shard for a flow hash is filled to at least the given
 // percentage of its capacity.
 func (table *Table) Full(hash uint64, percent int) bool {
-	shard := table.shard(hash)
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	return len(shard.entries)*100 >= table.shardCapacity*percent
+	s := table.shard(hash)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.entries)*100 >= table.shardCapacity*percent
 }
 
 // Visit calls visit for each entry of one shard. The shard is locked meanwhile,
 // so visit must not call methods of the table. An entry for which visit returns
 // false is removed.
 func (table *Table) Visit(index int, visit func(flow.Key, Entry) bool) {
-	shard := &table.shards[index]
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	for key, entry := range shard.entries {
+	s := &table.shards[index]
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for key, entry := range s.entries {
 		if !visit(key, entry) {
-			delete(shard.entries, key)
+			delete(s.entries, key)
 		}
 	}
 }
@@ -156,10 +156,10 @@
 func (table *Table) Len() int {
 	total := 0
 	for index := range table.shards {
-		shard := &table.shards[index]
-		shard.mutex.Lock()
-		total += len(shard.entries)
-		shard.mutex.Unlock()
+		s := &table.shards[index]
+		s.mutex.Lock()
+		total += len(s.entries)
+		s.mutex.Unlock()
 	}
 	return total
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -24,7 +24,8 @@
 
 const adminHeaderTimeout = 5 * time.Second
 
-// serveAdmin serves the administration API and the metrics.
+// serveAdmin serves the administration API and the metrics until the context is
+// canceled.
 func (node *Node) serveAdmin(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", node.settings.GetAdminAddress())
 	if err != nil {
@@ -47,18 +48,19 @@
 	return nil
 }
 
-// Configuration implements admin.Backend with the newest configuration that
-// this node knows.
+// Configuration implements admin.Node. It returns the newest configuration that
+// this node has.
 func (node *Node) Configuration(ctx context.Context) (*apiv1.Configuration, error) {
-	var known *apiv1.Configuration
-	err := node.query(ctx, func(control *core.Core) { known = control.Configuration() })
-	return known, err
+	var newest *apiv1.Configuration
+	err := node.query(ctx, func(control *core.Core) { newest = control.Configuration() })
+	return newest, err
 }
 
-// Ready implements admin.Backend.
+// Ready implements admin.Node. It reports whether the node has contact with its
+// group.
 func (node *Node) Ready() bool { return node.ready.Load() }
 
-// SetLogLevel implements admin.Backend.
+// SetLogLevel implements admin.Node. It sets the log level of the node.
 func (node *Node) SetLogLevel(level string) error {
 	var parsed slog.Level
 	if err := parsed.UnmarshalText([]byte(level)); err != nil {
@@ -68,22 +70,24 @@
 	return nil
 }
 
-// Recent implements admin.Backend.
+// Recent implements admin.Node. It returns the most recent decisions.
 func (node *Node) Recent(count int) *apiv1.RecentFlows {
 	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.decisionLog.Recent(count)}
 }
 
-// Explain implements admin.Backend.
+// Explain implements admin.Node. It explains the decisions on a flow, and adds
+// the entry of the node's flow table.
 func (node *Node) Explain(_ context.Context, key flow.Key) (*apiv1.Explanation, error) {
 	explanation := node.decisionLog.Explain(node.self.GetId(), key)
 	if entry, found := node.table.Get(key, key.Hash()); found {
-		silent := time.Duration(node.now()-entry.LastSeen) * time.Millisecond
-		explanation.Note += fmt.Sprintf("; this node's flow table has it at back end #%d, last seen %s ago", entry.Backend, silent)
+		idle := time.Duration(node.now()-entry.LastSeen) * time.Millisecond
+		explanation.Note += fmt.Sprintf("; this node's flow table has it at back end #%d, last seen %s ago", entry.Backend, idle)
 	}
 	return explanation, nil
 }
 
-// Change implements admin.Backend.
+// Change implements admin.Node. It applies a change to the configuration in the
+// store.
 func (node *Node) Change(ctx context.Context, request *apiv1.ChangeRequest) (*apiv1.ChangeAnswer, error) {
 	writer := &change.Writer{
 		Store:  node.store,
@@ -103,7 +107,9 @@
 	return answer, err
 }
 
-// changeWithoutStore still lets a back end leave at once; all else must wait.
+// changeWithoutStore handles a change while the store is unavailable. It marks a
+// back end that is to be drained as leaving, which takes effect at once; it rejects
+// all other changes.
 func (node *Node) changeWithoutStore(ctx context.Context, request *apiv1.ChangeRequest, cause error) (*apiv1.ChangeAnswer, error) {
 	configuration, err := node.Configuration(ctx)
 	if err != nil {
@@ -112,34 +118,36 @@
 	drain := request.GetDrain()
 	backend := change.FindBackend(change.FindService(configuration, drain.GetService()), drain.GetBackend())
 	if !drain.GetLeaving() || backend == nil {
-		return nil, change.NewProblem(change.CodeUnavailable, "", "", "the store does not answer: "+cause.Error(),
-			"nothing was changed; repeat it when the store is back")
+		return nil, change.NewProblem(change.CodeUnavailable, "", "", "the store does not respond: "+cause.Error(),
+			"nothing was changed; retry when the store is available again")
 	}
 	mark := &apiv1.LeavingMark{Backend: backend.GetId(), Reason: "drained by " + request.GetAuthor() + " during a store outage"}
 	if err := node.bus.Publish(events.Event{Kind: events.KindLeavingMark, Body: mark}); err != nil {
 		return nil, err
 	}
 	return &apiv1.ChangeAnswer{MarkedOnly: true,
-		Message: "the store is out; the back end gets no new flows from now on, repeat the drain when the store is back"}, nil
+		Message: "the store is unavailable; the back end gets no new flows from now on, repeat the drain when the store is available again"}, nil
 }
 
+// changeEnvironment returns the state besides the configuration that a change
+// depends on.
 func (node *Node) changeEnvironment(ctx context.Context) change.Environment {
-	made := change.Environment{
+	environment := change.Environment{
 		Now:              time.Now(),
 		MarkIncarnations: make(map[uint32]uint64),
 		CheckPolicy:      policy.Check,
 	}
 	_ = node.query(ctx, func(control *core.Core) {
-		made.SettledRevision = control.SettledRevision()
-		made.WaitingFor = control.WaitingFor()
+		environment.SettledRevision = control.SettledRevision()
+		environment.WaitingFor = control.WaitingFor()
 		for _, mark := range control.LeavingMarks() {
-			made.MarkIncarnations[mark.GetBackend()] = mark.GetIncarnation()
+			environment.MarkIncarnations[mark.GetBackend()] = mark.GetIncarnation()
 		}
 	})
-	return made
+	return environment
 }
 
-// flowsByBackend counts the open flows in the table.
+// flowsByBackend returns the number of open flows in the table by back end.
 func (node *Node) flowsByBackend() map[uint32]uint64 {
 	counts := make(map[uint32]uint64)
 	for shard := range flowtable.ShardCount {
@@ -153,7 +161,8 @@
 	return counts
 }
 
-// Status implements admin.Backend.
+// Status implements admin.Node. It returns the status of the node and of its
+// control state.
 func (node *Node) Status(ctx context.Context) (*apiv1.NodeStatus, error) {
 	status := &apiv1.NodeStatus{
 		Id:             node.self.GetId(),
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -17,7 +17,8 @@
 
 const tickInterval = 25 * time.Millisecond
 
-// runControl is the control goroutine: the only one that touches the core.
+// runControl is the control goroutine, the only one that accesses the core. It
+// returns when the context is canceled or another goroutine of the node fails.
 func (node *Node) runControl(ctx context.Context, messages <-chan *message.Message, failures <-chan error) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -33,21 +34,21 @@
 			node.core.Tick(node.now())
 		case envelope := <-node.transport.Inbox():
 			node.core.Step(node.now(), envelope)
-		case question := <-node.plane.Lookups():
-			node.core.Lookup(node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
+		case lookup := <-node.plane.Lookups():
+			node.core.Lookup(node.now(), lookup.Key, lookup.Proposal, lookup.Bind, lookup.Opens)
 			state.handleQueuedLookups()
-		case carried, open := <-messages:
+		case received, open := <-messages:
 			if open {
-				state.handleEvent(carried)
+				state.handleEvent(received)
 			}
-		case ask := <-node.queries:
-			ask(node.core)
+		case query := <-node.queries:
+			query(node.core)
 		}
 		state.processOutput(ctx)
 	}
 }
 
-// controlState is what the control goroutine remembers between steps.
+// controlState is the state of the control goroutine between steps.
 type controlState struct {
 	node         *Node
 	revision     uint64
@@ -58,23 +59,25 @@
 	handoverDone bool
 }
 
-// handleQueuedLookups takes the questions that wait, so that they share messages.
+// handleQueuedLookups starts all lookups that are queued, so that they share
+// messages.
 func (state *controlState) handleQueuedLookups() {
 	for {
 		select {
-		case question := <-state.node.plane.Lookups():
-			state.node.core.Lookup(state.node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
+		case lookup := <-state.node.plane.Lookups():
+			state.node.core.Lookup(state.node.now(), lookup.Key, lookup.Proposal, lookup.Bind, lookup.Opens)
 		default:
 			return
 		}
 	}
 }
 
-func (state *controlState) handleEvent(carried *message.Message) {
+// handleEvent passes an event of the bus to the core.
+func (state *controlState) handleEvent(received *message.Message) {
 	node := state.node
-	event, err := events.Decode(carried)
+	event, err := events.Decode(received)
 	if err != nil {
-		node.logger.Error("Event not read.", "error", err)
+		node.logger.Error("Control: event not decoded.", "error", err)
 		return
 	}
 	switch body := event.Body.(type) {
@@ -100,7 +103,8 @@
 	}
 }
 
-// updateDesired tells the core what the configuration and the policies ask for.
+// updateDesired passes the rules that follow from the configuration and the
+// policies to the core, and marks the back ends that operators drain.
 func (state *controlState) updateDesired() {
 	node := state.node
 	configuration := node.core.Configuration()
@@ -125,12 +129,12 @@
 	}
 }
 
-// processOutput carries out what the core wants done.
+// processOutput performs the actions that the core requests.
 func (state *controlState) processOutput(ctx context.Context) {
 	node := state.node
 	if revision := node.core.Configuration().GetRevision(); revision > state.revision {
 		state.revision = revision
-		node.logger.Info("Configuration learned.", "revision", revision)
+		node.logger.Info("Control: configuration accepted.", "revision", revision)
 		node.facts.setConfiguration(node.core.Configuration())
 		state.updateDesired()
 	}
@@ -162,18 +166,19 @@
 	state.publishState()
 }
 
-// publishState logs changes and updates what other goroutines read.
+// publishState logs state changes and updates the fields that other goroutines
+// read.
 func (state *controlState) publishState() {
 	node := state.node
 	node.watchRank.Store(int32(node.core.WatchRank()))
 	contact := node.core.Contact()
 	if contact != state.contact {
-		node.logger.Info("Contact changed.", "contact", contact)
+		node.logger.Info("Control: contact changed.", "contact", contact)
 		state.contact = contact
 		node.ready.Store(contact == "fresh")
 	}
 	if phase := node.core.Phase().String(); phase != state.phase {
-		node.logger.Info("Phase changed.", "phase", phase,
+		node.logger.Info("Control: phase changed.", "phase", phase,
 			"document", node.core.Document().GetVersion(),
 			"settled", node.core.Document().GetSettled().GetNumber())
 		state.phase = phase
@@ -184,27 +189,28 @@
 	}
 }
 
-// backendTargets lists the tunnel addresses of all back ends that flows may be bound
-// to.
+// backendTargets returns the tunnel addresses of all back ends that flows may be
+// bound to.
 func backendTargets(control *core.Core) dataplane.Targets {
-	targets := make(dataplane.Targets)
+	backendTargets := make(dataplane.Targets)
 	document := control.Document()
 	for _, epoch := range []*apiv1.Epoch{document.GetSettled(), document.GetPending()} {
 		for _, service := range epoch.GetServices() {
 			for _, candidate := range service.GetCandidates() {
 				address, err := net.ResolveUDPAddr("udp4", candidate.GetTunnelAddress())
 				if err == nil {
-					targets[candidate.GetBackend()] = address
+					backendTargets[candidate.GetBackend()] = address
 				}
 			}
 		}
 	}
-	return targets
+	return backendTargets
 }
 
-// viewDetails gathers what the explanations of a view's decisions need.
+// viewDetails collects the details of a view that explanations of its decisions
+// need.
 func (node *Node) viewDetails(out core.Output) *explain.Facts {
-	gathered := &explain.Facts{
+	details := &explain.Facts{
 		Version:  out.ViewVersion,
 		View:     out.View,
 		Backends: make(map[uint32]string),
@@ -212,13 +218,13 @@
 		Reasons:  node.facts.copyReasons(),
 	}
 	for _, service := range node.core.Configuration().GetServices() {
-		gathered.Policies[service.GetName()] = service.GetPolicy()
+		details.Policies[service.GetName()] = service.GetPolicy()
 		for _, backend := range service.GetBackends() {
-			gathered.Backends[backend.GetId()] = backend.GetName()
+			details.Backends[backend.GetId()] = backend.GetName()
 		}
 	}
 	for _, mark := range node.core.LeavingMarks() {
-		gathered.Reasons[mark.GetBackend()] = mark.GetReason()
+		details.Reasons[mark.GetBackend()] = mark.GetReason()
 	}
-	return gathered
+	return details
 }
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -19,22 +19,23 @@
 
 const (
 	minimumPollInterval = 2 * time.Second
-	// reportSpacing bounds the rate of reports: 20 a second.
+	// reportSpacing limits the rate at which reports are read to 20 a second.
 	reportSpacing     = 50 * time.Millisecond
 	reportTimeout     = 500 * time.Millisecond
 	reportConcurrency = 16
 )
 
-// facts is what is known of the back ends from their reports and from the
-// platform. It is safe for use by many goroutines.
+// facts holds what the node has learned of the back ends from their reports and
+// from the platform. It is safe for concurrent use.
 type facts struct {
 	mutex         sync.Mutex
 	configuration *apiv1.Configuration
 	reports       map[uint32]*reportState
-	why           map[uint32]string
+	// reasons holds the latest policy outcome of each back end as text.
+	reasons map[uint32]string
 }
 
-// reportState is the history of one back end's reports.
+// reportState summarizes the reports of one back end.
 type reportState struct {
 	firstGood  time.Time
 	lastGood   time.Time
@@ -43,7 +44,7 @@
 	state      string
 }
 
-// Report is the body of a back end's report endpoint.
+// Report is the response body of the report endpoint of a back end.
 type Report struct {
 	Healthy bool    `json:"healthy"`
 	Load    float64 `json:"load"`
@@ -51,7 +52,7 @@
 }
 
 func newFacts() *facts {
-	return &facts{reports: make(map[uint32]*reportState), why: make(map[uint32]string)}
+	return &facts{reports: make(map[uint32]*reportState), reasons: make(map[uint32]string)}
 }
 
 func (facts *facts) setConfiguration(configuration *apiv1.Configuration) {
@@ -60,31 +61,32 @@
 	facts.configuration = configuration
 }
 
+// copyReasons returns a copy of the reasons.
 func (facts *facts) copyReasons() map[uint32]string {
 	facts.mutex.Lock()
 	defer facts.mutex.Unlock()
-	copied := make(map[uint32]string, len(facts.why))
-	for backend, reason := range facts.why {
+	copied := make(map[uint32]string, len(facts.reasons))
+	for backend, reason := range facts.reasons {
 		copied[backend] = reason
 	}
 	return copied
 }
 
-// pollReports reads the back ends' reports and runs the policies, on the node
-// of the group's first rank only: one decider keeps the weights from flapping
+// pollReports polls the reports of the back ends and runs the policies, on the
+// node with group rank 0 only. If several nodes decided, the weights would flap
 // between nodes that have seen different reports.
 func (node *Node) pollReports(ctx context.Context) error {
 	var damper *policy.Damper
 	for ctx.Err() == nil {
 		sleep(ctx, jitter(node.facts.pollInterval()))
-		first, inForce := false, map[uint32]uint32(nil)
+		leads, inForce := false, map[uint32]uint32(nil)
 		if err := node.query(ctx, func(control *core.Core) {
-			first = control.GroupRank() == 0
+			leads = control.GroupRank() == 0
 			inForce = compile.EpochWeights(control.Document().GetSettled())
 		}); err != nil {
 			return nil
 		}
-		if !first {
+		if !leads {
 			damper = nil
 			continue
 		}
@@ -93,13 +95,14 @@
 		}
 		node.readReports(ctx)
 		if err := node.runPolicies(damper); err != nil {
-			node.logger.Error("Policy failed.", "part", "policy", "error", err)
+			node.logger.Error("Policies: evaluation failed.", "part", "policy", "error", err)
 		}
 	}
 	return nil
 }
 
-// pollInterval is the time between two rounds of reports.
+// pollInterval returns the time between two polls of all reports. It grows with
+// the number of back ends, to keep reportSpacing.
 func (facts *facts) pollInterval() time.Duration {
 	facts.mutex.Lock()
 	defer facts.mutex.Unlock()
@@ -110,7 +113,8 @@
 	return max(minimumPollInterval, time.Duration(count)*reportSpacing)
 }
 
-// readReports asks all back ends that have a report address.
+// readReports reads the reports of all back ends that have a report address, at
+// most reportConcurrency at a time.
 func (node *Node) readReports(ctx context.Context) {
 	node.facts.mutex.Lock()
 	configuration := node.facts.configuration
@@ -135,6 +139,7 @@
 	group.Wait()
 }
 
+// readReport reads the report at an address.
 func readReport(ctx context.Context, address string) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -152,34 +157,37 @@
 	return report, errors.Wrapf(err, "report %s: decode", address)
 }
 
+// recordReport records a report of a back end, or the attempt to read it if err is
+// not nil.
 func (facts *facts) recordReport(backend uint32, report Report, err error) {
 	facts.mutex.Lock()
 	defer facts.mutex.Unlock()
-	known := facts.reports[backend]
-	if known == nil {
-		known = &reportState{lastGood: time.Now()}
-		facts.reports[backend] = known
+	history := facts.reports[backend]
+	if history == nil {
+		history = &reportState{lastGood: time.Now()}
+		facts.reports[backend] = history
 	}
 	if err != nil {
 		return
 	}
 	now := time.Now()
-	known.lastReport = now
-	known.load = min(1, max(0, report.Load))
-	known.state = report.State
+	history.lastReport = now
+	history.load = min(1, max(0, report.Load))
+	history.state = report.State
 	if !report.Healthy {
 		return
 	}
-	if known.firstGood.IsZero() {
-		known.firstGood = now
+	if history.firstGood.IsZero() {
+		history.firstGood = now
 	}
-	known.lastGood = now
+	history.lastGood = now
 }
 
-// runPolicies evaluates the policies on the newest facts. Leaving becomes a
-// mark; weights go to the control goroutine when they have changed.
+// runPolicies evaluates the policies on the latest facts. A back end that a policy
+// declares as leaving gets a leaving mark, and changed weights are published to the
+// control goroutine.
 func (node *Node) runPolicies(damper *policy.Damper) error {
-	period := node.facts.pollInterval()
+	pollInterval := node.facts.pollInterval()
 	node.facts.mutex.Lock()
 	defer node.facts.mutex.Unlock()
 	configuration := node.facts.configuration
@@ -189,7 +197,7 @@
 		if err != nil {
 			return err
 		}
-		if err := node.runPolicy(program, service, period, outcomes); err != nil {
+		if err := node.runPolicy(program, service, pollInterval, outcomes); err != nil {
 			return err
 		}
 	}
@@ -200,22 +208,25 @@
 	return node.bus.Publish(events.Event{Kind: events.KindRules, Body: epochFromWeights(weights)})
 }
 
+// compilePolicy compiles the policy of a service, or the default policy if the
+// configuration has no policy of that name.
 func compilePolicy(configuration *apiv1.Configuration, service *apiv1.Service) (*policy.Program, error) {
-	wanted := change.FindPolicy(configuration, service.GetPolicy())
-	if wanted == nil {
-		wanted = policy.Default()
+	selected := change.FindPolicy(configuration, service.GetPolicy())
+	if selected == nil {
+		selected = policy.Default()
 	}
-	return policy.Compile(wanted)
+	return policy.Compile(selected)
 }
 
-func (node *Node) runPolicy(program *policy.Program, service *apiv1.Service, period time.Duration, outcomes map[uint32]policy.Outcome) error {
+// runPolicy evaluates the policy of one service for each of its back ends.
+func (node *Node) runPolicy(program *policy.Program, service *apiv1.Service, pollInterval time.Duration, outcomes map[uint32]policy.Outcome) error {
 	mean := node.facts.meanLoad(service)
 	for _, backend := range service.GetBackends() {
 		if backend.GetReportAddress() == "" {
 			outcomes[backend.GetId()] = policy.Outcome{Weight: 1}
 			continue
 		}
-		outcome, err := program.Evaluate(node.facts.policyFacts(backend, mean, period))
+		outcome, err := program.Evaluate(node.facts.policyFacts(backend, mean, pollInterval))
 		if err != nil {
 			return errors.Wrapf(err, "service %s, back end %s", service.GetName(), backend.GetName())
 		}
@@ -231,53 +242,58 @@
 	return nil
 }
 
+// meanLoad returns the mean load of the back ends of a service that have reported.
 func (facts *facts) meanLoad(service *apiv1.Service) float64 {
 	total, count := 0.0, 0
 	for _, backend := range service.GetBackends() {
-		if known := facts.reports[backend.GetId()]; known != nil && !known.lastReport.IsZero() {
-			total += known.load
+		if history := facts.reports[backend.GetId()]; history != nil && !history.lastReport.IsZero() {
+			total += history.load
 			count++
 		}
 	}
 	return total / float64(max(count, 1))
 }
 
-// policyFacts gathers the facts of one back end.
-func (facts *facts) policyFacts(backend *apiv1.Backend, mean float64, period time.Duration) policy.Facts {
-	gathered := policy.Facts{Name: backend.GetName(), Zone: backend.GetZone(), MachineState: "unknown", MeanLoad: mean, Load: mean}
-	known := facts.reports[backend.GetId()]
-	if known == nil {
-		return gathered
+// policyFacts returns the facts of one back end that a policy evaluates. A back end
+// counts as healthy if its last good report, or its first poll if there is none, is
+// less than two polls old. Without a report, its load is the mean.
+func (facts *facts) policyFacts(backend *apiv1.Backend, mean float64, pollInterval time.Duration) policy.Facts {
+	values := policy.Facts{Name: backend.GetName(), Zone: backend.GetZone(), MachineState: "unknown", MeanLoad: mean, Load: mean}
+	history := facts.reports[backend.GetId()]
+	if history == nil {
+		return values
 	}
 	now := time.Now()
-	gathered.MachineState = known.state
-	gathered.BadSeconds = now.Sub(known.lastGood).Seconds()
-	gathered.Healthy = gathered.BadSeconds < 2*period.Seconds()
-	if !known.lastReport.IsZero() {
-		gathered.Load = known.load
-		gathered.ReportAge = now.Sub(known.lastReport).Seconds()
+	values.MachineState = history.state
+	values.BadSeconds = now.Sub(history.lastGood).Seconds()
+	values.Healthy = values.BadSeconds < 2*pollInterval.Seconds()
+	if !history.lastReport.IsZero() {
+		values.Load = history.load
+		values.ReportAge = now.Sub(history.lastReport).Seconds()
 	}
-	if !known.firstGood.IsZero() {
-		gathered.UpSeconds = now.Sub(known.firstGood).Seconds()
+	if !history.firstGood.IsZero() {
+		values.UpSeconds = now.Sub(history.firstGood).Seconds()
 	}
-	return gathered
+	return values
 }
 
+// setReason sets the reason of a back end to a policy outcome.
 func (facts *facts) setReason(backend uint32, outcome policy.Outcome) {
 	text, err := json.Marshal(outcome)
 	if err == nil {
-		facts.why[backend] = "policy outcome " + string(text)
+		facts.reasons[backend] = "policy outcome " + string(text)
 	}
 }
 
-// Facts implements admin.Backend.
+// Facts implements admin.Node. It returns the facts of all back ends that have
+// been polled by this node.
 func (node *Node) Facts(ctx context.Context) (*apiv1.FactsReport, error) {
 	report := &apiv1.FactsReport{Node: node.self.GetId()}
 	var weights map[uint32]uint32
 	if err := node.query(ctx, func(control *core.Core) { weights = compile.NewestWeights(control.Document()) }); err != nil {
 		return nil, err
 	}
-	period := node.facts.pollInterval()
+	pollInterval := node.facts.pollInterval()
 	node.facts.mutex.Lock()
 	defer node.facts.mutex.Unlock()
 	for _, service := range node.facts.configuration.GetServices() {
@@ -286,17 +302,18 @@
 			if node.facts.reports[backend.GetId()] == nil {
 				continue
 			}
-			known := node.facts.policyFacts(backend, mean, period)
+			values := node.facts.policyFacts(backend, mean, pollInterval)
 			report.Backends = append(report.Backends, &apiv1.BackendFacts{
-				Service: service.GetName(), Backend: known.Name, Zone: known.Zone, MachineState: known.MachineState,
-				Healthy: known.Healthy, BadSeconds: known.BadSeconds, Load: known.Load, MeanLoad: known.MeanLoad,
-				ReportAge: known.ReportAge, UpSeconds: known.UpSeconds, Weight: weights[backend.GetId()], Policy: service.GetPolicy()})
+				Service: service.GetName(), Backend: values.Name, Zone: values.Zone, MachineState: values.MachineState,
+				Healthy: values.Healthy, BadSeconds: values.BadSeconds, Load: values.Load, MeanLoad: values.MeanLoad,
+				ReportAge: values.ReportAge, UpSeconds: values.UpSeconds, Weight: weights[backend.GetId()], Policy: service.GetPolicy()})
 		}
 	}
 	return report, nil
 }
 
-// epochFromWeights carries weights in an event.
+// epochFromWeights returns an epoch that holds only weights, to publish them as the
+// body of an event.
 func epochFromWeights(weights map[uint32]uint32) *apiv1.Epoch {
 	service := &apiv1.ServiceRule{}
 	for backend, weight := range weights {
--- a/internal/node/facts_test.go
+++ b/internal/node/facts_test.go
@@ -29,29 +29,30 @@
 	require.ErrorContains(t, err, "report 127.0.0.1:1")
 }
 
-// TestReportsAreSpaced keeps the deciding node at 20 reports a second.
+// TestReportsAreSpaced checks that the node that runs the policies reads at most 20
+// reports a second.
 func TestReportsAreSpaced(t *testing.T) {
-	known := newFacts()
-	require.Equal(t, minimumPollInterval, known.pollInterval())
+	tracked := newFacts()
+	require.Equal(t, minimumPollInterval, tracked.pollInterval())
 	service := &apiv1.Service{Backends: make([]*apiv1.Backend, 140)}
-	known.setConfiguration(&apiv1.Configuration{Services: []*apiv1.Service{service}})
-	require.Equal(t, 7*time.Second, known.pollInterval())
+	tracked.setConfiguration(&apiv1.Configuration{Services: []*apiv1.Service{service}})
+	require.Equal(t, 7*time.Second, tracked.pollInterval())
 }
 
-func TestFactsOfSilentBackend(t *testing.T) {
-	known := newFacts()
+func TestFactsOfUnresponsiveBackend(t *testing.T) {
+	tracked := newFacts()
 	backend := &apiv1.Backend{Id: 1, Name: "lending-0"}
-	require.Equal(t, "unknown", known.policyFacts(backend, 0.5, minimumPollInterval).MachineState)
-	known.recordReport(1, Report{Healthy: true, Load: 7, State: "live"}, nil)
-	facts := known.policyFacts(backend, 0.5, minimumPollInterval)
-	require.True(t, facts.Healthy)
-	require.Equal(t, 1.0, facts.Load, "a load above 1 counts as 1")
-	known.reports[1].lastGood = time.Now().Add(-time.Minute)
-	known.recordReport(1, Report{}, errors.New("no answer"))
-	require.False(t, known.policyFacts(backend, 0.5, minimumPollInterval).Healthy)
+	require.Equal(t, "unknown", tracked.policyFacts(backend, 0.5, minimumPollInterval).MachineState)
+	tracked.recordReport(1, Report{Healthy: true, Load: 7, State: "live"}, nil)
+	values := tracked.policyFacts(backend, 0.5, minimumPollInterval)
+	require.True(t, values.Healthy)
+	require.Equal(t, 1.0, values.Load, "a load above 1 counts as 1")
+	tracked.reports[1].lastGood = time.Now().Add(-time.Minute)
+	tracked.recordReport(1, Report{}, errors.New("no response"))
+	require.False(t, tracked.policyFacts(backend, 0.5, minimumPollInterval).Healthy)
 }
 
-// BenchmarkReadReport includes the answering server, so it is an upper bound.
+// BenchmarkReadReport includes the time of the server, so it gives an upper bound.
 func BenchmarkReadReport(b *testing.B) {
 	address := reportServer(b)
 	for b.Loop() {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// collector reads the node's counters when the metrics are asked for.
+// collector is a Prometheus collector that reads the state of a node on each
+// scrape.
 type collector struct {
 	node *Node
 }
@@ -36,11 +37,12 @@
 
 const metricsTimeout = 2 * time.Second
 
-// Describe implements prometheus.Collector. It announces nothing, since what
-// is collected depends on the state of the node.
+// Describe implements prometheus.Collector. It sends no descriptions, since the
+// set of metrics depends on the state of the node.
 func (collector *collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect implements prometheus.Collector.
+// Collect implements prometheus.Collector. It sends no metrics if the control
+// goroutine does not respond within metricsTimeout.
 func (collector *collector) Collect(metrics chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), metricsTimeout)
 	defer cancel()
@@ -73,6 +75,8 @@
 	gauge(storeDescription, reachable)
 }
 
+// metricsHandler returns the handler that serves the metrics of the node and of
+// the Go process.
 func (node *Node) metricsHandler() http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{node: node}, collectors.NewGoCollector(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,8 @@
-// Package node is the balancer: it ties the data path, the control state, the
-// peers, the store and the administration API together.
+// Package node implements one balancer node. It connects the data path, the
+// control state, the peers, the store and the administration API.
+//
+// New opens the sockets of a node and Run serves until its context is canceled.
+// For a planned stop, call Stop before canceling that context.
 package node
 
 import (
@@ -23,7 +26,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/transport"
 )
 
-// Node is one balancer.
+// Node is one balancer node.
 type Node struct {
 	settings    *apiv1.NodeSettings
 	logger      *slog.Logger
@@ -40,17 +43,19 @@
 	queries     chan func(*core.Core)
 	facts       *facts
 
-	// storeReachable, watchRank and loadTrust are read by other goroutines.
+	// storeReachable, watchRank and ready are shared between goroutines.
 	storeReachable atomic.Bool
 	watchRank      atomic.Int32
 	ready          atomic.Bool
-	handoverDone   chan struct{}
+	// handoverDone is closed when the flows are recorded elsewhere, so that the
+	// node can stop.
+	handoverDone chan struct{}
 }
 
-// New opens the node's sockets.
+// New returns a node with its data and peer sockets open.
 func New(settings *apiv1.NodeSettings, logger *slog.Logger, level *slog.LevelVar) (*Node, error) {
 	started := time.Now()
-	made := &Node{
+	created := &Node{
 		settings:     settings,
 		logger:       logger,
 		level:        level,
@@ -63,16 +68,17 @@
 		handoverDone: make(chan struct{}),
 		facts:        newFacts(),
 	}
-	made.self = &apiv1.Member{
+	created.self = &apiv1.Member{
 		Id:           settings.GetId(),
 		Zone:         settings.GetZone(),
 		PeerAddress:  settings.GetPeerAddress(),
 		AdminAddress: settings.GetAdminAddress(),
 		Incarnation:  uint64(started.UnixMilli()),
 	}
-	return made, made.open()
+	return created, created.open()
 }
 
+// open opens the data and peer sockets and creates the control state.
 func (node *Node) open() error {
 	var err error
 	node.plane, err = dataplane.Listen(dataplane.Settings{
@@ -97,7 +103,8 @@
 	return errors.Wrap(err, "settings")
 }
 
-// peerTLS loads what mutual TLS between nodes needs; nil without it.
+// peerTLS loads the key pair and the authorities for mutual TLS between nodes. It
+// returns nil if the settings name no certificate.
 func peerTLS(settings *apiv1.NodeSettings) (*transport.MutualTLS, error) {
 	if settings.GetPeerCertificate() == "" {
 		return nil, nil
@@ -110,7 +117,8 @@
 	return &transport.MutualTLS{Pair: pair, Authorities: authorities}, err
 }
 
-// CoreConfig derives the control state's configuration from the settings.
+// CoreConfig returns the configuration of the control state that the settings
+// imply.
 func CoreConfig(settings *apiv1.NodeSettings) core.Config {
 	config := core.DefaultConfig()
 	config.HeartbeatInterval = time.Duration(settings.GetHeartbeatMilliseconds()) * time.Millisecond
@@ -122,10 +130,11 @@
 	return config
 }
 
-// now is the time in milliseconds since the node's start.
+// now returns the time in milliseconds since the node started.
 func (node *Node) now() uint32 { return uint32(time.Since(node.started) / time.Millisecond) }
 
-// Run serves until the context ends. Stop first announces a planned stop.
+// Run serves until the context is canceled. For a planned stop, call Stop before
+// canceling the context.
 func (node *Node) Run(ctx context.Context) error {
 	messages, err := node.bus.Subscribe(ctx)
 	if err != nil {
@@ -145,31 +154,33 @@
 	start("admin", node.serveAdmin)
 	start("watch document", node.watchDocument)
 	start("watch configuration", node.watchConfiguration)
-	start("watch alive", node.watchGroupLiveness)
+	start("watch group liveness", node.watchGroupLiveness)
 	start("machines", node.pollMachines)
 	start("reports", node.pollReports)
 	start("expiry", node.expireFlows)
-	node.logger.Info("Node started.", "id", node.self.GetId(), "zone", node.self.GetZone(),
+	node.logger.Info("Node: started.", "id", node.self.GetId(), "zone", node.self.GetZone(),
 		"data", node.settings.GetDataAddress(), "admin", node.settings.GetAdminAddress())
 	return node.runControl(ctx, messages, failures)
 }
 
 // Stop announces the planned stop of the node and waits until its flows are
-// recorded elsewhere, or the context ends. The caller then ends Run's context.
+// recorded elsewhere or the context is done. The caller then cancels the context
+// of Run.
 func (node *Node) Stop(ctx context.Context) {
-	node.logger.Info("Planned stop announced.")
+	node.logger.Info("Node: planned stop announced.")
 	if err := node.bus.Publish(events.Event{Kind: events.KindStop}); err != nil {
-		node.logger.Warn("Leave not announced.", "error", err)
+		node.logger.Warn("Node: planned stop not announced.", "error", err)
 		return
 	}
 	select {
 	case <-node.handoverDone:
-		node.logger.Info("Flows handed over.")
+		node.logger.Info("Node: flows handed over.")
 	case <-ctx.Done():
-		node.logger.Warn("Stop without hand-over.")
+		node.logger.Warn("Node: stop without handover of the flows.")
 	}
 }
 
+// addSeedPeers adds the peers that the settings list as ID@address.
 func (node *Node) addSeedPeers() {
 	for _, seed := range node.settings.GetSeeds() {
 		id, address, _ := strings.Cut(seed, "@")
@@ -179,9 +190,11 @@
 
 const expiryInterval = 10 * time.Second
 
-// closedRetention is how long a closed flow is still known, for late packets.
+// closedRetention is the time for which a closed flow stays in the table, for late
+// packets.
 const closedRetention = 60 * time.Second
 
+// expireFlows periodically removes idle and closed flows from the table.
 func (node *Node) expireFlows(ctx context.Context) error {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -198,12 +211,12 @@
 	}
 }
 
-// query runs a function on the control goroutine and waits for it.
-func (node *Node) query(ctx context.Context, ask func(*core.Core)) error {
+// query runs a function on the control goroutine and waits until it returns.
+func (node *Node) query(ctx context.Context, run func(*core.Core)) error {
 	done := make(chan struct{})
 	wrapped := func(control *core.Core) {
 		defer close(done)
-		ask(control)
+		run(control)
 	}
 	select {
 	case node.queries <- wrapped:
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// watchersPerGroup nodes watch the store; the others hear the news from them
-	// and read for themselves only now and then, or when out of contact.
+	// watchersPerGroup is the number of nodes of a group that watch the store. The
+	// others receive updates from them, and read the store only at intervals of
+	// nonWatcherReadInterval or when they have no contact.
 	watchersPerGroup       = 3
 	nonWatcherReadInterval = 5 * time.Minute
 	rankCheckInterval      = time.Second
@@ -27,10 +28,10 @@
 	livenessPollInterval   = 5 * time.Second
 )
 
-// DocumentKey is the store's key of a group's document.
+// DocumentKey returns the store key of a group's epoch document.
 func DocumentKey(group string) string { return "indigobarrow." + group + ".document" }
 
-// ConfigurationKey is the store's key of a group's configuration.
+// ConfigurationKey returns the store key of a group's configuration.
 func ConfigurationKey(group string) string { return "indigobarrow." + group + ".configuration" }
 
 func (node *Node) watchDocument(ctx context.Context) error {
@@ -43,7 +44,8 @@
 	return node.watch(ctx, key, events.KindConfiguration, func() proto.Message { return &apiv1.Configuration{} })
 }
 
-// watch follows one key of the store and publishes its values as events.
+// watch follows one key of the store and publishes its values as events until the
+// context is canceled.
 func (node *Node) watch(ctx context.Context, key string, kind events.Kind, empty func() proto.Message) error {
 	var version uint64
 	backoff := retryMinimum
@@ -57,7 +59,7 @@
 			continue
 		case err != nil:
 			node.storeReachable.Store(false)
-			node.logger.Warn("Store not read.", "part", "store", "error", err)
+			node.logger.Warn("Store: reading a key failed.", "part", "store", "error", err)
 			sleep(ctx, jitter(backoff))
 			backoff = min(2*backoff, retryMaximum)
 			continue
@@ -70,7 +72,7 @@
 		version = value.Version
 		body := empty()
 		if err := proto.Unmarshal(value.Data, body); err != nil {
-			node.logger.Error("Store value not understood.", "part", "store", "key", key, "error", err)
+			node.logger.Error("Store: value not decoded.", "part", "store", "key", key, "error", err)
 			continue
 		}
 		if err := node.bus.Publish(events.Event{Kind: kind, Body: body}); err != nil {
@@ -80,8 +82,9 @@
 	return nil
 }
 
-// nextValue reads at once the first time. Later, watchers wait for a change and
-// the others read at long intervals.
+// nextValue reads the key at once if version is 0. Otherwise watchers wait for a
+// newer version, and the other nodes read after a long interval, or earlier if
+// they become watchers or lose contact.
 func (node *Node) nextValue(ctx context.Context, key string, version uint64) (store.Value, error) {
 	if version == 0 {
 		return node.store.Get(ctx, key)
@@ -99,10 +102,11 @@
 	return node.store.Get(ctx, key)
 }
 
-// GroupLivenessKey is the store's key of a group's sign of life.
+// GroupLivenessKey returns the store key of a group's liveness.
 func GroupLivenessKey(group string) string { return "indigobarrow." + group + ".alive" }
 
-// refreshGroupLiveness changes the group's sign of life.
+// refreshGroupLiveness writes the group liveness key, which increases its version.
+// Errors are ignored.
 func (node *Node) refreshGroupLiveness(ctx context.Context) {
 	key := GroupLivenessKey(node.settings.GetGroup())
 	value, err := node.store.Get(ctx, key)
@@ -112,7 +116,8 @@
 	_ = node.store.CompareAndSwap(ctx, key, value.Version, []byte(node.self.GetId()))
 }
 
-// watchGroupLiveness reads the sign of life while the node is out of contact.
+// watchGroupLiveness polls the group liveness key while the node has no contact
+// with its group, and publishes an event for each new version.
 func (node *Node) watchGroupLiveness(ctx context.Context) error {
 	var seen uint64
 	for ctx.Err() == nil {
@@ -131,8 +136,8 @@
 	return nil
 }
 
-// writeDocument tries a compare-and-swap and reads back what stands. A write
-// whose fate is unknown is thereby found out.
+// writeDocument attempts a compare-and-swap and then reads the stored document
+// back, which also determines the outcome of a write that got no response.
 func (node *Node) writeDocument(ctx context.Context, document *apiv1.EpochDocument) {
 	key := DocumentKey(node.settings.GetGroup())
 	data, err := proto.Marshal(document)
@@ -140,12 +145,12 @@
 		err = node.store.CompareAndSwap(ctx, key, document.GetVersion()-1, data)
 	}
 	if err != nil {
-		node.logger.Info("Document not written.", "part", "store", "version", document.GetVersion(), "error", err)
+		node.logger.Info("Store: document not written.", "part", "store", "version", document.GetVersion(), "error", err)
 	}
 	if value, readErr := node.store.Get(ctx, key); readErr == nil {
-		stands := &apiv1.EpochDocument{}
-		if proto.Unmarshal(value.Data, stands) == nil {
-			_ = node.bus.Publish(events.Event{Kind: events.KindDocument, Body: stands})
+		stored := &apiv1.EpochDocument{}
+		if proto.Unmarshal(value.Data, stored) == nil {
+			_ = node.bus.Publish(events.Event{Kind: events.KindDocument, Body: stored})
 		}
 	} else if err == nil {
 		_ = node.bus.Publish(events.Event{Kind: events.KindDocument, Body: document})
@@ -153,7 +158,7 @@
 	_ = node.bus.Publish(events.Event{Kind: events.KindWritten, Succeeded: err == nil})
 }
 
-// Machine is one entry of the platform's list of machines.
+// Machine is one entry of the machine list of the platform.
 type Machine struct {
 	ID          string `json:"id"`
 	Zone        string `json:"zone"`
@@ -162,7 +167,8 @@
 	Group       string `json:"group"`
 }
 
-// pollMachines reads the platform's list. It lags, so it is only a hint.
+// pollMachines polls the machine list of the platform and publishes the members of
+// the group. The list lags, so it is only a hint.
 func (node *Node) pollMachines(ctx context.Context) error {
 	if node.settings.GetMachinesAddress() == "" {
 		return nil
@@ -170,7 +176,7 @@
 	for ctx.Err() == nil {
 		machines, err := readMachines(ctx, node.settings.GetMachinesAddress())
 		if err != nil {
-			node.logger.Debug("Machine list not read.", "part", "machines", "error", err)
+			node.logger.Debug("Machines: list not read.", "part", "machines", "error", err)
 		}
 		for _, machine := range machines {
 			if machine.Group != node.settings.GetGroup() || machine.PeerAddress == "" {
@@ -186,6 +192,7 @@
 	return nil
 }
 
+// readMachines reads the machine list from an address.
 func readMachines(ctx context.Context, address string) ([]Machine, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -203,6 +210,7 @@
 	return machines, errors.Wrapf(err, "machines %s: decode", address)
 }
 
+// sleep waits for a duration or until the context is done.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -212,7 +220,7 @@
 	}
 }
 
-// jitter spreads a duration over 75 to 125 percent.
+// jitter returns a random duration between 75 and 125 percent of the given one.
 func jitter(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * (0.75 + rand.Float64()/2))
 }
