--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -43,9 +43,12 @@
 // View is the part of the agreed state that the traffic goroutines read. The
 // control goroutine replaces it as a whole; a published view is never modified.
 type View struct {
+	// Settled is the rule set in force, and Pending the rule set of the pending
+	// epoch, or nil.
 	Settled *rule.Set
 	Pending *rule.Set
-	Phase   Phase
+	// Phase is the progress of this node with the pending epoch.
+	Phase Phase
 	// DropUnknownFlows drops packets of unknown flows other than SYNs: a node that
 	// was isolated from its group is about to record such flows.
 	DropUnknownFlows bool
