--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		listener = tls.NewListener(listener, pair.Server(nil))
+		listener = tls.NewListener(listener, pair.ServerConfig(nil))
 	}
 	api := admin.New(node, node.logger.With("part", "admin"), node.settings.GetAdminTokenSha256())
 	server := &http.Server{Handler: api.Handler(node.metricsHandler()), ReadHeaderTimeout: adminHeaderTimeout}
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// Recent implements admin.Node. It returns the most recent decisions.
-func (node *Node) Recent(count int) *apiv1.RecentFlows {
-	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.decisionLog.Recent(count)}
+// RecentFlows implements admin.Node. It returns the most recent decisions.
+func (node *Node) RecentFlows(count int) *apiv1.RecentFlows {
+	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.decisionLog.RecentFlows(count)}
 }
 
 // Explain implements admin.Node. It explains the decisions on a flow, and adds
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -145,7 +145,7 @@
 	out := node.core.Ready()
 	if out.View != nil {
 		node.plane.SetView(out.View, out.ViewVersion, backendTargets(node.core))
-		node.decisionLog.SetFacts(node.viewDetails(out))
+		node.decisionLog.AddView(node.viewDetails(out))
 	}
 	node.plane.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, envelope := range out.Messages {
@@ -209,8 +209,8 @@
 
 // viewDetails collects the details of a view that explanations of its decisions
 // need.
-func (node *Node) viewDetails(out core.Output) *explain.Facts {
-	details := &explain.Facts{
+func (node *Node) viewDetails(out core.Output) *explain.ViewDetails {
+	details := &explain.ViewDetails{
 		Version:  out.ViewVersion,
 		View:     out.View,
 		Backends: make(map[uint32]string),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	core        *core.Core
 	bus         *events.Bus
 	store       *store.Client
-	decisionLog *explain.Memory
+	decisionLog *explain.DecisionLog
 	queries     chan func(*core.Core)
 	facts       *facts
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -68,7 +68,7 @@
 		return nil, errors.Wrapf(err, "peers: listen on %s", address)
 	}
 	if mutualTLS != nil {
-		listener = tls.NewListener(listener, mutualTLS.Pair.Server(mutualTLS.Authorities))
+		listener = tls.NewListener(listener, mutualTLS.Pair.ServerConfig(mutualTLS.Authorities))
 	}
 	return &Transport{
 		listener:  listener,
@@ -238,7 +238,7 @@
 	if err != nil {
 		return nil, err
 	}
-	secure := tls.Dialer{NetDialer: dialer, Config: transport.mutualTLS.Pair.Client(transport.mutualTLS.Authorities, host)}
+	secure := tls.Dialer{NetDialer: dialer, Config: transport.mutualTLS.Pair.ClientConfig(transport.mutualTLS.Authorities, host)}
 	return secure.DialContext(ctx, "tcp4", address)
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -94,7 +94,7 @@
 	oldFile, oldKey := writePair(t, directory, "node")
 	pair, err := certificate.LoadPair(oldFile, oldKey)
 	require.NoError(t, err)
-	server := pair.Server(nil)
+	server := pair.ServerConfig(nil)
 	before, err := server.GetCertificate(nil)
 	require.NoError(t, err)
 	time.Sleep(10 * time.Millisecond)
