--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -141,7 +141,7 @@
 	out := node.core.Ready()
 	if out.View != nil {
 		node.plane.SetView(out.View, out.ViewVersion, targets(node.core))
-		node.memory.SetFacts(node.factsOf(out))
+		node.memory.AddView(node.factsOf(out))
 	}
 	node.plane.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, envelope := range out.Messages {
@@ -203,8 +203,8 @@
 }
 
 // factsOf gathers what the explanations of a view's decisions need.
-func (node *Node) factsOf(out core.Output) *explain.Facts {
-	gathered := &explain.Facts{
+func (node *Node) factsOf(out core.Output) *explain.ViewDetails {
+	gathered := &explain.ViewDetails{
 		Version:  out.ViewVersion,
 		View:     out.View,
 		Backends: make(map[uint32]string),
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -270,7 +270,7 @@
 	}
 }
 
-// Facts implements admin.Backend.
+// Facts implements admin.Node.
 func (node *Node) Facts(ctx context.Context) (*apiv1.FactsReport, error) {
 	report := &apiv1.FactsReport{Node: node.self.GetId()}
 	var weights map[uint32]uint32
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,7 @@
 	core      *core.Core
 	bus       *events.Bus
 	store     *store.Client
-	memory    *explain.Memory
+	memory    *explain.DecisionLog
 	queries   chan func(*core.Core)
 	facts     *facts
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -61,7 +61,7 @@
 		return nil, errors.Wrapf(err, "peers: listen on %s", address)
 	}
 	if security != nil {
-		listener = tls.NewListener(listener, security.Pair.Server(security.Authorities))
+		listener = tls.NewListener(listener, security.Pair.ServerConfig(security.Authorities))
 	}
 	return &Transport{
 		listener: listener,
@@ -225,7 +225,7 @@
 	if err != nil {
 		return nil, err
 	}
-	secure := tls.Dialer{NetDialer: dialer, Config: transport.security.Pair.Client(transport.security.Authorities, host)}
+	secure := tls.Dialer{NetDialer: dialer, Config: transport.security.Pair.ClientConfig(transport.security.Authorities, host)}
 	return secure.DialContext(ctx, "tcp4", address)
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -93,7 +93,7 @@
 	oldFile, oldKey := writePair(t, directory, "node")
 	pair, err := certificate.LoadPair(oldFile, oldKey)
 	require.NoError(t, err)
-	server := pair.Server(nil)
+	server := pair.ServerConfig(nil)
 	before, err := server.GetCertificate(nil)
 	require.NoError(t, err)
 	time.Sleep(10 * time.Millisecond)
