--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,10 @@
-// Package admin is the administration API: HTTP with JSON bodies that follow
-// the schema, the same on every node. A change is accepted when it is written
-// to the store; the answer carries its revision.
+// Package admin implements the administration API and a client for it. Every
+// node serves the same API over HTTP, with JSON bodies that follow the schema in
+// admin.proto.
+//
+// [New] makes the API of a [Node], and [API.Handler] returns its HTTP handler. A
+// change is accepted when it is written to the store; the response carries its
+// revision. A refused request is answered with a Problem.
 package admin
 
 import (
@@ -23,46 +27,55 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// Node is what the API needs of the node.
+// Node is the interface through which the API reads and changes the node that
+// serves it.
 type Node interface {
-	// Configuration reads the newest configuration; it may be nil.
+	// Configuration returns the newest known configuration, or nil if none is
+	// known.
 	Configuration(ctx context.Context) (*apiv1.Configuration, error)
-	// Change applies a change through the store.
+	// Change checks a change and writes it to the store. The error is a
+	// *change.Problem if the change is refused.
 	Change(ctx context.Context, request *apiv1.ChangeRequest) (*apiv1.ChangeAnswer, error)
 	// Status describes the node and its view of the group.
 	Status(ctx context.Context) (*apiv1.NodeStatus, error)
-	// Explain tells what the node knows of a flow.
+	// Explain returns the recorded decisions about a flow.
 	Explain(ctx context.Context, key flow.Key) (*apiv1.Explanation, error)
-	// Facts tells what the node knows of the back ends.
+	// Facts returns the node's data on the back ends.
 	Facts(ctx context.Context) (*apiv1.FactsReport, error)
-	// RecentFlows lists the flows of the node's newest decisions.
+	// RecentFlows returns the flows of at most count of the newest decisions.
 	RecentFlows(count int) *apiv1.RecentFlows
 	// Ready reports whether the node can serve.
 	Ready() bool
-	// SetLogLevel changes the level of the logs.
+	// SetLogLevel sets the minimum level of the log. It fails for an unknown
+	// level.
 	SetLogLevel(level string) error
 }
 
-// API serves the administration API.
+// API handles the requests of the administration API.
 type API struct {
 	node   Node
 	logger *slog.Logger
-	// administratorHash is the hash of the first administrator token, nil for none.
+	// administratorHash is the SHA-256 of the administrator token in the node's
+	// settings, or nil if there is none.
 	administratorHash []byte
 }
 
-// New makes the API. adminTokenHash is in hex and may be empty.
-func New(backend Node, logger *slog.Logger, adminTokenHash string) *API {
+// New returns the API of a node. adminTokenHash is the SHA-256 of the first
+// administrator token in hex; it may be empty.
+func New(node Node, logger *slog.Logger, adminTokenHash string) *API {
 	hash, err := hex.DecodeString(adminTokenHash)
 	if err != nil || len(hash) == 0 {
 		hash = nil
 	}
-	return &API{node: backend, logger: logger, administratorHash: hash}
+	return &API{node: node, logger: logger, administratorHash: hash}
 }
 
+// maximumBodySize is the number of bytes after which the body of a change request
+// is cut off.
 const maximumBodySize = 1 << 20
 
-// Handler returns the HTTP handler; metrics is mounted beside the API.
+// Handler returns the HTTP handler of the API, the probes /healthz and /readyz,
+// which need no token, and /metrics, which metrics serves.
 func (api *API) Handler(metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/configuration", api.authorize(apiv1.Role_ROLE_VIEWER, api.configuration))
@@ -88,23 +101,25 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// principal is who makes a request.
+// principal is the authenticated sender of a request.
 type principal struct {
 	name string
 	role apiv1.Role
 	team string
 }
 
+// authorizedHandler handles a request of a caller whose role was checked.
 type authorizedHandler func(writer http.ResponseWriter, request *http.Request, caller principal)
 
-// authorize checks the bearer token. Without any token configured, everyone is an
-// administrator: the first thing to do is to set one.
-func (api *API) authorize(least apiv1.Role, next authorizedHandler) http.HandlerFunc {
+// authorize returns a handler that calls next if the bearer token of the request
+// has at least the given role, and refuses the request otherwise. While no token is
+// configured, every caller is an administrator, so that the first token can be set.
+func (api *API) authorize(minimumRole apiv1.Role, next authorizedHandler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		caller, problem := api.authenticate(request)
-		if problem == nil && caller.role < least {
+		if problem == nil && caller.role < minimumRole {
 			problem = change.NewProblem(change.CodeForbidden, "token", caller.name,
-				fmt.Sprintf("has the role %s", caller.role), fmt.Sprintf("use a token with the role %s", least))
+				fmt.Sprintf("has the role %s", caller.role), fmt.Sprintf("use a token with the role %s", minimumRole))
 		}
 		if problem != nil {
 			api.writeProblem(writer, problem)
@@ -114,6 +129,8 @@
 	}
 }
 
+// authenticate returns the owner of the bearer token. It compares hashes in
+// constant time.
 func (api *API) authenticate(request *http.Request) (principal, *change.Problem) {
 	configuration, err := api.node.Configuration(request.Context())
 	if err != nil {
@@ -131,15 +148,16 @@
 	if api.administratorHash != nil && subtle.ConstantTimeCompare(sum[:], api.administratorHash) == 1 {
 		return principal{name: "administrator", role: apiv1.Role_ROLE_ADMINISTRATOR}, nil
 	}
-	for _, known := range configuration.GetTokens() {
-		if subtle.ConstantTimeCompare(sum[:], known.GetSha256()) == 1 {
-			return principal{name: known.GetName(), role: known.GetRole(), team: known.GetTeam()}, nil
+	for _, entry := range configuration.GetTokens() {
+		if subtle.ConstantTimeCompare(sum[:], entry.GetSha256()) == 1 {
+			return principal{name: entry.GetName(), role: entry.GetRole(), team: entry.GetTeam()}, nil
 		}
 	}
 	return principal{}, change.NewProblem(change.CodeUnauthorized, "Authorization", "(hidden)",
 		"the token is not known", "ask an administrator for a token")
 }
 
+// configuration writes the configuration without the hashes of the tokens.
 func (api *API) configuration(writer http.ResponseWriter, request *http.Request, _ principal) {
 	configuration, err := api.node.Configuration(request.Context())
 	if err != nil {
@@ -149,11 +167,11 @@
 	if configuration == nil {
 		configuration = &apiv1.Configuration{}
 	}
-	shown := proto.CloneOf(configuration)
-	for _, token := range shown.GetTokens() {
+	redacted := proto.CloneOf(configuration)
+	for _, token := range redacted.GetTokens() {
 		token.Sha256 = nil
 	}
-	api.writeMessage(writer, http.StatusOK, shown)
+	api.writeMessage(writer, http.StatusOK, redacted)
 }
 
 func (api *API) status(writer http.ResponseWriter, request *http.Request, _ principal) {
@@ -174,7 +192,8 @@
 	api.writeMessage(writer, http.StatusOK, report)
 }
 
-// maximumRecentFlows bounds the flows listed.
+// maximumRecentFlows is the maximum number of flows in a response to
+// /v1/recent-flows.
 const maximumRecentFlows = 20
 
 func (api *API) recentFlows(writer http.ResponseWriter, _ *http.Request, _ principal) {
@@ -203,31 +222,32 @@
 		api.writeProblem(writer, toProblem(err))
 		return
 	}
-	wanted := &apiv1.ChangeRequest{}
-	if err := protojson.Unmarshal(body, wanted); err != nil {
+	changeRequest := &apiv1.ChangeRequest{}
+	if err := protojson.Unmarshal(body, changeRequest); err != nil {
 		api.writeProblem(writer, change.NewProblem(change.CodeInvalid, "body", "", err.Error(), "send a ChangeRequest as in admin.proto"))
 		return
 	}
-	wanted.Author = caller.name
-	if problem := api.authorizeChange(request.Context(), wanted, caller); problem != nil {
+	changeRequest.Author = caller.name
+	if problem := api.authorizeChange(request.Context(), changeRequest, caller); problem != nil {
 		api.writeProblem(writer, problem)
 		return
 	}
-	answer, err := api.node.Change(request.Context(), wanted)
+	result, err := api.node.Change(request.Context(), changeRequest)
 	if err != nil {
 		api.writeProblem(writer, toProblem(err))
 		return
 	}
 	status := http.StatusOK
-	if answer.GetMarkedOnly() {
+	if result.GetMarkedOnly() {
 		status = http.StatusAccepted
 	}
-	api.logger.Info("Change accepted.", "author", caller.name, "revision", answer.GetRevision(), "marked_only", answer.GetMarkedOnly())
-	api.writeMessage(writer, status, answer)
+	api.logger.Info("Change accepted.", "author", caller.name, "revision", result.GetRevision(), "marked_only", result.GetMarkedOnly())
+	api.writeMessage(writer, status, result)
 }
 
-// authorizeChange checks that an editor changes only services of its own team.
-func (api *API) authorizeChange(ctx context.Context, wanted *apiv1.ChangeRequest, caller principal) *change.Problem {
+// authorizeChange refuses a change by an editor unless it concerns a service of the
+// editor's own team.
+func (api *API) authorizeChange(ctx context.Context, changeRequest *apiv1.ChangeRequest, caller principal) *change.Problem {
 	if caller.role >= apiv1.Role_ROLE_ADMINISTRATOR {
 		return nil
 	}
@@ -236,7 +256,7 @@
 		return toProblem(err)
 	}
 	name, team := "", ""
-	switch body := wanted.GetChange().(type) {
+	switch body := changeRequest.GetChange().(type) {
 	case *apiv1.ChangeRequest_PutService:
 		name, team = body.PutService.GetName(), body.PutService.GetTeam()
 	case *apiv1.ChangeRequest_DeleteService:
@@ -245,9 +265,9 @@
 		name, team = body.Drain.GetService(), caller.team
 	default:
 		return change.NewProblem(change.CodeForbidden, "token", caller.name,
-			"is an editor's", "policies, teams and tokens need an administrator's token")
+			"has the role ROLE_EDITOR", "policies, teams and tokens need an administrator's token")
 	}
-	if known := change.FindService(configuration, name); known != nil && known.GetTeam() != caller.team || team != caller.team {
+	if service := change.FindService(configuration, name); service != nil && service.GetTeam() != caller.team || team != caller.team {
 		return change.NewProblem(change.CodeForbidden, "service", name,
 			"does not belong to team "+caller.team, "use a token of the service's team")
 	}
@@ -263,6 +283,8 @@
 	_, _ = io.WriteString(writer, "ok\n")
 }
 
+// writeMessage writes a message as JSON, with every field and the names of the
+// schema.
 func (api *API) writeMessage(writer http.ResponseWriter, status int, message proto.Message) {
 	body, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(message)
 	if err != nil {
@@ -274,6 +296,7 @@
 	_, _ = writer.Write(body)
 }
 
+// statusByCode holds the HTTP status of each code of a problem.
 var statusByCode = map[string]int{
 	change.CodeInvalid:      http.StatusUnprocessableEntity,
 	change.CodeConflict:     http.StatusConflict,
@@ -285,9 +308,11 @@
 	change.CodeUnknown:      http.StatusGatewayTimeout,
 }
 
-// retryAfter is when a caller should try again after a limit or an outage.
+// retryAfter is the value of the Retry-After header for requests refused by a rate
+// limit or an outage.
 const retryAfter = 2 * time.Second
 
+// writeProblem refuses a request with a problem and logs it.
 func (api *API) writeProblem(writer http.ResponseWriter, problem *change.Problem) {
 	status, known := statusByCode[problem.GetCode()]
 	if !known {
@@ -300,6 +325,8 @@
 	api.writeMessage(writer, status, problem.Problem)
 }
 
+// toProblem returns an error as a problem; any error that is none becomes one that
+// the caller may retry.
 func toProblem(err error) *change.Problem {
 	if problem, isProblem := err.(*change.Problem); isProblem {
 		return problem
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -18,7 +18,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/change"
 )
 
-// Client speaks to the administration API of one node.
+// Client calls the administration API of one node. It is safe for use by many
+// goroutines.
 type Client struct {
 	baseURL string
 	token   string
@@ -27,31 +28,34 @@
 
 const clientTimeout = 15 * time.Second
 
-// NewClient makes a client for a node's admin address; token may be empty.
+// NewClient returns a client that uses plain HTTP to a node's admin address. An
+// empty token sends none.
 func NewClient(address, token string) *Client {
 	return &Client{baseURL: "http://" + address, token: token, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// NewSecureClient makes a client that speaks TLS and trusts the authorities.
+// NewSecureClient returns a client that uses TLS 1.3 and trusts the authorities.
+// An empty token sends none.
 func NewSecureClient(address, token string, authorities *x509.CertPool) *Client {
 	transport := &http.Transport{TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authorities}}
 	return &Client{baseURL: "https://" + address, token: token, http: &http.Client{Timeout: clientTimeout, Transport: transport}}
 }
 
-// Configuration reads the configuration.
+// Configuration reads the newest configuration that the node knows, without the
+// hashes of the tokens.
 func (client *Client) Configuration(ctx context.Context) (*apiv1.Configuration, error) {
-	answer := &apiv1.Configuration{}
-	return answer, client.do(ctx, http.MethodGet, "/v1/configuration", nil, answer)
+	result := &apiv1.Configuration{}
+	return result, client.do(ctx, http.MethodGet, "/v1/configuration", nil, result)
 }
 
-// Status reads a node's status.
+// Status reads the status of the node and its view of the group.
 func (client *Client) Status(ctx context.Context) (*apiv1.NodeStatus, error) {
-	answer := &apiv1.NodeStatus{}
-	return answer, client.do(ctx, http.MethodGet, "/v1/status", nil, answer)
+	result := &apiv1.NodeStatus{}
+	return result, client.do(ctx, http.MethodGet, "/v1/status", nil, result)
 }
 
-// NotInForce lists the live nodes on which the accepted revision is missing, as
-// one node sees it.
+// NotInForce returns the IDs of the live nodes on which the accepted revision is
+// not yet in force, according to the status of one node.
 func NotInForce(status *apiv1.NodeStatus) []string {
 	var missing []string
 	if status.GetInForceRevision() < status.GetAcceptedRevision() {
@@ -65,40 +69,44 @@
 	return missing
 }
 
-// Facts reads what a node knows of the back ends.
+// Facts reads the node's data on the back ends.
 func (client *Client) Facts(ctx context.Context) (*apiv1.FactsReport, error) {
-	answer := &apiv1.FactsReport{}
-	return answer, client.do(ctx, http.MethodGet, "/v1/facts", nil, answer)
+	result := &apiv1.FactsReport{}
+	return result, client.do(ctx, http.MethodGet, "/v1/facts", nil, result)
 }
 
-// RecentFlows lists the flows of a node's newest decisions.
+// RecentFlows reads the flows of the node's newest decisions.
 func (client *Client) RecentFlows(ctx context.Context) (*apiv1.RecentFlows, error) {
-	answer := &apiv1.RecentFlows{}
-	return answer, client.do(ctx, http.MethodGet, "/v1/recent-flows", nil, answer)
+	result := &apiv1.RecentFlows{}
+	return result, client.do(ctx, http.MethodGet, "/v1/recent-flows", nil, result)
 }
 
-// Explain asks the node about a flow.
+// Explain reads the decisions that the node has recorded about a flow, given as
+// SOURCE:PORT-DESTINATION:PORT.
 func (client *Client) Explain(ctx context.Context, flow string) (*apiv1.Explanation, error) {
-	answer := &apiv1.Explanation{}
-	return answer, client.do(ctx, http.MethodGet, "/v1/decisions?flow="+url.QueryEscape(flow), nil, answer)
+	result := &apiv1.Explanation{}
+	return result, client.do(ctx, http.MethodGet, "/v1/decisions?flow="+url.QueryEscape(flow), nil, result)
 }
 
-// Change asks for a change. It fails with a *change.Problem when refused.
+// Change requests a change of the configuration. The error is a *change.Problem
+// if the node refuses it.
 func (client *Client) Change(ctx context.Context, request *apiv1.ChangeRequest) (*apiv1.ChangeAnswer, error) {
-	answer := &apiv1.ChangeAnswer{}
-	return answer, client.do(ctx, http.MethodPost, "/v1/changes", request, answer)
+	result := &apiv1.ChangeAnswer{}
+	return result, client.do(ctx, http.MethodPost, "/v1/changes", request, result)
 }
 
-func (client *Client) do(ctx context.Context, method, path string, body, answer proto.Message) error {
-	var content io.Reader
+// do sends a request and decodes the response. The error is a *change.Problem if
+// the response carries one.
+func (client *Client) do(ctx context.Context, method, path string, body, result proto.Message) error {
+	var requestBody io.Reader
 	if body != nil {
 		encoded, err := protojson.Marshal(body)
 		if err != nil {
 			return errors.Wrapf(err, "node %s: encode", client.baseURL)
 		}
-		content = bytes.NewReader(encoded)
+		requestBody = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, client.baseURL+path, content)
+	request, err := http.NewRequestWithContext(ctx, method, client.baseURL+path, requestBody)
 	if err != nil {
 		return errors.Wrapf(err, "node %s", client.baseURL)
 	}
@@ -121,5 +129,5 @@
 		}
 		return problem
 	}
-	return errors.Wrapf(protojson.Unmarshal(data, answer), "node %s: decode", client.baseURL)
+	return errors.Wrapf(protojson.Unmarshal(data, result), "node %s: decode", client.baseURL)
 }
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,5 +1,9 @@
-// Package certificate loads keys and certificates from files and takes new ones
-// without a restart.
+// Package certificate loads TLS certificates and keys from files and reloads them
+// without a restart when the files change.
+//
+// [LoadPair] loads a certificate and its key, [LoadAuthorities] the certificates to
+// trust. [Pair.ServerConfig] and [Pair.ClientConfig] make TLS configurations that
+// use the newest certificate for each handshake.
 package certificate
 
 import (
@@ -12,11 +16,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// checkInterval is how often at most the files are looked at.
+// checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Pair is a certificate and its key in two PEM files. It is safe for use by
-// many goroutines.
+// Pair is a certificate and its key, loaded from two PEM files and reloaded when the
+// certificate file changes. It is safe for use by many goroutines.
 type Pair struct {
 	certificateFile, keyFile string
 	mutex                    sync.Mutex
@@ -25,15 +29,16 @@
 	lastCheck                time.Time
 }
 
-// LoadPair loads a pair; it fails when the files do not fit.
+// LoadPair loads a certificate and its key. It fails if a file cannot be read or the
+// key does not belong to the certificate.
 func LoadPair(certificateFile, keyFile string) (*Pair, error) {
 	pair := &Pair{certificateFile: certificateFile, keyFile: keyFile}
 	_, err := pair.current()
 	return pair, err
 }
 
-// current returns the newest good certificate. Files that cannot be read while
-// they are being replaced leave the last one in use.
+// current returns the newest valid certificate. If the files cannot be loaded, for
+// instance while they are being replaced, the last one stays in use.
 func (pair *Pair) current() (*tls.Certificate, error) {
 	pair.mutex.Lock()
 	defer pair.mutex.Unlock()
@@ -41,21 +46,22 @@
 		return pair.loaded, nil
 	}
 	pair.lastCheck = time.Now()
-	information, err := os.Stat(pair.certificateFile)
+	info, err := os.Stat(pair.certificateFile)
 	if err != nil {
 		return pair.fallback(err)
 	}
-	if pair.loaded != nil && information.ModTime().Equal(pair.modTime) {
+	if pair.loaded != nil && info.ModTime().Equal(pair.modTime) {
 		return pair.loaded, nil
 	}
 	loaded, err := tls.LoadX509KeyPair(pair.certificateFile, pair.keyFile)
 	if err != nil {
 		return pair.fallback(err)
 	}
-	pair.loaded, pair.modTime = &loaded, information.ModTime()
+	pair.loaded, pair.modTime = &loaded, info.ModTime()
 	return pair.loaded, nil
 }
 
+// fallback returns the last loaded certificate, or the error if none was loaded.
 func (pair *Pair) fallback(err error) (*tls.Certificate, error) {
 	if pair.loaded != nil {
 		return pair.loaded, nil
@@ -63,8 +69,8 @@
 	return nil, errors.Wrapf(err, "certificate %s", pair.certificateFile)
 }
 
-// ServerConfig is the TLS configuration of a listener. With authorities, clients must
-// show a certificate that one of them has signed.
+// ServerConfig returns the TLS configuration of a listener. If authorities is not
+// nil, clients must present a certificate that one of them has signed.
 func (pair *Pair) ServerConfig(authorities *x509.CertPool) *tls.Config {
 	config := &tls.Config{
 		MinVersion:     tls.VersionTLS13,
@@ -77,8 +83,9 @@
 	return config
 }
 
-// ClientConfig is the TLS configuration of a connection to a host, with this pair as
-// the client's.
+// ClientConfig returns the TLS configuration of a connection to a host whose
+// certificate one of the authorities must have signed. The pair is the client's
+// certificate.
 func (pair *Pair) ClientConfig(authorities *x509.CertPool, host string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -90,7 +97,7 @@
 	}
 }
 
-// LoadAuthorities reads the PEM certificates of a file.
+// LoadAuthorities reads the PEM certificates of a file. It fails if there are none.
 func LoadAuthorities(file string) (*x509.CertPool, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -23,13 +23,13 @@
 }
 
 func TestExplain(t *testing.T) {
-	memory := New(1024, time.Unix(1000, 0))
-	memory.AddView(testViewDetails(t))
+	decisionLog := New(1024, time.Unix(1000, 0))
+	decisionLog.AddView(testViewDetails(t))
 	key, err := flow.Parse("10.64.0.5:40000-10.200.0.1:80")
 	require.NoError(t, err)
-	memory.Decided(1500, key, router.PathKeeper, 1)
-	require.Equal(t, []string{key.String()}, memory.RecentFlows(5))
-	explanation := memory.Explain("maadi-1", key)
+	decisionLog.Decided(1500, key, router.PathKeeper, 1)
+	require.Equal(t, []string{key.String()}, decisionLog.RecentFlows(5))
+	explanation := decisionLog.Explain("maadi-1", key)
 	require.Len(t, explanation.GetDecisions(), 1)
 	decision := explanation.GetDecisions()[0]
 	require.Equal(t, "lending-1", decision.GetBackend())
@@ -47,26 +47,26 @@
 }
 
 func TestExplainReportsAgedOutDecisions(t *testing.T) {
-	memory := New(16, time.Unix(1000, 0))
-	memory.AddView(testViewDetails(t))
+	decisionLog := New(16, time.Unix(1000, 0))
+	decisionLog.AddView(testViewDetails(t))
 	key, err := flow.Parse("10.64.0.5:40000-10.200.0.1:80")
 	require.NoError(t, err)
-	require.Contains(t, memory.Explain("n", key).GetNote(), "decided nothing")
+	require.Contains(t, decisionLog.Explain("n", key).GetNote(), "decided nothing")
 	for port := range 512 {
 		other := key
 		other.SourcePort = uint16(port)
-		memory.Decided(10, other, router.PathSettled, 1)
+		decisionLog.Decided(10, other, router.PathSettled, 1)
 	}
-	require.Contains(t, memory.Explain("n", key).GetNote(), "have aged out")
+	require.Contains(t, decisionLog.Explain("n", key).GetNote(), "have aged out")
 }
 
 func BenchmarkDecided(b *testing.B) {
-	memory := New(65536, time.Now())
-	memory.AddView(testViewDetails(b))
+	decisionLog := New(65536, time.Now())
+	decisionLog.AddView(testViewDetails(b))
 	key := flow.Key{}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
 		key.SourcePort = uint16(number)
-		memory.Decided(1, key, router.PathSettled, 1)
+		decisionLog.Decided(1, key, router.PathSettled, 1)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,10 @@
-// Package store speaks to the platform's key-value service over HTTP: reads,
-// compare-and-swap, and watches by long poll. Each key has a version that
-// counts its writes from 1. Package core decides what is written; nothing here
-// retries a write whose fate is unknown.
+// Package store is a client of the platform's key-value service, which it calls over
+// HTTP: reads, compare-and-swap, and watches by long polling. Each key has a version
+// that counts its writes from 1.
+//
+// A [Client] reads with [Client.Get] and [Client.Watch] and writes with
+// [Client.CompareAndSwap]. Package core decides what is written. Nothing here retries
+// a write whose outcome is unknown.
 package store
 
 import (
@@ -17,28 +20,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// VersionHeader carries the version of a key's value.
+// VersionHeader is the HTTP header that carries the version of a key's value.
 const VersionHeader = "X-Version"
 
 var (
-	// ErrNotFound: the key has no value.
+	// ErrNotFound means that the key has no value.
 	ErrNotFound = errors.New("the key has no value")
-	// ErrConflict: the key's version is not the expected one.
-	ErrConflict = errors.New("the key was written by someone else")
-	// ErrRateLimited: the service's rate limit was reached.
-	ErrRateLimited = errors.New("the store limits the rate of requests")
-	// ErrUnknownOutcome: the write may or may not have taken effect.
-	ErrUnknownOutcome = errors.New("the fate of the write is unknown")
+	// ErrConflict means that the key's version is not the expected one.
+	ErrConflict = errors.New("the key has another version than expected")
+	// ErrRateLimited means that the service's rate limit was reached.
+	ErrRateLimited = errors.New("the rate limit of the store was reached")
+	// ErrUnknownOutcome means that a write may or may not have taken effect.
+	ErrUnknownOutcome = errors.New("the outcome of the write is unknown")
 )
 
-// Value is a key's value and version.
+// Value is the value of a key with its version.
 type Value struct {
 	Data    []byte
 	Version uint64
 }
 
-// Client reaches the service at one address. It is safe for use by many
-// goroutines.
+// Client calls the service at one address. It is safe for use by many goroutines.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
@@ -50,7 +52,7 @@
 	maximumValueSize = 8 << 20
 )
 
-// NewClient makes a client for an IP:port.
+// NewClient returns a client for the service at an address, given as IP:port.
 func NewClient(address string) *Client {
 	return &Client{baseURL: "http://" + address, httpClient: &http.Client{}}
 }
@@ -59,15 +61,15 @@
 	return client.baseURL + "/v1/keys/" + url.PathEscape(key)
 }
 
-// Get reads a key.
+// Get reads a key. The error is ErrNotFound if the key has no value.
 func (client *Client) Get(ctx context.Context, key string) (Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return client.read(ctx, client.keyURL(key), "read")
 }
 
-// Watch waits until a key's version is above the given one, and returns its
-// value then; ErrNotFound when nothing has changed for a while.
+// Watch waits until the version of a key is higher than after and returns the key's
+// value. The error is ErrNotFound if nothing has changed within watchTimeout.
 func (client *Client) Watch(ctx context.Context, key string, after uint64) (Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout+requestTimeout)
 	defer cancel()
@@ -75,29 +77,31 @@
 	return client.read(ctx, client.keyURL(key)+query, "watch")
 }
 
-func (client *Client) read(ctx context.Context, target, step string) (Value, error) {
+// read sends a GET request and reads the value and its version from the response.
+func (client *Client) read(ctx context.Context, target, operation string) (Value, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return Value{}, client.wrap(err, step)
+		return Value{}, client.wrap(err, operation)
 	}
 	response, err := client.httpClient.Do(request)
 	if err != nil {
-		return Value{}, client.wrap(err, step)
+		return Value{}, client.wrap(err, operation)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := statusError(response.StatusCode); err != nil {
-		return Value{}, client.wrap(err, step)
+		return Value{}, client.wrap(err, operation)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maximumValueSize))
 	if err != nil {
-		return Value{}, client.wrap(err, step)
+		return Value{}, client.wrap(err, operation)
 	}
 	version, err := strconv.ParseUint(response.Header.Get(VersionHeader), 10, 64)
-	return Value{Data: data, Version: version}, client.wrap(err, step)
+	return Value{Data: data, Version: version}, client.wrap(err, operation)
 }
 
-// CompareAndSwap writes a key if its version is the expected one; 0 expects no
-// value. ErrUnknownOutcome means that the write may have taken effect.
+// CompareAndSwap writes a key if its version is the expected one; 0 means that the
+// key must have no value. The error is ErrConflict if the version is another one, and
+// ErrUnknownOutcome if the write may have taken effect.
 func (client *Client) CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -114,6 +118,7 @@
 	return client.wrap(statusError(response.StatusCode), "write")
 }
 
+// statusError returns the error that an HTTP status stands for, or nil.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
@@ -128,6 +133,7 @@
 	return errors.Mark(errors.Newf("status %d", status), ErrUnknownOutcome)
 }
 
-func (client *Client) wrap(err error, step string) error {
-	return errors.Wrapf(err, "store %s: %s", client.baseURL, step)
+// wrap adds the address of the store and the operation to an error.
+func (client *Client) wrap(err error, operation string) error {
+	return errors.Wrapf(err, "store %s: %s", client.baseURL, operation)
 }
