--- a/cmd/balancer/entrylog.go
+++ b/cmd/balancer/entrylog.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// entryLogInterval spaces the lines on entries that can't be read. A store of many such
-// entries is read each second or two, and would else fill the log.
+// entryLogInterval is the minimum time between two log lines about unreadable entries.
+// The store is read every second or two, and without a limit a store with many such
+// entries would fill the log.
 const entryLogInterval = time.Second
 
-// entryLogger logs entries of the store that can't be read, a line in entryLogInterval. It is
-// safe for use by many goroutines.
+// entryLogger logs entries of the store that cannot be read, at most one line in each
+// entryLogInterval. It is safe for use by many goroutines.
 type entryLogger struct {
 	logger     *slog.Logger
 	mutex      sync.Mutex
@@ -19,7 +20,8 @@
 	suppressed int
 }
 
-// warn logs an entry, or counts it for the next line.
+// warn logs the error of an unreadable entry, or counts it as suppressed, to be
+// reported with the next line.
 func (l *entryLogger) warn(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/cmd/balancer/explain.go
+++ b/cmd/balancer/explain.go
@@ -25,23 +25,25 @@
 	}
 }
 
-func explain(wanted string, files []string) error {
+// explain prints the log lines about a request, a flow or a client, in the order of
+// their times.
+func explain(subject string, files []string) error {
 	var lines []story.Line
 	for _, file := range files {
 		input, err := os.Open(file)
 		if err != nil {
 			return errors.Wrap(err, "log")
 		}
-		read, err := story.Read(input)
+		fileLines, err := story.Read(input)
 		_ = input.Close()
 		if err != nil {
 			return errors.Wrapf(err, "log %s", file)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
-	found := story.Find(lines, wanted)
+	found := story.Find(lines, subject)
 	if len(found) == 0 {
-		return errors.Newf("%q stands in none of %d lines; it reached no balancer whose log is here, or its line was left out", wanted, len(lines))
+		return errors.Newf("%q occurs in none of %d lines; it reached no balancer whose log was given, or its lines were left out", subject, len(lines))
 	}
 	if err := story.Write(os.Stdout, found); err != nil {
 		return err
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,5 +1,9 @@
-// Command balancer runs indigobarrow on a network that carries flow tokens,
-// with the platform adapter.
+// Command balancer runs a load balancer on a network whose packets carry flow tokens,
+// connected to the platform by package platform.
+//
+// It also manages the policy programs in the store, checks settings files, and
+// explains from saved logs what happened to a request; "balancer --help" lists the
+// commands.
 package main
 
 import (
@@ -73,11 +77,12 @@
 	}
 }
 
-// run serves until SIGTERM, which is a planned stop: the balancer says that it
-// is not ready, forwards until the routers have turned away, and ends.
+// run serves until SIGTERM, which is a planned stop: the balancer reports that it is
+// not ready, forwards packets until the routers no longer send it any, and ends.
+// SIGHUP reloads the settings.
 func run(ctx context.Context, path, peerListen string) error {
-	changed := make(chan os.Signal, 1)
-	signal.Notify(changed, syscall.SIGHUP)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	load := func() (*apiv1.BalancerSettings, error) { return settings.LoadBalancer(path, nil) }
 	loaded, err := load()
 	if err != nil {
@@ -88,9 +93,9 @@
 	logger, level := logging.New(lines, logging.Options{
 		Level: loaded.GetLogLevel(), Format: loaded.GetLogFormat(), Node: loaded.GetName(),
 	})
-	needs := dependencies(loaded, logger)
-	needs.PeerListenAddress = peerListen
-	made, err := balancer.New(loaded, needs, logger)
+	dependencies := newDependencies(loaded, logger)
+	dependencies.PeerListenAddress = peerListen
+	instance, err := balancer.New(loaded, dependencies, logger)
 	if err != nil {
 		return err
 	}
@@ -98,26 +103,27 @@
 	defer cancel()
 	go func() {
 		<-ctx.Done()
-		made.Stop(running)
+		instance.Stop(running)
 		cancel()
 	}()
 	group, running := errgroup.WithContext(running)
-	group.Go(func() error { return made.Run(running) })
+	group.Go(func() error { return instance.Run(running) })
 	group.Go(func() error {
-		return made.Reload(running, balancer.Reloader{Path: path, Load: load, Level: level, Signals: changed})
+		return instance.Reload(running, balancer.Reloader{Path: path, Load: load, Level: level, Signals: reload})
 	})
 	return group.Wait()
 }
 
-func dependencies(loaded *apiv1.BalancerSettings, logger *slog.Logger) balancer.Dependencies {
+// newDependencies returns the parts of the balancer that depend on the platform.
+func newDependencies(loaded *apiv1.BalancerSettings, logger *slog.Logger) balancer.Dependencies {
 	clientPort := netip.MustParseAddrPort(loaded.GetDataAddress()).Port()
-	faulty := &entryLogger{logger: logger}
+	entryErrors := &entryLogger{logger: logger}
 	return balancer.Dependencies{
 		Codec:               platform.Codec{ClientPort: clientPort},
-		Store:               platform.NewStore(loaded.GetStoreAddress(), faulty.warn),
+		Store:               platform.NewStore(loaded.GetStoreAddress(), entryErrors.warn),
 		NewReadinessHandler: platform.ReadinessHandler,
 	}
 }
 
-// logCloseTimeout is how long the last lines may take.
+// logCloseTimeout is how long the balancer waits for its last log lines to be written.
 const logCloseTimeout = time.Second
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -29,11 +29,12 @@
 	}
 }
 
-// withStore checks the arguments and gives the action a client of the store.
-func withStore(arguments int, action func(context.Context, *platform.Store, string) error) cli.ActionFunc {
+// withStore returns an action that checks the number of arguments and calls action
+// with a client of the store and the first argument.
+func withStore(argumentCount int, action func(context.Context, *platform.Store, string) error) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		if command.Args().Len() != arguments {
-			return errors.Newf("%s takes %d arguments, not %d; see --help", command.Name, arguments, command.Args().Len())
+		if command.Args().Len() != argumentCount {
+			return errors.Newf("%s takes %d arguments, not %d; see --help", command.Name, argumentCount, command.Args().Len())
 		}
 		if command.String("store") == "" {
 			return errors.New("store is not set; give --store IP:PORT or set INDIGOBARROW_STORE")
@@ -43,52 +44,56 @@
 	}
 }
 
+// listPolicies prints the policies in the store in the order of their names.
 func listPolicies(ctx context.Context, store *platform.Store, _ string) error {
-	found, err := store.Policies(ctx)
+	policies, err := store.Policies(ctx)
 	if err != nil {
 		return err
 	}
-	names := make([]string, 0, len(found))
-	for name := range found {
+	names := make([]string, 0, len(policies))
+	for name := range policies {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		entry := found[name]
+		entry := policies[name]
 		fmt.Printf("%s (revision %s)\n  weight: %s\n  leaving: %s\n", name, revision.Format(entry.Revision), entry.Policy.GetWeight(), entry.Policy.GetLeaving())
 	}
 	return nil
 }
 
+// putPolicy checks the policy in a file and writes it if the stored one has not changed
+// meanwhile.
 func putPolicy(ctx context.Context, store *platform.Store, file string) error {
 	content, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(err, "policy")
 	}
-	wanted := &apiv1.Policy{}
-	if err := protojson.Unmarshal(content, wanted); err != nil {
+	newPolicy := &apiv1.Policy{}
+	if err := protojson.Unmarshal(content, newPolicy); err != nil {
 		return errors.Wrapf(err, "policy %s: write it as JSON with name, weight, leaving and load_trust", file)
 	}
-	if wanted.GetName() == "" {
+	if newPolicy.GetName() == "" {
 		return errors.Newf("policy %s: name is empty; set it to a pool's name or to \"default\"", file)
 	}
-	if err := policy.Check(wanted); err != nil {
+	if err := policy.Check(newPolicy); err != nil {
 		return err
 	}
-	found, err := store.Policies(ctx)
+	policies, err := store.Policies(ctx)
 	if err != nil {
 		return err
 	}
-	return store.WritePolicy(ctx, wanted, found[wanted.GetName()].Revision)
+	return store.WritePolicy(ctx, newPolicy, policies[newPolicy.GetName()].Revision)
 }
 
+// removePolicy removes a policy if the stored one has not changed meanwhile.
 func removePolicy(ctx context.Context, store *platform.Store, name string) error {
-	found, err := store.Policies(ctx)
+	policies, err := store.Policies(ctx)
 	if err != nil {
 		return err
 	}
-	if _, exists := found[name]; !exists {
+	if _, exists := policies[name]; !exists {
 		return errors.Newf("policy %q does not exist; \"balancer policy list\" shows those that do", name)
 	}
-	return store.RemovePolicy(ctx, name, found[name].Revision)
+	return store.RemovePolicy(ctx, name, policies[name].Revision)
 }
--- a/cmd/indigobarrow/change.go
+++ b/cmd/indigobarrow/change.go
@@ -19,29 +19,29 @@
 	"github.com/indigobarrow/indigobarrow/internal/change"
 )
 
-// applyChange sends a change and prints the answer.
+// applyChange sends a change and prints the new revision.
 func applyChange(ctx context.Context, command *cli.Command, request *apiv1.ChangeRequest) error {
 	request.BaseRevision = command.Uint64("base-revision")
 	request.OperationId = command.String("operation-id")
 	if request.GetOperationId() == "" {
 		request.OperationId = rand.Text()
 	}
-	asked, err := nodeClient(command)
+	client, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
-	answer, err := asked.Change(ctx, request)
+	result, err := client.Change(ctx, request)
 	if err != nil {
 		return err
 	}
 	if asJSON(command) {
-		return printJSON(answer)
+		return printJSON(result)
 	}
-	fmt.Printf("revision %d: %s (operation %s)\n", answer.GetRevision(), answer.GetMessage(), request.GetOperationId())
+	fmt.Printf("revision %d: %s (operation %s)\n", result.GetRevision(), result.GetMessage(), request.GetOperationId())
 	return nil
 }
 
-// readFile reads a message in JSON from a file, or from standard input for "-".
+// readFile reads a message as JSON from a file, or from standard input if path is "-".
 func readFile(path string, message proto.Message) error {
 	var content []byte
 	var err error
@@ -56,8 +56,10 @@
 	return errors.Wrapf(protojson.Unmarshal(content, message), "file %s", path)
 }
 
-func argument(command *cli.Command, place int, name string) (string, error) {
-	if value := command.Args().Get(place); value != "" {
+// argument returns the argument at an index. It fails if the argument is missing; name
+// is the argument's name in that error.
+func argument(command *cli.Command, index int, name string) (string, error) {
+	if value := command.Args().Get(index); value != "" {
 		return value, nil
 	}
 	return "", change.NewProblem(change.CodeInvalid, name, "", "is missing", "see \"indigobarrow "+command.Name+" --help\"")
@@ -133,11 +135,11 @@
 	if asJSON(command) {
 		return printJSON(service)
 	}
-	asked, err := nodeClient(command)
+	client, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
-	status, err := asked.Status(ctx)
+	status, err := client.Status(ctx)
 	if err != nil {
 		return err
 	}
@@ -149,7 +151,7 @@
 	return rows.flush()
 }
 
-// drainCommand is drain, or undrain for leaving false.
+// drainCommand returns the command drain if leaving is true, and undrain otherwise.
 func drainCommand(leaving bool) *cli.Command {
 	name, usage := "drain", "let a back end leave: it gets no new flows, its open ones go on"
 	if !leaving {
@@ -158,13 +160,13 @@
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "SERVICE/BACKEND", Flags: changeFlags(),
 		Action: func(ctx context.Context, command *cli.Command) error {
-			place, err := argument(command, 0, "SERVICE/BACKEND")
+			target, err := argument(command, 0, "SERVICE/BACKEND")
 			if err != nil {
 				return err
 			}
-			service, backend, found := strings.Cut(place, "/")
+			service, backend, found := strings.Cut(target, "/")
 			if !found {
-				return change.NewProblem(change.CodeInvalid, "SERVICE/BACKEND", place, "has no slash", "write it like lending/lending-3")
+				return change.NewProblem(change.CodeInvalid, "SERVICE/BACKEND", target, "has no slash", "write it like lending/lending-3")
 			}
 			request := &apiv1.DrainRequest{Service: service, Backend: backend, Leaving: leaving}
 			return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_Drain{Drain: request}})
@@ -186,6 +188,8 @@
 	}
 }
 
+// createToken creates a token with a random text and prints the text. Only its hash is
+// sent to the node.
 func createToken(ctx context.Context, command *cli.Command) error {
 	name, err := argument(command, 0, "NAME")
 	if err != nil {
--- a/cmd/indigobarrow/lab.go
+++ b/cmd/indigobarrow/lab.go
@@ -53,15 +53,17 @@
 	if err != nil {
 		return err
 	}
-	printed := newTable("REPORTS", "TRUST", "CV", "MAX/MEAN", "WEIGHT CHANGES", "B/S MEAN", "BROKEN")
+	output := newTable("REPORTS", "TRUST", "CV", "MAX/MEAN", "WEIGHT CHANGES", "B/S MEAN", "BROKEN")
 	for _, row := range rows {
-		printed.addRow(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.Maximum),
+		output.addRow(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.Maximum),
 			fmt.Sprint(row.WeightChanges), fmt.Sprintf("%.0f", row.ControlMean), fmt.Sprint(row.Broken))
 	}
-	return printed.flush()
+	return output.flush()
 }
 
-var errGuaranteeViolated = errors.New("a planned change broke flows, or a promise did not hold")
+// errGuaranteeViolated is returned if a run of the balancer's own algorithm broke flows
+// in a planned change or violated another guarantee.
+var errGuaranteeViolated = errors.New("a planned change broke flows, or a guarantee was violated")
 
 func runLab(_ context.Context, command *cli.Command) error {
 	plans, err := labPlans(command)
@@ -100,6 +102,7 @@
 	return checkRows(rows)
 }
 
+// labPlans returns the runs that the flags select.
 func labPlans(command *cli.Command) ([]lab.Plan, error) {
 	algorithms := []lab.Algorithm{lab.Algorithm(command.String("algorithm"))}
 	if algorithms[0] == "all" {
@@ -127,33 +130,35 @@
 	return plans, nil
 }
 
+// selectScenarios returns the scenarios with the names, which are separated by commas,
+// or all of them if names is empty.
 func selectScenarios(names string) ([]lab.Scenario, error) {
 	all := lab.Scenarios()
 	if names == "" {
 		return all, nil
 	}
-	var chosen []lab.Scenario
+	var selected []lab.Scenario
 	for _, name := range strings.Split(names, ",") {
 		found := false
 		for _, scenario := range all {
 			if scenario.Name == name {
-				chosen = append(chosen, scenario)
+				selected = append(selected, scenario)
 				found = true
 			}
 		}
 		if !found {
-			known := make([]string, 0, len(all))
+			validNames := make([]string, 0, len(all))
 			for _, scenario := range all {
-				known = append(known, scenario.Name)
+				validNames = append(validNames, scenario.Name)
 			}
-			return nil, errors.Newf("scenario = %q: is not known; use one of %s", name, strings.Join(known, ", "))
+			return nil, errors.Newf("scenario = %q: is not known; use one of %s", name, strings.Join(validNames, ", "))
 		}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
 func printRows(rows []lab.Row) error {
-	printed := newTable("SCENARIO", "USER", "METHOD", "SEED", "FLOWS", "BROKEN", "CAUSES", "2ND", "REFUSED", "MAX/MEAN", "CV",
+	output := newTable("SCENARIO", "USER", "METHOD", "SEED", "FLOWS", "BROKEN", "CAUSES", "2ND", "REFUSED", "MAX/MEAN", "CV",
 		"LEAVING P99", "IN FORCE P99", "B/S MEAN", "B/S 10S", "B/S 1S", "VIOLATION")
 	for _, row := range rows {
 		causes := make([]string, 0, len(row.Broken))
@@ -161,15 +166,16 @@
 			causes = append(causes, fmt.Sprintf("%s %d", cause, count))
 		}
 		sort.Strings(causes)
-		printed.addRow(row.Scenario, row.User, string(row.Algorithm), fmt.Sprint(row.Seed), fmt.Sprint(row.Flows),
+		output.addRow(row.Scenario, row.User, string(row.Algorithm), fmt.Sprint(row.Seed), fmt.Sprint(row.Flows),
 			fmt.Sprint(row.TotalBroken), strings.Join(causes, " "), fmt.Sprint(row.SecondBackend), fmt.Sprint(row.Refused),
 			fmt.Sprintf("%.3f", row.MaximumOverMean), fmt.Sprintf("%.3f", row.Variation),
 			row.LeavingP99.Round(time.Millisecond).String(), row.InForceP99.Round(time.Millisecond).String(),
 			fmt.Sprintf("%.0f", row.ControlMean), fmt.Sprintf("%.0f", row.ControlPeak), fmt.Sprintf("%.0f", row.ControlSecond), row.Violation)
 	}
-	return printed.flush()
+	return output.flush()
 }
 
+// writeLines writes the results to a file, one JSON document in each line.
 func writeLines(path string, rows []lab.Row) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -184,6 +190,8 @@
 	return errors.Wrap(file.Close(), "lines")
 }
 
+// checkRows returns an error for the first run that violated a guarantee. The other
+// algorithms serve as a comparison and give none.
 func checkRows(rows []lab.Row) error {
 	for _, row := range rows {
 		if row.Algorithm != lab.AlgorithmEpochs {
--- a/cmd/indigobarrow/main.go
+++ b/cmd/indigobarrow/main.go
@@ -1,4 +1,8 @@
-// Command indigobarrow is a layer-4 load balancer and its operators' tool.
+// Command indigobarrow is a layer-4 load balancer and the tool of its operators.
+//
+// "indigobarrow node" runs a balancer. The other commands read and change the
+// configuration through the administration API of any node of a group, run the
+// demonstration, or run experiments in the emulator; "indigobarrow --help" lists them.
 package main
 
 import (
@@ -26,7 +30,8 @@
 	exitTimeout  = 4
 )
 
-// errNotInForce is returned when status --wait runs out of time.
+// errNotInForce is returned by status --wait if the accepted revision is not in force
+// on every live node before the timeout.
 var errNotInForce = errors.New("the configuration is not in force everywhere")
 
 func main() {
@@ -51,6 +56,7 @@
 	}
 }
 
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var faults settings.Faults
 	var problem *change.Problem
@@ -67,7 +73,7 @@
 	return exitFailure
 }
 
-// clientFlags are the flags of every command that speaks to a node.
+// clientFlags returns the flags of the commands that call a node, followed by more.
 func clientFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "node", Value: "127.0.0.1:6070", Usage: "admin address of any node of the group",
@@ -78,7 +84,8 @@
 	}, more...)
 }
 
-// changeFlags are the flags of every command that changes the configuration.
+// changeFlags returns the flags of the commands that change the configuration, followed
+// by more.
 func changeFlags(more ...cli.Flag) []cli.Flag {
 	return clientFlags(append([]cli.Flag{
 		&cli.Uint64Flag{Name: "base-revision", Usage: "revision the change is based on; 0 takes the newest"},
@@ -86,11 +93,12 @@
 	}, more...)...)
 }
 
+// nodeClient returns a client for the node given with --node.
 func nodeClient(command *cli.Command) (*admin.Client, error) {
 	return newClient(command, command.String("node"))
 }
 
-// newClient makes a client for one of the group's nodes.
+// newClient returns a client for the node of the group at an address.
 func newClient(command *cli.Command, address string) (*admin.Client, error) {
 	file := command.String("authority")
 	if file == "" {
@@ -103,7 +111,7 @@
 	return admin.NewSecureClient(address, command.String("token"), authorities), nil
 }
 
-// groupClients makes clients for the node and its live peers, the node first.
+// groupClients returns clients for the node and its live peers, the node first.
 func groupClients(ctx context.Context, command *cli.Command) ([]*admin.Client, error) {
 	first, err := nodeClient(command)
 	if err != nil {
@@ -127,13 +135,14 @@
 	return clients, nil
 }
 
-// readConfiguration reads the configuration from the node.
+// readConfiguration reads the configuration from the node given with --node.
 func readConfiguration(ctx context.Context, command *cli.Command) (*apiv1.Configuration, error) {
-	asked, err := nodeClient(command)
+	client, err := nodeClient(command)
 	if err != nil {
 		return nil, err
 	}
-	return asked.Configuration(ctx)
+	return client.Configuration(ctx)
 }
 
+// asJSON reports whether the output should be JSON.
 func asJSON(command *cli.Command) bool { return command.String("output") == "json" }
--- a/cmd/indigobarrow/node.go
+++ b/cmd/indigobarrow/node.go
@@ -17,8 +17,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/settings"
 )
 
-// settingsFlags let every field of the settings file be set on the command
-// line, with dashes for underscores.
+// settingsFlags maps the flags that override fields of the settings file to the names
+// of the fields. A flag is named like its field, with dashes for underscores.
 var settingsFlags = map[string]string{
 	"id":                "id",
 	"group":             "group",
@@ -63,8 +63,8 @@
 	}
 }
 
-// runNode serves until SIGTERM, which is a planned stop: the node announces
-// it, hands over its flows and ends. A second SIGTERM ends it at once.
+// runNode serves until SIGTERM, which is a planned stop: the node announces that it
+// leaves, hands over its flows and ends. A second SIGTERM ends it at once.
 func runNode(ctx context.Context, command *cli.Command) error {
 	if command.Args().Present() {
 		return errors.Newf("node takes no argument %q; give the settings file with --settings", command.Args().First())
@@ -76,7 +76,7 @@
 	logger, level := logging.New(os.Stderr, logging.Options{
 		Level: loaded.GetLogLevel(), Format: loaded.GetLogFormat(), Node: loaded.GetId(),
 	})
-	made, err := node.New(loaded, logger, level)
+	instance, err := node.New(loaded, logger, level)
 	if err != nil {
 		return err
 	}
@@ -84,16 +84,16 @@
 	defer cancel()
 	go func() {
 		<-ctx.Done()
-		limit, done := context.WithTimeout(running, command.Duration("stop-limit"))
-		defer done()
-		made.Stop(limit)
+		stopCtx, stopCancel := context.WithTimeout(running, command.Duration("stop-limit"))
+		defer stopCancel()
+		instance.Stop(stopCtx)
 		cancel()
 	}()
-	return made.Run(running)
+	return instance.Run(running)
 }
 
-// applySettingsArgument takes the settings file from the arguments, where one is
-// given there, and refuses any other argument.
+// applySettingsArgument sets --settings to the argument, if there is one. It fails if
+// there are several arguments or --settings is set already.
 func applySettingsArgument(command *cli.Command) error {
 	switch arguments := command.Args(); {
 	case arguments.Len() == 0:
--- a/cmd/indigobarrow/output.go
+++ b/cmd/indigobarrow/output.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// printJSON prints a message for scripts.
+// printJSON prints a message as JSON, with every field and the names of the schema.
 func printJSON(message proto.Message) error {
 	encoded, err := protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true, UseProtoNames: true}.Marshal(message)
 	if err != nil {
@@ -20,15 +20,15 @@
 	return nil
 }
 
-// table prints rows for people; the first one is the heading.
+// table prints rows in aligned columns, the heading first.
 type table struct {
 	writer *tabwriter.Writer
 }
 
 func newTable(heading ...string) *table {
-	made := &table{writer: tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)}
-	made.addRow(heading...)
-	return made
+	result := &table{writer: tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)}
+	result.addRow(heading...)
+	return result
 }
 
 func (table *table) addRow(cells ...string) {
--- a/cmd/indigobarrow/policy.go
+++ b/cmd/indigobarrow/policy.go
@@ -38,31 +38,32 @@
 				}},
 			{Name: "apply", Usage: "create or replace a policy from a JSON file", ArgsUsage: "FILE", Flags: changeFlags(),
 				Action: func(ctx context.Context, command *cli.Command) error {
-					wanted, err := readPolicy(command)
+					newPolicy, err := readPolicy(command)
 					if err != nil {
 						return err
 					}
-					return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: wanted}})
+					return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: newPolicy}})
 				}},
 		},
 	}
 }
 
+// readPolicy reads the policy in the file that the first argument names.
 func readPolicy(command *cli.Command) (*apiv1.Policy, error) {
 	path, err := argument(command, 0, "FILE")
 	if err != nil {
 		return nil, err
 	}
-	wanted := &apiv1.Policy{}
-	return wanted, readFile(path, wanted)
+	newPolicy := &apiv1.Policy{}
+	return newPolicy, readFile(path, newPolicy)
 }
 
-// evaluateSamples checks a policy and shows what it says of the samples.
-func evaluateSamples(wanted *apiv1.Policy) error {
-	if err := policy.Check(wanted); err != nil {
-		return change.NewProblem(change.CodeInvalid, "policy", wanted.GetName(), err.Error(), "mend the expression")
+// evaluateSamples checks a policy and prints its results for the sample back ends.
+func evaluateSamples(newPolicy *apiv1.Policy) error {
+	if err := policy.Check(newPolicy); err != nil {
+		return change.NewProblem(change.CodeInvalid, "policy", newPolicy.GetName(), err.Error(), "correct the expression")
 	}
-	program, err := policy.Compile(wanted)
+	program, err := policy.Compile(newPolicy)
 	if err != nil {
 		return err
 	}
@@ -90,13 +91,14 @@
 	policies := configuration.GetPolicies()
 	sort.Slice(policies, func(i, j int) bool { return policies[i].GetName() < policies[j].GetName() })
 	rows := newTable("POLICY", "WEIGHT", "LEAVING", "LOAD TRUST")
-	for _, known := range append([]*apiv1.Policy{policy.Default()}, policies...) {
-		rows.addRow(known.GetName(), known.GetWeight(), known.GetLeaving(), known.GetLoadTrust())
+	for _, listed := range append([]*apiv1.Policy{policy.Default()}, policies...) {
+		rows.addRow(listed.GetName(), listed.GetWeight(), listed.GetLeaving(), listed.GetLoadTrust())
 	}
 	return rows.flush()
 }
 
-// policyInForce reads a policy by name; the default one needs no entry.
+// policyInForce returns the configured policy of a name. The default policy needs no
+// entry in the configuration.
 func policyInForce(ctx context.Context, command *cli.Command, name string) (*apiv1.Policy, error) {
 	configuration, err := readConfiguration(ctx, command)
 	if err != nil {
@@ -124,20 +126,22 @@
 	return printJSON(found)
 }
 
+// diffPolicy prints the expressions that differ between a policy file and the policy in
+// force.
 func diffPolicy(ctx context.Context, command *cli.Command) error {
-	wanted, err := readPolicy(command)
+	newPolicy, err := readPolicy(command)
 	if err != nil {
 		return err
 	}
-	old, err := policyInForce(ctx, command, wanted.GetName())
+	old, err := policyInForce(ctx, command, newPolicy.GetName())
 	if err != nil {
 		return err
 	}
 	rows := newTable("FIELD", "IN FORCE", "FILE")
 	for _, field := range []struct{ name, old, wanted string }{
-		{"weight", old.GetWeight(), wanted.GetWeight()},
-		{"leaving", old.GetLeaving(), wanted.GetLeaving()},
-		{"load_trust", old.GetLoadTrust(), wanted.GetLoadTrust()},
+		{"weight", old.GetWeight(), newPolicy.GetWeight()},
+		{"leaving", old.GetLeaving(), newPolicy.GetLeaving()},
+		{"load_trust", old.GetLoadTrust(), newPolicy.GetLoadTrust()},
 	} {
 		if field.old != field.wanted {
 			rows.addRow(field.name, field.old, field.wanted)
@@ -146,57 +150,61 @@
 	return rows.flush()
 }
 
+// checkPolicy checks a policy file, and with --against live also compares it with the
+// current weights.
 func checkPolicy(ctx context.Context, command *cli.Command) error {
-	wanted, err := readPolicy(command)
+	newPolicy, err := readPolicy(command)
 	if err != nil {
 		return err
 	}
 	switch against := command.String("against"); against {
 	case "":
-		return evaluateSamples(wanted)
+		return evaluateSamples(newPolicy)
 	case "live":
-		return compareLive(ctx, command, wanted)
+		return compareLive(ctx, command, newPolicy)
 	default:
 		return change.NewProblem(change.CodeInvalid, "against", against, "is not known", "use live, or leave it out")
 	}
 }
 
-// compareLive shows what a policy would change now, for the services that use it.
-func compareLive(ctx context.Context, command *cli.Command, wanted *apiv1.Policy) error {
-	program, err := policy.Compile(wanted)
+// compareLive prints the weights that the back ends have now and those that a policy
+// would give them, for the services that use the policy.
+func compareLive(ctx context.Context, command *cli.Command, newPolicy *apiv1.Policy) error {
+	program, err := policy.Compile(newPolicy)
 	if err != nil {
-		return change.NewProblem(change.CodeInvalid, "policy", wanted.GetName(), err.Error(), "mend the expression")
+		return change.NewProblem(change.CodeInvalid, "policy", newPolicy.GetName(), err.Error(), "correct the expression")
 	}
 	report, err := readFacts(ctx, command)
 	if err != nil {
 		return err
 	}
 	rows := newTable("SERVICE", "BACK END", "WEIGHT NOW", "WEIGHT THEN", "LEAVING", "LOAD TRUST")
-	for _, known := range report.GetBackends() {
-		if known.GetPolicy() != wanted.GetName() && (known.GetPolicy() != "" || wanted.GetName() != policy.Default().GetName()) {
+	for _, backend := range report.GetBackends() {
+		if backend.GetPolicy() != newPolicy.GetName() && (backend.GetPolicy() != "" || newPolicy.GetName() != policy.Default().GetName()) {
 			continue
 		}
 		outcome, err := program.Evaluate(policy.Facts{
-			Name: known.GetBackend(), Zone: known.GetZone(), MachineState: known.GetMachineState(), Healthy: known.GetHealthy(),
-			BadSeconds: known.GetBadSeconds(), Load: known.GetLoad(), MeanLoad: known.GetMeanLoad(),
-			ReportAge: known.GetReportAge(), UpSeconds: known.GetUpSeconds()})
+			Name: backend.GetBackend(), Zone: backend.GetZone(), MachineState: backend.GetMachineState(), Healthy: backend.GetHealthy(),
+			BadSeconds: backend.GetBadSeconds(), Load: backend.GetLoad(), MeanLoad: backend.GetMeanLoad(),
+			ReportAge: backend.GetReportAge(), UpSeconds: backend.GetUpSeconds()})
 		if err != nil {
 			return err
 		}
-		rows.addRow(known.GetService(), known.GetBackend(), strconv.Itoa(int(known.GetWeight())),
+		rows.addRow(backend.GetService(), backend.GetBackend(), strconv.Itoa(int(backend.GetWeight())),
 			strconv.Itoa(int(math.Round(outcome.Weight*10))*10), strconv.FormatBool(outcome.Leaving), fmt.Sprintf("%.2f", outcome.LoadTrust))
 	}
 	return rows.flush()
 }
 
-// readFacts finds the node that reads the reports.
+// readFacts reads the data on the back ends from the first node of the group that has
+// any, which is the one that polls their reports.
 func readFacts(ctx context.Context, command *cli.Command) (*apiv1.FactsReport, error) {
 	clients, err := groupClients(ctx, command)
 	if err != nil {
 		return nil, err
 	}
-	for _, asked := range clients {
-		report, err := asked.Facts(ctx)
+	for _, client := range clients {
+		report, err := client.Facts(ctx)
 		if err == nil && len(report.GetBackends()) > 0 {
 			return report, nil
 		}
--- a/cmd/indigobarrow/status.go
+++ b/cmd/indigobarrow/status.go
@@ -26,14 +26,16 @@
 	}
 }
 
+// showStatus prints the status of the node, with --wait as soon as the accepted
+// revision is in force on every live node or the timeout has passed.
 func showStatus(ctx context.Context, command *cli.Command) error {
 	deadline := time.Now().Add(command.Duration("timeout"))
-	asked, err := nodeClient(command)
+	client, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
 	for {
-		status, err := asked.Status(ctx)
+		status, err := client.Status(ctx)
 		if err != nil {
 			return err
 		}
@@ -84,7 +86,8 @@
 	}
 }
 
-// explainFlow asks the node and all its live peers.
+// explainFlow prints what the node and each of its live peers have recorded about a
+// flow.
 func explainFlow(ctx context.Context, command *cli.Command) error {
 	if command.Bool("recent") {
 		return listRecentFlows(ctx, command)
@@ -97,8 +100,8 @@
 	if err != nil {
 		return err
 	}
-	for _, asked := range clients {
-		explanation, err := asked.Explain(ctx, flow)
+	for _, client := range clients {
+		explanation, err := client.Explain(ctx, flow)
 		if err != nil {
 			return err
 		}
@@ -114,11 +117,11 @@
 }
 
 func listRecentFlows(ctx context.Context, command *cli.Command) error {
-	asked, err := nodeClient(command)
+	client, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
-	recent, err := asked.RecentFlows(ctx)
+	recent, err := client.RecentFlows(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs the main job in one process on loopback: stand-ins of the
-// platform, three zones of two balancers each, two services and their callers.
-// It drains a back end, replaces a node as planned and kills another one while
-// flows are open, and reports what came of the flows.
+// Package demo runs a demonstration of the load balancer in one process on loopback:
+// simulated platform services, three zones of two balancers each, two services and
+// their callers. [Run] drains a back end, replaces a node as planned and kills another
+// one while flows are open, and prints the outcome of the flows.
 package demo
 
 import (
@@ -41,6 +41,7 @@
 	waitLimit        = 15 * time.Second
 )
 
+// runningNode is a node of the demonstration.
 type runningNode struct {
 	node         *node.Node
 	cancel       context.CancelFunc
@@ -48,6 +49,7 @@
 	adminAddress string
 }
 
+// demo is the state of a demonstration.
 type demo struct {
 	ctx             context.Context
 	out             io.Writer
@@ -60,11 +62,12 @@
 	backends        []*backend.Backend
 	callers         []*caller.Caller
 	startedNodes    int
-	// network is the second number of the loopback addresses.
+	// network is the second byte of the loopback addresses.
 	network int
 }
 
-// Run runs the demonstration and prints to out.
+// Run runs the demonstration and prints its progress and outcome to out. It fails if
+// a flow broke or got a wrong answer.
 func Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -87,11 +90,13 @@
 	return demo.runEvents()
 }
 
+// logf prints a line with the time of day.
 func (demo *demo) logf(format string, values ...any) {
 	fmt.Fprintf(demo.out, "%s  %s\n", time.Now().Format("15:04:05"), fmt.Sprintf(format, values...))
 }
 
-// serve serves a handler on a free loopback port and returns its address.
+// serve starts an HTTP server on a free loopback port and returns its address. The
+// server stops when the demonstration ends.
 func (demo *demo) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -103,12 +108,12 @@
 	return listener.Addr().String(), nil
 }
 
-// The demonstration takes the first of these loopback networks, 127.N.0.0, that
-// no other one has, and the two after it for its back ends and callers.
+// The demonstration uses the first of these loopback networks, 127.N.0.0, that no
+// other demonstration uses, and the two after it for its back ends and callers.
 const (
 	firstNetwork = 90
 	lastNetwork  = 117
-	// networksPerDemo are for balancers, back ends and callers.
+	// networksPerDemo counts one network each for balancers, back ends and callers.
 	networksPerDemo = 3
 )
 
@@ -133,6 +138,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:6080", demo.network+1, net, number)
 }
 
+// startPlatform starts the simulated store, list of machines and fabric.
 func (demo *demo) startPlatform() error {
 	var err error
 	if demo.storeAddress, err = demo.serve(store.New(storeRequestRate).Handler()); err != nil {
@@ -149,40 +155,43 @@
 	return nil
 }
 
+// startNode starts a node, adds it to the list of machines and sends packets to it.
 func (demo *demo) startNode(zone string) error {
 	demo.startedNodes++
 	id := fmt.Sprintf("%s-%d", zone, demo.startedNodes)
-	chosen := settings.Defaults()
-	chosen.Id, chosen.Zone, chosen.Group = id, zone, "demo"
-	chosen.DataAddress = demo.nodeAddress(demo.startedNodes, 6080)
-	chosen.PeerAddress = demo.nodeAddress(demo.startedNodes, 6090)
-	chosen.AdminAddress = demo.nodeAddress(demo.startedNodes, 6070)
-	chosen.StoreAddress, chosen.MachinesAddress = demo.storeAddress, demo.machinesAddress
+	nodeSettings := settings.Defaults()
+	nodeSettings.Id, nodeSettings.Zone, nodeSettings.Group = id, zone, "demo"
+	nodeSettings.DataAddress = demo.nodeAddress(demo.startedNodes, 6080)
+	nodeSettings.PeerAddress = demo.nodeAddress(demo.startedNodes, 6090)
+	nodeSettings.AdminAddress = demo.nodeAddress(demo.startedNodes, 6070)
+	nodeSettings.StoreAddress, nodeSettings.MachinesAddress = demo.storeAddress, demo.machinesAddress
 	for other, running := range demo.nodes {
-		chosen.Seeds = append(chosen.Seeds, other+"@"+peerAddress(running.dataAddress))
+		nodeSettings.Seeds = append(nodeSettings.Seeds, other+"@"+peerAddress(running.dataAddress))
 	}
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
-	made, err := node.New(chosen, logger, new(slog.LevelVar))
+	instance, err := node.New(nodeSettings, logger, new(slog.LevelVar))
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(demo.ctx)
 	go func() {
-		if err := made.Run(ctx); err != nil {
+		if err := instance.Run(ctx); err != nil {
 			demo.logf("node %s failed: %v", id, err)
 		}
 	}()
-	demo.nodes[id] = &runningNode{node: made, cancel: cancel, dataAddress: chosen.GetDataAddress(), adminAddress: chosen.GetAdminAddress()}
+	demo.nodes[id] = &runningNode{node: instance, cancel: cancel, dataAddress: nodeSettings.GetDataAddress(), adminAddress: nodeSettings.GetAdminAddress()}
 	demo.nodeOrder = append(demo.nodeOrder, id)
-	demo.machineList.Put(node.Machine{ID: id, Zone: zone, PeerAddress: chosen.GetPeerAddress(), State: "live", Group: "demo"})
+	demo.machineList.Put(node.Machine{ID: id, Zone: zone, PeerAddress: nodeSettings.GetPeerAddress(), State: "live", Group: "demo"})
 	return demo.updateFabric()
 }
 
+// peerAddress returns the peer address of the node with a data address.
 func peerAddress(data string) string {
 	host, _, _ := net.SplitHostPort(data)
 	return net.JoinHostPort(host, "6090")
 }
 
+// updateFabric gives the fabric the data addresses of the running nodes.
 func (demo *demo) updateFabric() error {
 	var addresses []string
 	for _, id := range demo.nodeOrder {
@@ -213,10 +222,12 @@
 	return demo.waitInForce("services lending and covers")
 }
 
+// service starts the back ends of a service and returns its definition. net is the
+// third byte of their tunnel addresses.
 func (demo *demo) service(name, address string, count, net int) (*apiv1.Service, error) {
 	service := &apiv1.Service{Name: name, Address: address, Port: 80}
 	for number := range count {
-		made, err := backend.New(backend.Settings{
+		server, err := backend.New(backend.Settings{
 			Name: fmt.Sprintf("%s-%d", name, number), Service: name,
 			Address: netip.MustParseAddrPort(address + ":80"),
 			Tunnel:  demo.tunnelAddress(net, number+1),
@@ -225,12 +236,12 @@
 		if err != nil {
 			return nil, err
 		}
-		report, err := demo.serve(made.Handler())
+		report, err := demo.serve(server.Handler())
 		if err != nil {
 			return nil, err
 		}
-		go func() { _ = made.Run(demo.ctx) }()
-		demo.backends = append(demo.backends, made)
+		go func() { _ = server.Run(demo.ctx) }()
+		demo.backends = append(demo.backends, server)
 		service.Backends = append(service.Backends, &apiv1.Backend{
 			Name: fmt.Sprintf("%s-%d", name, number), Zone: zones[number%len(zones)],
 			TunnelAddress: demo.tunnelAddress(net, number+1), ReportAddress: report, Slots: 2})
@@ -238,6 +249,8 @@
 	return service, nil
 }
 
+// change sends a change, and retries it with the same operation ID until a node
+// accepts it.
 func (demo *demo) change(request *apiv1.ChangeRequest) error {
 	request.OperationId = rand.Text()
 	var err error
@@ -250,6 +263,7 @@
 	return err
 }
 
+// waitInForce waits until the accepted revision is in force on every live node.
 func (demo *demo) waitInForce(what string) error {
 	start := time.Now()
 	for time.Since(start) < waitLimit {
@@ -267,7 +281,7 @@
 	services := []struct{ name, address string }{{"lending", lendingAddress}, {"covers", coversAddress}}
 	for number := range zones {
 		for index, service := range services {
-			made, err := caller.New(caller.Settings{
+			started, err := caller.New(caller.Settings{
 				Name:   fmt.Sprintf("%s-%s", zones[number], service.name),
 				Inner:  netip.AddrFrom4([4]byte{10, byte(demo.network + 2), byte(number), byte(index + 1)}),
 				Fabric: demo.fabricAddress(), Service: service.name,
@@ -277,15 +291,16 @@
 			if err != nil {
 				return err
 			}
-			demo.callers = append(demo.callers, made)
-			go made.Run(demo.ctx)
+			demo.callers = append(demo.callers, started)
+			go started.Run(demo.ctx)
 		}
 	}
 	demo.logf("6 callers hold 360 connections")
 	return nil
 }
 
-// runEvents drives the events and reports.
+// runEvents drains a back end, replaces a node and kills one, with pauses between,
+// and reports.
 func (demo *demo) runEvents() error {
 	demo.printProgress(5 * time.Second)
 	request := &apiv1.DrainRequest{Service: "lending", Backend: "lending-2", Leaving: true}
@@ -305,7 +320,8 @@
 	return demo.report()
 }
 
-// replaceNode starts a new node and stops the oldest one as planned.
+// replaceNode starts a new node and stops the oldest one as planned, which hands over
+// its flows.
 func (demo *demo) replaceNode() error {
 	if err := demo.startNode(zones[0]); err != nil {
 		return err
@@ -316,17 +332,18 @@
 	if err := demo.updateFabric(); err != nil {
 		return err
 	}
-	limit, cancel := context.WithTimeout(demo.ctx, waitLimit)
+	stopCtx, cancel := context.WithTimeout(demo.ctx, waitLimit)
 	defer cancel()
 	start := time.Now()
-	old.node.Stop(limit)
+	old.node.Stop(stopCtx)
 	old.cancel()
 	delete(demo.nodes, id)
 	demo.logf("node %s replaced as planned, handed over after %d ms", id, time.Since(start).Milliseconds())
 	return nil
 }
 
-// killNode ends a node without notice; the fabric notices a second later.
+// killNode stops a node without a handover. The fabric sends packets to it for another
+// second.
 func (demo *demo) killNode() {
 	id := demo.nodeOrder[0]
 	demo.nodes[id].cancel()
@@ -337,6 +354,7 @@
 	_ = demo.updateFabric()
 }
 
+// printProgress prints the counts every two seconds for a while.
 func (demo *demo) printProgress(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(min(2*time.Second, time.Until(end)))
@@ -348,28 +366,28 @@
 
 func (demo *demo) totalCounts() caller.Counts {
 	var total caller.Counts
-	for _, made := range demo.callers {
-		total.Add(made.Counts())
+	for _, started := range demo.callers {
+		total.Add(started.Counts())
 	}
 	return total
 }
 
-// report prints the outcome; it fails when a flow broke.
+// report prints the outcome. It fails if a flow broke or got a wrong answer.
 func (demo *demo) report() error {
 	total := demo.totalCounts()
 	var most, sum uint64
-	for _, made := range demo.backends[:lendingCount] {
-		counts := made.Counts()
+	for _, server := range demo.backends[:lendingCount] {
+		counts := server.Counts()
 		most = max(most, counts.Served)
 		sum += counts.Served
 	}
-	twice, foreign := 0, uint64(0)
-	for _, made := range demo.backends {
-		counts := made.Counts()
+	executedTwice, foreign := 0, uint64(0)
+	for _, server := range demo.backends {
+		counts := server.Counts()
 		foreign += counts.Foreign
 		for _, runs := range counts.Runs {
 			if runs > 1 {
-				twice++
+				executedTwice++
 			}
 		}
 	}
@@ -386,11 +404,11 @@
 	fmt.Fprintf(demo.out, "\nflows opened          %d\nwhole answers         %d\nbroken flows          %d\nwrong answers         %d\nunknown fate          %d\n",
 		total.Flows, total.Answers, total.Broken, total.Wrong, total.Unknown)
 	fmt.Fprintf(demo.out, "run twice             %d\nin another service    %d\nimbalance (max/mean of requests over lending, one drained) %.2f\n",
-		twice, foreign, float64(most)*lendingCount/float64(max(sum, 1)))
+		executedTwice, foreign, float64(most)*lendingCount/float64(max(sum, 1)))
 	fmt.Fprintf(demo.out, "packets by path       local %d, settled %d, pending %d, keeper %d, dropped without contact %d, without keepers %d\n",
 		paths["local"], paths["settled"], paths["pending"], paths["keeper"], paths["dropped_no_contact"], paths["dropped_keepers"])
 	if total.Broken+total.Wrong > 0 {
-		return errors.Newf("the demonstration broke %d flows, last error: %s", total.Broken+total.Wrong, total.LastError)
+		return errors.Newf("%d flows broke or got a wrong answer; last error: %s", total.Broken+total.Wrong, total.LastError)
 	}
 	return nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -47,7 +47,9 @@
 }
 
 const (
-	requestTimeout   = 2 * time.Second
+	requestTimeout = 2 * time.Second
+	// watchTimeout is how long the service may hold a watch before it answers that
+	// nothing has changed.
 	watchTimeout     = 60 * time.Second
 	maximumValueSize = 8 << 20
 )
