--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,7 @@
-// Command standin runs the stand-ins of the platform, each as a process of its
-// own: fabric, back end, store, machine list and caller; and for a network with tokens
-// metadata store, back end, and clients with their router.
+// Command standin runs simulated parts of the platform, each as a process of its own,
+// for demonstrations and tests: fabric, back end, store, list of machines and caller;
+// and for a network whose packets carry tokens, metadata store, back end, and clients
+// with their router. "standin --help" lists them.
 package main
 
 import (
@@ -51,7 +52,7 @@
 	return &cli.DurationFlag{Name: name, Value: value, Usage: usage}
 }
 
-// serve serves a handler until the context ends.
+// serve runs an HTTP server at an address until the context ends.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -100,17 +101,17 @@
 			stringFlag("nodes", "", "data addresses of the balancers, separated by commas"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
-			made, err := fabric.New(command.String("listen"))
+			instance, err := fabric.New(command.String("listen"))
 			if err != nil {
 				return err
 			}
 			if list := command.String("nodes"); list != "" {
-				if err := made.SetNodes(strings.Split(list, ",")); err != nil {
+				if err := instance.SetNodes(strings.Split(list, ",")); err != nil {
 					return err
 				}
 			}
-			go made.Run(ctx)
-			return serve(ctx, command.String("control"), made.Handler())
+			go instance.Run(ctx)
+			return serve(ctx, command.String("control"), instance.Handler())
 		},
 	}
 }
@@ -136,7 +137,7 @@
 			if err != nil {
 				return errors.Wrap(err, "address")
 			}
-			made, err := backend.New(backend.Settings{
+			server, err := backend.New(backend.Settings{
 				Name:        command.String("name"),
 				Service:     command.String("service"),
 				Address:     address,
@@ -150,8 +151,8 @@
 			if err != nil {
 				return err
 			}
-			go func() { _ = serve(ctx, command.String("control"), made.Handler()) }()
-			return made.Run(ctx)
+			go func() { _ = serve(ctx, command.String("control"), server.Handler()) }()
+			return server.Run(ctx)
 		},
 	}
 }
@@ -181,7 +182,7 @@
 			if err != nil {
 				return errors.Wrap(err, "target")
 			}
-			made, err := caller.New(caller.Settings{
+			generator, err := caller.New(caller.Settings{
 				Name: command.String("name"), Inner: inner, Fabric: command.String("fabric"),
 				Service: command.String("service"), Target: target,
 				Connections: command.Int("connections"), Requests: command.Int("requests"),
@@ -190,8 +191,8 @@
 			if err != nil {
 				return err
 			}
-			go func() { _ = serve(ctx, command.String("control"), made.Handler()) }()
-			made.Run(ctx)
+			go func() { _ = serve(ctx, command.String("control"), generator.Handler()) }()
+			generator.Run(ctx)
 			<-ctx.Done()
 			return nil
 		},
--- a/cmd/standin/tokens.go
+++ b/cmd/standin/tokens.go
@@ -19,16 +19,18 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/metadata"
 )
 
-// The stand-ins of a network whose packets carry tokens.
+// The commands in this file simulate parts of a network whose packets carry tokens.
 
 const (
-	// checksumKey is the key of the packets' sums; all stand-ins of a network share it.
+	// checksumKey is the key of the packets' checksums, which is the same for all
+	// simulated parts of a network.
 	checksumKey = 4711
 	// refreshInterval is how often a back end writes its entry.
 	refreshInterval = 500 * time.Millisecond
-	// drainTime is how long a back end serves on after it has said that it leaves.
+	// drainTime is how long a back end continues to serve after its entry has changed
+	// to draining.
 	drainTime = 4 * time.Second
-	// pageSize is how many entries the store gives at once.
+	// pageSize is the maximum number of entries in a response of the store.
 	pageSize = 500
 )
 
@@ -58,20 +60,21 @@
 	}
 }
 
-// handleBackups lets callers take a copy of the store and put the store back to it. Back ends
-// write again by themselves, and operators have to.
+// handleBackups adds handlers that make a backup of the store and restore the store from
+// it. After a restore, back ends write their entries again by themselves, but operators
+// have to write theirs again.
 func handleBackups(mux *http.ServeMux, store *metadata.Server) {
 	var mutex sync.Mutex
-	copied := store.Copy()
+	backup := store.Copy()
 	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		copied = store.Copy()
+		backup = store.Copy()
 	})
 	mux.HandleFunc("POST /restore", func(response http.ResponseWriter, _ *http.Request) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		store.Restore(copied)
+		store.Restore(backup)
 		fmt.Fprintln(response, "era", store.Era())
 	})
 }
@@ -95,22 +98,24 @@
 	}
 }
 
-// clientPort is the port of clients and of the balancers' data addresses.
+// clientPort is the default port of clients and of the balancers' data addresses.
 const clientPort = 8172
 
+// runTokenBackend runs a back end. When the context ends, it marks its entry as
+// draining, serves on for drainTime and removes the entry.
 func runTokenBackend(ctx context.Context, command *cli.Command) error {
 	address, err := netip.ParseAddrPort(command.String("address"))
 	if err != nil {
 		return errors.Wrap(err, "address")
 	}
-	made, err := echonet.StartBackend(command.String("id"), command.String("pool"), address, uint16(command.Int("client-port")), checksumKey)
+	server, err := echonet.StartBackend(command.String("id"), command.String("pool"), address, uint16(command.Int("client-port")), checksumKey)
 	if err != nil {
 		return err
 	}
-	defer made.Stop()
-	made.SetLoad(echonet.Load{Slots: command.Int("slots"), Queue: command.Int("queue"), Work: command.Duration("work")})
-	key := "http://" + command.String("store") + "/operator/" + metadata.BackendKey(made.ID)
-	entry := metadata.BackendEntry{Pool: made.Pool, Address: address.String(), Zone: command.String("zone"),
+	defer server.Stop()
+	server.SetLoad(echonet.Load{Slots: command.Int("slots"), Queue: command.Int("queue"), Work: command.Duration("work")})
+	key := "http://" + command.String("store") + "/operator/" + metadata.BackendKey(server.ID)
+	entry := metadata.BackendEntry{Pool: server.Pool, Address: address.String(), Zone: command.String("zone"),
 		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, Born: time.Now().UnixMilli()}
 	refreshEntry(ctx, key, entry)
 	entry.State = metadata.StateDraining
@@ -120,7 +125,7 @@
 	return sendEntry(http.MethodDelete, key, nil)
 }
 
-// refreshEntry writes a back end's entry until the context ends.
+// refreshEntry writes a back end's entry in each refreshInterval until the context ends.
 func refreshEntry(ctx context.Context, key string, entry metadata.BackendEntry) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -137,6 +142,8 @@
 	}
 }
 
+// sendEntry sends a request with a JSON body to the store. It doesn't check the status
+// of the response.
 func sendEntry(method, url string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -170,6 +177,8 @@
 	}
 }
 
+// runTokenClient waits until the router has a balancer, opens flows and sends requests
+// on them for a while, and prints the counts as JSON.
 func runTokenClient(ctx context.Context, command *cli.Command) error {
 	address, err := netip.ParseAddrPort(command.String("address"))
 	if err != nil {
@@ -199,17 +208,17 @@
 	for router.In() == 0 && ctx.Err() == nil {
 		time.Sleep(refreshInterval / 10)
 	}
-	asked := &loadGenerator{client: client, target: target, requests: command.Int("requests"), interval: command.Duration("interval"),
+	generator := &loadGenerator{client: client, target: target, requests: command.Int("requests"), interval: command.Duration("interval"),
 		counts: make(map[string]int)}
 	var flows sync.WaitGroup
 	for number := range command.Int("flows") {
-		flows.Go(func() { asked.runFlows(ctx, number) })
+		flows.Go(func() { generator.runFlows(ctx, number) })
 	}
 	flows.Wait()
-	return json.NewEncoder(command.Root().Writer).Encode(asked.counts)
+	return json.NewEncoder(command.Root().Writer).Encode(generator.counts)
 }
 
-// loadGenerator is what the clients do, and what came of it.
+// loadGenerator opens flows, sends requests on them and counts the outcomes.
 type loadGenerator struct {
 	client   *echonet.Client
 	target   netip.AddrPort
@@ -219,28 +228,30 @@
 	counts   map[string]int
 }
 
-// runFlows opens one flow after the other, with an id in each request, which balancers
-// log.
-func (a *loadGenerator) runFlows(ctx context.Context, number int) {
-	for turn := 0; ctx.Err() == nil; turn++ {
-		flow, err := a.client.Open(a.target)
-		a.count("flows opened", "flows not opened", err)
-		for request := 0; err == nil && request < a.requests && ctx.Err() == nil; request++ {
+// runFlows opens one flow after the other and sends requests on them until the context
+// ends. Each request has an id, which balancers log.
+func (g *loadGenerator) runFlows(ctx context.Context, number int) {
+	for sequence := 0; ctx.Err() == nil; sequence++ {
+		flow, err := g.client.Open(g.target)
+		g.count("flows opened", "flows not opened", err)
+		for request := 0; err == nil && request < g.requests && ctx.Err() == nil; request++ {
 			var server string
-			server, err = flow.Request(fmt.Sprintf("GET / HTTP/1.1\r\nX-Attempt-Id: %d-%d-%d\r\n\r\n", number, turn, request))
-			a.count("answered by "+server, "requests failed", err)
-			time.Sleep(a.interval)
+			server, err = flow.Request(fmt.Sprintf("GET / HTTP/1.1\r\nX-Attempt-Id: %d-%d-%d\r\n\r\n", number, sequence, request))
+			g.count("answered by "+server, "requests failed", err)
+			time.Sleep(g.interval)
 		}
 		flow.Close()
 	}
 }
 
-func (a *loadGenerator) count(good, bad string, err error) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
+// count adds one to the count named success if err is nil, and otherwise to the one
+// named failure and the error.
+func (g *loadGenerator) count(success, failure string, err error) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	if err != nil {
-		a.counts[bad+": "+err.Error()]++
+		g.counts[failure+": "+err.Error()]++
 		return
 	}
-	a.counts[good]++
+	g.counts[success]++
 }
