--- a/internal/tools/losses/main.go
+++ b/internal/tools/losses/main.go
@@ -73,7 +73,8 @@
 // that the benchmark allows for their restart, and the start of the program.
 const restartSeconds = 0.12
 
-// finalFaultSeconds is how long after the final fault windows still count as its.
+// finalFaultSeconds is how long after the final fault a window is still attributed to
+// it.
 const finalFaultSeconds = 4
 
 func main() {
