--- a/cmd/indigobarrow/lab.go
+++ b/cmd/indigobarrow/lab.go
@@ -49,13 +49,13 @@
 }
 
 func runTrust(_ context.Context, command *cli.Command) error {
-	rows, err := lab.RunTrust(command.Uint64("seed"), command.Float64("scale"))
+	rows, err := lab.RunLoadTrust(command.Uint64("seed"), command.Float64("scale"))
 	if err != nil {
 		return err
 	}
 	output := newTable("REPORTS", "TRUST", "CV", "MAX/MEAN", "WEIGHT CHANGES", "B/S MEAN", "BROKEN")
 	for _, row := range rows {
-		output.addRow(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.Maximum),
+		output.addRow(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.MaximumOverMean),
 			fmt.Sprint(row.WeightChanges), fmt.Sprintf("%.0f", row.ControlMean), fmt.Sprint(row.Broken))
 	}
 	return output.flush()
--- a/cmd/standin/tokens.go
+++ b/cmd/standin/tokens.go
@@ -65,11 +65,11 @@
 // have to write theirs again.
 func handleBackups(mux *http.ServeMux, store *metadata.Server) {
 	var mutex sync.Mutex
-	backup := store.Copy()
+	backup := store.Backup()
 	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		backup = store.Copy()
+		backup = store.Backup()
 	})
 	mux.HandleFunc("POST /restore", func(response http.ResponseWriter, _ *http.Request) {
 		mutex.Lock()
@@ -113,10 +113,10 @@
 		return err
 	}
 	defer server.Stop()
-	server.SetLoad(echonet.Load{Slots: command.Int("slots"), Queue: command.Int("queue"), Work: command.Duration("work")})
+	server.SetLoadModel(echonet.LoadModel{Slots: command.Int("slots"), QueueLength: command.Int("queue"), ServiceTime: command.Duration("work")})
 	key := "http://" + command.String("store") + "/operator/" + metadata.BackendKey(server.ID)
 	entry := metadata.BackendEntry{Pool: server.Pool, Address: address.String(), Zone: command.String("zone"),
-		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, Born: time.Now().UnixMilli()}
+		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, StartedMilliseconds: time.Now().UnixMilli()}
 	refreshEntry(ctx, key, entry)
 	entry.State = metadata.StateDraining
 	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTime)
@@ -205,7 +205,7 @@
 		return err
 	}
 	defer client.Stop()
-	for router.In() == 0 && ctx.Err() == nil {
+	for router.InService() == 0 && ctx.Err() == nil {
 		time.Sleep(refreshInterval / 10)
 	}
 	generator := &loadGenerator{client: client, target: target, requests: command.Int("requests"), interval: command.Duration("interval"),
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -70,12 +70,12 @@
 
 // RecentFlows implements admin.Node.
 func (node *Node) RecentFlows(count int) *apiv1.RecentFlows {
-	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.memory.RecentFlows(count)}
+	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.decisionLog.RecentFlows(count)}
 }
 
 // Explain implements admin.Node.
 func (node *Node) Explain(_ context.Context, key flow.Key) (*apiv1.Explanation, error) {
-	explanation := node.memory.Explain(node.self.GetId(), key)
+	explanation := node.decisionLog.Explain(node.self.GetId(), key)
 	if entry, found := node.table.Get(key, key.Hash()); found {
 		silent := time.Duration(node.now()-entry.LastSeen) * time.Millisecond
 		explanation.Note += fmt.Sprintf("; this node's flow table has it at back end #%d, last seen %s ago", entry.Backend, silent)
@@ -90,7 +90,7 @@
 		Key:    ConfigurationKey(node.settings.GetGroup()),
 		Logger: node.logger.With("part", "admin"),
 	}
-	answer, written, err := writer.Apply(ctx, request, node.changeContext(ctx))
+	answer, written, err := writer.Apply(ctx, request, node.changeEnvironment(ctx))
 	if errors.Is(err, change.ErrStoreRead) {
 		return node.changeWithoutStore(ctx, request, err)
 	}
@@ -123,7 +123,7 @@
 		Message: "the store is out; the back end gets no new flows from now on, repeat the drain when the store is back"}, nil
 }
 
-func (node *Node) changeContext(ctx context.Context) change.Environment {
+func (node *Node) changeEnvironment(ctx context.Context) change.Environment {
 	made := change.Environment{
 		Now:              time.Now(),
 		MarkIncarnations: make(map[uint32]uint64),
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,15 +40,15 @@
 	return certificateFile, keyFile
 }
 
-func security(t *testing.T, certificateFile, keyFile, authority string) *Security {
+func security(t *testing.T, certificateFile, keyFile, authority string) *MutualTLS {
 	pair, err := certificate.LoadPair(certificateFile, keyFile)
 	require.NoError(t, err)
 	authorities, err := certificate.LoadAuthorities(authority)
 	require.NoError(t, err)
-	return &Security{Pair: pair, Authorities: authorities}
+	return &MutualTLS{Pair: pair, Authorities: authorities}
 }
 
-func listen(t *testing.T, security *Security) *Transport {
+func listen(t *testing.T, security *MutualTLS) *Transport {
 	made, err := Listen("127.0.0.1:0", slog.New(slog.DiscardHandler), security)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
