--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -137,15 +137,15 @@
 				return errors.Wrap(err, "address")
 			}
 			made, err := backend.New(backend.Settings{
-				Name:        command.String("name"),
-				Service:     command.String("service"),
-				Address:     address,
-				Tunnel:      command.String("tunnel"),
-				Slots:       command.Int("slots"),
-				Queue:       command.Int("queue"),
-				Connections: command.Int("connections"),
-				WorkTime:    command.Duration("work"),
-				ColdTime:    command.Duration("cold"),
+				Name:               command.String("name"),
+				Service:            command.String("service"),
+				Address:            address,
+				TunnelAddress:      command.String("tunnel"),
+				Slots:              command.Int("slots"),
+				QueueLength:        command.Int("queue"),
+				MaximumConnections: command.Int("connections"),
+				ServiceTime:        command.Duration("work"),
+				ColdStartTime:      command.Duration("cold"),
 			})
 			if err != nil {
 				return err
@@ -182,10 +182,10 @@
 				return errors.Wrap(err, "target")
 			}
 			made, err := caller.New(caller.Settings{
-				Name: command.String("name"), Inner: inner, Fabric: command.String("fabric"),
+				Name: command.String("name"), InnerAddress: inner, FabricAddress: command.String("fabric"),
 				Service: command.String("service"), Target: target,
 				Connections: command.Int("connections"), Requests: command.Int("requests"),
-				Interval: command.Duration("interval"), OnceShare: command.Int("once-share"),
+				Interval: command.Duration("interval"), NonRetryableEvery: command.Int("once-share"),
 			})
 			if err != nil {
 				return err
--- a/cmd/standin/tokens.go
+++ b/cmd/standin/tokens.go
@@ -62,11 +62,11 @@
 // write again by themselves, and operators have to.
 func addDrill(mux *http.ServeMux, store *metadata.Server) {
 	var mutex sync.Mutex
-	copied := store.Copy()
+	copied := store.Backup()
 	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		copied = store.Copy()
+		copied = store.Backup()
 	})
 	mux.HandleFunc("POST /restore", func(response http.ResponseWriter, _ *http.Request) {
 		mutex.Lock()
@@ -108,10 +108,10 @@
 		return err
 	}
 	defer made.Stop()
-	made.SetLoad(echonet.Load{Slots: command.Int("slots"), Queue: command.Int("queue"), Work: command.Duration("work")})
+	made.SetLoadModel(echonet.LoadModel{Slots: command.Int("slots"), QueueLength: command.Int("queue"), ServiceTime: command.Duration("work")})
 	key := "http://" + command.String("store") + "/operator/" + metadata.BackendKey(made.ID)
 	entry := metadata.BackendEntry{Pool: made.Pool, Address: address.String(), Zone: command.String("zone"),
-		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, Born: time.Now().UnixMilli()}
+		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, StartedMilliseconds: time.Now().UnixMilli()}
 	beat(ctx, key, entry)
 	entry.State = metadata.StateDraining
 	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), servesOn)
@@ -196,7 +196,7 @@
 		return err
 	}
 	defer client.Stop()
-	for router.In() == 0 && ctx.Err() == nil {
+	for router.InService() == 0 && ctx.Err() == nil {
 		time.Sleep(beatPause / 10)
 	}
 	asked := &asking{client: client, target: target, requests: command.Int("requests"), interval: command.Duration("interval"),
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -218,9 +218,9 @@
 	for number := range count {
 		made, err := backend.New(backend.Settings{
 			Name: fmt.Sprintf("%s-%d", name, number), Service: name,
-			Address: netip.MustParseAddrPort(address + ":80"),
-			Tunnel:  demo.tunnelAddress(net, number+1),
-			Slots:   2, Queue: 64, Connections: 2000, WorkTime: time.Millisecond,
+			Address:       netip.MustParseAddrPort(address + ":80"),
+			TunnelAddress: demo.tunnelAddress(net, number+1),
+			Slots:         2, QueueLength: 64, MaximumConnections: 2000, ServiceTime: time.Millisecond,
 		})
 		if err != nil {
 			return nil, err
@@ -268,11 +268,11 @@
 	for number := range zones {
 		for index, service := range services {
 			made, err := caller.New(caller.Settings{
-				Name:   fmt.Sprintf("%s-%s", zones[number], service.name),
-				Inner:  netip.AddrFrom4([4]byte{10, byte(demo.network + 2), byte(number), byte(index + 1)}),
-				Fabric: demo.fabricAddress(), Service: service.name,
+				Name:          fmt.Sprintf("%s-%s", zones[number], service.name),
+				InnerAddress:  netip.AddrFrom4([4]byte{10, byte(demo.network + 2), byte(number), byte(index + 1)}),
+				FabricAddress: demo.fabricAddress(), Service: service.name,
 				Target:      netip.MustParseAddrPort(service.address + ":80"),
-				Connections: 60, Requests: 40, Interval: 200 * time.Millisecond, OnceShare: 5,
+				Connections: 60, Requests: 40, Interval: 200 * time.Millisecond, NonRetryableEvery: 5,
 			})
 			if err != nil {
 				return err
@@ -342,7 +342,7 @@
 		time.Sleep(min(2*time.Second, time.Until(end)))
 		total := demo.total()
 		demo.say("flows %d, open %d, answers %d, broken %d, refused %d, not run %d",
-			total.Flows, total.Open, total.Answers, total.Broken, total.Refused, total.NotRun)
+			total.Flows, total.Open, total.Responses, total.Broken, total.Refused, total.NotRun)
 	}
 }
 
@@ -366,8 +366,8 @@
 	twice, foreign := 0, uint64(0)
 	for _, made := range demo.backends {
 		counts := made.Counts()
-		foreign += counts.Foreign
-		for _, runs := range counts.Runs {
+		foreign += counts.MisroutedPackets
+		for _, runs := range counts.Executions {
 			if runs > 1 {
 				twice++
 			}
@@ -384,13 +384,13 @@
 		}
 	}
 	fmt.Fprintf(demo.out, "\nflows opened          %d\nwhole answers         %d\nbroken flows          %d\nwrong answers         %d\nunknown fate          %d\n",
-		total.Flows, total.Answers, total.Broken, total.Wrong, total.Unknown)
+		total.Flows, total.Responses, total.Broken, total.WrongResponses, total.UnknownOutcomes)
 	fmt.Fprintf(demo.out, "run twice             %d\nin another service    %d\nimbalance (max/mean of requests over lending, one drained) %.2f\n",
 		twice, foreign, float64(most)*lendingCount/float64(max(sum, 1)))
 	fmt.Fprintf(demo.out, "packets by path       local %d, settled %d, pending %d, keeper %d, dropped without contact %d, without keepers %d\n",
 		paths["local"], paths["settled"], paths["pending"], paths["keeper"], paths["dropped_no_contact"], paths["dropped_keepers"])
-	if total.Broken+total.Wrong > 0 {
-		return errors.Newf("the demonstration broke %d flows, last error: %s", total.Broken+total.Wrong, total.LastError)
+	if total.Broken+total.WrongResponses > 0 {
+		return errors.Newf("the demonstration broke %d flows, last error: %s", total.Broken+total.WrongResponses, total.LastError)
 	}
 	return nil
 }
--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -104,7 +104,7 @@
 	value, _ := json.Marshal(map[string]any{"backend_pool": backend.Pool, "addr": backend.address.String(),
 		"zone": backend.zone, "version": "v1", "capacity": 2, "state": backend.state, "warmup_left_ms": 0, "seq": seq,
 		"born": backend.born})
-	if site.quiet && site.store.Holds("servers/"+id, value) {
+	if site.quiet && site.store.HasValue("servers/"+id, value) {
 		return
 	}
 	site.store.Put("servers/"+id, value)
@@ -189,7 +189,7 @@
 }
 
 func (site *site) waitIn(count int) {
-	require.Eventually(site.t, func() bool { return site.router.In() == count }, 20*time.Second, 20*time.Millisecond,
+	require.Eventually(site.t, func() bool { return site.router.InService() == count }, 20*time.Second, 20*time.Millisecond,
 		"balancers in")
 }
 
@@ -344,7 +344,7 @@
 	require.NoError(t, started[1].command.Process.Signal(syscall.SIGTERM))
 	for started[1].command.ProcessState == nil {
 		site.requireKept(flows, servers)
-		if site.router.In() == 2 {
+		if site.router.InService() == 2 {
 			_ = started[1].command.Wait()
 		}
 	}
@@ -430,7 +430,7 @@
 	flows, servers := site.open(site.target("198.18.0.1", 443), 20)
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	for _, place := range []int{1, 2} {
 		require.NoError(t, started[place].command.Process.Kill())
 		_ = started[place].command.Wait()
@@ -458,7 +458,7 @@
 	flows, servers := site.open(site.target("198.18.0.1", 443), 20)
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	seeds, others := started[:3], started[3:]
 	for _, part := range [][]*process{seeds, others} {
 		kill(t, part)
@@ -558,7 +558,7 @@
 	site.store.Put("op/evacuate/"+evacuated, []byte("{}"))
 	requireSoon(false, "evacuated")
 	site.requireKept(flows, servers)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	kill(t, started[1:])
 	site.waitIn(1)
 	restarted := []*process{site.restart(started[1]), site.restart(started[2])}
--- a/test/e2e/callers_test.go
+++ b/test/e2e/callers_test.go
@@ -102,7 +102,7 @@
 func (soak *soak) noteFlow(seen attempt, flow *echonet.Flow, err error) {
 	seen.ended, seen.result, seen.port = time.Now(), outcomeOf(err), flow.Port()
 	seen.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), seen.port, soakTargets[seen.route])
-	for _, node := range flow.Via() {
+	for _, node := range flow.TakeBalancers() {
 		seen.via = append(seen.via, placeOf(node))
 	}
 	soak.record.Lock()
--- a/test/e2e/drill_test.go
+++ b/test/e2e/drill_test.go
@@ -24,13 +24,13 @@
 // copies are those of a store, the oldest first.
 type copies struct {
 	mutex sync.Mutex
-	kept  []metadata.Copy
+	kept  []metadata.Backup
 }
 
 // keepCopies takes copies of the store until the site ends.
 func (site *site) keepCopies() {
 	for site.ctx.Err() == nil {
-		taken := site.store.Copy()
+		taken := site.store.Backup()
 		site.copies.mutex.Lock()
 		site.copies.kept = append(site.copies.kept, taken)
 		if len(site.copies.kept) > copiesKept {
@@ -42,7 +42,7 @@
 }
 
 // of returns the copy that was taken about so long ago, or the oldest.
-func (c *copies) of(age time.Duration) metadata.Copy {
+func (c *copies) of(age time.Duration) metadata.Backup {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.kept[max(0, len(c.kept)-1-int(age/copyPause))]
@@ -50,7 +50,7 @@
 
 // comeBack puts the store back to a copy. Operators and back ends write again what they had
 // written since, the ends of back ends too.
-func (site *site) comeBack(copied metadata.Copy) {
+func (site *site) comeBack(copied metadata.Backup) {
 	site.store.Restore(copied)
 	site.store.SetFaults(metadata.Faults{})
 	time.Sleep(writeAgainTime)
@@ -67,7 +67,7 @@
 // drill lets the store be away for a time, and come back from a copy some seconds old.
 func (soak *soak) drill(away time.Duration) {
 	copied := soak.copies.of(away + time.Second)
-	soak.store.SetFaults(metadata.Faults{Silent: true})
+	soak.store.SetFaults(metadata.Faults{Unresponsive: true})
 	soak.trouble(nil, away+writeAgainTime, nil)
 	soak.faults.Go(func() {
 		time.Sleep(away)
@@ -87,12 +87,12 @@
 	for index, flow := range flows {
 		callers.Go(func() { site.keepAsking(flow, servers[index], done) })
 	}
-	old := site.store.Copy()
+	old := site.store.Backup()
 	site.configure("r-lending 198.18.0.1 443 covers", "r-new 198.18.0.3 80 lending")
 	site.setState("i-a0", "draining")
 	time.Sleep(drainBound)
 	for round, restart := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL, 0} {
-		site.store.SetFaults(metadata.Faults{Silent: true})
+		site.store.SetFaults(metadata.Faults{Unresponsive: true})
 		time.Sleep(time.Second)
 		site.comeBackAndRequire(old)
 		if restart != 0 {
@@ -114,7 +114,7 @@
 
 // comeBackAndRequire has the store come back from a copy, and requires that meanwhile nobody
 // goes back to what it shows.
-func (site *site) comeBackAndRequire(copied metadata.Copy) {
+func (site *site) comeBackAndRequire(copied metadata.Backup) {
 	var writing sync.WaitGroup
 	writing.Go(func() { site.comeBack(copied) })
 	for end := time.Now().Add(writeAgainTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -71,27 +71,29 @@
 		"pause-zone": func(soak *soak, next event) { soak.pause(zoneOf(next.place), next.length) },
 		"pause-all":  func(soak *soak, next event) { soak.pause(everywhere(), next.length) },
 
-		"store-busy":      storeStep(metadata.Faults{Busy: true}),
-		"store-silent":    storeStep(metadata.Faults{Silent: true}),
+		"store-busy":      storeStep(metadata.Faults{Unavailable: true}),
+		"store-silent":    storeStep(metadata.Faults{Unresponsive: true}),
 		"store-throttles": storeStep(metadata.Faults{Throttled: true}),
 		"store-slow":      storeStep(metadata.Faults{Delay: slowTime}),
-		"store-late":      storeStep(metadata.Faults{LateWrites: lateTime}),
+		"store-late":      storeStep(metadata.Faults{WriteDelay: lateTime}),
 		"store-compacts":  func(soak *soak, _ event) { soak.store.Compact() },
 
 		"store-drill": func(soak *soak, next event) { soak.drill(next.length) },
 
-		"store-refuses-some":   someStep(metadata.Faults{Busy: true}),
+		"store-refuses-some":   someStep(metadata.Faults{Unavailable: true}),
 		"store-throttles-some": someStep(metadata.Faults{Throttled: true}),
 
-		"store-link-silent": func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.There, swallow.Back) },
-		"store-link-deaf":   func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.Back) },
-		"store-link-mute":   func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.There) },
-		"store-link-reset":  func(soak *soak, next event) { soak.reset(soak.stores, next.place) },
-		"peer-link-silent":  func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.There, swallow.Back) },
-		"peer-link-deaf":    func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.Back) },
-		"peer-link-mute":    func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.There) },
-		"peer-link-reset":   func(soak *soak, next event) { soak.reset(soak.peers, next.place) },
-		"peer-link-slow":    func(soak *soak, next event) { soak.slow(next.place, next.length) },
+		"store-link-silent": func(soak *soak, next event) {
+			soak.silence(soak.stores, next.place, swallow.ToTarget, swallow.ToClient)
+		},
+		"store-link-deaf":  func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.ToClient) },
+		"store-link-mute":  func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.ToTarget) },
+		"store-link-reset": func(soak *soak, next event) { soak.reset(soak.stores, next.place) },
+		"peer-link-silent": func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.ToTarget, swallow.ToClient) },
+		"peer-link-deaf":   func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.ToClient) },
+		"peer-link-mute":   func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.ToTarget) },
+		"peer-link-reset":  func(soak *soak, next event) { soak.reset(soak.peers, next.place) },
+		"peer-link-slow":   func(soak *soak, next event) { soak.slow(next.place, next.length) },
 
 		"crash":      func(soak *soak, _ event) { soak.crash(soak.oldest("lending")) },
 		"crash-zone": func(soak *soak, next event) { soak.crash(soak.ofZone("lending", zones[next.place%len(zones)])...) },
@@ -233,11 +235,11 @@
 	return func(soak *soak, next event) {
 		places := zoneOf(next.place)
 		for _, place := range places {
-			soak.store.SetFaultsFor(soak.storeCaller(place), faults)
+			soak.store.SetCallerFaults(soak.storeCaller(place), faults)
 		}
 		soak.trouble(places, refusalTime, func() {
 			for _, place := range places {
-				soak.store.SetFaultsFor(soak.storeCaller(place), metadata.Faults{})
+				soak.store.SetCallerFaults(soak.storeCaller(place), metadata.Faults{})
 			}
 		})
 	}
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -8,15 +8,15 @@
 
 // silence lets the open connections to the store of a balancer, or to it of the
 // others, carry nothing more.
-func (soak *soak) silence(proxies []*swallow.Proxy, place int, ways ...swallow.Way) {
-	proxies[place].Silence(ways...)
+func (soak *soak) silence(proxies []*swallow.Proxy, place int, ways ...swallow.Direction) {
+	proxies[place].Blackhole(ways...)
 	soak.record.Lock()
 	defer soak.record.Unlock()
 	soak.history.silences = append(soak.history.silences, silence{at: time.Now(), place: place})
 }
 
 func (soak *soak) reset(proxies []*swallow.Proxy, place int) {
-	proxies[place].Reset()
+	proxies[place].ResetConnections()
 	soak.trouble(soak.linked(proxies, place), 0, nil)
 }
 
--- a/test/e2e/proxy_test.go
+++ b/test/e2e/proxy_test.go
@@ -57,12 +57,12 @@
 	first := dial()
 	require.NoError(t, echo(first))
 	<-heard
-	made.Silence(swallow.Back)
+	made.Blackhole(swallow.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Equal(t, byte('x'), <-heard, "the other direction works")
 	require.NoError(t, echo(dial()))
 	<-heard
-	made.Silence(swallow.There, swallow.Back)
+	made.Blackhole(swallow.ToTarget, swallow.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Empty(t, heard)
 	second := dial()
@@ -70,7 +70,7 @@
 	began := time.Now()
 	require.NoError(t, echo(second))
 	require.GreaterOrEqual(t, time.Since(began), 100*time.Millisecond)
-	made.Reset()
+	made.ResetConnections()
 	require.ErrorContains(t, echo(second), "reset")
 }
 
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -54,7 +54,7 @@
 var soakBalancers = soakNumber(soakBalancersVariable, 5)
 
 // deskLoad is what a back end of the desk can do at a time.
-var deskLoad = echonet.Load{Slots: 2, Queue: 8, Work: 20 * time.Millisecond, Length: 600}
+var deskLoad = echonet.LoadModel{Slots: 2, QueueLength: 8, ServiceTime: 20 * time.Millisecond, MinimumResponseSize: 600}
 
 // soak is a site under random faults, with callers and the record of what they
 // saw. The seed decides the plan; when processes are scheduled is not decided.
@@ -177,7 +177,7 @@
 	id := fmt.Sprintf("i-%x", 0x1000+soak.numbers)
 	soak.startBackend(id, pool, zones[soak.numbers%len(zones)], soak.numbers)
 	if pool == "desk" {
-		soak.backends[id].SetLoad(deskLoad)
+		soak.backends[id].SetLoadModel(deskLoad)
 	}
 }
 
@@ -204,7 +204,7 @@
 func (soak *soak) collect() {
 	soak.history.runs, soak.history.took = make(map[string]int), make(map[uint16]bool)
 	for _, backend := range soak.backends {
-		runs, took := backend.Record()
+		runs, took := backend.Executions()
 		for body, count := range runs {
 			soak.history.runs[body] += count
 		}
