--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -205,12 +205,12 @@
 	time.Sleep(duration)
 }
 
-func (backend *Backend) countExecution(once string) {
-	if once == "" {
+func (backend *Backend) countExecution(idempotencyKey string) {
+	if idempotencyKey == "" {
 		return
 	}
 	backend.mutex.Lock()
-	backend.executions[once]++
+	backend.executions[idempotencyKey]++
 	backend.mutex.Unlock()
 }
 
@@ -254,8 +254,8 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			present := float64(backend.busy.Load()) / float64(max(1, backend.settings.Slots))
-			smoothed += (present - smoothed) / 10
+			utilization := float64(backend.busy.Load()) / float64(max(1, backend.settings.Slots))
+			smoothed += (utilization - smoothed) / 10
 			backend.mutex.Lock()
 			backend.loadSamples = append(backend.loadSamples, loadSample{at: now, load: smoothed})
 			if len(backend.loadSamples) > maximumSamples {
@@ -271,10 +271,10 @@
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	load := 0.0
-	until := time.Now().Add(-time.Duration(backend.faults.ReportLagMilliseconds) * time.Millisecond)
-	for _, past := range backend.loadSamples {
-		if past.at.Before(until) {
-			load = past.load
+	cutoff := time.Now().Add(-time.Duration(backend.faults.ReportLagMilliseconds) * time.Millisecond)
+	for _, sample := range backend.loadSamples {
+		if sample.at.Before(cutoff) {
+			load = sample.load
 		}
 	}
 	if backend.faults.FalseLoad != nil {
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -122,8 +122,8 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			spread := caller.settings.Interval * time.Duration(number) / time.Duration(caller.settings.Connections)
-			sleep(ctx, spread)
+			startDelay := caller.settings.Interval * time.Duration(number) / time.Duration(caller.settings.Connections)
+			sleep(ctx, startDelay)
 			for ctx.Err() == nil && !caller.finishing.Load() {
 				caller.runConnection(ctx)
 				sleep(ctx, reopenDelay)
@@ -138,8 +138,8 @@
 
 // runConnection opens one connection, sends its requests and closes it.
 func (caller *Caller) runConnection(ctx context.Context) {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
-	connection, err := caller.stack.Dial(dialing, caller.settings.Target)
+	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
+	connection, err := caller.stack.Dial(dialContext, caller.settings.Target)
 	cancel()
 	if err != nil {
 		caller.countDialFailure(ctx, err)
@@ -177,9 +177,9 @@
 func (caller *Caller) request(ctx context.Context, connection net.Conn, reader *bufio.Reader) bool {
 	number := caller.requestCount.Add(1)
 	id := fmt.Sprintf("%s-%d", caller.settings.Name, number)
-	once := ""
+	idempotencyKey := ""
 	if caller.settings.NonRetryableEvery > 0 && number%uint64(caller.settings.NonRetryableEvery) == 0 {
-		once = id
+		idempotencyKey = id
 	}
 	_ = connection.SetDeadline(time.Now().Add(requestTimeout))
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
@@ -188,35 +188,35 @@
 		return false
 	}
 	request.Header.Set(backend.HeaderRequest, id)
-	if once != "" {
-		request.Header.Set(backend.HeaderIdempotencyKey, once)
+	if idempotencyKey != "" {
+		request.Header.Set(backend.HeaderIdempotencyKey, idempotencyKey)
 	}
 	if err := request.Write(connection); err != nil {
-		return caller.countLostConnection(ctx, once, err)
+		return caller.countLostConnection(ctx, idempotencyKey, err)
 	}
 	response, err := http.ReadResponse(reader, request)
 	if err != nil {
-		return caller.countLostConnection(ctx, once, err)
+		return caller.countLostConnection(ctx, idempotencyKey, err)
 	}
 	body, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	if err != nil {
-		return caller.countLostConnection(ctx, once, err)
+		return caller.countLostConnection(ctx, idempotencyKey, err)
 	}
-	caller.countResponse(id, once, response, string(body))
+	caller.countResponse(id, idempotencyKey, response, string(body))
 	return true
 }
 
-func (caller *Caller) countResponse(id, once string, response *http.Response, body string) {
+func (caller *Caller) countResponse(id, idempotencyKey string, response *http.Response, body string) {
 	caller.updateCounts(func(counts *Counts) {
 		switch {
 		case response.Header.Get(backend.HeaderNotRun) != "":
 			counts.NotRun++
-			counts.NotRunKeys = appendKey(counts.NotRunKeys, once)
+			counts.NotRunKeys = appendKey(counts.NotRunKeys, idempotencyKey)
 		case response.StatusCode == http.StatusOK && body == id+" body of "+id &&
 			response.Header.Get(backend.HeaderService) == caller.settings.Service:
 			counts.Responses++
-			counts.CompletedKeys = appendKey(counts.CompletedKeys, once)
+			counts.CompletedKeys = appendKey(counts.CompletedKeys, idempotencyKey)
 		default:
 			counts.WrongResponses++
 			counts.LastError = fmt.Sprintf("request %s: status %d, service %s, body %q", id,
@@ -225,16 +225,16 @@
 	})
 }
 
-func (caller *Caller) countLostConnection(ctx context.Context, once string, err error) bool {
+func (caller *Caller) countLostConnection(ctx context.Context, idempotencyKey string, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	caller.updateCounts(func(counts *Counts) {
 		counts.Broken++
 		counts.LastError = err.Error()
-		if once != "" {
+		if idempotencyKey != "" {
 			counts.UnknownOutcomes++
-			counts.UnknownOutcomeKeys = appendKey(counts.UnknownOutcomeKeys, once)
+			counts.UnknownOutcomeKeys = appendKey(counts.UnknownOutcomeKeys, idempotencyKey)
 		}
 	})
 	return false
@@ -247,9 +247,9 @@
 	return append(keys, key)
 }
 
-func (caller *Caller) updateCounts(change func(*Counts)) {
+func (caller *Caller) updateCounts(update func(*Counts)) {
 	caller.mutex.Lock()
-	change(&caller.counts)
+	update(&caller.counts)
 	caller.mutex.Unlock()
 }
 
@@ -257,11 +257,11 @@
 func (caller *Caller) Counts() Counts {
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
-	copied := caller.counts
-	copied.NotRunKeys = append([]string(nil), copied.NotRunKeys...)
-	copied.CompletedKeys = append([]string(nil), copied.CompletedKeys...)
-	copied.UnknownOutcomeKeys = append([]string(nil), copied.UnknownOutcomeKeys...)
-	return copied
+	counts := caller.counts
+	counts.NotRunKeys = append([]string(nil), counts.NotRunKeys...)
+	counts.CompletedKeys = append([]string(nil), counts.CompletedKeys...)
+	counts.UnknownOutcomeKeys = append([]string(nil), counts.UnknownOutcomeKeys...)
+	return counts
 }
 
 // Handler returns the control endpoint: GET /counts and PUT /finish.
--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -44,13 +44,13 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "back end %s: listen on %s", id, address)
 	}
-	made := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: key, socket: socket, flows: make(map[flowKey]uint32),
+	backend := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: key, socket: socket, flows: make(map[flowKey]uint32),
 		requests: newRequestState()}
-	if _, err := fmt.Sscanf(id, "i-%x", &made.numericID); err != nil {
+	if _, err := fmt.Sscanf(id, "i-%x", &backend.numericID); err != nil {
 		return nil, errors.Wrapf(err, "back end %s", id)
 	}
-	go made.receiveLoop()
-	return made, nil
+	go backend.receiveLoop()
+	return backend, nil
 }
 
 const (
@@ -64,9 +64,9 @@
 
 // listenWithRetry opens a socket at an address, also when one there was closed just now.
 func listenWithRetry(address netip.AddrPort) (*net.UDPConn, error) {
-	for began := time.Now(); ; time.Sleep(bindRetryInterval) {
+	for start := time.Now(); ; time.Sleep(bindRetryInterval) {
 		socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > bindTimeout {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > bindTimeout {
 			return socket, err
 		}
 	}
@@ -76,7 +76,7 @@
 func (backend *Backend) Stop() { _ = backend.socket.Close() }
 
 // Counts returns the packets that the back end has seen by kind.
-func (backend *Backend) Counts() (opened, foreign, unknown, forged int) {
+func (backend *Backend) Counts() (opened, misrouted, unknownFlow, badChecksum int) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return backend.opened, backend.misrouted, backend.unknownFlow, backend.badChecksum
@@ -103,7 +103,7 @@
 func (backend *Backend) handlePacket(datagram []byte) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	if intended := binary.BigEndian.Uint64(datagram); intended != 0 && intended != backend.numericID {
+	if destination := binary.BigEndian.Uint64(datagram); destination != 0 && destination != backend.numericID {
 		backend.misrouted++
 		return
 	}
@@ -112,25 +112,25 @@
 		backend.badChecksum++
 		return
 	}
-	name := flowKey{source: packet.Source, port: packet.SourcePort}
-	seq, held := backend.flows[name]
+	key := flowKey{source: packet.Source, port: packet.SourcePort}
+	seq, known := backend.flows[key]
 	switch {
 	case packet.Flags&FlagSYN != 0:
-		if !held {
+		if !known {
 			backend.opened++
 			seq = rand.Uint32()
-			backend.flows[name] = seq
+			backend.flows[key] = seq
 			backend.requests.openedPorts[packet.SourcePort] = true
 		}
 		backend.send(packet.reply(FlagSYN|FlagACK, seq, packet.Seq+1, nil))
-	case !held:
+	case !known:
 		backend.unknownFlow++
 		backend.send(packet.reply(FlagRST, packet.Ack, 0, nil))
 	case packet.Flags&FlagFIN != 0:
-		delete(backend.flows, name)
-		delete(backend.requests.latest, name)
+		delete(backend.flows, key)
+		delete(backend.requests.latest, key)
 	case len(packet.Data) > 0:
-		backend.handleRequest(name, packet)
+		backend.handleRequest(key, packet)
 	}
 }
 
--- a/internal/standin/echonet/backend_test.go
+++ b/internal/standin/echonet/backend_test.go
@@ -29,11 +29,11 @@
 	}
 	var failure error
 	for range 3000 {
-		made, err := StartBackend("i-a0", "lending", address, 8172, 1)
+		backend, err := StartBackend("i-a0", "lending", address, 8172, 1)
 		if failure = err; err != nil {
 			break
 		}
-		made.Stop()
+		backend.Stop()
 	}
 	close(done)
 	starting.Wait()
--- a/internal/standin/echonet/client.go
+++ b/internal/standin/echonet/client.go
@@ -40,9 +40,9 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "client: listen on %s", address)
 	}
-	made := &Client{address: address, checksumKey: key, router: router, socket: socket, flows: make(map[uint16]chan Packet), nextPort: 40000}
-	go made.receiveLoop()
-	return made, nil
+	client := &Client{address: address, checksumKey: key, router: router, socket: socket, flows: make(map[uint16]chan Packet), nextPort: 40000}
+	go client.receiveLoop()
+	return client, nil
 }
 
 // Stop closes the client.
@@ -98,16 +98,16 @@
 	flow := &Flow{client: client, inbox: make(chan Packet, 16), target: target, port: client.nextPort, seq: rand.Uint32()}
 	client.flows[flow.port] = flow.inbox
 	client.mutex.Unlock()
-	for copies, pause := range openRetryIntervals {
-		flow.send(FlagSYN, uint32(copies), nil)
-		answer, err := flow.await(pause, func(packet Packet) bool { return packet.Flags&FlagSYN != 0 })
+	for retransmissions, pause := range openRetryIntervals {
+		flow.send(FlagSYN, uint32(retransmissions), nil)
+		response, err := flow.await(pause, func(packet Packet) bool { return packet.Flags&FlagSYN != 0 })
 		if errors.Is(err, ErrBroken) {
 			return flow, ErrRefused
 		}
 		if err == nil {
-			flow.lastReceived = answer
+			flow.lastReceived = response
 			flow.seq++
-			flow.send(FlagACK, answer.nextSeq(), nil)
+			flow.send(FlagACK, response.nextSeq(), nil)
 			return flow, nil
 		}
 	}
@@ -126,22 +126,22 @@
 
 // Request sends one request and returns who answered it, as "pool/id".
 func (flow *Flow) Request(body string) (string, error) {
-	taken := func(packet Packet) bool { return packet.Ack == flow.seq+uint32(len(body)) }
+	acknowledged := func(packet Packet) bool { return packet.Ack == flow.seq+uint32(len(body)) }
 	answered := func(packet Packet) bool {
 		_, echoed, _ := strings.Cut(string(packet.Data), " ")
 		return strings.TrimRight(echoed, padding) == body
 	}
 	for _, pause := range requestRetryIntervals {
 		flow.send(FlagACK, flow.lastReceived.nextSeq(), []byte(body))
-		answer, err := flow.await(pause, func(packet Packet) bool { return taken(packet) || answered(packet) })
-		if err == nil && !answered(answer) {
-			answer, err = flow.await(responseTimeout, answered)
+		response, err := flow.await(pause, func(packet Packet) bool { return acknowledged(packet) || answered(packet) })
+		if err == nil && !answered(response) {
+			response, err = flow.await(responseTimeout, answered)
 		}
 		switch {
 		case errors.Is(err, ErrBroken):
 			return "", err
 		case err == nil:
-			return flow.completeRequest(answer, body)
+			return flow.completeRequest(response, body)
 		}
 	}
 	return "", ErrDeadline
@@ -170,8 +170,8 @@
 // Close ends the flow.
 func (flow *Flow) Close() { flow.send(FlagFIN|FlagACK, flow.lastReceived.nextSeq(), nil) }
 
-func (flow *Flow) await(pause time.Duration, wanted func(Packet) bool) (Packet, error) {
-	timeout := time.After(pause)
+func (flow *Flow) await(wait time.Duration, matches func(Packet) bool) (Packet, error) {
+	timeout := time.After(wait)
 	for {
 		select {
 		case packet := <-flow.inbox:
@@ -179,7 +179,7 @@
 				return packet, ErrBroken
 			}
 			flow.lastReceived.Token = packet.Token
-			if wanted(packet) {
+			if matches(packet) {
 				return packet, nil
 			}
 		case <-timeout:
--- a/internal/standin/echonet/packet.go
+++ b/internal/standin/echonet/packet.go
@@ -39,17 +39,17 @@
 // Encode writes a packet with its keyed sum, or with none on a reset of the
 // system's own.
 func (packet Packet) Encode(key uint64) []byte {
-	head := make([]byte, headerSize, headerSize+len(packet.Data))
-	binary.BigEndian.PutUint32(head[4:], packet.Token)
-	binary.BigEndian.PutUint16(head[8:], packet.SourcePort)
-	copy(head[10:], packet.Destination[:])
-	binary.BigEndian.PutUint16(head[14:], packet.DestinationPort)
-	copy(head[16:], packet.Source[:])
-	binary.BigEndian.PutUint32(head[20:], packet.Seq)
-	binary.BigEndian.PutUint32(head[24:], packet.Ack)
-	head[28] = packet.Flags
-	binary.BigEndian.PutUint16(head[30:], uint16(len(packet.Data)))
-	encoded := append(head, packet.Data...)
+	header := make([]byte, headerSize, headerSize+len(packet.Data))
+	binary.BigEndian.PutUint32(header[4:], packet.Token)
+	binary.BigEndian.PutUint16(header[8:], packet.SourcePort)
+	copy(header[10:], packet.Destination[:])
+	binary.BigEndian.PutUint16(header[14:], packet.DestinationPort)
+	copy(header[16:], packet.Source[:])
+	binary.BigEndian.PutUint32(header[20:], packet.Seq)
+	binary.BigEndian.PutUint32(header[24:], packet.Ack)
+	header[28] = packet.Flags
+	binary.BigEndian.PutUint16(header[30:], uint16(len(packet.Data)))
+	encoded := append(header, packet.Data...)
 	binary.BigEndian.PutUint32(encoded, checksum(encoded, key))
 	return encoded
 }
--- a/internal/standin/echonet/router.go
+++ b/internal/standin/echonet/router.go
@@ -68,18 +68,18 @@
 }
 
 // recordProbe takes one answer; misses count only at the routers' pace.
-func (router *Router) recordProbe(node *Balancer, ready, counts bool) {
+func (router *Router) recordProbe(balancer *Balancer, ready, countFailure bool) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	if ready {
-		node.inService, node.failures = true, 0
+		balancer.inService, balancer.failures = true, 0
 		return
 	}
-	if counts {
-		node.failures++
+	if countFailure {
+		balancer.failures++
 	}
-	if node.failures >= maximumFailures {
-		node.inService = false
+	if balancer.failures >= maximumFailures {
+		balancer.inService = false
 	}
 }
 
@@ -106,9 +106,9 @@
 		if !node.inService {
 			continue
 		}
-		name := append(packet.Source[:], byte(packet.SourcePort>>8), byte(packet.SourcePort))
-		name = append(name, node.DataAddress.String()...)
-		if score := xxhash.Sum64(name); !best.IsValid() || score > bestScore {
+		hashInput := append(packet.Source[:], byte(packet.SourcePort>>8), byte(packet.SourcePort))
+		hashInput = append(hashInput, node.DataAddress.String()...)
+		if score := xxhash.Sum64(hashInput); !best.IsValid() || score > bestScore {
 			best, bestScore = node.DataAddress, score
 		}
 	}
--- a/internal/standin/echonet/work.go
+++ b/internal/standin/echonet/work.go
@@ -57,7 +57,7 @@
 
 // Executions returns how often each request has run, and the ports of the clients whose
 // first packets were taken.
-func (backend *Backend) Executions() (runs map[string]int, took map[uint16]bool) {
+func (backend *Backend) Executions() (executions map[string]int, openedPorts map[uint16]bool) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return maps.Clone(backend.requests.executions), maps.Clone(backend.requests.openedPorts)
@@ -65,60 +65,60 @@
 
 // handleRequest takes a request or a copy of one. A copy of an older request comes after its
 // answer and is passed over.
-func (backend *Backend) handleRequest(name flowKey, packet Packet) {
-	known, found := backend.requests.latest[name]
-	if found && int32(packet.Seq-known.seq) < 0 {
+func (backend *Backend) handleRequest(key flowKey, packet Packet) {
+	latest, found := backend.requests.latest[key]
+	if found && int32(packet.Seq-latest.seq) < 0 {
 		return
 	}
-	if !found || known.seq != packet.Seq {
-		known = &exchange{seq: packet.Seq}
-		backend.requests.latest[name] = known
-		backend.startRequest(name, packet, known)
+	if !found || latest.seq != packet.Seq {
+		latest = &exchange{seq: packet.Seq}
+		backend.requests.latest[key] = latest
+		backend.startRequest(key, packet, latest)
 	}
 	// While there is no answer this is an acknowledgement.
-	backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), known.response))
+	backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), latest.response))
 }
 
 // startRequest runs a request, lets it wait, or sheds it.
-func (backend *Backend) startRequest(name flowKey, packet Packet, begun *exchange) {
+func (backend *Backend) startRequest(key flowKey, packet Packet, started *exchange) {
 	load := backend.requests.load
-	answer := append([]byte(backend.Pool+"/"+backend.ID+" "), packet.Data...)
+	response := append([]byte(backend.Pool+"/"+backend.ID+" "), packet.Data...)
 	if load.Slots > 0 && backend.requests.pending >= load.Slots+load.QueueLength {
-		begun.response = append([]byte(shedPrefix), answer...)
+		started.response = append([]byte(shedPrefix), response...)
 		return
 	}
 	backend.requests.executions[string(packet.Data)]++
 	if load.Slots == 0 {
-		begun.response = answer
+		started.response = response
 		return
 	}
-	if missing := load.MinimumResponseSize - len(answer); missing > 0 {
-		answer = append(answer, strings.Repeat(padding, missing)...)
+	if missing := load.MinimumResponseSize - len(response); missing > 0 {
+		response = append(response, strings.Repeat(padding, missing)...)
 	}
 	backend.requests.pending++
 	time.AfterFunc(backend.reserveSlot(time.Now()), func() {
 		backend.mutex.Lock()
 		defer backend.mutex.Unlock()
 		backend.requests.pending--
-		begun.response = answer
-		if _, held := backend.flows[name]; held {
-			backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), answer))
+		started.response = response
+		if _, known := backend.flows[key]; known {
+			backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), response))
 		}
 	})
 }
 
 // reserveSlot takes the slot that is free first and returns when its request will end.
 func (backend *Backend) reserveSlot(now time.Time) time.Duration {
-	first := 0
-	for slot, free := range backend.requests.slotFreeAt {
-		if free.Before(backend.requests.slotFreeAt[first]) {
-			first = slot
+	earliest := 0
+	for slot, freeAt := range backend.requests.slotFreeAt {
+		if freeAt.Before(backend.requests.slotFreeAt[earliest]) {
+			earliest = slot
 		}
 	}
-	begin := backend.requests.slotFreeAt[first]
-	if begin.Before(now) {
-		begin = now
+	start := backend.requests.slotFreeAt[earliest]
+	if start.Before(now) {
+		start = now
 	}
-	backend.requests.slotFreeAt[first] = begin.Add(backend.requests.load.ServiceTime)
-	return backend.requests.slotFreeAt[first].Sub(now)
+	backend.requests.slotFreeAt[earliest] = start.Add(backend.requests.load.ServiceTime)
+	return backend.requests.slotFreeAt[earliest].Sub(now)
 }
--- a/internal/standin/echonet/work_test.go
+++ b/internal/standin/echonet/work_test.go
@@ -34,10 +34,10 @@
 // one after the other in each slot, and tells the others at once that it has not
 // run them. No request is run twice, however long it waits.
 func TestBackendShedsExcessRequests(t *testing.T) {
-	made, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.9.2:8080"), 8173, 1)
+	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.9.2:8080"), 8173, 1)
 	require.NoError(t, err)
-	t.Cleanup(made.Stop)
-	made.SetLoadModel(LoadModel{Slots: 2, QueueLength: 4, ServiceTime: 250 * time.Millisecond})
+	t.Cleanup(backend.Stop)
+	backend.SetLoadModel(LoadModel{Slots: 2, QueueLength: 4, ServiceTime: 250 * time.Millisecond})
 	forwardPackets(t, "127.105.9.3:8173", "127.105.9.2:8080")
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -55,51 +55,51 @@
 
 	bodies := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
 	outcomes := make([]error, len(bodies))
-	var asking sync.WaitGroup
-	began := time.Now()
+	var requests sync.WaitGroup
+	start := time.Now()
 	for index, body := range bodies {
 		flow, err := client.Open(netip.MustParseAddrPort("198.18.0.1:443"))
 		require.NoError(t, err)
-		asking.Go(func() {
+		requests.Go(func() {
 			server, err := flow.Request(body)
 			outcomes[index] = err
 			require.Equal(t, "lending/i-a1", server)
 		})
 	}
-	asking.Wait()
-	require.Greater(t, time.Since(began), 700*time.Millisecond)
-	runs, _ := made.Executions()
-	require.Len(t, runs, 6)
+	requests.Wait()
+	require.Greater(t, time.Since(start), 700*time.Millisecond)
+	executions, _ := backend.Executions()
+	require.Len(t, executions, 6)
 	for index, body := range bodies {
 		if outcomes[index] == nil {
-			require.Equal(t, 1, runs[body])
+			require.Equal(t, 1, executions[body])
 			continue
 		}
 		require.ErrorIs(t, outcomes[index], ErrShed)
-		require.Zero(t, runs[body])
+		require.Zero(t, executions[body])
 	}
 }
 
 // A copy of an older request that arrives after a newer one doesn't run again.
 func TestBackendIgnoresRetransmittedOlderRequests(t *testing.T) {
 	t.Parallel()
-	made, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
+	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
 	require.NoError(t, err)
-	t.Cleanup(made.Stop)
-	take := func(flags byte, seq uint32, body string) {
+	t.Cleanup(backend.Stop)
+	receive := func(flags byte, seq uint32, body string) {
 		packet := Packet{Flags: flags, Seq: seq, Source: [4]byte{127, 105, 10, 4}, SourcePort: 40001, Data: []byte(body)}
-		made.handlePacket(append(make([]byte, numericIDSize), packet.Encode(1)...))
+		backend.handlePacket(append(make([]byte, numericIDSize), packet.Encode(1)...))
 	}
 	first := uint32(math.MaxUint32 - 1)
-	take(FlagSYN, first-1, "")
-	take(FlagACK, first, "page")
-	take(FlagACK, first, "page")
-	take(FlagACK, first+4, "next")
-	take(FlagACK, first, "page")
-	take(FlagACK, first+8, "last")
-	take(FlagACK, first+4, "next")
-	runs, _ := made.Executions()
-	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, runs)
+	receive(FlagSYN, first-1, "")
+	receive(FlagACK, first, "page")
+	receive(FlagACK, first, "page")
+	receive(FlagACK, first+4, "next")
+	receive(FlagACK, first, "page")
+	receive(FlagACK, first+8, "last")
+	receive(FlagACK, first+4, "next")
+	executions, _ := backend.Executions()
+	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, executions)
 }
 
 // An answer with bytes before its request's body isn't taken.
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -45,9 +45,9 @@
 		return nil, errors.Wrapf(err, "fabric %s", listen)
 	}
 	_ = socket.SetReadBuffer(socketBuffer)
-	made := &Fabric{socket: socket, callerPrefix: netip.MustParsePrefix(CallerPrefix)}
-	made.nodes.Store(&[]*net.UDPAddr{})
-	return made, nil
+	fabric := &Fabric{socket: socket, callerPrefix: netip.MustParsePrefix(CallerPrefix)}
+	fabric.nodes.Store(&[]*net.UDPAddr{})
+	return fabric, nil
 }
 
 // SetNodes replaces the list of balancers' data addresses.
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -33,8 +33,8 @@
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	next := make(map[string]node.Machine)
-	for id, known := range list.history[len(list.history)-1].machines {
-		next[id] = known
+	for id, existing := range list.history[len(list.history)-1].machines {
+		next[id] = existing
 	}
 	if machine.State == "gone" {
 		delete(next, machine.ID)
@@ -47,15 +47,15 @@
 func (list *List) laggedList() []node.Machine {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	since := time.Now().Add(-list.lag)
-	for len(list.history) > 1 && list.history[1].at.Before(since) {
+	cutoff := time.Now().Add(-list.lag)
+	for len(list.history) > 1 && list.history[1].at.Before(cutoff) {
 		list.history = list.history[1:]
 	}
-	seen := make([]node.Machine, 0)
+	machines := make([]node.Machine, 0)
 	for _, machine := range list.history[0].machines {
-		seen = append(seen, machine)
+		machines = append(machines, machine)
 	}
-	return seen
+	return machines
 }
 
 // Handler returns the HTTP handler: GET and PUT /v1/machines.
--- a/internal/standin/metadata/drill.go
+++ b/internal/standin/metadata/drill.go
@@ -24,12 +24,12 @@
 
 // Restore puts the store back to a copy. What was written since is gone, and so are the
 // leases; revisions go back and are given out again, in another era.
-func (server *Server) Restore(copied Backup) {
+func (server *Server) Restore(backup Backup) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.era.Add(1)
-	server.revision, server.items = copied.revision, maps.Clone(copied.items)
-	server.compactRevision, server.history = copied.revision, nil
+	server.revision, server.items = backup.revision, maps.Clone(backup.items)
+	server.compactRevision, server.history = backup.revision, nil
 	clear(server.leaseDeadlines)
 	clear(server.leaseTTLs)
 	server.notifyWatchers()
--- a/internal/standin/metadata/metadata.go
+++ b/internal/standin/metadata/metadata.go
@@ -85,27 +85,27 @@
 }
 
 // SetCallerFaults switches faults on and off for the callers from an IP.
-func (server *Server) SetCallerFaults(caller string, faults Faults) {
+func (server *Server) SetCallerFaults(ip string, faults Faults) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.callerFaults[caller] = faults
+	server.callerFaults[ip] = faults
 }
 
 // requestFaults returns the faults of a call: those for its caller before those for all.
 func (server *Server) requestFaults(request *http.Request) Faults {
-	caller, _, _ := net.SplitHostPort(request.RemoteAddr)
-	return cmp.Or(server.callerFaults[caller], server.faults)
+	ip, _, _ := net.SplitHostPort(request.RemoteAddr)
+	return cmp.Or(server.callerFaults[ip], server.faults)
 }
 
 // Calls returns the number of calls by path.
 func (server *Server) Calls() map[string]int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	copied := make(map[string]int, len(server.callCounts))
+	counts := make(map[string]int, len(server.callCounts))
 	for path, count := range server.callCounts {
-		copied[path] = count
+		counts[path] = count
 	}
-	return copied
+	return counts
 }
 
 // Put writes a key as an operator or a back end does.
@@ -120,8 +120,8 @@
 func (server *Server) HasValue(key string, value []byte) bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	held, found := server.items[key]
-	return found && bytes.Equal(held.Value, value)
+	item, found := server.items[key]
+	return found && bytes.Equal(item.Value, value)
 }
 
 // Remove removes a key.
@@ -142,8 +142,8 @@
 func (server *Server) put(item Item) {
 	server.revision++
 	item.Revision, item.CreateRevision = server.revision, server.revision
-	if known, found := server.items[item.Key]; found {
-		item.CreateRevision = known.CreateRevision
+	if existing, found := server.items[item.Key]; found {
+		item.CreateRevision = existing.CreateRevision
 	}
 	server.items[item.Key] = item
 	server.history = append(server.history, item)
@@ -180,8 +180,8 @@
 
 // withFaults counts a call and applies the faults.
 func (server *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
-	return func(plain http.ResponseWriter, request *http.Request) {
-		response := eraWriter{plain, server}
+	return func(underlying http.ResponseWriter, request *http.Request) {
+		response := eraWriter{underlying, server}
 		server.mutex.Lock()
 		faults := server.requestFaults(request)
 		path := strings.TrimPrefix(request.URL.Path, "/api/")
@@ -209,8 +209,8 @@
 }
 
 func (server *Server) expireLeases(now time.Time) {
-	for lease, ends := range server.leaseDeadlines {
-		if now.After(ends) {
+	for lease, deadline := range server.leaseDeadlines {
+		if now.After(deadline) {
 			server.endLeaseLocked(lease)
 		}
 	}
@@ -350,9 +350,9 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.revision++
-	length := time.Duration(body.TTL) * time.Millisecond
-	server.leaseDeadlines[server.revision] = time.Now().Add(length)
-	server.leaseTTLs[server.revision] = length
+	ttl := time.Duration(body.TTL) * time.Millisecond
+	server.leaseDeadlines[server.revision] = time.Now().Add(ttl)
+	server.leaseTTLs[server.revision] = ttl
 	writeJSON(response, http.StatusOK, map[string]any{"lease": server.revision, "ttl_ms": body.TTL})
 }
 
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -184,11 +184,11 @@
 // removeExpired removes values whose lease has lapsed. The mutex is held.
 func (server *Server) removeExpired() {
 	now := time.Now()
-	for key, found := range server.values {
-		if found.lease == "" {
+	for key, stored := range server.values {
+		if stored.lease == "" {
 			continue
 		}
-		if held := server.leases[found.lease]; held == nil || now.After(held.expires) {
+		if granted := server.leases[stored.lease]; granted == nil || now.After(granted.expires) {
 			delete(server.values, key)
 			server.notifyWatchers()
 		}
--- a/internal/standin/swallow/swallow.go
+++ b/internal/standin/swallow/swallow.go
@@ -52,17 +52,17 @@
 
 // StartAt forwards from an address to a target, which it calls from an IP of its own if one
 // is given.
-func StartAt(address, target, from string) (*Proxy, error) {
+func StartAt(address, target, localIP string) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	made := &Proxy{listener: listener, target: target}
-	if from != "" {
-		made.dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
+	proxy := &Proxy{listener: listener, target: target}
+	if localIP != "" {
+		proxy.dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(localIP)}
 	}
-	go made.accept()
-	return made, nil
+	go proxy.accept()
+	return proxy, nil
 }
 
 // Address is where the proxy takes connections.
@@ -79,10 +79,10 @@
 func (p *Proxy) Delay(delay time.Duration) { p.delay.Store(int64(delay)) }
 
 // Blackhole makes the connections silent that are open now, in some directions.
-func (p *Proxy) Blackhole(ways ...Direction) {
-	p.forEach(func(open *connection) {
-		for _, way := range ways {
-			open.blackholed[way].Store(true)
+func (p *Proxy) Blackhole(directions ...Direction) {
+	p.forEach(func(forwarded *connection) {
+		for _, direction := range directions {
+			forwarded.blackholed[direction].Store(true)
 		}
 	})
 }
@@ -92,11 +92,11 @@
 
 // ResetConnections resets the connections that are open now, on both sides.
 func (p *Proxy) ResetConnections() {
-	p.forEach(func(open *connection) {
-		for _, end := range open.ends {
+	p.forEach(func(forwarded *connection) {
+		for _, end := range forwarded.ends {
 			_ = end.(*net.TCPConn).SetLinger(0)
 		}
-		open.close()
+		forwarded.close()
 	})
 }
 
@@ -109,11 +109,11 @@
 	p.ResetConnections()
 }
 
-func (p *Proxy) forEach(do func(*connection)) {
+func (p *Proxy) forEach(apply func(*connection)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, open := range p.connections {
-		do(open)
+	for _, forwarded := range p.connections {
+		apply(forwarded)
 	}
 }
 
@@ -124,14 +124,14 @@
 }
 
 // add takes a connection, unless the proxy was closed meanwhile.
-func (p *Proxy) add(made *connection) {
+func (p *Proxy) add(forwarded *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
-		made.close()
+		forwarded.close()
 		return
 	}
-	p.connections = append(p.connections, made)
+	p.connections = append(p.connections, forwarded)
 }
 
 func (p *Proxy) accept() {
@@ -152,33 +152,33 @@
 		_ = caller.Close()
 		return
 	}
-	made := &connection{ends: [2]net.Conn{caller, target}}
-	p.add(made)
-	go p.copyDirection(made, ToTarget)
-	go p.copyDirection(made, ToClient)
+	forwarded := &connection{ends: [2]net.Conn{caller, target}}
+	p.add(forwarded)
+	go p.copyDirection(forwarded, ToTarget)
+	go p.copyDirection(forwarded, ToClient)
 }
 
 // copyDirection copies one direction until an end closes, and then closes both. What a silent
 // connection brings is read and dropped, and its end is not passed on.
-func (p *Proxy) copyDirection(carried *connection, way Direction) {
-	from, to := carried.ends[way], carried.ends[1-way]
+func (p *Proxy) copyDirection(forwarded *connection, direction Direction) {
+	from, to := forwarded.ends[direction], forwarded.ends[1-direction]
 	buffer := make([]byte, 64<<10)
 	for {
 		size, err := from.Read(buffer)
 		time.Sleep(time.Duration(p.delay.Load()))
-		if carried.blackholed[way].Load() {
+		if forwarded.blackholed[direction].Load() {
 			if err != nil {
 				return
 			}
 			continue
 		}
 		if size > 0 {
-			if _, failure := to.Write(buffer[:size]); failure != nil {
-				err = failure
+			if _, writeErr := to.Write(buffer[:size]); writeErr != nil {
+				err = writeErr
 			}
 		}
 		if err != nil {
-			carried.close()
+			forwarded.close()
 			return
 		}
 	}
--- a/internal/standin/tunnel/tunnel.go
+++ b/internal/standin/tunnel/tunnel.go
@@ -53,7 +53,7 @@
 		return nil, errors.Wrapf(err, "tunnel %s", listen)
 	}
 	_ = socket.SetReadBuffer(socketBuffer)
-	made := &Stack{
+	tunnel := &Stack{
 		stack: stack.New(stack.Options{
 			NetworkProtocols:   []stack.NetworkProtocolFactory{ipv4.NewProtocol},
 			TransportProtocols: []stack.TransportProtocolFactory{tcp.NewProtocol},
@@ -63,11 +63,11 @@
 		route:          route,
 		localAddresses: make(map[netip.Addr]bool),
 	}
-	if err := made.configure(addresses); err != nil {
+	if err := tunnel.configure(addresses); err != nil {
 		_ = socket.Close()
 		return nil, err
 	}
-	return made, nil
+	return tunnel, nil
 }
 
 func (tunnel *Stack) configure(addresses []string) error {
