--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,7 +1,10 @@
-// Package backend is the stand-in of a back end: a machine that serves one
-// service over real TCP with 2 slots and about 2,000 connections, sheds load,
-// drains, starts cold, heeds deadlines, and reports its own health and load,
-// late or falsely on command.
+// Package backend simulates a back end: a machine that serves one service over real
+// TCP, with 2 request slots and about 2,000 connections. It sheds load, drains, is
+// slow after a cold start, honors request deadlines, and reports its own health and
+// load. Its reports can be delayed or falsified on command.
+//
+// New opens the back end's tunnel, Run serves requests, and Handler serves reports,
+// counts and fault injection.
 package backend
 
 import (
@@ -22,7 +25,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/tunnel"
 )
 
-// The headers of requests and answers.
+// These are the headers of requests and responses.
 const (
 	HeaderRequest        = "X-Request"
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -32,51 +35,60 @@
 	HeaderNotRun         = "X-Not-Run"
 )
 
-// Settings describe one back end.
+// Settings configures one back end.
 type Settings struct {
 	Name, Service string
-	// Address is the service's inner address; Tunnel takes its packets.
+	// Address is the address of the service inside the tunnel. TunnelAddress is the
+	// UDP address that receives its packets.
 	Address       netip.AddrPort
 	TunnelAddress string
-	// ControlAddress serves reports, counts and faults.
+	// ControlAddress is the HTTP address for reports, counts and faults.
 	ControlAddress string
-	// Slots is how many requests run at a time; Queue how many may wait.
+	// Slots is the number of requests that run concurrently, QueueLength the number
+	// that may wait for a slot.
 	Slots, QueueLength int
-	// MaximumConnections is the bound on open connections.
+	// MaximumConnections is the limit on open connections. Further ones are closed at
+	// once.
 	MaximumConnections int
-	// ServiceTime is how long a request runs; ColdStartTime for how long after the
-	// start it takes ColdFactor times as long.
+	// ServiceTime is how long a request runs. For ColdStartTime after the start a
+	// request takes coldStartFactor times as long.
 	ServiceTime, ColdStartTime time.Duration
 }
 
+// coldStartFactor multiplies the service time during a cold start.
 const coldStartFactor = 4
 
-// Faults are what can be switched on.
+// Faults lists the faults that can be injected into a back end's reports. Its JSON
+// form is the body of PUT /faults.
 type Faults struct {
-	// ReportLagMilliseconds makes the reports show the past.
+	// ReportLagMilliseconds makes reports show the load of so many milliseconds ago.
 	ReportLagMilliseconds int `json:"lag_milliseconds"`
-	// FalseLoad replaces the reported load when it is 0 or more.
+	// FalseLoad replaces the reported load unless it is nil.
 	FalseLoad *float64 `json:"lie"`
-	// Leaving is reported as the machine's state.
+	// Leaving makes the reports give the state "leaving" instead of "live".
 	Leaving bool `json:"leaving"`
 }
 
-// Counts are what the back end has seen.
+// Counts holds the statistics of a back end. Its JSON form is the body of
+// GET /counts.
 type Counts struct {
-	// Executions counts the executions by idempotency key.
+	// Executions holds the number of executions by idempotency key.
 	Executions map[string]int `json:"runs"`
-	// Served and Shed count requests; Opened counts connections.
+	// Served and Shed count requests. OpenedConnections counts all connections that
+	// were opened, OpenConnections those that are open now.
 	Served            uint64 `json:"served"`
 	Shed              uint64 `json:"shed"`
 	OpenedConnections uint64 `json:"opened"`
 	OpenConnections   int64  `json:"open"`
-	// LastOpened is when the newest connection came, in Unix milliseconds.
+	// LastOpened is the time when the latest connection was opened, as Unix time in
+	// milliseconds.
 	LastOpened int64 `json:"last_opened"`
-	// MisroutedPackets counts packets for other services.
+	// MisroutedPackets counts packets whose inner address is that of another
+	// service.
 	MisroutedPackets uint64 `json:"foreign"`
 }
 
-// Backend is one back end.
+// Backend is one simulated back end. It is safe for concurrent use.
 type Backend struct {
 	settings          Settings
 	stack             *tunnel.Stack
@@ -95,12 +107,13 @@
 	loadSamples       []loadSample
 }
 
+// loadSample is the smoothed load at one time.
 type loadSample struct {
 	at   time.Time
 	load float64
 }
 
-// New opens the back end's tunnel.
+// New returns a back end with an open tunnel. Call Run to serve requests.
 func New(settings Settings) (*Backend, error) {
 	stack, err := tunnel.New(settings.TunnelAddress, []string{settings.Address.Addr().String()}, tunnel.CallerAddress)
 	if err != nil {
@@ -115,7 +128,7 @@
 	}, nil
 }
 
-// Run serves until the context ends.
+// Run serves requests until the context ends.
 func (backend *Backend) Run(ctx context.Context) error {
 	listener, err := backend.stack.Listen(backend.settings.Address)
 	if err != nil {
@@ -132,6 +145,7 @@
 	return nil
 }
 
+// trackConnection counts connections, and closes those above the limit.
 func (backend *Backend) trackConnection(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -145,8 +159,9 @@
 	}
 }
 
-// serve runs one request: it waits for a slot, within the request's deadline,
-// and sheds what would wait too long. What is shed has not run, and says so.
+// serve handles one request. It waits for a slot until the request's deadline, and
+// sheds a request that finds the queue full or would wait too long. The response to
+// a shed request says that the request has not run.
 func (backend *Backend) serve(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, 1<<16))
 	if err != nil {
@@ -177,6 +192,8 @@
 	_, _ = fmt.Fprintf(writer, "%s %s", request.Header.Get(HeaderRequest), body)
 }
 
+// acquireSlot waits for a free slot and reports whether it got one. It fails if the
+// queue is full or the context ends.
 func (backend *Backend) acquireSlot(ctx context.Context) bool {
 	if backend.waiting.Add(1) > int64(backend.settings.QueueLength+backend.settings.Slots) {
 		backend.waiting.Add(-1)
@@ -197,6 +214,7 @@
 	<-backend.slots
 }
 
+// simulateWork sleeps for the service time, which is longer during a cold start.
 func (backend *Backend) simulateWork() {
 	duration := backend.settings.ServiceTime
 	if time.Since(backend.started) < backend.settings.ColdStartTime {
@@ -205,6 +223,7 @@
 	time.Sleep(duration)
 }
 
+// countExecution counts the execution of a request that carries an idempotency key.
 func (backend *Backend) countExecution(idempotencyKey string) {
 	if idempotencyKey == "" {
 		return
@@ -214,14 +233,14 @@
 	backend.mutex.Unlock()
 }
 
-// SetFaults switches faults on or off.
+// SetFaults replaces the faults injected into the reports.
 func (backend *Backend) SetFaults(faults Faults) {
 	backend.mutex.Lock()
 	backend.faults = faults
 	backend.mutex.Unlock()
 }
 
-// Counts returns what the back end has seen.
+// Counts returns the back end's statistics so far.
 func (backend *Backend) Counts() Counts {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
@@ -245,6 +264,8 @@
 	maximumSamples = 200
 )
 
+// sampleLoad records the exponentially smoothed load at each sample interval until
+// the context ends.
 func (backend *Backend) sampleLoad(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -266,7 +287,8 @@
 	}
 }
 
-// report is the load as the report shows it: late or false if so commanded.
+// report returns the back end's report, delayed or falsified according to the
+// injected faults.
 func (backend *Backend) report() map[string]any {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
@@ -287,8 +309,8 @@
 	return map[string]any{"healthy": true, "load": load, "state": state}
 }
 
-// Handler returns the control endpoint: GET /v1/report, GET /counts and PUT
-// /faults.
+// Handler returns the handler of the control endpoint, with GET /v1/report,
+// GET /counts and PUT /faults.
 func (backend *Backend) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/report", func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,5 +1,9 @@
-// Package caller is the stand-in of readers and passengers: it holds
-// connections open, sends requests on them and checks every answer.
+// Package caller simulates a machine with the users' clients (readers and
+// passengers). It keeps TCP connections to a service open, sends requests on them
+// and checks every response.
+//
+// New opens the machine's tunnel, Run keeps the connections until its context ends,
+// and Counts returns the results. Handler serves the results over HTTP.
 package caller
 
 import (
@@ -22,26 +26,29 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/tunnel"
 )
 
-// Settings describe one caller machine.
+// Settings configures one caller machine.
 type Settings struct {
 	Name string
-	// InnerAddress is the caller's inner address, within fabric.CallerPrefix.
+	// InnerAddress is the caller's address inside the tunnel, within
+	// fabric.CallerPrefix.
 	InnerAddress netip.Addr
-	// FabricAddress is the fabric's UDP address.
+	// FabricAddress is the UDP address of the simulated fabric.
 	FabricAddress string
-	// Service is the name that every answer must carry, Target its address.
+	// Service is the service name that every response must carry. Target is the
+	// address of the service.
 	Service string
 	Target  netip.AddrPort
-	// Connections is how many are held open; each carries Requests requests,
-	// Interval apart, and is then closed and opened anew.
+	// Connections is the number of connections kept open. Each carries Requests
+	// requests, Interval apart, and is then closed and replaced by a new one.
 	Connections int
 	Requests    int
 	Interval    time.Duration
-	// NonRetryableEvery is one in how many requests may not be repeated.
+	// NonRetryableEvery makes one in so many requests carry an idempotency key: it
+	// may not be repeated. With 0 no request carries one.
 	NonRetryableEvery int
 }
 
-// Counts are what the caller has seen.
+// Counts holds the results of a caller. Its JSON form is the body of GET /counts.
 type Counts struct {
 	Flows           uint64 `json:"flows"`
 	Responses       uint64 `json:"answers"`
@@ -52,14 +59,16 @@
 	WrongResponses  uint64 `json:"wrong"`
 	FailedOpens     uint64 `json:"unopened"`
 	Open            int64  `json:"open"`
-	// NotRunKeys and CompletedKeys list requests that may not be repeated.
+	// NotRunKeys, CompletedKeys and UnknownOutcomeKeys list the idempotency keys of
+	// the requests that may not be repeated, by outcome.
 	NotRunKeys         []string `json:"not_run_keys"`
 	CompletedKeys      []string `json:"answered_keys"`
 	UnknownOutcomeKeys []string `json:"unknown_keys"`
 	LastError          string   `json:"last_error"`
 }
 
-// Add adds the counts of another caller.
+// Add adds the counts of another caller to counts. Its last error, if any, replaces
+// the present one.
 func (counts *Counts) Add(other Counts) {
 	counts.Flows += other.Flows
 	counts.Responses += other.Responses
@@ -78,14 +87,14 @@
 	}
 }
 
-// Caller is one caller machine.
+// Caller is one simulated caller machine. It is safe for concurrent use.
 type Caller struct {
 	settings     Settings
 	stack        *tunnel.Stack
 	mutex        sync.Mutex
 	counts       Counts
 	requestCount atomic.Uint64
-	// finishing makes connections end after their present request.
+	// finishing makes connections end after their current request.
 	finishing atomic.Bool
 }
 
@@ -96,11 +105,11 @@
 	maximumKeys    = 100_000
 )
 
-// New opens the caller's tunnel.
+// New returns a caller with an open tunnel. Call Run to start it.
 func New(settings Settings) (*Caller, error) {
 	fabric, err := net.ResolveUDPAddr("udp4", settings.FabricAddress)
 	if err != nil {
-		return nil, errors.Wrapf(err, "caller %s: fabric", settings.Name)
+		return nil, errors.Wrapf(err, "caller %s: resolve fabric address", settings.Name)
 	}
 	listen := tunnel.CallerAddress(settings.InnerAddress)
 	if listen == nil {
@@ -114,7 +123,8 @@
 	return &Caller{settings: settings, stack: stack}, nil
 }
 
-// Run holds the connections until the context ends.
+// Run keeps the connections open until the context ends or, after Finish, until the
+// last connection has ended.
 func (caller *Caller) Run(ctx context.Context) {
 	go caller.stack.Run(ctx)
 	var group sync.WaitGroup
@@ -133,10 +143,11 @@
 	group.Wait()
 }
 
-// Finish lets the connections end after their present request.
+// Finish makes the connections end after their current request.
 func (caller *Caller) Finish() { caller.finishing.Store(true) }
 
-// runConnection opens one connection, sends its requests and closes it.
+// runConnection opens one connection, sends its requests and closes it. It counts
+// the connection as open meanwhile.
 func (caller *Caller) runConnection(ctx context.Context) {
 	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
 	connection, err := caller.stack.Dial(dialContext, caller.settings.Target)
@@ -157,6 +168,8 @@
 	}
 }
 
+// countDialFailure counts a failed dial as refused or as a failed open, unless the
+// context has ended.
 func (caller *Caller) countDialFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -171,9 +184,9 @@
 	})
 }
 
-// request sends one request and checks the answer. It reports whether the
-// connection can go on. A request without a whole answer is of unknown fate:
-// it is never sent again.
+// request sends one request and checks the response. It reports whether the
+// connection can be used further. The outcome of a request without a complete
+// response is unknown, so it is never sent again.
 func (caller *Caller) request(ctx context.Context, connection net.Conn, reader *bufio.Reader) bool {
 	number := caller.requestCount.Add(1)
 	id := fmt.Sprintf("%s-%d", caller.settings.Name, number)
@@ -207,6 +220,8 @@
 	return true
 }
 
+// countResponse counts a request by its response: not run by the back end, correct,
+// or wrong.
 func (caller *Caller) countResponse(id, idempotencyKey string, response *http.Response, body string) {
 	caller.updateCounts(func(counts *Counts) {
 		switch {
@@ -225,6 +240,8 @@
 	})
 }
 
+// countLostConnection counts a connection that broke during a request, unless the
+// context has ended. It always returns false.
 func (caller *Caller) countLostConnection(ctx context.Context, idempotencyKey string, err error) bool {
 	if ctx.Err() != nil {
 		return false
@@ -240,6 +257,7 @@
 	return false
 }
 
+// appendKey appends a key unless it is empty or the list is full.
 func appendKey(keys []string, key string) []string {
 	if key == "" || len(keys) >= maximumKeys {
 		return keys
@@ -253,7 +271,7 @@
 	caller.mutex.Unlock()
 }
 
-// Counts returns what the caller has seen.
+// Counts returns a copy of the caller's results so far.
 func (caller *Caller) Counts() Counts {
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
@@ -264,7 +282,8 @@
 	return counts
 }
 
-// Handler returns the control endpoint: GET /counts and PUT /finish.
+// Handler returns the handler of the control endpoint, with GET /counts and
+// PUT /finish.
 func (caller *Caller) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /counts", func(writer http.ResponseWriter, _ *http.Request) {
@@ -274,6 +293,7 @@
 	return mux
 }
 
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -13,32 +13,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// flowKey is the client's end of a flow, as a back end keeps it.
+// flowKey identifies a flow at a back end by the client's address and port.
 type flowKey struct {
 	source [4]byte
 	port   uint16
 }
 
-// Backend is one run of a back end. It answers each request with its own id
-// and the request.
+// Backend is one run of a simulated back end. It answers each request with its own ID
+// and the request's body. It is safe for concurrent use.
 type Backend struct {
 	ID   string
 	Pool string
-	// clientPort is the port at which clients take packets.
-	clientPort  uint16
+	// clientPort is the port at which clients receive packets.
+	clientPort uint16
+	// numericID is the number in the ID.
 	numericID   uint64
 	checksumKey uint64
 	socket      *net.UDPConn
 	mutex       sync.Mutex
-	flows       map[flowKey]uint32
-	requests    requestState
-	// opened counts first packets taken, foreign those for other back ends,
-	// unknown packets of flows that it does not hold, and forged ones whose
-	// sum was wrong.
+	// flows holds the back end's initial sequence number of each open flow.
+	flows    map[flowKey]uint32
+	requests requestState
+	// opened counts the flows that were opened, misrouted the packets for other
+	// back ends, unknownFlow the packets of flows that are not open here, and
+	// badChecksum the packets that are malformed or have a wrong checksum.
 	opened, misrouted, unknownFlow, badChecksum int
 }
 
-// StartBackend opens a back end at an address.
+// StartBackend starts a back end at an address. The ID has the form "i-" and a
+// hexadecimal number. Packets carry a checksum under key.
 func StartBackend(id, pool string, address netip.AddrPort, clientPort uint16, key uint64) (*Backend, error) {
 	socket, err := listenWithRetry(address)
 	if err != nil {
@@ -54,15 +57,17 @@
 }
 
 const (
-	// bindTimeout is for how long an address in use is tried again: a process that
-	// is just being started holds a copy of each socket of this one, those too
-	// that were closed meanwhile, until its program is loaded.
+	// bindTimeout is for how long binding to an address in use is retried. A child
+	// process that is being started inherits a copy of each socket of this process
+	// and holds it until its program is loaded, even if the socket was closed here
+	// meanwhile.
 	bindTimeout = time.Second
-	// bindRetryInterval is the pause between two tries.
+	// bindRetryInterval is the time between two attempts.
 	bindRetryInterval = 2 * time.Millisecond
 )
 
-// listenWithRetry opens a socket at an address, also when one there was closed just now.
+// listenWithRetry opens a UDP socket at an address. It retries for bindTimeout while the
+// address is in use, since a socket there may have been closed only just before.
 func listenWithRetry(address netip.AddrPort) (*net.UDPConn, error) {
 	for start := time.Now(); ; time.Sleep(bindRetryInterval) {
 		socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
@@ -72,10 +77,11 @@
 	}
 }
 
-// Stop ends the back end; it forgets its flows.
+// Stop closes the back end. Its flows are lost.
 func (backend *Backend) Stop() { _ = backend.socket.Close() }
 
-// Counts returns the packets that the back end has seen by kind.
+// Counts returns the number of flows opened, and of the packets for other back ends, for
+// unknown flows, and with a bad checksum or format.
 func (backend *Backend) Counts() (opened, misrouted, unknownFlow, badChecksum int) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
@@ -83,7 +89,9 @@
 }
 
 const (
-	datagramSize  = 2048
+	datagramSize = 2048
+	// numericIDSize is the size of the back end's numeric ID, which precedes each
+	// packet from a balancer.
 	numericIDSize = 8
 )
 
@@ -100,6 +108,8 @@
 	}
 }
 
+// handlePacket processes a datagram from a balancer: the numeric ID of the back end for
+// which it is meant, or 0 for any, and the packet.
 func (backend *Backend) handlePacket(datagram []byte) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
--- a/internal/standin/echonet/backend_test.go
+++ b/internal/standin/echonet/backend_test.go
@@ -9,8 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An address is free once the back end there has stopped, also while other tests
-// start processes. TestBalancerAddressReuse failed once, beside a busy machine.
+// The address of a stopped back end can be reused at once, even while other tests start
+// processes. A child process holds copies of closed sockets until its program is loaded, so
+// that the address is still in use for a moment; on a busy machine TestBalancerAddressReuse
+// failed for this reason.
 func TestAddressIsReusableAfterStop(t *testing.T) {
 	address := netip.MustParseAddrPort("127.105.9.1:8080")
 	var starting sync.WaitGroup
--- a/internal/standin/echonet/client.go
+++ b/internal/standin/echonet/client.go
@@ -13,17 +13,17 @@
 )
 
 var (
-	// ErrRefused: the flow was reset before it opened.
+	// ErrRefused is returned when a flow is reset before it is open.
 	ErrRefused = errors.New("the flow was refused")
-	// ErrBroken: an open flow was reset.
+	// ErrBroken is returned when an open flow is reset.
 	ErrBroken = errors.New("the flow was broken")
-	// ErrShed: the back end said that it has not run the request.
+	// ErrShed is returned when the back end reports that it has not run the request.
 	ErrShed = errors.New("the request was shed")
-	// ErrDeadline: no answer came in time.
+	// ErrDeadline is returned when no response arrives in time.
 	ErrDeadline = errors.New("no answer came in time")
 )
 
-// Client opens flows from one address.
+// Client opens flows from one address. It is safe for concurrent use.
 type Client struct {
 	address     netip.AddrPort
 	checksumKey uint64
@@ -34,7 +34,7 @@
 	nextPort    uint16
 }
 
-// StartClient opens a client at an address.
+// StartClient starts a client at an address. Packets carry a checksum under key.
 func StartClient(address netip.AddrPort, router *Router, key uint64) (*Client, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -56,6 +56,7 @@
 			return
 		}
 		packet, err := Decode(buffer[:size], client.checksumKey)
+		// A reset made by the system under test itself has no checksum.
 		ownReset := err == nil && packet.Flags == FlagRST && packet.Checksum == 0
 		if err != nil || !packet.ChecksumValid && !ownReset {
 			continue
@@ -70,28 +71,32 @@
 	}
 }
 
-// Flow is one open flow.
+// Flow is a client's end of one flow. It is not safe for concurrent use.
 type Flow struct {
-	client       *Client
-	inbox        chan Packet
+	client *Client
+	inbox  chan Packet
+	// lastReceived is the last packet received, with the newest token.
 	lastReceived Packet
 	seq          uint32
 	target       netip.AddrPort
 	port         uint16
-	balancers    []netip.AddrPort
+	// balancers holds the balancers used since the last call of TakeBalancers.
+	balancers []netip.AddrPort
 }
 
-// The pauses before a packet is sent again.
+// These are the waits before a packet is retransmitted; after the last one the attempt
+// fails.
 var (
 	openRetryIntervals    = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond}
 	requestRetryIntervals = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond}
 )
 
-// responseTimeout is how long a request is waited for once its back end has it.
+// responseTimeout is how long to wait for the response once the back end has acknowledged
+// the request.
 const responseTimeout = 3 * time.Second
 
-// Open opens a flow to a route's address. With an error comes the flow that was
-// tried.
+// Open opens a flow to a route's address. With an error it also returns the flow that it
+// tried to open.
 func (client *Client) Open(target netip.AddrPort) (*Flow, error) {
 	client.mutex.Lock()
 	client.nextPort++
@@ -114,17 +119,17 @@
 	return flow, ErrDeadline
 }
 
-// Port is the client's port.
+// Port returns the client's port.
 func (flow *Flow) Port() uint16 { return flow.port }
 
-// TakeBalancers returns the balancers that packets were sent to since it was last asked.
+// TakeBalancers returns the balancers to which packets were sent since its last call.
 func (flow *Flow) TakeBalancers() []netip.AddrPort {
 	via := flow.balancers
 	flow.balancers = nil
 	return via
 }
 
-// Request sends one request and returns who answered it, as "pool/id".
+// Request sends one request and returns the back end that answered, as "pool/id".
 func (flow *Flow) Request(body string) (string, error) {
 	acknowledged := func(packet Packet) bool { return packet.Ack == flow.seq+uint32(len(body)) }
 	answered := func(packet Packet) bool {
@@ -147,8 +152,9 @@
 	return "", ErrDeadline
 }
 
-// completeRequest takes the answer of a request, and acknowledges it as clients do at once: a flow whose
-// answer is not acknowledged still waits, for all that a balancer can see.
+// completeRequest processes the response to a request. It acknowledges the response at
+// once, as clients do: to a balancer, a flow whose response is not acknowledged still
+// seems to wait for one.
 func (flow *Flow) completeRequest(answer Packet, body string) (string, error) {
 	flow.lastReceived = answer
 	flow.seq += uint32(len(body))
@@ -160,16 +166,19 @@
 	return server, nil
 }
 
-// AwaitReset waits for a reset while the client sends nothing, and tells whether one came. A
-// back end only answers, so it is the system's own.
+// AwaitReset waits for a reset while the client sends nothing, and reports whether one
+// arrived. Back ends send packets only in response to others, so such a reset comes from
+// the system under test.
 func (flow *Flow) AwaitReset(within time.Duration) bool {
 	_, err := flow.await(within, func(Packet) bool { return false })
 	return errors.Is(err, ErrBroken)
 }
 
-// Close ends the flow.
+// Close sends a packet that ends the flow.
 func (flow *Flow) Close() { flow.send(FlagFIN|FlagACK, flow.lastReceived.nextSeq(), nil) }
 
+// await waits for a packet that matches, and fails with ErrBroken on a reset and with
+// ErrDeadline after the wait.
 func (flow *Flow) await(wait time.Duration, matches func(Packet) bool) (Packet, error) {
 	timeout := time.After(wait)
 	for {
@@ -188,6 +197,8 @@
 	}
 }
 
+// send sends a packet with the newest token to the balancer that the router picks. It
+// sends nothing if no balancer is in service.
 func (flow *Flow) send(flags byte, ack uint32, data []byte) {
 	packet := Packet{
 		Token: flow.lastReceived.Token, Flags: flags, Seq: flow.seq, Ack: ack, Data: data,
--- a/internal/standin/echonet/packet.go
+++ b/internal/standin/echonet/packet.go
@@ -1,7 +1,10 @@
-// Package echonet is the stand-in of a network whose packets carry a token that
-// both ends return: routers, back ends and clients, written from the users'
-// published pages. It does not use the adapter, so that a fault of the adapter
-// shows.
+// Package echonet simulates a network whose packets carry a token that both ends
+// return. It has routers, back ends and clients, and is written from the users'
+// published documentation. It does not use the adapter of the system under test, so
+// that faults of the adapter become visible.
+//
+// StartBackend and StartClient open the ends, a Router picks the balancer of each
+// packet, and Client.Open opens flows.
 package echonet
 
 import (
@@ -11,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The flags of a packet.
+// These are the flags of a packet.
 const (
 	FlagACK = 1
 	FlagFIN = 2
@@ -23,6 +26,7 @@
 
 // Packet is one packet of a flow.
 type Packet struct {
+	// Token is the token that both ends return.
 	Token           uint32
 	Source          [4]byte
 	SourcePort      uint16
@@ -31,13 +35,13 @@
 	Seq, Ack        uint32
 	Flags           byte
 	Data            []byte
-	// Checksum is what the packet carried; Valid tells whether it is right.
+	// Checksum is the checksum that the packet carried, or 0 for a reset made by the
+	// system under test itself. ChecksumValid reports whether it is correct.
 	Checksum      uint32
 	ChecksumValid bool
 }
 
-// Encode writes a packet with its keyed sum, or with none on a reset of the
-// system's own.
+// Encode returns the encoded packet with its keyed checksum.
 func (packet Packet) Encode(key uint64) []byte {
 	header := make([]byte, headerSize, headerSize+len(packet.Data))
 	binary.BigEndian.PutUint32(header[4:], packet.Token)
@@ -54,7 +58,8 @@
 	return encoded
 }
 
-// checksum covers everything but the sum itself, the echo and the pad.
+// checksum returns the keyed checksum of an encoded packet. It covers everything but
+// the checksum itself, the token and the padding.
 func checksum(encoded []byte, key uint64) uint32 {
 	digest := xxhash.NewWithSeed(key)
 	_, _ = digest.Write(encoded[8:29])
@@ -62,7 +67,8 @@
 	return uint32(digest.Sum64()) | 1
 }
 
-// Decode reads a packet and checks its sum.
+// Decode decodes a packet and checks its checksum. A wrong checksum is no error, but is
+// shown by ChecksumValid.
 func Decode(encoded []byte, key uint64) (Packet, error) {
 	if len(encoded) < headerSize || int(binary.BigEndian.Uint16(encoded[30:])) != len(encoded)-headerSize {
 		return Packet{}, errors.Newf("a packet of %d bytes has a wrong length", len(encoded))
@@ -83,7 +89,7 @@
 	return packet, nil
 }
 
-// reply turns a packet round, with the echo that it brought.
+// reply returns a packet in the opposite direction with the same token.
 func (packet Packet) reply(flags byte, seq, ack uint32, data []byte) Packet {
 	return Packet{
 		Token: packet.Token, Flags: flags, Seq: seq, Ack: ack, Data: data,
@@ -92,5 +98,6 @@
 	}
 }
 
-// nextSeq is the sequence number after a packet's data; a packet without data takes one.
+// nextSeq returns the sequence number after the packet's data. A packet without data
+// counts as one byte.
 func (packet Packet) nextSeq() uint32 { return packet.Seq + uint32(max(1, len(packet.Data))) }
--- a/internal/standin/echonet/work.go
+++ b/internal/standin/echonet/requests.go
@@ -6,65 +6,67 @@
 	"time"
 )
 
-// LoadModel is what a back end does at a time. Beyond that it sheds: it answers at once
-// that it has not run the request.
+// LoadModel describes how a back end processes requests. Requests beyond its capacity are
+// shed: the back end answers at once that it has not run them.
 type LoadModel struct {
-	// Slots are the requests at a time, Queue those that may wait; no slots is no
-	// bound.
+	// Slots is the number of requests that run concurrently, QueueLength the number
+	// that may wait. With 0 slots there is no limit.
 	Slots, QueueLength int
-	// ServiceTime is the time of a request.
+	// ServiceTime is the time that a request takes.
 	ServiceTime time.Duration
-	// MinimumResponseSize is the least length of an answer in bytes; one that sheds is shorter.
+	// MinimumResponseSize is the minimum size of a response in bytes. Responses that
+	// shed a request are shorter.
 	MinimumResponseSize int
 }
 
-// padding fills up an answer.
+// padding fills a response up to the minimum size.
 const padding = "\x00"
 
-// requestState is the requests of a back end.
+// requestState holds the state of a back end's requests.
 type requestState struct {
 	load LoadModel
-	// pending are the requests that run or wait, free the time from which on each
-	// slot is free.
+	// pending is the number of requests that run or wait, slotFreeAt the time from
+	// which each slot is free.
 	pending    int
 	slotFreeAt []time.Time
-	// latest is the latest request of each flow, runs the times that each ran.
+	// latest holds the latest request of each flow, executions how often each request
+	// ran, by its body.
 	latest     map[flowKey]*exchange
 	executions map[string]int
-	// openedPorts are the ports of the clients whose first packets were taken.
+	// openedPorts is the set of client ports from which flows were opened.
 	openedPorts map[uint16]bool
 }
 
-// exchange is a request and its answer, which is nil until it is known.
+// exchange is a request and its response, which is nil until the request has finished.
 type exchange struct {
 	seq      uint32
 	response []byte
 }
 
-// shedPrefix stands before the name of a back end that has not run a request.
+// shedPrefix precedes the name of the back end in a response that sheds the request.
 const shedPrefix = "shed:"
 
 func newRequestState() requestState {
 	return requestState{latest: make(map[flowKey]*exchange), executions: make(map[string]int), openedPorts: make(map[uint16]bool)}
 }
 
-// SetLoadModel bounds what the back end does at a time.
+// SetLoadModel sets how the back end processes requests. All slots are free afterwards.
 func (backend *Backend) SetLoadModel(load LoadModel) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	backend.requests.load, backend.requests.slotFreeAt = load, make([]time.Time, load.Slots)
 }
 
-// Executions returns how often each request has run, and the ports of the clients whose
-// first packets were taken.
+// Executions returns how often each request has run, by its body, and the set of client
+// ports from which flows were opened.
 func (backend *Backend) Executions() (executions map[string]int, openedPorts map[uint16]bool) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return maps.Clone(backend.requests.executions), maps.Clone(backend.requests.openedPorts)
 }
 
-// handleRequest takes a request or a copy of one. A copy of an older request comes after its
-// answer and is passed over.
+// handleRequest processes a request or a retransmission of one. A retransmission of a
+// request older than the latest arrives after its response, and is ignored.
 func (backend *Backend) handleRequest(key flowKey, packet Packet) {
 	latest, found := backend.requests.latest[key]
 	if found && int32(packet.Seq-latest.seq) < 0 {
@@ -75,11 +77,11 @@
 		backend.requests.latest[key] = latest
 		backend.startRequest(key, packet, latest)
 	}
-	// While there is no answer this is an acknowledgement.
+	// As long as there is no response, this is only an acknowledgement.
 	backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), latest.response))
 }
 
-// startRequest runs a request, lets it wait, or sheds it.
+// startRequest runs a request, queues it, or sheds it.
 func (backend *Backend) startRequest(key flowKey, packet Packet, started *exchange) {
 	load := backend.requests.load
 	response := append([]byte(backend.Pool+"/"+backend.ID+" "), packet.Data...)
@@ -107,7 +109,8 @@
 	})
 }
 
-// reserveSlot takes the slot that is free first and returns when its request will end.
+// reserveSlot reserves the slot that becomes free first, and returns the time until a
+// request in it will finish.
 func (backend *Backend) reserveSlot(now time.Time) time.Duration {
 	earliest := 0
 	for slot, freeAt := range backend.requests.slotFreeAt {
--- a/internal/standin/echonet/work_test.go
+++ b/internal/standin/echonet/requests_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// forwardPackets hands the packets of clients to a back end, as a balancer does.
+// forwardPackets forwards packets of clients from an address to a back end, as a balancer
+// does.
 func forwardPackets(t *testing.T, from, backend string) {
 	socket, err := listenWithRetry(netip.MustParseAddrPort(from))
 	require.NoError(t, err)
@@ -30,9 +31,9 @@
 	}()
 }
 
-// Of twelve requests at once a back end with two slots and a queue of four runs six,
-// one after the other in each slot, and tells the others at once that it has not
-// run them. No request is run twice, however long it waits.
+// Of twelve concurrent requests, a back end with two slots and a queue of four runs six, one
+// after the other in each slot, and sheds the others at once with a response that says so.
+// No request runs twice, however long it waits.
 func TestBackendShedsExcessRequests(t *testing.T) {
 	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.9.2:8080"), 8173, 1)
 	require.NoError(t, err)
@@ -80,7 +81,8 @@
 	}
 }
 
-// A copy of an older request that arrives after a newer one doesn't run again.
+// A retransmission of an older request that arrives after a newer request must not run the
+// older one again.
 func TestBackendIgnoresRetransmittedOlderRequests(t *testing.T) {
 	t.Parallel()
 	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
@@ -102,7 +104,8 @@
 	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, executions)
 }
 
-// An answer with bytes before its request's body isn't taken.
+// A response is accepted only if it repeats exactly the request's body, without bytes before
+// or after it.
 func TestClientAcceptsOnlyExactResponses(t *testing.T) {
 	t.Parallel()
 	from, to := netip.MustParseAddrPort("127.105.10.4:8173"), netip.MustParseAddrPort("198.18.0.1:443")
--- a/internal/standin/echonet/router.go
+++ b/internal/standin/echonet/router.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Balancer is a balancer as the routers see it.
+// Balancer is a balancer as the router sees it.
 type Balancer struct {
 	DataAddress      netip.AddrPort
 	ReadinessAddress string
@@ -18,9 +18,9 @@
 	inService        bool
 }
 
-// Router picks the balancer of each packet by a hash of its flow over the
-// balancers that are in, the one of the highest score, so that few flows move
-// when one comes or goes.
+// Router picks the balancer of each packet by rendezvous hashing of its flow: of the
+// balancers in service it picks the one with the highest score, so that few flows move
+// when a balancer is added or removed. It is safe for concurrent use.
 type Router struct {
 	mutex     sync.Mutex
 	balancers []*Balancer
@@ -31,14 +31,14 @@
 	maximumFailures   = 2
 )
 
-// Add puts a balancer on the list; it is in once it is ready.
+// Add adds a balancer, which is in service once its readiness probe succeeds.
 func (router *Router) Add(data netip.AddrPort, readiness string) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	router.balancers = append(router.balancers, &Balancer{DataAddress: data, ReadinessAddress: readiness})
 }
 
-// Run asks the balancers whether they are ready until the context ends.
+// Run probes the readiness of the balancers until the context ends.
 func (router *Router) Run(ctx context.Context) {
 	client := &http.Client{Timeout: readinessInterval}
 	ticker := time.NewTicker(readinessInterval / 5)
@@ -67,7 +67,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// recordProbe takes one answer; misses count only at the routers' pace.
+// recordProbe applies the result of a readiness probe. Probes run five times per
+// readiness interval, and failures count only once per interval.
 func (router *Router) recordProbe(balancer *Balancer, ready, countFailure bool) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// InService is the number of balancers that are in.
+// InService returns the number of balancers in service.
 func (router *Router) InService() int {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -96,7 +97,7 @@
 	return count
 }
 
-// Pick returns the balancer for a packet.
+// Pick returns the balancer for a packet, or false if none is in service.
 func (router *Router) Pick(packet Packet) (netip.AddrPort, bool) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,5 +1,9 @@
-// Package fabric is the stand-in of the network that sprays packets over the
-// balancers of its list, whatever flow they belong to.
+// Package fabric simulates the network in front of the balancers. It sends each
+// packet to a random balancer of its list, regardless of the flow to which the packet
+// belongs.
+//
+// New opens the fabric's UDP socket, SetNodes sets the list of balancers, and Run
+// forwards packets.
 package fabric
 
 import (
@@ -16,12 +20,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/tunnel"
 )
 
-// Fabric is the fabric.
+// Fabric is a simulated network. It is safe for concurrent use.
 type Fabric struct {
 	socket *net.UDPConn
-	nodes  atomic.Pointer[[]*net.UDPAddr]
+	// nodes is the list of the balancers' data addresses.
+	nodes atomic.Pointer[[]*net.UDPAddr]
 	// callerPrefix is the prefix of the callers' inner addresses.
-	callerPrefix     netip.Prefix
+	callerPrefix netip.Prefix
+	// forwardedPackets counts the packets sent to balancers.
 	forwardedPackets atomic.Uint64
 }
 
@@ -31,10 +37,11 @@
 	minimumPacketSize = 20
 )
 
-// CallerPrefix holds the inner addresses of all callers.
+// CallerPrefix is the prefix that contains the inner addresses of all callers.
 const CallerPrefix = "10.64.0.0/10"
 
-// New opens the fabric's socket.
+// New opens the fabric's socket at a UDP address. The list of balancers is empty at
+// first.
 func New(listen string) (*Fabric, error) {
 	local, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
@@ -64,7 +71,7 @@
 	return nil
 }
 
-// Run sprays until the context ends.
+// Run forwards packets until the context ends, and then closes the socket.
 func (fabric *Fabric) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = fabric.socket.Close() })
 	defer stop()
@@ -80,7 +87,9 @@
 	}
 }
 
-// target is the caller for packets from a balancer, else any balancer.
+// target returns where to send a packet: to the caller if the destination is a
+// caller's inner address, as for packets from a balancer, or else to a random balancer.
+// It returns nil if there is no address to send to.
 func (fabric *Fabric) target(datagram []byte) *net.UDPAddr {
 	destination := netip.AddrFrom4([4]byte(datagram[16:20]))
 	if fabric.callerPrefix.Contains(destination) {
@@ -94,7 +103,8 @@
 	return nodes[rand.IntN(len(nodes))]
 }
 
-// Handler returns the control endpoint: PUT /nodes with a list of addresses.
+// Handler returns the handler of the control endpoint, with PUT /nodes. The request
+// body is a JSON list of balancers' data addresses.
 func (fabric *Fabric) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /nodes", func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -1,5 +1,7 @@
-// Package machines is the stand-in of the platform's list of machines, which
-// lags behind the truth.
+// Package machines simulates the platform's list of machines, which readers see
+// with a fixed lag behind its actual state.
+//
+// New creates a list, Put changes it, and Handler serves it over HTTP.
 package machines
 
 import (
@@ -11,24 +13,25 @@
 	"github.com/indigobarrow/indigobarrow/internal/node"
 )
 
-// List is the list. It is safe for use by many goroutines.
+// List is a list of machines. It is safe for concurrent use.
 type List struct {
 	mutex   sync.Mutex
 	lag     time.Duration
 	history []snapshot
 }
 
+// snapshot is the list of machines by ID as it was from one change to the next.
 type snapshot struct {
 	at       time.Time
 	machines map[string]node.Machine
 }
 
-// New makes an empty list whose readers see it as it was a lag ago.
+// New returns an empty list. Readers see it as it was lag ago.
 func New(lag time.Duration) *List {
 	return &List{lag: lag, history: []snapshot{{machines: map[string]node.Machine{}}}}
 }
 
-// Put adds or changes a machine; a state of "gone" removes it.
+// Put adds or replaces a machine, or removes it if its state is "gone".
 func (list *List) Put(machine node.Machine) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -44,6 +47,7 @@
 	list.history = append(list.history, snapshot{at: time.Now(), machines: next})
 }
 
+// laggedList returns the machines as they were lag ago, and drops older snapshots.
 func (list *List) laggedList() []node.Machine {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -58,7 +62,7 @@
 	return machines
 }
 
-// Handler returns the HTTP handler: GET and PUT /v1/machines.
+// Handler returns the HTTP handler, with GET and PUT /v1/machines.
 func (list *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/machines", func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/metadata/metadata.go
+++ b/internal/standin/metadata/metadata.go
@@ -1,7 +1,11 @@
-// Package metadata is the stand-in of the platform's metadata store, written
-// from its published pages: keys under one rising revision, ranges in pages,
-// watches by long poll, transactions, leases, faults on command, and a drill in
-// which it comes back from a copy.
+// Package metadata simulates the platform's metadata store for tests and
+// demonstrations. It is written from the store's published documentation: keys
+// share one increasing revision, and the HTTP API has paged ranges, long-poll
+// watches, transactions and leases. Faults can be injected, and the store can be
+// restored from a backup.
+//
+// New creates a store, and Handler returns its HTTP API. Put and Remove write keys
+// as operators and back ends do.
 package metadata
 
 import (
@@ -18,22 +22,23 @@
 	"time"
 )
 
-// Faults are what can be switched on.
+// Faults lists the faults that can be injected into the store.
 type Faults struct {
-	// Unavailable answers every call with 503.
+	// Unavailable makes the store answer every call with status 503.
 	Unavailable bool
-	// Unresponsive never answers.
+	// Unresponsive makes the store leave every call without a response.
 	Unresponsive bool
-	// Throttled answers every call with 429.
+	// Throttled makes the store answer every call with status 429.
 	Throttled bool
-	// Delay holds back every answer.
+	// Delay is added to every call before it is processed.
 	Delay time.Duration
-	// WriteDelay holds back calls that write. They are done all the same, whether
-	// their caller waits or not.
+	// WriteDelay is added to every call that writes. The write takes effect
+	// whether or not its caller still waits for the response.
 	WriteDelay time.Duration
 }
 
-// Item is one key, or one event on it.
+// Item is one key with its value, or one event of a watch. Deleted marks the
+// removal of a key.
 type Item struct {
 	Key            string `json:"key"`
 	Value          []byte `json:"value,omitempty"`
@@ -43,27 +48,31 @@
 	Deleted        bool   `json:"gone,omitempty"`
 }
 
-// Server is the store. Its zero value is not usable; see New.
+// Server is a simulated metadata store. Its zero value is not usable; call New.
+// It is safe for concurrent use.
 type Server struct {
 	mutex    sync.Mutex
 	pageSize int
 	revision uint64
-	// compactRevision is the revision up to which history was dropped.
+	// compactRevision is the revision up to which the history has been dropped.
 	compactRevision uint64
 	items           map[string]Item
 	history         []Item
 	leaseDeadlines  map[uint64]time.Time
 	leaseTTLs       map[uint64]time.Duration
-	changed         chan struct{}
-	faults          Faults
-	// era is how often the store came back from a copy.
+	// changed is closed and replaced when watchers have to look again.
+	changed chan struct{}
+	faults  Faults
+	// era counts how often the store was restored from a backup.
 	era atomic.Uint64
-	// callerFaults are the faults for callers from one IP.
+	// callerFaults holds the faults by the caller's IP address.
 	callerFaults map[string]Faults
-	callCounts   map[string]int
+	// callCounts holds the number of calls by the first path segment after /api/.
+	callCounts map[string]int
 }
 
-// New makes an empty store whose ranges come in pages of a size.
+// New returns an empty store whose ranges are read in pages of at most pageSize
+// items.
 func New(pageSize int) *Server {
 	return &Server{
 		pageSize:       pageSize,
@@ -76,7 +85,7 @@
 	}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults injected into all calls.
 func (server *Server) SetFaults(faults Faults) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -84,20 +93,22 @@
 	server.notifyWatchers()
 }
 
-// SetCallerFaults switches faults on and off for the callers from an IP.
+// SetCallerFaults replaces the faults injected into calls from an IP address. They
+// take precedence over those for all callers.
 func (server *Server) SetCallerFaults(ip string, faults Faults) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.callerFaults[ip] = faults
 }
 
-// requestFaults returns the faults of a call: those for its caller before those for all.
+// requestFaults returns the faults for a request: those set for its caller, or else
+// those set for all callers. The mutex must be held.
 func (server *Server) requestFaults(request *http.Request) Faults {
 	ip, _, _ := net.SplitHostPort(request.RemoteAddr)
 	return cmp.Or(server.callerFaults[ip], server.faults)
 }
 
-// Calls returns the number of calls by path.
+// Calls returns the number of calls by the first path segment after /api/.
 func (server *Server) Calls() map[string]int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -108,7 +119,8 @@
 	return counts
 }
 
-// Put writes a key as an operator or a back end does.
+// Put writes a key without a lease, as an operator or a back end does, and returns
+// the new revision.
 func (server *Server) Put(key string, value []byte) uint64 {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -116,7 +128,7 @@
 	return server.revision
 }
 
-// HasValue tells whether a key has a value.
+// HasValue reports whether a key exists with this value.
 func (server *Server) HasValue(key string, value []byte) bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -124,14 +136,15 @@
 	return found && bytes.Equal(item.Value, value)
 }
 
-// Remove removes a key.
+// Remove removes a key, if it exists.
 func (server *Server) Remove(key string) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.remove(key)
 }
 
-// Compact drops the history.
+// Compact drops the history, so that watches after an earlier revision get status
+// 410.
 func (server *Server) Compact() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -160,12 +173,13 @@
 	server.notifyWatchers()
 }
 
+// notifyWatchers wakes all pending watches. The mutex must be held.
 func (server *Server) notifyWatchers() {
 	close(server.changed)
 	server.changed = make(chan struct{})
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the handler of the store's HTTP API.
 func (server *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/kv-key", server.withFaults(server.getKey))
@@ -178,7 +192,7 @@
 	return mux
 }
 
-// withFaults counts a call and applies the faults.
+// withFaults counts a call, expires leases and applies the injected faults.
 func (server *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(underlying http.ResponseWriter, request *http.Request) {
 		response := eraWriter{underlying, server}
--- a/internal/standin/metadata/drill.go
+++ b/internal/standin/metadata/restore.go
@@ -6,24 +6,25 @@
 	"strconv"
 )
 
-// eraHeader is the header that tells the store's era, in all answers.
+// eraHeader is the response header that carries the store's era. Every response
+// has it.
 const eraHeader = "Store-Era"
 
-// Backup is what the store held at a moment.
+// Backup holds the store's keys and revision at one point in time.
 type Backup struct {
 	revision uint64
 	items    map[string]Item
 }
 
-// Backup takes a copy of what the store holds.
+// Backup returns a copy of the store's current contents.
 func (server *Server) Backup() Backup {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return Backup{revision: server.revision, items: maps.Clone(server.items)}
 }
 
-// Restore puts the store back to a copy. What was written since is gone, and so are the
-// leases; revisions go back and are given out again, in another era.
+// Restore resets the store to a backup. Later writes and all leases are lost. The
+// revision goes back too, so that revisions are assigned again, in a new era.
 func (server *Server) Restore(backup Backup) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -35,11 +36,11 @@
 	server.notifyWatchers()
 }
 
-// Era returns the store's era.
+// Era returns the store's era, which each restore from a backup increments.
 func (server *Server) Era() uint64 { return server.era.Load() }
 
-// eraWriter tells the era in each answer, as of when the answer leaves if the handler
-// has not set it.
+// eraWriter adds the era to each response. It is the era at the time when the
+// response is written, unless the handler has set the header itself.
 type eraWriter struct {
 	http.ResponseWriter
 	server *Server
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,6 +1,8 @@
-// Package store is the stand-in of the platform's key-value service: keys with
-// versions, compare-and-swap, watches by long poll, leases, a rate limit, and
-// faults on command (outage, slow answers, answers lost after the write).
+// Package store simulates the platform's key-value service: versioned keys,
+// compare-and-swap, long-poll watches, leases and a rate limit. Faults can be injected:
+// outages, slow responses, and responses that are lost after the write.
+//
+// New creates a service, and Handler returns its HTTP API.
 package store
 
 import (
@@ -18,13 +20,14 @@
 	client "github.com/indigobarrow/indigobarrow/internal/store"
 )
 
-// Faults are what can be switched on.
+// Faults lists the faults that can be injected. Its JSON form is the body of
+// PUT /faults.
 type Faults struct {
-	// Outage answers everything with 503.
+	// Outage makes the service answer every request with status 503.
 	Outage bool `json:"outage"`
-	// DelayMilliseconds delays every answer.
+	// DelayMilliseconds is added to every request before it is processed.
 	DelayMilliseconds int `json:"slow_milliseconds"`
-	// LostResponses is the share of writes that take effect but answer 504.
+	// LostResponses is the fraction of writes that take effect but get status 504.
 	LostResponses float64 `json:"lost_answers"`
 }
 
@@ -39,19 +42,21 @@
 	expires time.Time
 }
 
-// Server is the service.
+// Server is a simulated key-value service. Its zero value is not usable; call New. It is
+// safe for concurrent use.
 type Server struct {
-	mutex   sync.Mutex
-	values  map[string]value
-	leases  map[string]*lease
+	mutex  sync.Mutex
+	values map[string]value
+	leases map[string]*lease
+	// changed is closed and replaced when watchers have to look again.
 	changed chan struct{}
 	faults  Faults
 	limiter *rate.Limiter
-	// Requests counts all requests.
+	// requests counts all requests for keys and leases, including rejected ones.
 	requests uint64
 }
 
-// New makes a service that takes so many requests a second.
+// New returns an empty service that accepts up to requestsPerSecond requests a second.
 func New(requestsPerSecond float64) *Server {
 	return &Server{
 		values:  make(map[string]value),
@@ -61,14 +66,16 @@
 	}
 }
 
-// SetFaults switches faults on or off.
+// SetFaults replaces the injected faults.
 func (server *Server) SetFaults(faults Faults) {
 	server.mutex.Lock()
 	server.faults = faults
 	server.mutex.Unlock()
 }
 
-// Handler returns the HTTP handler. Faults are set with PUT /faults.
+// Handler returns the handler of the service's HTTP API. Besides the API it has
+// PUT /faults, which sets the faults, and GET /requests, which returns the number of
+// requests.
 func (server *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/keys/{key}", server.withFaults(server.get))
@@ -90,6 +97,7 @@
 	return mux
 }
 
+// withFaults counts a request, and applies the injected faults and the rate limit.
 func (server *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		server.mutex.Lock()
@@ -110,7 +118,8 @@
 	}
 }
 
-// get answers a key, at once or when its version is above "after".
+// get returns the value of a key as soon as its version is above "after". It waits at
+// most "wait_ms" milliseconds for that.
 func (server *Server) get(writer http.ResponseWriter, request *http.Request) {
 	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(request.URL.Query().Get("wait_ms"))
@@ -142,6 +151,7 @@
 	}
 }
 
+// put writes a value if the key still has the expected version.
 func (server *Server) put(writer http.ResponseWriter, request *http.Request) {
 	expected, err := strconv.ParseUint(request.URL.Query().Get("expect"), 10, 64)
 	if err != nil {
@@ -168,7 +178,7 @@
 	}
 }
 
-// renewLease grants or renews a lease for ttl_ms.
+// renewLease grants or renews a lease for "ttl_ms" milliseconds.
 func (server *Server) renewLease(writer http.ResponseWriter, request *http.Request) {
 	ttl, err := strconv.Atoi(request.URL.Query().Get("ttl_ms"))
 	if err != nil {
@@ -181,7 +191,7 @@
 	server.leases[request.PathValue("lease")] = &lease{ttl: duration, expires: time.Now().Add(duration)}
 }
 
-// removeExpired removes values whose lease has lapsed. The mutex is held.
+// removeExpired removes the values whose lease has expired. The mutex must be held.
 func (server *Server) removeExpired() {
 	now := time.Now()
 	for key, stored := range server.values {
@@ -195,6 +205,7 @@
 	}
 }
 
+// notifyWatchers wakes all pending reads. The mutex must be held.
 func (server *Server) notifyWatchers() {
 	close(server.changed)
 	server.changed = make(chan struct{})
--- a/internal/standin/swallow/swallow.go
+++ b/internal/standin/swallow/swallow.go
@@ -1,7 +1,7 @@
-// Package swallow is a stand-in for a network that harms connections without a word: a TCP
-// proxy whose open connections can be made silent for good, in one direction or both, ended
-// or reset, while new ones work. What is sent on a silent connection is taken and forgotten,
-// and no end of it is told to the other side.
+// Package swallow provides a TCP proxy that simulates a network in which connections fail
+// without notice. The open connections can be blackholed permanently, in one direction or
+// both, closed or reset, while new connections work. Data sent on a blackholed connection
+// is read and discarded, and the close of one side is not passed on to the other.
 //
 // # Usage
 //
@@ -18,40 +18,42 @@
 	"time"
 )
 
-// Direction is a direction of a connection.
+// Direction is a direction of a proxied connection.
 type Direction int
 
-// The ways.
+// These are the directions.
 const (
-	// ToTarget is from the caller to the target, Back to the caller.
+	// ToTarget is the direction from the client to the target.
 	ToTarget Direction = iota
+	// ToClient is the direction from the target to the client.
 	ToClient
 )
 
-// Proxy forwards TCP connections to one address.
+// Proxy forwards TCP connections to one address. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 	dialer   net.Dialer
 	mutex    sync.Mutex
-	// connections are the connections ever taken.
+	// connections holds all connections that were ever forwarded.
 	connections []*connection
 	closed      bool
-	// delay holds back what passes, in nanoseconds.
+	// delay is added before each forwarded chunk of data, in nanoseconds.
 	delay atomic.Int64
 }
 
-// connection is a forwarded connection: that of the caller and that to the target.
+// connection is a forwarded connection. It consists of the connection from the client
+// and the one to the target.
 type connection struct {
 	ends       [2]net.Conn
 	blackholed [2]atomic.Bool
 }
 
-// Start forwards from a free port of 127.0.0.1 to a target.
+// Start returns a proxy that forwards from a free port of 127.0.0.1 to a target address.
 func Start(target string) (*Proxy, error) { return StartAt("127.0.0.1:0", target, "") }
 
-// StartAt forwards from an address to a target, which it calls from an IP of its own if one
-// is given.
+// StartAt returns a proxy that forwards from an address to a target address. It connects to
+// the target from localIP unless that is empty.
 func StartAt(address, target, localIP string) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -65,20 +67,21 @@
 	return proxy, nil
 }
 
-// Address is where the proxy takes connections.
+// Address returns the address at which the proxy accepts connections.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Accepted is how many connections were ever taken.
+// Accepted returns the number of connections that were ever forwarded.
 func (p *Proxy) Accepted() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.connections)
 }
 
-// Delay holds back what passes from now on.
+// Delay delays all data that is forwarded from now on.
 func (p *Proxy) Delay(delay time.Duration) { p.delay.Store(int64(delay)) }
 
-// Blackhole makes the connections silent that are open now, in some directions.
+// Blackhole discards all further data of the connections that are open now, in the given
+// directions.
 func (p *Proxy) Blackhole(directions ...Direction) {
 	p.forEach(func(forwarded *connection) {
 		for _, direction := range directions {
@@ -87,7 +90,7 @@
 	})
 }
 
-// CloseConnections ends the connections that are open now, on both sides.
+// CloseConnections closes the connections that are open now, on both sides.
 func (p *Proxy) CloseConnections() { p.forEach((*connection).close) }
 
 // ResetConnections resets the connections that are open now, on both sides.
@@ -100,7 +103,7 @@
 	})
 }
 
-// Close ends the proxy and resets its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mutex.Lock()
@@ -123,7 +126,7 @@
 	}
 }
 
-// add takes a connection, unless the proxy was closed meanwhile.
+// add registers a connection, or closes it if the proxy has been closed meanwhile.
 func (p *Proxy) add(forwarded *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -144,7 +147,7 @@
 	}
 }
 
-// connect forwards a connection, which is reset where the target takes none.
+// connect forwards a connection, and resets it if the target can't be reached.
 func (p *Proxy) connect(caller net.Conn) {
 	target, err := p.dialer.Dial("tcp4", p.target)
 	if err != nil {
@@ -158,8 +161,8 @@
 	go p.copyDirection(forwarded, ToClient)
 }
 
-// copyDirection copies one direction until an end closes, and then closes both. What a silent
-// connection brings is read and dropped, and its end is not passed on.
+// copyDirection copies data in one direction until one side closes, and then closes both
+// sides. Data in a blackholed direction is read and discarded, and a close is not passed on.
 func (p *Proxy) copyDirection(forwarded *connection, direction Direction) {
 	from, to := forwarded.ends[direction], forwarded.ends[1-direction]
 	buffer := make([]byte, 64<<10)
--- a/internal/standin/tunnel/tunnel.go
+++ b/internal/standin/tunnel/tunnel.go
@@ -1,6 +1,8 @@
-// Package tunnel is a TCP stack in user space (gVisor's) whose packets travel
-// as UDP datagrams, one IPv4 packet each. The stand-ins of callers and back
-// ends use it, so that what the balancers forward is real TCP.
+// Package tunnel provides a user-space TCP stack (gVisor's) whose packets are sent as
+// UDP datagrams, with one IPv4 packet in each. The simulated callers and back ends use
+// it, so that the balancers forward real TCP.
+//
+// New creates a stack, Run moves its packets, and Dial and Listen open connections.
 package tunnel
 
 import (
@@ -28,21 +30,24 @@
 	readSize     = 2048
 )
 
-// RouteFunc gives the UDP address for a packet to an inner address, or nil.
+// RouteFunc returns the UDP address to which packets for an inner address are sent,
+// or nil to drop them.
 type RouteFunc func(destination netip.Addr) *net.UDPAddr
 
-// Stack is one host with inner addresses and a UDP socket.
+// Stack is the TCP stack of one host, which has inner addresses and a UDP socket. It
+// is safe for concurrent use.
 type Stack struct {
 	stack          *stack.Stack
 	link           *channel.Endpoint
 	socket         *net.UDPConn
 	route          RouteFunc
 	localAddresses map[netip.Addr]bool
-	// misrouted counts packets to an inner address that is not the host's.
+	// misrouted counts packets to inner addresses of other hosts.
 	misrouted atomic.Uint64
 }
 
-// New makes a host with inner addresses behind a UDP listen address.
+// New returns the stack of a host that has the given inner addresses and receives
+// their packets at the UDP address listen. Call Run to start it.
 func New(listen string, addresses []string, route RouteFunc) (*Stack, error) {
 	local, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
@@ -72,7 +77,7 @@
 
 func (tunnel *Stack) configure(addresses []string) error {
 	if err := tunnel.stack.CreateNIC(interfaceID, tunnel.link); err != nil {
-		return errors.Newf("tunnel: interface: %s", err)
+		return errors.Newf("tunnel: create interface: %s", err)
 	}
 	for _, address := range addresses {
 		parsed, err := netip.ParseAddr(address)
@@ -92,7 +97,7 @@
 	return nil
 }
 
-// Run moves packets until the context ends.
+// Run sends and receives packets until the context ends, and then closes the stack.
 func (tunnel *Stack) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = tunnel.socket.Close() })
 	defer stop()
@@ -108,6 +113,8 @@
 	tunnel.stack.Close()
 }
 
+// receive passes an inbound IPv4 packet to the stack if it is for one of the host's
+// addresses.
 func (tunnel *Stack) receive(datagram []byte) {
 	if len(datagram) < header.IPv4MinimumSize {
 		return
@@ -122,6 +129,7 @@
 	packet.DecRef()
 }
 
+// sendLoop sends the stack's outbound packets until the context ends.
 func (tunnel *Stack) sendLoop(ctx context.Context) {
 	for {
 		packet := tunnel.link.ReadContext(ctx)
@@ -139,14 +147,15 @@
 	}
 }
 
-// MisroutedPackets returns the number of packets for inner addresses of others.
+// MisroutedPackets returns the number of packets received for inner addresses of
+// other hosts.
 func (tunnel *Stack) MisroutedPackets() uint64 { return tunnel.misrouted.Load() }
 
 func fullAddress(address netip.AddrPort) tcpip.FullAddress {
 	return tcpip.FullAddress{NIC: interfaceID, Addr: tcpip.AddrFrom4(address.Addr().As4()), Port: address.Port()}
 }
 
-// Listen listens for TCP on an inner address.
+// Listen listens for TCP connections on an inner address.
 func (tunnel *Stack) Listen(address netip.AddrPort) (net.Listener, error) {
 	listener, err := gonet.ListenTCP(tunnel.stack, fullAddress(address), ipv4.ProtocolNumber)
 	return listener, errors.Wrapf(err, "tunnel: listen on %s", address)
@@ -164,9 +173,9 @@
 // CallerPort is the UDP port of every caller's tunnel.
 const CallerPort = 6080
 
-// CallerAddress is where a caller's tunnel listens: the inner address
-// 10.a.b.c belongs to the loopback address 127.a.b.c. It returns nil for other
-// addresses.
+// CallerAddress returns the UDP address at which a caller's tunnel listens: the inner
+// address 10.a.b.c maps to the loopback address 127.a.b.c. It returns nil for inner
+// addresses outside 10.0.0.0/8.
 func CallerAddress(inner netip.Addr) *net.UDPAddr {
 	bytes := inner.As4()
 	if bytes[0] != 10 {
