--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -32,8 +32,8 @@
 	socket      *net.UDPConn
 	mutex       sync.Mutex
 	// flows holds the back end's initial sequence number of each open flow.
-	flows    map[flowKey]uint32
-	requests requestState
+	flows        map[flowKey]uint32
+	requestState requestState
 	// opened counts the flows that were opened, misrouted the packets for other
 	// back ends, unknownFlow the packets of flows that are not open here, and
 	// badChecksum the packets that are malformed or have a wrong checksum.
@@ -48,7 +48,7 @@
 		return nil, errors.Wrapf(err, "back end %s: listen on %s", id, address)
 	}
 	backend := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: key, socket: socket, flows: make(map[flowKey]uint32),
-		requests: newRequestState()}
+		requestState: newRequestState()}
 	if _, err := fmt.Sscanf(id, "i-%x", &backend.numericID); err != nil {
 		return nil, errors.Wrapf(err, "back end %s", id)
 	}
@@ -130,7 +130,7 @@
 			backend.opened++
 			seq = rand.Uint32()
 			backend.flows[key] = seq
-			backend.requests.openedPorts[packet.SourcePort] = true
+			backend.requestState.openedPorts[packet.SourcePort] = true
 		}
 		backend.send(packet.reply(FlagSYN|FlagACK, seq, packet.Seq+1, nil))
 	case !known:
@@ -138,7 +138,7 @@
 		backend.send(packet.reply(FlagRST, packet.Ack, 0, nil))
 	case packet.Flags&FlagFIN != 0:
 		delete(backend.flows, key)
-		delete(backend.requests.latest, key)
+		delete(backend.requestState.latest, key)
 	case len(packet.Data) > 0:
 		backend.handleRequest(key, packet)
 	}
--- a/internal/standin/echonet/requests.go
+++ b/internal/standin/echonet/requests.go
@@ -54,7 +54,7 @@
 func (backend *Backend) SetLoadModel(load LoadModel) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	backend.requests.load, backend.requests.slotFreeAt = load, make([]time.Time, load.Slots)
+	backend.requestState.load, backend.requestState.slotFreeAt = load, make([]time.Time, load.Slots)
 }
 
 // Executions returns how often each request has run, by its body, and the set of client
@@ -62,19 +62,19 @@
 func (backend *Backend) Executions() (executions map[string]int, openedPorts map[uint16]bool) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	return maps.Clone(backend.requests.executions), maps.Clone(backend.requests.openedPorts)
+	return maps.Clone(backend.requestState.executions), maps.Clone(backend.requestState.openedPorts)
 }
 
 // handleRequest processes a request or a retransmission of one. A retransmission of a
 // request older than the latest arrives after its response, and is ignored.
 func (backend *Backend) handleRequest(key flowKey, packet Packet) {
-	latest, found := backend.requests.latest[key]
+	latest, found := backend.requestState.latest[key]
 	if found && int32(packet.Seq-latest.seq) < 0 {
 		return
 	}
 	if !found || latest.seq != packet.Seq {
 		latest = &exchange{seq: packet.Seq}
-		backend.requests.latest[key] = latest
+		backend.requestState.latest[key] = latest
 		backend.startRequest(key, packet, latest)
 	}
 	// As long as there is no response, this is only an acknowledgement.
@@ -83,13 +83,13 @@
 
 // startRequest runs a request, queues it, or sheds it.
 func (backend *Backend) startRequest(key flowKey, packet Packet, started *exchange) {
-	load := backend.requests.load
+	load := backend.requestState.load
 	response := append([]byte(backend.Pool+"/"+backend.ID+" "), packet.Data...)
-	if load.Slots > 0 && backend.requests.pending >= load.Slots+load.QueueLength {
+	if load.Slots > 0 && backend.requestState.pending >= load.Slots+load.QueueLength {
 		started.response = append([]byte(shedPrefix), response...)
 		return
 	}
-	backend.requests.executions[string(packet.Data)]++
+	backend.requestState.executions[string(packet.Data)]++
 	if load.Slots == 0 {
 		started.response = response
 		return
@@ -97,11 +97,11 @@
 	if missing := load.MinimumResponseSize - len(response); missing > 0 {
 		response = append(response, strings.Repeat(padding, missing)...)
 	}
-	backend.requests.pending++
+	backend.requestState.pending++
 	time.AfterFunc(backend.reserveSlot(time.Now()), func() {
 		backend.mutex.Lock()
 		defer backend.mutex.Unlock()
-		backend.requests.pending--
+		backend.requestState.pending--
 		started.response = response
 		if _, known := backend.flows[key]; known {
 			backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), response))
@@ -113,15 +113,15 @@
 // request in it will finish.
 func (backend *Backend) reserveSlot(now time.Time) time.Duration {
 	earliest := 0
-	for slot, freeAt := range backend.requests.slotFreeAt {
-		if freeAt.Before(backend.requests.slotFreeAt[earliest]) {
+	for slot, freeAt := range backend.requestState.slotFreeAt {
+		if freeAt.Before(backend.requestState.slotFreeAt[earliest]) {
 			earliest = slot
 		}
 	}
-	start := backend.requests.slotFreeAt[earliest]
+	start := backend.requestState.slotFreeAt[earliest]
 	if start.Before(now) {
 		start = now
 	}
-	backend.requests.slotFreeAt[earliest] = start.Add(backend.requests.load.ServiceTime)
-	return backend.requests.slotFreeAt[earliest].Sub(now)
+	backend.requestState.slotFreeAt[earliest] = start.Add(backend.requestState.load.ServiceTime)
+	return backend.requestState.slotFreeAt[earliest].Sub(now)
 }
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -47,8 +47,8 @@
 	list.history = append(list.history, snapshot{at: time.Now(), machines: next})
 }
 
-// laggedList returns the machines as they were lag ago, and drops older snapshots.
-func (list *List) laggedList() []node.Machine {
+// lagged returns the machines as they were lag ago, and drops older snapshots.
+func (list *List) lagged() []node.Machine {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	cutoff := time.Now().Add(-list.lag)
@@ -67,7 +67,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/machines", func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(writer).Encode(list.laggedList())
+		_ = json.NewEncoder(writer).Encode(list.lagged())
 	})
 	mux.HandleFunc("PUT /v1/machines", func(writer http.ResponseWriter, request *http.Request) {
 		var machine node.Machine
