--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -244,12 +244,12 @@
 func (backend *Backend) Counts() Counts {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	runs := make(map[string]int, len(backend.executions))
+	executions := make(map[string]int, len(backend.executions))
 	for key, count := range backend.executions {
-		runs[key] = count
+		executions[key] = count
 	}
 	return Counts{
-		Executions:        runs,
+		Executions:        executions,
 		Served:            backend.served.Load(),
 		Shed:              backend.shed.Load(),
 		OpenedConnections: backend.openedConnections.Load(),
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -275,11 +275,11 @@
 func (caller *Caller) Counts() Counts {
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
-	counts := caller.counts
-	counts.NotRunKeys = append([]string(nil), counts.NotRunKeys...)
-	counts.CompletedKeys = append([]string(nil), counts.CompletedKeys...)
-	counts.UnknownOutcomeKeys = append([]string(nil), counts.UnknownOutcomeKeys...)
-	return counts
+	snapshot := caller.counts
+	snapshot.NotRunKeys = append([]string(nil), snapshot.NotRunKeys...)
+	snapshot.CompletedKeys = append([]string(nil), snapshot.CompletedKeys...)
+	snapshot.UnknownOutcomeKeys = append([]string(nil), snapshot.UnknownOutcomeKeys...)
+	return snapshot
 }
 
 // Handler returns the handler of the control endpoint, with GET /counts and
--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -42,12 +42,12 @@
 
 // StartBackend starts a back end at an address. The ID has the form "i-" and a
 // hexadecimal number. Packets carry a checksum under key.
-func StartBackend(id, pool string, address netip.AddrPort, clientPort uint16, key uint64) (*Backend, error) {
+func StartBackend(id, pool string, address netip.AddrPort, clientPort uint16, checksumKey uint64) (*Backend, error) {
 	socket, err := listenWithRetry(address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "back end %s: listen on %s", id, address)
 	}
-	backend := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: key, socket: socket, flows: make(map[flowKey]uint32),
+	backend := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: checksumKey, socket: socket, flows: make(map[flowKey]uint32),
 		requestState: newRequestState()}
 	if _, err := fmt.Sscanf(id, "i-%x", &backend.numericID); err != nil {
 		return nil, errors.Wrapf(err, "back end %s", id)
--- a/internal/standin/echonet/client.go
+++ b/internal/standin/echonet/client.go
@@ -35,12 +35,12 @@
 }
 
 // StartClient starts a client at an address. Packets carry a checksum under key.
-func StartClient(address netip.AddrPort, router *Router, key uint64) (*Client, error) {
+func StartClient(address netip.AddrPort, router *Router, checksumKey uint64) (*Client, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errors.Wrapf(err, "client: listen on %s", address)
 	}
-	client := &Client{address: address, checksumKey: key, router: router, socket: socket, flows: make(map[uint16]chan Packet), nextPort: 40000}
+	client := &Client{address: address, checksumKey: checksumKey, router: router, socket: socket, flows: make(map[uint16]chan Packet), nextPort: 40000}
 	go client.receiveLoop()
 	return client, nil
 }
@@ -124,9 +124,9 @@
 
 // TakeBalancers returns the balancers to which packets were sent since its last call.
 func (flow *Flow) TakeBalancers() []netip.AddrPort {
-	via := flow.balancers
+	balancers := flow.balancers
 	flow.balancers = nil
-	return via
+	return balancers
 }
 
 // Request sends one request and returns the back end that answered, as "pool/id".
--- a/internal/standin/echonet/requests.go
+++ b/internal/standin/echonet/requests.go
@@ -68,17 +68,17 @@
 // handleRequest processes a request or a retransmission of one. A retransmission of a
 // request older than the latest arrives after its response, and is ignored.
 func (backend *Backend) handleRequest(key flowKey, packet Packet) {
-	latest, found := backend.requestState.latest[key]
-	if found && int32(packet.Seq-latest.seq) < 0 {
+	current, found := backend.requestState.latest[key]
+	if found && int32(packet.Seq-current.seq) < 0 {
 		return
 	}
-	if !found || latest.seq != packet.Seq {
-		latest = &exchange{seq: packet.Seq}
-		backend.requestState.latest[key] = latest
-		backend.startRequest(key, packet, latest)
+	if !found || current.seq != packet.Seq {
+		current = &exchange{seq: packet.Seq}
+		backend.requestState.latest[key] = current
+		backend.startRequest(key, packet, current)
 	}
 	// As long as there is no response, this is only an acknowledgement.
-	backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), latest.response))
+	backend.send(packet.reply(FlagACK, packet.Ack, packet.Seq+uint32(len(packet.Data)), current.response))
 }
 
 // startRequest runs a request, queues it, or sheds it.
@@ -113,8 +113,8 @@
 // request in it will finish.
 func (backend *Backend) reserveSlot(now time.Time) time.Duration {
 	earliest := 0
-	for slot, freeAt := range backend.requestState.slotFreeAt {
-		if freeAt.Before(backend.requestState.slotFreeAt[earliest]) {
+	for slot, slotFreeAt := range backend.requestState.slotFreeAt {
+		if slotFreeAt.Before(backend.requestState.slotFreeAt[earliest]) {
 			earliest = slot
 		}
 	}
--- a/internal/standin/echonet/requests_test.go
+++ b/internal/standin/echonet/requests_test.go
@@ -88,18 +88,18 @@
 	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
 	require.NoError(t, err)
 	t.Cleanup(backend.Stop)
-	receive := func(flags byte, seq uint32, body string) {
+	handlePacket := func(flags byte, seq uint32, body string) {
 		packet := Packet{Flags: flags, Seq: seq, Source: [4]byte{127, 105, 10, 4}, SourcePort: 40001, Data: []byte(body)}
 		backend.handlePacket(append(make([]byte, numericIDSize), packet.Encode(1)...))
 	}
 	first := uint32(math.MaxUint32 - 1)
-	receive(FlagSYN, first-1, "")
-	receive(FlagACK, first, "page")
-	receive(FlagACK, first, "page")
-	receive(FlagACK, first+4, "next")
-	receive(FlagACK, first, "page")
-	receive(FlagACK, first+8, "last")
-	receive(FlagACK, first+4, "next")
+	handlePacket(FlagSYN, first-1, "")
+	handlePacket(FlagACK, first, "page")
+	handlePacket(FlagACK, first, "page")
+	handlePacket(FlagACK, first+4, "next")
+	handlePacket(FlagACK, first, "page")
+	handlePacket(FlagACK, first+8, "last")
+	handlePacket(FlagACK, first+4, "next")
 	executions, _ := backend.Executions()
 	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, executions)
 }
--- a/internal/standin/echonet/router.go
+++ b/internal/standin/echonet/router.go
@@ -45,10 +45,10 @@
 	defer ticker.Stop()
 	for rounds := 0; ; rounds++ {
 		router.mutex.Lock()
-		nodes := append([]*Balancer(nil), router.balancers...)
+		balancers := append([]*Balancer(nil), router.balancers...)
 		router.mutex.Unlock()
-		for _, node := range nodes {
-			router.recordProbe(node, isReady(client, node.ReadinessAddress), rounds%5 == 0)
+		for _, balancer := range balancers {
+			router.recordProbe(balancer, isReady(client, balancer.ReadinessAddress), rounds%5 == 0)
 		}
 		select {
 		case <-ctx.Done():
@@ -89,8 +89,8 @@
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	count := 0
-	for _, node := range router.balancers {
-		if node.inService {
+	for _, balancer := range router.balancers {
+		if balancer.inService {
 			count++
 		}
 	}
@@ -103,14 +103,14 @@
 	defer router.mutex.Unlock()
 	var best netip.AddrPort
 	var bestScore uint64
-	for _, node := range router.balancers {
-		if !node.inService {
+	for _, balancer := range router.balancers {
+		if !balancer.inService {
 			continue
 		}
 		hashInput := append(packet.Source[:], byte(packet.SourcePort>>8), byte(packet.SourcePort))
-		hashInput = append(hashInput, node.DataAddress.String()...)
+		hashInput = append(hashInput, balancer.DataAddress.String()...)
 		if score := xxhash.Sum64(hashInput); !best.IsValid() || score > bestScore {
-			best, bestScore = node.DataAddress, score
+			best, bestScore = balancer.DataAddress, score
 		}
 	}
 	return best, best.IsValid()
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -55,11 +55,11 @@
 	for len(list.history) > 1 && list.history[1].at.Before(cutoff) {
 		list.history = list.history[1:]
 	}
-	machines := make([]node.Machine, 0)
+	lagged := make([]node.Machine, 0)
 	for _, machine := range list.history[0].machines {
-		machines = append(machines, machine)
+		lagged = append(lagged, machine)
 	}
-	return machines
+	return lagged
 }
 
 // Handler returns the HTTP handler, with GET and PUT /v1/machines.
