--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -41,7 +41,7 @@
 }
 
 // StartBackend starts a back end at an address. The ID has the form "i-" and a
-// hexadecimal number. Packets carry a checksum under key.
+// hexadecimal number. Packets carry a checksum under checksumKey.
 func StartBackend(id, pool string, address netip.AddrPort, clientPort uint16, checksumKey uint64) (*Backend, error) {
 	socket, err := listenWithRetry(address)
 	if err != nil {
--- a/internal/standin/echonet/client.go
+++ b/internal/standin/echonet/client.go
@@ -34,7 +34,7 @@
 	nextPort    uint16
 }
 
-// StartClient starts a client at an address. Packets carry a checksum under key.
+// StartClient starts a client at an address. Packets carry a checksum under checksumKey.
 func StartClient(address netip.AddrPort, router *Router, checksumKey uint64) (*Client, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
