--- a/internal/standin/echonet/client.go
+++ b/internal/standin/echonet/client.go
@@ -57,8 +57,8 @@
 		}
 		packet, err := Decode(buffer[:size], client.checksumKey)
 		// A reset made by the system under test itself has no checksum.
-		ownReset := err == nil && packet.Flags == FlagRST && packet.Checksum == 0
-		if err != nil || !packet.ChecksumValid && !ownReset {
+		systemReset := err == nil && packet.Flags == FlagRST && packet.Checksum == 0
+		if err != nil || !packet.ChecksumValid && !systemReset {
 			continue
 		}
 		client.mutex.Lock()
@@ -75,7 +75,7 @@
 type Flow struct {
 	client *Client
 	inbox  chan Packet
-	// lastReceived is the last packet received, with the newest token.
+	// lastReceived is the last response, with the token of the newest packet.
 	lastReceived Packet
 	seq          uint32
 	target       netip.AddrPort
@@ -155,11 +155,11 @@
 // completeRequest processes the response to a request. It acknowledges the response at
 // once, as clients do: to a balancer, a flow whose response is not acknowledged still
 // seems to wait for one.
-func (flow *Flow) completeRequest(answer Packet, body string) (string, error) {
-	flow.lastReceived = answer
+func (flow *Flow) completeRequest(response Packet, body string) (string, error) {
+	flow.lastReceived = response
 	flow.seq += uint32(len(body))
-	flow.send(FlagACK, answer.nextSeq(), nil)
-	server, _, _ := strings.Cut(string(answer.Data), " ")
+	flow.send(FlagACK, response.nextSeq(), nil)
+	server, _, _ := strings.Cut(string(response.Data), " ")
 	if server, shed := strings.CutPrefix(server, shedPrefix); shed {
 		return server, ErrShed
 	}
@@ -205,10 +205,10 @@
 		Source: flow.client.address.Addr().As4(), SourcePort: flow.port,
 		Destination: flow.target.Addr().As4(), DestinationPort: flow.target.Port(),
 	}
-	if node, found := flow.client.router.Pick(packet); found {
-		if !slices.Contains(flow.balancers, node) {
-			flow.balancers = append(flow.balancers, node)
+	if balancer, found := flow.client.router.Pick(packet); found {
+		if !slices.Contains(flow.balancers, balancer) {
+			flow.balancers = append(flow.balancers, balancer)
 		}
-		_, _ = flow.client.socket.WriteToUDPAddrPort(packet.Encode(flow.client.checksumKey), node)
+		_, _ = flow.client.socket.WriteToUDPAddrPort(packet.Encode(flow.client.checksumKey), balancer)
 	}
 }
