--- a/internal/standin/echonet/backend.go
+++ b/internal/standin/echonet/backend.go
@@ -13,77 +13,85 @@
 	"github.com/cockroachdb/errors"
 )
 
-// flowKey is the client's end of a flow, as a back end keeps it.
+// flowKey identifies a flow at a back end by the client's address and port.
 type flowKey struct {
 	source [4]byte
 	port   uint16
 }
 
-// Backend is one run of a back end. It answers each request with its own id
-// and the request.
+// Backend is one run of a simulated back end. It answers each request with its own ID
+// and the request's body. It is safe for concurrent use.
 type Backend struct {
 	ID   string
 	Pool string
-	// clientPort is the port at which clients take packets.
-	clientPort   uint16
-	numericID    uint64
-	checksumKey  uint64
-	socket       *net.UDPConn
-	mutex        sync.Mutex
+	// clientPort is the port at which clients receive packets.
+	clientPort uint16
+	// numericID is the number in the ID.
+	numericID   uint64
+	checksumKey uint64
+	socket      *net.UDPConn
+	mutex       sync.Mutex
+	// flows holds the back end's initial sequence number of each open flow.
 	flows        map[flowKey]uint32
 	requestState requestState
-	// opened counts first packets taken, foreign those for other back ends,
-	// unknown packets of flows that it does not hold, and forged ones whose
-	// sum was wrong.
+	// opened counts the flows that were opened, misrouted the packets for other
+	// back ends, unknownFlow the packets of flows that are not open here, and
+	// badChecksum the packets that are malformed or have a wrong checksum.
 	opened, misrouted, unknownFlow, badChecksum int
 }
 
-// StartBackend opens a back end at an address.
-func StartBackend(id, pool string, address netip.AddrPort, clientPort uint16, key uint64) (*Backend, error) {
+// StartBackend starts a back end at an address. The ID has the form "i-" and a
+// hexadecimal number. Packets carry a checksum under checksumKey.
+func StartBackend(id, pool string, address netip.AddrPort, clientPort uint16, checksumKey uint64) (*Backend, error) {
 	socket, err := listenWithRetry(address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "back end %s: listen on %s", id, address)
 	}
-	made := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: key, socket: socket, flows: make(map[flowKey]uint32),
+	backend := &Backend{ID: id, Pool: pool, clientPort: clientPort, checksumKey: checksumKey, socket: socket, flows: make(map[flowKey]uint32),
 		requestState: newRequestState()}
-	if _, err := fmt.Sscanf(id, "i-%x", &made.numericID); err != nil {
+	if _, err := fmt.Sscanf(id, "i-%x", &backend.numericID); err != nil {
 		return nil, errors.Wrapf(err, "back end %s", id)
 	}
-	go made.receiveLoop()
-	return made, nil
+	go backend.receiveLoop()
+	return backend, nil
 }
 
 const (
-	// bindTimeout is for how long an address in use is tried again: a process that
-	// is just being started holds a copy of each socket of this one, those too
-	// that were closed meanwhile, until its program is loaded.
+	// bindTimeout is for how long binding to an address in use is retried. A child
+	// process that is being started inherits a copy of each socket of this process
+	// and holds it until its program is loaded, even if the socket was closed here
+	// meanwhile.
 	bindTimeout = time.Second
-	// bindRetryInterval is the pause between two tries.
+	// bindRetryInterval is the time between two attempts.
 	bindRetryInterval = 2 * time.Millisecond
 )
 
-// listenWithRetry opens a socket at an address, also when one there was closed just now.
+// listenWithRetry opens a UDP socket at an address. It retries for bindTimeout while the
+// address is in use, since a socket there may have been closed only just before.
 func listenWithRetry(address netip.AddrPort) (*net.UDPConn, error) {
-	for began := time.Now(); ; time.Sleep(bindRetryInterval) {
+	for start := time.Now(); ; time.Sleep(bindRetryInterval) {
 		socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > bindTimeout {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > bindTimeout {
 			return socket, err
 		}
 	}
 }
 
-// Stop ends the back end; it forgets its flows.
+// Stop closes the back end. Its flows are lost.
 func (backend *Backend) Stop() { _ = backend.socket.Close() }
 
-// Counts returns the packets that the back end has seen by kind.
-func (backend *Backend) Counts() (opened, foreign, unknown, forged int) {
+// Counts returns the number of flows opened, and of the packets for other back ends, for
+// unknown flows, and with a bad checksum or format.
+func (backend *Backend) Counts() (opened, misrouted, unknownFlow, badChecksum int) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return backend.opened, backend.misrouted, backend.unknownFlow, backend.badChecksum
 }
 
 const (
-	datagramSize  = 2048
+	datagramSize = 2048
+	// numericIDSize is the size of the back end's numeric ID, which precedes each
+	// packet from a balancer.
 	numericIDSize = 8
 )
 
@@ -100,10 +108,12 @@
 	}
 }
 
+// handlePacket processes a datagram from a balancer: the numeric ID of the back end for
+// which it is meant, or 0 for any, and the packet.
 func (backend *Backend) handlePacket(datagram []byte) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	if intended := binary.BigEndian.Uint64(datagram); intended != 0 && intended != backend.numericID {
+	if destination := binary.BigEndian.Uint64(datagram); destination != 0 && destination != backend.numericID {
 		backend.misrouted++
 		return
 	}
@@ -112,25 +122,25 @@
 		backend.badChecksum++
 		return
 	}
-	name := flowKey{source: packet.Source, port: packet.SourcePort}
-	seq, held := backend.flows[name]
+	key := flowKey{source: packet.Source, port: packet.SourcePort}
+	seq, known := backend.flows[key]
 	switch {
 	case packet.Flags&FlagSYN != 0:
-		if !held {
+		if !known {
 			backend.opened++
 			seq = rand.Uint32()
-			backend.flows[name] = seq
+			backend.flows[key] = seq
 			backend.requestState.openedPorts[packet.SourcePort] = true
 		}
 		backend.send(packet.reply(FlagSYN|FlagACK, seq, packet.Seq+1, nil))
-	case !held:
+	case !known:
 		backend.unknownFlow++
 		backend.send(packet.reply(FlagRST, packet.Ack, 0, nil))
 	case packet.Flags&FlagFIN != 0:
-		delete(backend.flows, name)
-		delete(backend.requestState.latest, name)
+		delete(backend.flows, key)
+		delete(backend.requestState.latest, key)
 	case len(packet.Data) > 0:
-		backend.handleRequest(name, packet)
+		backend.handleRequest(key, packet)
 	}
 }
 
--- a/internal/standin/echonet/backend_test.go
+++ b/internal/standin/echonet/backend_test.go
@@ -9,8 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An address is free once the back end there has stopped, also while other tests
-// start processes. TestBalancerAddressReuse failed once, beside a busy machine.
+// The address of a stopped back end can be reused at once, even while other tests start
+// processes. A child process holds copies of closed sockets until its program is loaded, so
+// that the address is still in use for a moment; TestBalancerAddressReuse can fail this way
+// on a busy machine.
 func TestAddressIsReusableAfterStop(t *testing.T) {
 	address := netip.MustParseAddrPort("127.105.9.1:8080")
 	var starting sync.WaitGroup
@@ -29,11 +31,11 @@
 	}
 	var failure error
 	for range 3000 {
-		made, err := StartBackend("i-a0", "lending", address, 8172, 1)
+		backend, err := StartBackend("i-a0", "lending", address, 8172, 1)
 		if failure = err; err != nil {
 			break
 		}
-		made.Stop()
+		backend.Stop()
 	}
 	close(done)
 	starting.Wait()
--- a/internal/standin/echonet/work_test.go
+++ b/internal/standin/echonet/requests_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// forwardPackets hands the packets of clients to a back end, as a balancer does.
+// forwardPackets forwards packets of clients from an address to a back end, as a balancer
+// does.
 func forwardPackets(t *testing.T, from, backend string) {
 	socket, err := listenWithRetry(netip.MustParseAddrPort(from))
 	require.NoError(t, err)
@@ -30,14 +31,14 @@
 	}()
 }
 
-// Of twelve requests at once a back end with two slots and a queue of four runs six,
-// one after the other in each slot, and tells the others at once that it has not
-// run them. No request is run twice, however long it waits.
+// Of twelve concurrent requests, a back end with two slots and a queue of four runs six, one
+// after the other in each slot, and sheds the others at once with a response that says so.
+// No request runs twice, however long it waits.
 func TestBackendShedsExcessRequests(t *testing.T) {
-	made, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.9.2:8080"), 8173, 1)
+	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.9.2:8080"), 8173, 1)
 	require.NoError(t, err)
-	t.Cleanup(made.Stop)
-	made.SetLoadModel(LoadModel{Slots: 2, QueueLength: 4, ServiceTime: 250 * time.Millisecond})
+	t.Cleanup(backend.Stop)
+	backend.SetLoadModel(LoadModel{Slots: 2, QueueLength: 4, ServiceTime: 250 * time.Millisecond})
 	forwardPackets(t, "127.105.9.3:8173", "127.105.9.2:8080")
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -55,54 +56,56 @@
 
 	bodies := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
 	outcomes := make([]error, len(bodies))
-	var asking sync.WaitGroup
-	began := time.Now()
+	var requests sync.WaitGroup
+	start := time.Now()
 	for index, body := range bodies {
 		flow, err := client.Open(netip.MustParseAddrPort("198.18.0.1:443"))
 		require.NoError(t, err)
-		asking.Go(func() {
+		requests.Go(func() {
 			server, err := flow.Request(body)
 			outcomes[index] = err
 			require.Equal(t, "lending/i-a1", server)
 		})
 	}
-	asking.Wait()
-	require.Greater(t, time.Since(began), 700*time.Millisecond)
-	runs, _ := made.Executions()
-	require.Len(t, runs, 6)
+	requests.Wait()
+	require.Greater(t, time.Since(start), 700*time.Millisecond)
+	executions, _ := backend.Executions()
+	require.Len(t, executions, 6)
 	for index, body := range bodies {
 		if outcomes[index] == nil {
-			require.Equal(t, 1, runs[body])
+			require.Equal(t, 1, executions[body])
 			continue
 		}
 		require.ErrorIs(t, outcomes[index], ErrShed)
-		require.Zero(t, runs[body])
+		require.Zero(t, executions[body])
 	}
 }
 
-// A copy of an older request that arrives after a newer one doesn't run again.
+// A retransmission of an older request that arrives after a newer request must not run the
+// older one again.
 func TestBackendIgnoresRetransmittedOlderRequests(t *testing.T) {
 	t.Parallel()
-	made, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
+	backend, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
 	require.NoError(t, err)
-	t.Cleanup(made.Stop)
-	take := func(flags byte, seq uint32, body string) {
+	t.Cleanup(backend.Stop)
+	handlePacket := func(flags byte, seq uint32, body string) {
 		packet := Packet{Flags: flags, Seq: seq, Source: [4]byte{127, 105, 10, 4}, SourcePort: 40001, Data: []byte(body)}
-		made.handlePacket(append(make([]byte, numericIDSize), packet.Encode(1)...))
+		backend.handlePacket(append(make([]byte, numericIDSize), packet.Encode(1)...))
 	}
 	first := uint32(math.MaxUint32 - 1)
-	take(FlagSYN, first-1, "")
-	take(FlagACK, first, "page")
-	take(FlagACK, first, "page")
-	take(FlagACK, first+4, "next")
-	take(FlagACK, first, "page")
-	take(FlagACK, first+8, "last")
-	take(FlagACK, first+4, "next")
-	runs, _ := made.Executions()
-	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, runs)
+	handlePacket(FlagSYN, first-1, "")
+	handlePacket(FlagACK, first, "page")
+	handlePacket(FlagACK, first, "page")
+	handlePacket(FlagACK, first+4, "next")
+	handlePacket(FlagACK, first, "page")
+	handlePacket(FlagACK, first+8, "last")
+	handlePacket(FlagACK, first+4, "next")
+	executions, _ := backend.Executions()
+	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, executions)
 }
 
-// An answer with bytes before its request's body isn't taken.
+// A response is accepted only if it repeats exactly the request's body, without bytes before
+// or after it.
 func TestClientAcceptsOnlyExactResponses(t *testing.T) {
 	t.Parallel()
 	from, to := netip.MustParseAddrPort("127.105.10.4:8173"), netip.MustParseAddrPort("198.18.0.1:443")
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -1,5 +1,7 @@
-// Package machines is the stand-in of the platform's list of machines, which
-// lags behind the truth.
+// Package machines simulates the platform's list of machines, which readers see
+// with a fixed lag behind its actual state.
+//
+// New creates a list, Put changes it, and Handler serves it over HTTP.
 package machines
 
 import (
@@ -11,30 +13,31 @@
 	"github.com/indigobarrow/indigobarrow/internal/node"
 )
 
-// List is the list. It is safe for use by many goroutines.
+// List is a list of machines. It is safe for concurrent use.
 type List struct {
 	mutex   sync.Mutex
 	lag     time.Duration
 	history []snapshot
 }
 
+// snapshot is the list of machines by ID as it was from one change to the next.
 type snapshot struct {
 	at       time.Time
 	machines map[string]node.Machine
 }
 
-// New makes an empty list whose readers see it as it was a lag ago.
+// New returns an empty list. Readers see it as it was lag ago.
 func New(lag time.Duration) *List {
 	return &List{lag: lag, history: []snapshot{{machines: map[string]node.Machine{}}}}
 }
 
-// Put adds or changes a machine; a state of "gone" removes it.
+// Put adds or replaces a machine, or removes it if its state is "gone".
 func (list *List) Put(machine node.Machine) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	next := make(map[string]node.Machine)
-	for id, known := range list.history[len(list.history)-1].machines {
-		next[id] = known
+	for id, existing := range list.history[len(list.history)-1].machines {
+		next[id] = existing
 	}
 	if machine.State == "gone" {
 		delete(next, machine.ID)
@@ -44,21 +47,22 @@
 	list.history = append(list.history, snapshot{at: time.Now(), machines: next})
 }
 
+// lagged returns the machines as they were lag ago, and drops older snapshots.
 func (list *List) lagged() []node.Machine {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	since := time.Now().Add(-list.lag)
-	for len(list.history) > 1 && list.history[1].at.Before(since) {
+	cutoff := time.Now().Add(-list.lag)
+	for len(list.history) > 1 && list.history[1].at.Before(cutoff) {
 		list.history = list.history[1:]
 	}
-	seen := make([]node.Machine, 0)
+	lagged := make([]node.Machine, 0)
 	for _, machine := range list.history[0].machines {
-		seen = append(seen, machine)
+		lagged = append(lagged, machine)
 	}
-	return seen
+	return lagged
 }
 
-// Handler returns the HTTP handler: GET and PUT /v1/machines.
+// Handler returns the HTTP handler, with GET and PUT /v1/machines.
 func (list *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/machines", func(writer http.ResponseWriter, _ *http.Request) {
