--- a/test/e2e/proxy_test.go
+++ b/test/e2e/proxy_test.go
@@ -33,7 +33,7 @@
 				return
 			}
 			go func() {
-				_, _ = io.Copy(accepted, io.TeeReader(accepted, teller(heard)))
+				_, _ = io.Copy(accepted, io.TeeReader(accepted, byteWriter(heard)))
 			}()
 		}
 	}()
@@ -74,10 +74,10 @@
 	require.ErrorContains(t, echo(second), "reset")
 }
 
-// teller passes on each byte that is written to it.
-type teller chan<- byte
+// byteWriter passes on each byte that is written to it.
+type byteWriter chan<- byte
 
-func (told teller) Write(content []byte) (int, error) {
+func (told byteWriter) Write(content []byte) (int, error) {
 	for _, one := range content {
 		told <- one
 	}
