--- a/test/e2e/checker_histories_test.go
+++ b/test/e2e/checker_histories_test.go
@@ -57,13 +57,13 @@
 	require.Len(t, drained.check(), 1, "drain")
 	drained.attempts[0].at = second(13.5)
 	require.Len(t, drained.check(), 1)
-	drained.silences = []silence{{at: second(9.9), balancer: 2}}
+	drained.blackholes = []blackhole{{at: second(9.9), balancer: 2}}
 	require.Len(t, drained.check(), 1, "another balancer's connections had just gone silent")
 	drained.attempts[0].via = []int{2}
 	require.Empty(t, drained.check(), "connections had just gone silent")
 	drained.attempts[0].at = second(14.1)
 	require.Len(t, drained.check(), 1, "connections had gone silent, but longer ago")
-	drained.silences, drained.attempts[0].via = nil, nil
+	drained.blackholes, drained.attempts[0].via = nil, nil
 	drained.disturbances = []disturbance{{span: span{from: second(9), until: second(10.5)}, balancers: []int{2}}}
 	require.Len(t, drained.check(), 1, "another balancer was down just before")
 	drained.attempts[0].via = []int{1, 2}
@@ -87,7 +87,7 @@
 	moved.pools["lending"] = append(moved.pools["lending"], poolSpan{pool: "covers", span: span{from: second(10)}})
 	moved.pools["lending"][0].until = second(10)
 	require.Len(t, moved.check(), 1, "configuration")
-	moved.silences = []silence{{at: second(9.9), balancer: 2}}
+	moved.blackholes = []blackhole{{at: second(9.9), balancer: 2}}
 	require.Len(t, moved.check(), 1, "another balancer's connections had just gone silent")
 	moved.attempts[0].via = []int{1, 2}
 	require.Empty(t, moved.check(), "connections had just gone silent")
--- a/test/e2e/checker_test.go
+++ b/test/e2e/checker_test.go
@@ -16,9 +16,9 @@
 	settleTime = 4 * time.Second
 	// latencyBound is how long a request may take in calm.
 	latencyBound = time.Second
-	// silenceSlack is how much later news may come where connections have just gone
+	// blackholeSlack is how much later news may come where connections have just gone
 	// silent, which only time shows: new ones work, so it excuses nothing else.
-	silenceSlack = time.Second
+	blackholeSlack = time.Second
 	// burstRecoveryBound is after how long all are served as before a burst.
 	burstRecoveryBound = 2 * time.Second
 	// crashRecoveryBound is for how long the death of a back end may cost new flows.
--- a/test/e2e/history_test.go
+++ b/test/e2e/history_test.go
@@ -49,8 +49,8 @@
 	crashed map[string]bool
 	// disturbances are the spans of faults of the store or of balancers.
 	disturbances []disturbance
-	// silences are when open connections of balancers went silent.
-	silences []silence
+	// blackholes are when open connections of balancers went silent.
+	blackholes []blackhole
 	// bursts are when more was asked of some routes than their back ends can do.
 	bursts           []span
 	overloadedRoutes map[string]bool
@@ -70,9 +70,9 @@
 	balancers []int
 }
 
-// silence is when the open connections to the store of a balancer, or to it of the
+// blackhole is when the open connections to the store of a balancer, or to it of the
 // others, went silent.
-type silence struct {
+type blackhole struct {
 	at       time.Time
 	balancer int
 }
@@ -105,11 +105,11 @@
 // allowedDelay is how much later news may come at an attempt: that via the balancer whose
 // connections have gone silent.
 func (history *history) allowedDelay(attempt attempt) time.Duration {
-	silent := func(silence silence) bool {
-		return slices.Contains(attempt.via, silence.balancer) && silence.at.Before(attempt.at) && attempt.at.Sub(silence.at) < settleTime+silenceSlack
+	silent := func(silence blackhole) bool {
+		return slices.Contains(attempt.via, silence.balancer) && silence.at.Before(attempt.at) && attempt.at.Sub(silence.at) < settleTime+blackholeSlack
 	}
-	if slices.ContainsFunc(history.silences, silent) {
-		return silenceSlack
+	if slices.ContainsFunc(history.blackholes, silent) {
+		return blackholeSlack
 	}
 	return 0
 }
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -6,13 +6,13 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// silenceLinks lets the open connections to the store of a balancer, or to it of the
+// blackholeLinks lets the open connections to the store of a balancer, or to it of the
 // others, carry nothing more.
-func (soak *soak) silenceLinks(proxies []*swallow.Proxy, place int, ways ...swallow.Way) {
+func (soak *soak) blackholeLinks(proxies []*swallow.Proxy, place int, ways ...swallow.Way) {
 	proxies[place].Silence(ways...)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	soak.history.silences = append(soak.history.silences, silence{at: time.Now(), balancer: place})
+	soak.history.blackholes = append(soak.history.blackholes, blackhole{at: time.Now(), balancer: place})
 }
 
 func (soak *soak) resetLinks(proxies []*swallow.Proxy, place int) {
