--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -166,9 +166,9 @@
 
 // startBalancerAt starts a balancer that calls the store at an address.
 func (site *site) startBalancerAt(zone, store string, arguments ...string) *process {
-	site.startCount++
-	name := fmt.Sprintf("edge-%s-%d", zone, site.startCount)
-	host := site.ip(1, site.startCount)
+	site.started++
+	name := fmt.Sprintf("edge-%s-%d", zone, site.started)
+	host := site.ip(1, site.started)
 	peer := host + ":8166"
 	if len(site.seeds) < 3 {
 		site.seeds = append(site.seeds, peer)
--- a/test/e2e/checker_histories_test.go
+++ b/test/e2e/checker_histories_test.go
@@ -7,29 +7,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// historyBuilder makes up histories.
-type historyBuilder struct {
+// builder makes up histories.
+type builder struct {
 	start time.Time
 }
 
-func newHistoryBuilder() historyBuilder { return historyBuilder{start: time.Now()} }
+func newHistoryBuilder() builder { return builder{start: time.Now()} }
 
 // timeAt is the time some seconds after the start.
-func (story historyBuilder) timeAt(number float64) time.Time {
+func (story builder) timeAt(number float64) time.Time {
 	return story.start.Add(time.Duration(number * float64(time.Second)))
 }
 
 // answeredOpening is a flow's opening that was answered soon.
-func (story historyBuilder) answeredOpening(at float64, server string) attempt {
+func (story builder) answeredOpening(at float64, server string) attempt {
 	return attempt{route: "lending", isOpening: true, at: story.timeAt(at), ended: story.timeAt(at + 0.1), server: server}
 }
 
 // laterRequest is a request on an open flow of lending/i-1.
-func (story historyBuilder) laterRequest(result outcome, server string) attempt {
+func (story builder) laterRequest(result outcome, server string) attempt {
 	return attempt{route: "lending", at: story.timeAt(20), ended: story.timeAt(20.1), result: result, previousServer: "lending/i-1", server: server}
 }
 
-func (story historyBuilder) build(attempts ...attempt) *history {
+func (story builder) build(attempts ...attempt) *history {
 	return &history{
 		attempts: attempts,
 		pools:    map[string][]poolSpan{"lending": {{pool: "lending", span: span{from: story.start}}}},
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -47,7 +47,7 @@
 	allProcesses []*process
 	nodes        map[string]*process
 	nodeIDs      []string
-	startCount   int
+	started      int
 	// stoppedCounts are the last counts of back ends that were stopped, by address.
 	stoppedCounts map[string]backend.Counts
 }
@@ -114,9 +114,9 @@
 // startNode starts a node from a settings file and puts it on the fabric's
 // list and the platform's.
 func (cluster *cluster) startNode(zone string) string {
-	cluster.startCount++
-	id := fmt.Sprintf("%s-%d", zone, cluster.startCount)
-	host := cluster.ip(1, cluster.startCount)
+	cluster.started++
+	id := fmt.Sprintf("%s-%d", zone, cluster.started)
+	host := cluster.ip(1, cluster.started)
 	var seeds []string
 	for place, other := range cluster.nodeIDs {
 		if place < 3 {
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -84,16 +84,16 @@
 		"store-throttles-some": zoneStoreFaultStep(metadata.Faults{Throttled: true}),
 
 		"store-link-silent": func(soak *soak, next event) {
-			soak.blackholeLinks(soak.storeProxies, next.balancer, swallow.There, swallow.Back)
+			soak.blackhole(soak.storeProxies, next.balancer, swallow.There, swallow.Back)
 		},
-		"store-link-deaf":  func(soak *soak, next event) { soak.blackholeLinks(soak.storeProxies, next.balancer, swallow.Back) },
-		"store-link-mute":  func(soak *soak, next event) { soak.blackholeLinks(soak.storeProxies, next.balancer, swallow.There) },
+		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.Back) },
+		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.There) },
 		"store-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.storeProxies, next.balancer) },
 		"peer-link-silent": func(soak *soak, next event) {
-			soak.blackholeLinks(soak.peerProxies, next.balancer, swallow.There, swallow.Back)
+			soak.blackhole(soak.peerProxies, next.balancer, swallow.There, swallow.Back)
 		},
-		"peer-link-deaf":  func(soak *soak, next event) { soak.blackholeLinks(soak.peerProxies, next.balancer, swallow.Back) },
-		"peer-link-mute":  func(soak *soak, next event) { soak.blackholeLinks(soak.peerProxies, next.balancer, swallow.There) },
+		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.Back) },
+		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.There) },
 		"peer-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.peerProxies, next.balancer) },
 		"peer-link-slow":  func(soak *soak, next event) { soak.delayLinks(next.balancer, next.duration) },
 
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -6,9 +6,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// blackholeLinks lets the open connections to the store of a balancer, or to it of the
+// blackhole lets the open connections to the store of a balancer, or to it of the
 // others, carry nothing more.
-func (soak *soak) blackholeLinks(proxies []*swallow.Proxy, place int, ways ...swallow.Way) {
+func (soak *soak) blackhole(proxies []*swallow.Proxy, place int, ways ...swallow.Way) {
 	proxies[place].Silence(ways...)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
--- a/test/e2e/operators_test.go
+++ b/test/e2e/operators_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runCommand runs the operators' command against the cluster and returns what it
+// command runs the operators' command against the cluster and returns what it
 // printed and its exit code.
-func (cluster *cluster) runCommand(arguments ...string) (string, int) {
+func (cluster *cluster) command(arguments ...string) (string, int) {
 	command := exec.Command(binary(cluster.t, "indigobarrow"), arguments...)
 	command.Env = append(os.Environ(), "INDIGOBARROW_NODE="+cluster.host(cluster.nodeIDs[0])+":6070")
 	output, err := command.CombinedOutput()
@@ -36,7 +36,7 @@
 	cluster.startCallers(4, 400)
 	expect := func(code int, want string, arguments ...string) string {
 		t.Helper()
-		output, got := cluster.runCommand(arguments...)
+		output, got := cluster.command(arguments...)
 		require.Equal(t, code, got, "%v: %s", arguments, output)
 		require.Contains(t, output, want)
 		return output
@@ -72,7 +72,7 @@
 	token := expect(0, "token ", "token", "create", "root", "--role", "administrator")
 	require.Contains(t, token, "only its hash")
 	require.Eventually(t, func() bool {
-		_, code := cluster.runCommand("drain", "lending/lending-1")
+		_, code := cluster.command("drain", "lending/lending-1")
 		return code == 2
 	}, 5*time.Second, 100*time.Millisecond, "without a token nothing may be changed any more")
 	cluster.verify(cluster.finishCallers())
