--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -28,8 +28,9 @@
 	entryInterval = 200 * time.Millisecond
 )
 
-// site is a small deployment of the users' platform: balancers as processes,
-// everything else in this one, on loopback addresses of its own.
+// site is a small deployment of the platform that the balancers run on. The balancers are
+// separate processes; store, router, clients and back ends run in the test's process. Each
+// site has a loopback network of its own.
 type site struct {
 	*cluster
 	store    *metadata.Server
@@ -41,15 +42,15 @@
 	backends map[string]*siteBackend
 	version  int
 	seeds    []string
-	// skipUnchanged is set where a back end that writes its entry as it was changes nothing in the
-	// store, so that revisions rise by what changes alone.
+	// skipUnchanged makes a back end skip writing an entry that equals the stored one, so
+	// that only changes raise the store's revision.
 	skipUnchanged bool
-	// configuration is the one that operators wrote last, and copies are those of the store.
+	// configuration is the last one that operators wrote.
 	configuration []byte
 	backups       backups
 }
 
-// siteBackend is a back end and its entry in the store.
+// siteBackend is a back end and what its entry in the store shows.
 type siteBackend struct {
 	*echonet.Backend
 	address           netip.AddrPort
@@ -62,26 +63,27 @@
 func newSite(t *testing.T, number int) *site {
 	base := &cluster{t: t, number: number, dir: t.TempDir(), nodes: make(map[string]*process)}
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &site{cluster: base, store: metadata.New(500), router: &echonet.Router{}, ctx: ctx, cancel: cancel,
+	created := &site{cluster: base, store: metadata.New(500), router: &echonet.Router{}, ctx: ctx, cancel: cancel,
 		backends: make(map[string]*siteBackend)}
 	t.Cleanup(func() {
 		cancel()
 		base.stop()
 	})
-	server := &http.Server{Addr: base.ip(0, 1) + ":8169", Handler: made.store.Handler(), ReadHeaderTimeout: time.Second}
+	server := &http.Server{Addr: base.ip(0, 1) + ":8169", Handler: created.store.Handler(), ReadHeaderTimeout: time.Second}
 	go func() { _ = server.ListenAndServe() }()
 	t.Cleanup(func() { _ = server.Close() })
-	go made.router.Run(ctx)
-	go made.writeEntries()
-	go made.takeBackups()
+	go created.router.Run(ctx)
+	go created.writeEntries()
+	go created.takeBackups()
 	var err error
-	made.client, err = echonet.StartClient(netip.MustParseAddrPort(base.ip(3, 1)+fmt.Sprintf(":%d", clientPort)), made.router, checksumKey)
+	created.client, err = echonet.StartClient(netip.MustParseAddrPort(base.ip(3, 1)+fmt.Sprintf(":%d", clientPort)), created.router, checksumKey)
 	require.NoError(t, err)
-	t.Cleanup(made.client.Stop)
-	return made
+	t.Cleanup(created.client.Stop)
+	return created
 }
 
-// writeEntries writes the entries of the back ends, as they do themselves.
+// writeEntries writes the entries of the back ends periodically, as real back ends do
+// themselves.
 func (site *site) writeEntries() {
 	for seq := 0; site.ctx.Err() == nil; seq++ {
 		site.mutex.Lock()
@@ -127,7 +129,7 @@
 	site.writeEntry(id, 1)
 }
 
-// removeEntry takes a back end's entry away; the back end serves on.
+// removeEntry removes the entry of a back end, which keeps serving.
 func (site *site) removeEntry(id string) {
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
@@ -135,8 +137,8 @@
 	site.store.Remove("servers/" + id)
 }
 
-// configure writes a configuration. Each route is "name host port pool", and its
-// priority and the target of its latency in milliseconds where those matter.
+// configure writes a configuration. Each route has the form "name host port pool",
+// optionally followed by its priority and its latency target in milliseconds.
 func (site *site) configure(routes ...string) {
 	site.version += 2
 	var rows []map[string]any
@@ -164,7 +166,7 @@
 	return site.startBalancerAt(zone, site.ip(0, 1)+":8169")
 }
 
-// startBalancerAt starts a balancer that calls the store at an address.
+// startBalancerAt starts a balancer that reaches the store at the given address.
 func (site *site) startBalancerAt(zone, store string, arguments ...string) *process {
 	site.started++
 	name := fmt.Sprintf("edge-%s-%d", zone, site.started)
@@ -183,21 +185,21 @@
 	return started
 }
 
-// restart starts a balancer that was killed again, as it was.
+// restart starts a terminated balancer again with the same arguments.
 func (site *site) restart(killed *process) *process {
 	return site.start(killed.name, "balancer", killed.command.Args[1:]...)
 }
 
 func (site *site) waitReady(count int) {
 	require.Eventually(site.t, func() bool { return site.router.In() == count }, 20*time.Second, 20*time.Millisecond,
-		"balancers in")
+		"balancers in service")
 }
 
 func (site *site) target(host string, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr(host), port)
 }
 
-// openFlows opens flows and returns them with the back end of each.
+// openFlows opens count flows and returns them with the back end that answered each.
 func (site *site) openFlows(target netip.AddrPort, count int) ([]*echonet.Flow, []string) {
 	var flows []*echonet.Flow
 	var servers []string
@@ -211,7 +213,8 @@
 	return flows, servers
 }
 
-// requireSameBackend asks on each flow and requires the back end that it had.
+// requireSameBackend sends a request on each flow and requires that the back end that
+// had answered before answers it.
 func (site *site) requireSameBackend(flows []*echonet.Flow, servers []string) {
 	for index, flow := range flows {
 		server, err := flow.Request(fmt.Sprintf("again-%d-%d", index, time.Now().UnixNano()))
@@ -225,7 +228,7 @@
 	coversRoute  = "r-covers 198.18.0.2 443 covers"
 )
 
-// newLendingSite starts two services and three balancers.
+// newLendingSite starts the back ends of two services, and three balancers.
 func newLendingSite(t *testing.T, number int) (*site, []*process) {
 	site := newSite(t, number)
 	site.configure(lendingRoute, coversRoute)
@@ -242,8 +245,8 @@
 	return site, started
 }
 
-// requireNoMisrouted requires that no back end saw a packet for another one
-// or a forged one.
+// requireNoMisrouted requires that no back end received a forged packet or one that was
+// meant for another back end.
 func (site *site) requireNoMisrouted() {
 	for id, backend := range site.backends {
 		_, foreign, _, forged := backend.Counts()
@@ -283,22 +286,23 @@
 	site.requireNoMisrouted()
 }
 
-// A back end falls silent; its entry stays. The clients that wait for it are
-// told well before they give up, and nobody else's flow is touched.
+// Guards against clients that wait for a back end that has stopped answering while its
+// entry stays in the store: their flows must be reset well before the clients time out,
+// and no other flow may be affected.
 func TestBalancerResetsFlowsOfSilentBackend(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 9)
 	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 60)
 	site.backends["i-a0"].Stop()
 	var waiting, others sync.WaitGroup
-	told := make(chan error, len(flows))
+	failures := make(chan error, len(flows))
 	done := make(chan struct{})
 	began := time.Now()
 	for index, flow := range flows {
 		if servers[index] == "lending/i-a0" {
 			waiting.Go(func() {
 				_, err := flow.Request("page")
-				told <- err
+				failures <- err
 			})
 			continue
 		}
@@ -307,17 +311,17 @@
 	waiting.Wait()
 	close(done)
 	others.Wait()
-	close(told)
-	require.NotEmpty(t, told)
-	for err := range told {
+	close(failures)
+	require.NotEmpty(t, failures)
+	for err := range failures {
 		require.ErrorIs(t, err, echonet.ErrBroken)
 	}
 	require.Less(t, time.Since(began), 2500*time.Millisecond)
 	site.requireNoMisrouted()
 }
 
-// requestUntil sends requests on a flow and requires that its own back end
-// answers all of them.
+// requestUntil sends requests on a flow until done is closed, and requires that the back
+// end of the flow answers all of them.
 func (site *site) requestUntil(flow *echonet.Flow, server string, done <-chan struct{}) {
 	for number := 0; ; number++ {
 		select {
@@ -325,9 +329,9 @@
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
-		answered, err := flow.Request(fmt.Sprintf("page %d", number))
+		responder, err := flow.Request(fmt.Sprintf("page %d", number))
 		assert.NoError(site.t, err)
-		assert.Equal(site.t, server, answered)
+		assert.Equal(site.t, server, responder)
 	}
 }
 
@@ -353,14 +357,14 @@
 	site.requireNoMisrouted()
 }
 
-// A back end that starts again under its id holds none of its flows: their clients are told at
-// once, also where they rest, since their next request would be lost to find out. All others,
-// and those of the new start, go on.
+// A back end that restarts under the same ID has lost its flows. Those flows must be reset
+// at once, idle ones too, since otherwise the next request on each would be lost before its
+// client finds out. All other flows, and those opened after the restart, must continue.
 func TestBackendRestartedUnderSameID(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 12)
 	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
-	time.Sleep(5500 * time.Millisecond) // older than clocks may differ by
+	time.Sleep(5500 * time.Millisecond) // exceeds the clock difference that is allowed for
 	site.mutex.Lock()
 	ended := site.backends["i-a0"]
 	ended.withoutEntry = true
@@ -378,7 +382,7 @@
 		kept, holders = append(kept, flow), append(holders, servers[index])
 	}
 	require.Less(t, len(kept), len(flows))
-	require.Contains(t, ours, "lending/i-a0", "the new start takes flows")
+	require.Contains(t, ours, "lending/i-a0", "the restarted back end takes flows")
 	site.requireSameBackend(kept, holders)
 	site.requireSameBackend(later, ours)
 	site.requireNoMisrouted()
@@ -418,12 +422,12 @@
 	}
 	site.openFlows(site.target("198.18.0.3", 80), 5)
 	_, err := site.client.Open(site.target("198.18.0.2", 443))
-	require.ErrorIs(t, err, echonet.ErrRefused, "a route that was dropped")
+	require.ErrorIs(t, err, echonet.ErrRefused, "a removed route")
 	site.requireSameBackend(flows, servers)
 }
 
-// A balancer that starts while the store is silent learns everything from the
-// others, tombstones too.
+// A balancer that starts while the store doesn't respond must get all data from its peers,
+// including the tombstones of removed entries.
 func TestBalancerStartsWhileTheStoreIsSilent(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 6)
@@ -431,9 +435,9 @@
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
 	site.store.SetFaults(metadata.Faults{Silent: true})
-	for _, place := range []int{1, 2} {
-		require.NoError(t, started[place].command.Process.Kill())
-		_ = started[place].command.Wait()
+	for _, index := range []int{1, 2} {
+		require.NoError(t, started[index].command.Process.Kill())
+		_ = started[index].command.Wait()
 	}
 	site.waitReady(1)
 	site.restart(started[1])
@@ -445,9 +449,9 @@
 	site.openFlows(site.target("198.18.0.1", 443), 10)
 }
 
-// The store is silent. All seeds are killed and start again, so that they know
-// nobody but each other; then those are killed that had lived on. No balancer
-// lives through both, and what is known outlives them all the same.
+// While the store doesn't respond, all seeds are killed and restarted, so that they know only
+// each other's addresses; then the balancers that had kept running are killed and restarted.
+// No balancer survives both rounds, but the replicated data must.
 func TestReplicaSurvivesRestartsOfAllBalancers(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 10)
@@ -460,48 +464,49 @@
 	time.Sleep(3 * time.Second)
 	site.store.SetFaults(metadata.Faults{Silent: true})
 	seeds, others := started[:3], started[3:]
-	for _, part := range [][]*process{seeds, others} {
-		kill(t, part)
-		site.waitReady(5 - len(part))
-		for _, each := range part {
-			site.restart(each)
+	for _, group := range [][]*process{seeds, others} {
+		kill(t, group)
+		site.waitReady(5 - len(group))
+		for _, balancer := range group {
+			site.restart(balancer)
 		}
 		began := time.Now()
 		site.waitReady(5)
-		require.Less(t, time.Since(began), 2*time.Second, "the routers ask twice a second")
+		require.Less(t, time.Since(began), 2*time.Second, "the routers probe readiness twice a second")
 	}
 	site.requireSameBackend(flows, servers)
 	site.openFlows(site.target("198.18.0.1", 443), 10)
 	site.requireNoMisrouted()
 }
 
-// kill ends balancers without a notice and waits for their ends.
+// kill kills balancers and waits until their processes have exited.
 func kill(t *testing.T, balancers []*process) {
-	for _, each := range balancers {
-		require.NoError(t, each.command.Process.Kill())
-		_ = each.command.Wait()
+	for _, balancer := range balancers {
+		require.NoError(t, balancer.command.Process.Kill())
+		_ = balancer.command.Wait()
 	}
 }
 
-// All balancers start anew with the store up.
+// All balancers are killed at once and restart while the store is available; open flows must
+// keep their back ends.
 func TestAllBalancersRestart(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 7)
 	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 20)
-	for _, each := range started {
-		require.NoError(t, each.command.Process.Kill())
-		_ = each.command.Wait()
+	for _, balancer := range started {
+		require.NoError(t, balancer.command.Process.Kill())
+		_ = balancer.command.Wait()
 	}
 	site.waitReady(0)
-	for _, each := range started {
-		site.restart(each)
+	for _, balancer := range started {
+		site.restart(balancer)
 	}
 	site.waitReady(3)
 	site.requireSameBackend(flows, servers)
 }
 
-// The store refuses, throttles or never answers some balancers while it serves
-// another one: those learn from it, whoever should have read for all.
+// The store refuses, throttles or never answers some balancers while it serves another one.
+// The others must get the data from that one, whichever balancer was to read for the group.
 func TestBalancersRefusedByStore(t *testing.T) {
 	t.Parallel()
 	site := newSite(t, 8)
@@ -516,12 +521,12 @@
 	site.startBackend("i-a0", "lending", zones[0], 1)
 	site.startBackend("i-c0", "covers", zones[1], 2)
 	site.startBalancer(zones[0])
-	for place, refusal := range refusals {
-		address := fmt.Sprintf("%s:%d", site.ip(0, 2), 8170+place)
+	for index, refusal := range refusals {
+		address := fmt.Sprintf("%s:%d", site.ip(0, 2), 8170+index)
 		server := &http.Server{Addr: address, Handler: refusal, ReadHeaderTimeout: time.Second}
 		go func() { _ = server.ListenAndServe() }()
 		t.Cleanup(func() { _ = server.Close() })
-		site.startBalancerAt(zones[place], address)
+		site.startBalancerAt(zones[index], address)
 	}
 	site.waitReady(4)
 	site.openFlows(site.target("198.18.0.1", 443), 20)
@@ -533,9 +538,9 @@
 	}
 }
 
-// A zone that the operator evacuates gets no new flows from any balancer, open ones
-// stay, and a balancer that starts while the store is silent learns the order, and
-// its end, from the others.
+// A zone that the operator evacuates must get no new flows from any balancer, while its open
+// flows stay. A balancer that starts while the store doesn't respond must learn of the
+// evacuation from its peers, and later of its revocation.
 func TestBalancersEvacuateZone(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 11)
@@ -548,15 +553,15 @@
 			return site.backends[strings.TrimPrefix(server, "lending/")].zone == evacuated
 		})
 	}
-	requireSoon := func(there bool, what string) {
+	requireEventually := func(expected bool, what string) {
 		until := time.Now().Add(10 * time.Second)
-		for opensThere() != there {
+		for opensThere() != expected {
 			require.True(t, time.Now().Before(until), what)
 		}
 	}
 	require.True(t, opensThere())
 	site.store.Put("op/evacuate/"+evacuated, []byte("{}"))
-	requireSoon(false, "evacuated")
+	requireEventually(false, "evacuated")
 	site.requireSameBackend(flows, servers)
 	site.store.SetFaults(metadata.Faults{Silent: true})
 	kill(t, started[1:])
@@ -565,9 +570,9 @@
 	site.waitReady(3)
 	kill(t, started[:1])
 	site.waitReady(2)
-	require.False(t, opensThere(), "%s and %s have learned of the order from a peer", restarted[0].name, restarted[1].name)
+	require.False(t, opensThere(), "%s and %s have learned of the evacuation from a peer", restarted[0].name, restarted[1].name)
 	site.store.SetFaults(metadata.Faults{})
 	site.store.Remove("op/evacuate/" + evacuated)
-	requireSoon(true, "taken back")
+	requireEventually(true, "revoked")
 	site.requireNoMisrouted()
 }
--- a/test/e2e/callers_test.go
+++ b/test/e2e/callers_test.go
@@ -27,22 +27,22 @@
 
 // openFlow opens a flow with its first request.
 func (soak *soak) openFlow(name, body string) (*echonet.Flow, string, error) {
-	seen := attempt{route: name, isOpening: true, at: time.Now(), body: body}
+	attempt := attempt{route: name, isOpening: true, at: time.Now(), body: body}
 	flow, err := soak.client.Open(soak.target(soakTargets[name], 443))
 	if err == nil {
-		seen.server, err = flow.Request(body)
+		attempt.server, err = flow.Request(body)
 	}
-	soak.recordAttempt(seen, flow, err)
-	return flow, seen.server, err
+	soak.recordAttempt(attempt, flow, err)
+	return flow, attempt.server, err
 }
 
 func (soak *soak) sendRequests(ctx context.Context, flow *echonet.Flow, name, server, body string) {
 	for request := range requestsPerFlow {
 		time.Sleep(requestInterval)
-		seen := attempt{route: name, at: time.Now(), previousServer: server, body: fmt.Sprintf("%s-%d", body, request)}
+		attempt := attempt{route: name, at: time.Now(), previousServer: server, body: fmt.Sprintf("%s-%d", body, request)}
 		var err error
-		seen.server, err = flow.Request(seen.body)
-		soak.recordAttempt(seen, flow, err)
+		attempt.server, err = flow.Request(attempt.body)
+		soak.recordAttempt(attempt, flow, err)
 		if err != nil || ctx.Err() != nil {
 			break
 		}
@@ -99,18 +99,18 @@
 }
 
 // recordAttempt notes the end of an attempt.
-func (soak *soak) recordAttempt(seen attempt, flow *echonet.Flow, err error) {
-	seen.ended, seen.result, seen.port = time.Now(), outcomeOf(err), flow.Port()
-	seen.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), seen.port, soakTargets[seen.route])
+func (soak *soak) recordAttempt(attempt attempt, flow *echonet.Flow, err error) {
+	attempt.ended, attempt.result, attempt.port = time.Now(), outcomeOf(err), flow.Port()
+	attempt.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), attempt.port, soakTargets[attempt.route])
 	for _, node := range flow.Via() {
-		seen.via = append(seen.via, balancerAt(node))
+		attempt.via = append(attempt.via, balancerAt(node))
 	}
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	soak.history.attempts = append(soak.history.attempts, seen)
+	soak.history.attempts = append(soak.history.attempts, attempt)
 }
 
-// balancerAt is the place of the balancer at an address.
+// balancerAt is the balancer of the balancer at an address.
 func balancerAt(node netip.AddrPort) int {
 	address := node.Addr().As4()
 	return int(address[3]) - 1
--- a/test/e2e/checker_histories_test.go
+++ b/test/e2e/checker_histories_test.go
@@ -15,44 +15,44 @@
 func newHistoryBuilder() builder { return builder{start: time.Now()} }
 
 // timeAt is the time some seconds after the start.
-func (story builder) timeAt(number float64) time.Time {
-	return story.start.Add(time.Duration(number * float64(time.Second)))
+func (builder builder) timeAt(number float64) time.Time {
+	return builder.start.Add(time.Duration(number * float64(time.Second)))
 }
 
 // answeredOpening is a flow's opening that was answered soon.
-func (story builder) answeredOpening(at float64, server string) attempt {
-	return attempt{route: "lending", isOpening: true, at: story.timeAt(at), ended: story.timeAt(at + 0.1), server: server}
+func (builder builder) answeredOpening(at float64, server string) attempt {
+	return attempt{route: "lending", isOpening: true, at: builder.timeAt(at), ended: builder.timeAt(at + 0.1), server: server}
 }
 
 // laterRequest is a request on an open flow of lending/i-1.
-func (story builder) laterRequest(result outcome, server string) attempt {
-	return attempt{route: "lending", at: story.timeAt(20), ended: story.timeAt(20.1), result: result, previousServer: "lending/i-1", server: server}
+func (builder builder) laterRequest(result outcome, server string) attempt {
+	return attempt{route: "lending", at: builder.timeAt(20), ended: builder.timeAt(20.1), result: result, previousServer: "lending/i-1", server: server}
 }
 
-func (story builder) build(attempts ...attempt) *history {
+func (builder builder) build(attempts ...attempt) *history {
 	return &history{
 		attempts: attempts,
-		pools:    map[string][]poolSpan{"lending": {{pool: "lending", span: span{from: story.start}}}},
+		pools:    map[string][]poolSpan{"lending": {{pool: "lending", span: span{from: builder.start}}}},
 		leaving:  map[string]time.Time{},
 		dead:     map[string]time.Time{},
 	}
 }
 
-// For each promise a made-up history that breaks it is caught, and one that is
+// For each promise a build-up history that breaks it is caught, and one that is
 // excused is not.
 func TestCheckerDetectsEachViolation(t *testing.T) {
-	story := newHistoryBuilder()
-	second, opened, later, made := story.timeAt, story.answeredOpening, story.laterRequest, story.build
-	require.Empty(t, made(opened(10, "lending/i-1"), later(outcomeAnswered, "lending/i-1"), later(outcomeDeadline, "")).check())
-	require.Len(t, made(opened(1, "covers/i-1")).check(), 1, "another service")
-	require.Len(t, made(later(outcomeBroken, "")).check(), 1, "reset")
-	require.Len(t, made(later(outcomeAnswered, "lending/i-2")).check(), 1, "another back end")
-
-	excused := made(later(outcomeBroken, ""))
+	builder := newHistoryBuilder()
+	second, opened, later, build := builder.timeAt, builder.answeredOpening, builder.laterRequest, builder.build
+	require.Empty(t, build(opened(10, "lending/i-1"), later(outcomeAnswered, "lending/i-1"), later(outcomeDeadline, "")).check())
+	require.Len(t, build(opened(1, "covers/i-1")).check(), 1, "another service")
+	require.Len(t, build(later(outcomeBroken, "")).check(), 1, "reset")
+	require.Len(t, build(later(outcomeAnswered, "lending/i-2")).check(), 1, "another back end")
+
+	excused := build(later(outcomeBroken, ""))
 	excused.dead["lending/i-1"] = second(19)
 	require.Empty(t, excused.check(), "its back end had ended")
 
-	drained := made(opened(14, "lending/i-1"))
+	drained := build(opened(14, "lending/i-1"))
 	drained.leaving["lending/i-1"] = second(10)
 	require.Len(t, drained.check(), 1, "drain")
 	drained.attempts[0].at = second(13.5)
@@ -73,7 +73,7 @@
 	drained.disturbances[0].balancers = nil
 	require.Empty(t, drained.check(), "the store was down just before")
 
-	restarted := made(opened(13.9, "lending/i-1"))
+	restarted := build(opened(13.9, "lending/i-1"))
 	restarted.leaving["lending/i-1"] = second(5)
 	restarted.disturbances = []disturbance{{span: span{from: second(10), until: second(10)}, balancers: []int{2}}}
 	restarted.attempts[0].via = []int{2}
@@ -83,7 +83,7 @@
 	restarted.attempts[0].at, restarted.attempts[0].via = second(13.9), []int{1}
 	require.Len(t, restarted.check(), 1, "another balancer was started")
 
-	moved := made(opened(14, "lending/i-1"))
+	moved := build(opened(14, "lending/i-1"))
 	moved.pools["lending"] = append(moved.pools["lending"], poolSpan{pool: "covers", span: span{from: second(10)}})
 	moved.pools["lending"][0].until = second(10)
 	require.Len(t, moved.check(), 1, "configuration")
@@ -96,15 +96,15 @@
 
 	held := later(outcomeAnswered, "lending/i-1")
 	held.ended = second(21.5)
-	require.Len(t, made(held).check(), 1, "held up")
+	require.Len(t, build(held).check(), 1, "held up")
 	held.ended, held.via = second(26), []int{2}
-	require.Len(t, made(held).check(), 1, "held up for long")
+	require.Len(t, build(held).check(), 1, "held up for long")
 
 	refused := opened(10, "")
 	refused.result = outcomeRefused
-	require.Len(t, made(refused).check(), 1, "refusal")
+	require.Len(t, build(refused).check(), 1, "refusal")
 	refused.port = 7
-	excusedRefusal := made(refused)
+	excusedRefusal := build(refused)
 	excusedRefusal.overloadedRoutes = map[string]bool{"lending": true}
 	excusedRefusal.bursts = []span{{from: second(7), until: second(9)}}
 	require.Empty(t, excusedRefusal.check(), "refused in a burst")
@@ -114,7 +114,7 @@
 	excusedRefusal.bursts[0].until = second(7.9)
 	require.Len(t, excusedRefusal.check(), 2, "refused after a burst: new flows in calm, and all are served as before")
 
-	mourned := made(refused)
+	mourned := build(refused)
 	mourned.dead["lending/i-9"] = second(8)
 	require.Len(t, mourned.check(), 1, "refused after the planned end of a back end that had left")
 	mourned.crashed = map[string]bool{"lending/i-9": true}
@@ -126,8 +126,8 @@
 
 	shed := later(outcomeShed, "lending/i-1")
 	shed.body = "page"
-	require.Empty(t, made(shed).check())
-	ran := made(shed)
+	require.Empty(t, build(shed).check())
+	ran := build(shed)
 	ran.runs = map[string]int{"page": 1}
 	require.Len(t, ran.check(), 1, "shed, but it ran")
 	ran.runs["page"] = 0
@@ -135,13 +135,13 @@
 	require.Len(t, ran.check(), 1, "shed with no burst near")
 	ran.bursts = []span{{from: second(17), until: second(19)}}
 	require.Empty(t, ran.check(), "shed in a burst")
-	require.Len(t, made(later(outcomeBroken, "")).check(), 1)
+	require.Len(t, build(later(outcomeBroken, "")).check(), 1)
 	ran.attempts[0] = later(outcomeBroken, "")
 	require.Len(t, ran.check(), 1, "an open flow was reset in a burst")
 
 	late := opened(10, "")
 	late.result, late.ended = outcomeDeadline, second(11.4)
-	unserved := made(late)
+	unserved := build(late)
 	unserved.overloadedRoutes = map[string]bool{"lending": true}
 	require.Len(t, unserved.check(), 1, "not opened with no burst near")
 	unserved.attempts[0].result = outcomeRefused
@@ -149,7 +149,7 @@
 
 	answered := later(outcomeAnswered, "lending/i-1")
 	answered.body = "page"
-	twice := made(answered)
+	twice := build(answered)
 	twice.runs = map[string]int{"page": 2}
 	require.Len(t, twice.check(), 1, "ran twice")
 	twice.runs["page"] = 0
@@ -157,22 +157,22 @@
 	twice.runs["page"] = 1
 	require.Empty(t, twice.check())
 
-	told := made()
+	told := build()
 	told.violations = []string{"settings were not taken"}
 	require.Len(t, told.check(), 1)
 }
 
 // What was disturbed is excused by each rule on its own, no more than that.
 func TestCheckerExcusesEachDisturbance(t *testing.T) {
-	story := newHistoryBuilder()
-	second := story.timeAt
+	builder := newHistoryBuilder()
+	second := builder.timeAt
 	ofBalancer := []disturbance{{span: span{from: second(7), until: second(8)}, balancers: []int{2}}}
-	refused := story.answeredOpening(10, "")
+	refused := builder.answeredOpening(10, "")
 	refused.result, refused.port, refused.via = outcomeRefused, 7, []int{2}
-	refusal := story.build(refused)
+	refusal := builder.build(refused)
 	require.Equal(t, []string{"a new flow was refused in calm"}, refusal.violationsOf(refused))
 
-	moved := story.build(story.answeredOpening(14, "lending/i-1"))
+	moved := builder.build(builder.answeredOpening(14, "lending/i-1"))
 	moved.pools["lending"] = []poolSpan{{pool: "lending", span: span{from: second(0), until: second(10)}}, {pool: "covers", span: span{from: second(10)}}}
 	moved.attempts[0].via = []int{2}
 	require.Len(t, moved.check(), 1)
@@ -181,9 +181,9 @@
 	moved.attempts[0].via = []int{1}
 	require.Len(t, moved.check(), 1, "another one was")
 
-	held := story.laterRequest(outcomeAnswered, "lending/i-1")
+	held := builder.laterRequest(outcomeAnswered, "lending/i-1")
 	held.ended, held.via = second(26), []int{2}
-	slow := story.build(held)
+	slow := builder.build(held)
 	slow.disturbances = []disturbance{{span: span{from: second(15), until: second(16.1)}, balancers: []int{2}}}
 	require.Empty(t, slow.check(), "held up, but its balancer was disturbed 3.9 s before")
 	slow.disturbances[0].until = second(16)
@@ -199,7 +199,7 @@
 		"burst":     func(history *history) string { return history.checkBurstRecovery(refused) },
 	}
 	for name, rule := range rules {
-		judged := story.build(refused)
+		judged := builder.build(refused)
 		judged.openedPorts = map[uint16]bool{7: true}
 		if name == "burst" {
 			judged.overloadedRoutes = map[string]bool{"lending": true}
@@ -214,7 +214,7 @@
 		require.Empty(t, rule(judged), "%s: a back end crashed", name)
 	}
 
-	crowded := story.build(refused)
+	crowded := builder.build(refused)
 	crowded.overloadedRoutes = map[string]bool{"urgent": true}
 	crowded.bursts = []span{{from: second(9), until: second(11)}}
 	require.Len(t, crowded.check(), 1, "refused in a burst on another route")
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -32,14 +32,15 @@
 	coversCount    = 2
 )
 
-// process is one program started by a test.
+// process is a program that a test has started.
 type process struct {
 	name    string
 	command *exec.Cmd
 	log     *os.File
 }
 
-// cluster is the processes of one test, on loopback addresses of its own.
+// cluster holds the processes of one test. Each cluster has a loopback network of its own,
+// 127.(100+number).0.0/16.
 type cluster struct {
 	t            *testing.T
 	number       int
@@ -48,7 +49,7 @@
 	nodes        map[string]*process
 	nodeIDs      []string
 	started      int
-	// stoppedCounts are the last counts of back ends that were stopped, by address.
+	// stoppedCounts holds the last counts of the back ends that were stopped, by address.
 	stoppedCounts map[string]backend.Counts
 }
 
@@ -64,7 +65,8 @@
 }
 
 // newCluster starts the platform, six nodes in three zones, two services and
-// their back ends. The number keeps the addresses of tests apart.
+// their back ends. The number selects the loopback network, so that tests can run in
+// parallel.
 func newCluster(t *testing.T, number int) *cluster {
 	cluster := &cluster{t: t, number: number, dir: t.TempDir(),
 		nodes: make(map[string]*process), stoppedCounts: make(map[string]backend.Counts)}
@@ -72,8 +74,8 @@
 	cluster.start("store", "standin", "store", "--listen", cluster.ip(0, 1)+":7000")
 	cluster.start("machines", "standin", "machines", "--listen", cluster.ip(0, 1)+":7001", "--lag", "2s")
 	cluster.start("fabric", "standin", "fabric", "--listen", cluster.ip(0, 2)+":7002", "--control", cluster.ip(0, 2)+":7003")
-	for place := range nodeCount {
-		cluster.startNode(zones[place%len(zones)])
+	for index := range nodeCount {
+		cluster.startNode(zones[index%len(zones)])
 	}
 	cluster.createService("lending", lendingAddress, lendingCount, 2)
 	cluster.createService("covers", coversAddress, coversCount, 3)
@@ -86,7 +88,7 @@
 }
 
 func (cluster *cluster) start(name, program string, arguments ...string) *process {
-	// A process that starts again goes on with the log of the one before.
+	// A restarted process appends to the log of its predecessor.
 	log, err := os.OpenFile(filepath.Join(cluster.dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	require.NoError(cluster.t, err)
 	command := exec.Command(binary(cluster.t, program), arguments...)
@@ -97,7 +99,8 @@
 	return started
 }
 
-// stop ends the processes that this test started, by their IDs.
+// stop kills the processes that this test started, by their process IDs. If the test
+// failed, it prints the logs of the nodes.
 func (cluster *cluster) stop() {
 	for _, process := range cluster.allProcesses {
 		_ = process.command.Process.Signal(syscall.SIGCONT)
@@ -111,15 +114,15 @@
 	}
 }
 
-// startNode starts a node from a settings file and puts it on the fabric's
-// list and the platform's.
+// startNode starts a node from a settings file, adds it to the node lists of the fabric
+// and of the platform, and returns its ID.
 func (cluster *cluster) startNode(zone string) string {
 	cluster.started++
 	id := fmt.Sprintf("%s-%d", zone, cluster.started)
 	host := cluster.ip(1, cluster.started)
 	var seeds []string
-	for place, other := range cluster.nodeIDs {
-		if place < 3 {
+	for index, other := range cluster.nodeIDs {
+		if index < 3 {
 			seeds = append(seeds, other+"@"+cluster.host(other)+":6090")
 		}
 	}
@@ -155,7 +158,8 @@
 	cluster.putJSON("http://"+cluster.ip(0, 2)+":7003/nodes", addresses)
 }
 
-// putJSON sends a PUT to a stand-in, which may still be starting.
+// putJSON sends a PUT request to a stand-in. It retries, since the stand-in may still be
+// starting.
 func (cluster *cluster) putJSON(url string, body any) {
 	encoded, err := json.Marshal(body)
 	require.NoError(cluster.t, err)
@@ -182,15 +186,15 @@
 	return admin.NewClient(cluster.host(cluster.nodeIDs[0])+":6070", "")
 }
 
-// createService starts a service's back ends and creates the service.
+// createService starts the back ends of a service and creates the service.
 func (cluster *cluster) createService(name, address string, count, net int) {
 	service := &apiv1.Service{Name: name, Address: address, Port: 80}
-	for place := range count {
-		host := cluster.ip(net, place+1)
-		backend := fmt.Sprintf("%s-%d", name, place)
+	for index := range count {
+		host := cluster.ip(net, index+1)
+		backend := fmt.Sprintf("%s-%d", name, index)
 		cluster.start(backend, "standin", "backend", "--name", backend, "--service", name, "--address", address+":80",
 			"--tunnel", host+":6080", "--control", host+":7100", "--work", "1ms")
-		service.Backends = append(service.Backends, &apiv1.Backend{Name: backend, Zone: zones[place%3],
+		service.Backends = append(service.Backends, &apiv1.Backend{Name: backend, Zone: zones[index%3],
 			TunnelAddress: host + ":6080", ReportAddress: host + ":7100", Slots: 2})
 	}
 	request := &apiv1.ChangeRequest{OperationId: "create-" + name, Change: &apiv1.ChangeRequest_PutService{PutService: service}}
@@ -214,7 +218,8 @@
 	return status
 }
 
-// waitInForce waits until the accepted revision is in force on all live nodes.
+// waitInForce waits until the accepted revision is in force on all live nodes, and returns
+// how long that took.
 func (cluster *cluster) waitInForce(limit time.Duration) time.Duration {
 	start := time.Now()
 	require.Eventually(cluster.t, func() bool {
@@ -233,29 +238,30 @@
 	return time.Since(start)
 }
 
-// startCallers starts one caller of each service in each zone.
+// startCallers starts one caller per service and zone.
 func (cluster *cluster) startCallers(connections, requests int) {
-	for place, zone := range zones {
-		for index, service := range []string{"lending", "covers"} {
-			address := []string{lendingAddress, coversAddress}[index]
-			inner := fmt.Sprintf("10.%d.%d.%d", 100+cluster.number, 9+place, index+1)
+	for zoneIndex, zone := range zones {
+		for serviceIndex, service := range []string{"lending", "covers"} {
+			address := []string{lendingAddress, coversAddress}[serviceIndex]
+			inner := fmt.Sprintf("10.%d.%d.%d", 100+cluster.number, 9+zoneIndex, serviceIndex+1)
 			cluster.start("caller-"+zone+"-"+service, "standin", "caller", "--name", zone+"-"+service, "--inner", inner,
 				"--fabric", cluster.ip(0, 2)+":7002", "--service", service, "--target", address+":80",
-				"--control", cluster.callerControl(place, index), "--connections", fmt.Sprint(connections),
+				"--control", cluster.callerControl(zoneIndex, serviceIndex), "--connections", fmt.Sprint(connections),
 				"--requests", fmt.Sprint(requests), "--interval", "150ms", "--once-share", "4")
 		}
 	}
 }
 
-func (cluster *cluster) callerControl(place, index int) string {
-	return fmt.Sprintf("%s:%d", cluster.ip(4, place+1), 7200+index)
+func (cluster *cluster) callerControl(zoneIndex, serviceIndex int) string {
+	return fmt.Sprintf("%s:%d", cluster.ip(4, zoneIndex+1), 7200+serviceIndex)
 }
 
-// finishCallers lets the callers end their connections and sums up what they saw.
+// finishCallers has the callers end their connections, waits until all are closed, and
+// returns the sum of their counts.
 func (cluster *cluster) finishCallers() caller.Counts {
-	for place := range zones {
-		for index := range 2 {
-			cluster.putJSON("http://"+cluster.callerControl(place, index)+"/finish", nil)
+	for zoneIndex := range zones {
+		for serviceIndex := range 2 {
+			cluster.putJSON("http://"+cluster.callerControl(zoneIndex, serviceIndex)+"/finish", nil)
 		}
 	}
 	require.Eventually(cluster.t, func() bool { return cluster.counts().Open == 0 }, 40*time.Second, 200*time.Millisecond)
@@ -264,34 +270,35 @@
 
 func (cluster *cluster) counts() caller.Counts {
 	var total caller.Counts
-	for place := range zones {
-		for index := range 2 {
+	for zoneIndex := range zones {
+		for serviceIndex := range 2 {
 			var counts caller.Counts
-			cluster.getJSON("http://"+cluster.callerControl(place, index)+"/counts", &counts)
+			cluster.getJSON("http://"+cluster.callerControl(zoneIndex, serviceIndex)+"/counts", &counts)
 			total.Add(counts)
 		}
 	}
 	return total
 }
 
-func (cluster *cluster) backend(net, place int) backend.Counts {
-	if counts, isStopped := cluster.stoppedCounts[cluster.ip(net, place+1)]; isStopped {
+func (cluster *cluster) backend(net, index int) backend.Counts {
+	if counts, isStopped := cluster.stoppedCounts[cluster.ip(net, index+1)]; isStopped {
 		return counts
 	}
 	var counts backend.Counts
-	cluster.getJSON(fmt.Sprintf("http://%s:7100/counts", cluster.ip(net, place+1)), &counts)
+	cluster.getJSON(fmt.Sprintf("http://%s:7100/counts", cluster.ip(net, index+1)), &counts)
 	return counts
 }
 
-// verify checks the promises from both ends: every answer whole and its own, no
-// request of unknown fate, nothing run twice, nothing "not run" that ran, and no
-// packet at another service.
+// verify checks the guarantees against the counts of callers and back ends: every answer
+// is complete and belongs to its request, no request has an unknown outcome, no request
+// ran twice, no request that was refused as "not run" did run, and no packet reached a
+// back end of another service.
 func (cluster *cluster) verify(total caller.Counts) {
 	runs := make(map[string]int)
 	foreign := uint64(0)
 	for net, count := range map[int]int{2: lendingCount, 3: coversCount} {
-		for place := range count {
-			counts := cluster.backend(net, place)
+		for index := range count {
+			counts := cluster.backend(net, index)
 			foreign += counts.Foreign
 			for key, times := range counts.Runs {
 				runs[key] += times
@@ -317,9 +324,9 @@
 	}
 }
 
-// stopBackend ends a drained back end's process.
-func (cluster *cluster) stopBackend(name string, net, place int) {
-	cluster.stoppedCounts[cluster.ip(net, place+1)] = cluster.backend(net, place)
+// stopBackend stops the process of a drained back end and keeps its last counts.
+func (cluster *cluster) stopBackend(name string, net, index int) {
+	cluster.stoppedCounts[cluster.ip(net, index+1)] = cluster.backend(net, index)
 	for _, process := range cluster.allProcesses {
 		if process.name == name {
 			require.NoError(cluster.t, process.command.Process.Signal(syscall.SIGTERM))
@@ -327,7 +334,7 @@
 	}
 }
 
-// kill ends a node without notice; the fabric notices a second later.
+// kill kills a node without notice. The fabric drops the node one second later.
 func (cluster *cluster) kill(id string) {
 	require.NoError(cluster.t, cluster.nodes[id].command.Process.Kill())
 	cluster.removeNode(id)
--- a/test/e2e/doc.go
+++ b/test/e2e/doc.go
@@ -1,4 +1,5 @@
-// Package e2e holds the tests that drive the separate processes: nodes and
-// stand-ins on loopback, real TCP from the callers to the back ends, and faults
-// by signals and by the stand-ins' control endpoints.
+// Package e2e holds the end-to-end tests. They run nodes, balancers and stand-ins as
+// separate processes on loopback addresses, send real TCP traffic from callers to back
+// ends, and inject faults by signals and through the stand-ins' control endpoints. The
+// binaries come from "make build"; INDIGOBARROW_BIN names their directory if it isn't bin.
 package e2e
--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -13,8 +13,8 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// TestDrainKillStart is the main path: a drain, a killed node and a new one
-// while callers of every zone hold connections open.
+// TestDrainKillStart covers the common operations: it drains a back end, kills a node and
+// starts a new one while callers in every zone hold connections open.
 func TestDrainKillStart(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 1)
@@ -32,7 +32,7 @@
 	require.Less(t, cluster.backend(2, 2).LastOpened, drained+3000, "the drained back end got a new flow")
 }
 
-// TestPlannedStops replaces every node, one by one, while flows stay open.
+// TestPlannedStops replaces the first three nodes, one by one, while flows stay open.
 func TestPlannedStops(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 2)
@@ -50,7 +50,7 @@
 		case err := <-ended:
 			require.NoError(t, err, "node %s", id)
 		case <-time.After(30 * time.Second):
-			require.Fail(t, "the planned stop did not end", "node %s", id)
+			require.Fail(t, "the planned stop did not finish", "node %s", id)
 		}
 	}
 	time.Sleep(2 * time.Second)
@@ -58,7 +58,7 @@
 }
 
 // TestBackendPlannedStop drains a back end, waits until its flows have ended,
-// and ends its process.
+// and stops its process.
 func TestBackendPlannedStop(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 7)
@@ -73,8 +73,8 @@
 	cluster.verify(cluster.finishCallers())
 }
 
-// TestPauseDuringDrain stops a node's processor past its contact lease while a
-// back end leaves, and lets it go on.
+// TestPauseDuringDrain suspends a node for longer than its contact lease while a back end
+// is drained, and resumes it.
 func TestPauseDuringDrain(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 3)
@@ -90,8 +90,7 @@
 	cluster.verify(total)
 }
 
-// TestStoreOutage lets a back end leave and a node be replaced while the store
-// is down.
+// TestStoreOutage drains a back end and replaces a node while the store is down.
 func TestStoreOutage(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 4)
@@ -114,9 +113,9 @@
 	cluster.verify(cluster.finishCallers())
 }
 
-// TestRacingOperators lets two operators change one policy through two nodes
-// while half of the store's answers are lost: every accepted change is in the
-// audit, once, and stays in force.
+// TestRacingOperators has two operators change one policy at the same time while half of
+// the store's answers are lost. Every accepted change must appear in the audit log exactly
+// once and stay in force.
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 5)
@@ -129,9 +128,9 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for turn := range 8 {
-				operation := fmt.Sprintf("operator-%d-turn-%d", operator, turn)
-				policy := &apiv1.Policy{Name: "shared", Weight: fmt.Sprintf("0.%d5", operator+turn%2)}
+			for round := range 8 {
+				operation := fmt.Sprintf("operator-%d-turn-%d", operator, round)
+				policy := &apiv1.Policy{Name: "shared", Weight: fmt.Sprintf("0.%d5", operator+round%2)}
 				request := &apiv1.ChangeRequest{OperationId: operation, Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: policy}}
 				for range 10 {
 					answer, err := cluster.client().Change(context.Background(), request)
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -104,32 +104,32 @@
 	}
 }
 
-// allBalancers are the places of all balancers.
+// allBalancers are the balancers of all balancers.
 func allBalancers() []int {
-	places := make([]int, soakBalancers)
-	for place := range places {
-		places[place] = place
+	balancers := make([]int, soakBalancers)
+	for balancer := range balancers {
+		balancers[balancer] = balancer
 	}
-	return places
+	return balancers
 }
 
-// balancersInZoneOf are the places of the balancers in the zone of one.
-func balancersInZoneOf(place int) []int {
-	var places []int
+// balancersInZoneOf are the balancers of the balancers in the zone of one.
+func balancersInZoneOf(balancer int) []int {
+	var balancers []int
 	for other := range soakBalancers {
-		if other%len(zones) == place%len(zones) {
-			places = append(places, other)
+		if other%len(zones) == balancer%len(zones) {
+			balancers = append(balancers, other)
 		}
 	}
-	return places
+	return balancers
 }
 
 // recordDisturbance notes that balancers, or the store if none are named, are disturbed for a
 // time, and runs the end of that.
-func (soak *soak) recordDisturbance(places []int, length time.Duration, end func()) {
+func (soak *soak) recordDisturbance(balancers []int, length time.Duration, end func()) {
 	now := time.Now()
 	soak.historyMutex.Lock()
-	soak.history.disturbances = append(soak.history.disturbances, disturbance{span: span{from: now, until: now.Add(length)}, balancers: places})
+	soak.history.disturbances = append(soak.history.disturbances, disturbance{span: span{from: now, until: now.Add(length)}, balancers: balancers})
 	soak.historyMutex.Unlock()
 	if end == nil {
 		return
@@ -142,23 +142,23 @@
 
 // kill kills balancers, which start again after a time. Those that live must manage
 // without them soon.
-func (soak *soak) kill(places []int, away time.Duration) {
-	if !soak.terminate(places, syscall.SIGKILL, away) {
+func (soak *soak) kill(balancers []int, away time.Duration) {
+	if !soak.terminate(balancers, syscall.SIGKILL, away) {
 		soak.markSkipped()
 		return
 	}
-	soak.recordDisturbance(places, failoverTime, nil)
+	soak.recordDisturbance(balancers, failoverTime, nil)
 }
 
 // stopWhenPossible stops a balancer as planned. If others are away, or its settings file is
 // changed, it waits for its turn, unless one waits already.
-func (soak *soak) stopWhenPossible(place int, away time.Duration) {
+func (soak *soak) stopWhenPossible(balancer int, away time.Duration) {
 	if !soak.stopPending.CompareAndSwap(false, true) {
 		soak.markSkipped()
 		return
 	}
 	soak.activeFaults.Go(func() {
-		for !soak.terminate([]int{place}, syscall.SIGTERM, away) {
+		for !soak.terminate([]int{balancer}, syscall.SIGTERM, away) {
 			time.Sleep(pollInterval)
 		}
 		soak.stopCount.Add(1)
@@ -170,36 +170,36 @@
 func (soak *soak) markSkipped() { soak.plan[soak.eventIndex].skipped = true }
 
 // terminate ends balancers unless some are away already, and starts them again.
-func (soak *soak) terminate(places []int, signal syscall.Signal, away time.Duration) bool {
-	if !soak.reservations.reserve(places) {
+func (soak *soak) terminate(balancers []int, signal syscall.Signal, away time.Duration) bool {
+	if !soak.reservations.reserve(balancers) {
 		return false
 	}
-	for _, place := range places {
-		require.NoError(soak.t, soak.process(place).command.Process.Signal(signal))
+	for _, balancer := range balancers {
+		require.NoError(soak.t, soak.process(balancer).command.Process.Signal(signal))
 	}
 	soak.activeFaults.Go(func() {
-		for _, place := range places {
-			_ = soak.process(place).command.Wait()
+		for _, balancer := range balancers {
+			_ = soak.process(balancer).command.Wait()
 		}
 		time.Sleep(away)
 		if signal == syscall.SIGKILL {
-			soak.recordDisturbance(places, 0, nil)
+			soak.recordDisturbance(balancers, 0, nil)
 		}
-		for _, place := range places {
-			soak.restartBalancer(place)
+		for _, balancer := range balancers {
+			soak.restartBalancer(balancer)
 		}
-		soak.reservations.release(places)
+		soak.reservations.release(balancers)
 	})
 	return true
 }
 
 // restartBalancer starts a balancer and waits until it has read its settings file: one that starts
 // with a faulty file ends, as it must.
-func (soak *soak) restartBalancer(place int) {
-	skipped := soak.logSize(place)
-	restarted := soak.restart(soak.process(place))
+func (soak *soak) restartBalancer(balancer int) {
+	skipped := soak.logSize(balancer)
+	restarted := soak.restart(soak.process(balancer))
 	soak.historyMutex.Lock()
-	soak.processes[place] = restarted
+	soak.processes[balancer] = restarted
 	soak.historyMutex.Unlock()
 	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(pollInterval) {
 		content, err := os.ReadFile(restarted.log.Name())
@@ -210,19 +210,19 @@
 	}
 }
 
-func (soak *soak) pause(places []int, length time.Duration) {
-	if !soak.reservations.reserve(places) {
+func (soak *soak) pause(balancers []int, length time.Duration) {
+	if !soak.reservations.reserve(balancers) {
 		soak.markSkipped()
 		return
 	}
-	for _, place := range places {
-		require.NoError(soak.t, soak.processes[place].command.Process.Signal(syscall.SIGSTOP))
+	for _, balancer := range balancers {
+		require.NoError(soak.t, soak.processes[balancer].command.Process.Signal(syscall.SIGSTOP))
 	}
-	soak.recordDisturbance(places, length, func() {
-		for _, place := range places {
-			_ = soak.processes[place].command.Process.Signal(syscall.SIGCONT)
+	soak.recordDisturbance(balancers, length, func() {
+		for _, balancer := range balancers {
+			_ = soak.processes[balancer].command.Process.Signal(syscall.SIGCONT)
 		}
-		soak.reservations.release(places)
+		soak.reservations.release(balancers)
 	})
 }
 
@@ -237,13 +237,13 @@
 // rely on them would miss something.
 func zoneStoreFaultStep(faults metadata.Faults) func(*soak, event) {
 	return func(soak *soak, next event) {
-		places := balancersInZoneOf(next.balancer)
-		for _, place := range places {
-			soak.store.SetFaultsFor(soak.storeCaller(place), faults)
+		balancers := balancersInZoneOf(next.balancer)
+		for _, balancer := range balancers {
+			soak.store.SetFaultsFor(soak.storeCaller(balancer), faults)
 		}
-		soak.recordDisturbance(places, refusalTime, func() {
-			for _, place := range places {
-				soak.store.SetFaultsFor(soak.storeCaller(place), metadata.Faults{})
+		soak.recordDisturbance(balancers, refusalTime, func() {
+			for _, balancer := range balancers {
+				soak.store.SetFaultsFor(soak.storeCaller(balancer), metadata.Faults{})
 			}
 		})
 	}
@@ -260,8 +260,8 @@
 	soak.history.pools["moving"] = append(spans, poolSpan{pool: soak.movingPool, span: span{from: now}})
 }
 
-func (soak *soak) process(place int) *process {
+func (soak *soak) process(balancer int) *process {
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	return soak.processes[place]
+	return soak.processes[balancer]
 }
--- a/test/e2e/history_test.go
+++ b/test/e2e/history_test.go
@@ -32,7 +32,7 @@
 	port uint16
 	flow string
 	body string
-	// via are the balancers that its packets were sent to, by their places.
+	// via are the balancers that its packets were sent to, by their balancers.
 	via []int
 }
 
@@ -87,15 +87,15 @@
 }
 
 // affects tells whether a trouble struck the store or one of some balancers.
-func (struck disturbance) affects(places []int) bool {
-	return len(struck.balancers) == 0 || slices.ContainsFunc(struck.balancers, func(place int) bool { return slices.Contains(places, place) })
+func (struck disturbance) affects(balancers []int) bool {
+	return len(struck.balancers) == 0 || slices.ContainsFunc(struck.balancers, func(balancer int) bool { return slices.Contains(balancers, balancer) })
 }
 
 // undisturbed tells whether the store and some balancers were in touch from one time
 // until another: nothing disturbed them then or in settleTime before.
-func (history *history) undisturbed(from, until time.Time, places []int) bool {
+func (history *history) undisturbed(from, until time.Time, balancers []int) bool {
 	for _, trouble := range history.disturbances {
-		if trouble.affects(places) && trouble.from.Before(until) && trouble.until.Add(settleTime).After(from) {
+		if trouble.affects(balancers) && trouble.from.Before(until) && trouble.until.Add(settleTime).After(from) {
 			return false
 		}
 	}
--- a/test/e2e/plan_test.go
+++ b/test/e2e/plan_test.go
@@ -38,12 +38,12 @@
 
 // makePlan makes the plan of a seed.
 func makePlan(seed int, length time.Duration) plan {
-	chance := rand.New(rand.NewPCG(uint64(seed), 2))
-	var made plan
+	random := rand.New(rand.NewPCG(uint64(seed), 2))
+	var events plan
 	for at := time.Duration(0); ; {
-		at += time.Duration(200+chance.IntN(1200)) * time.Millisecond
+		at += time.Duration(200+random.IntN(1200)) * time.Millisecond
 		if at > length {
-			return made
+			return events
 		}
 		steps := plannedSteps
 		if at%cycleTime < faultPhaseTime {
@@ -51,11 +51,11 @@
 		}
 		next := event{
 			at:       at,
-			step:     steps[chance.IntN(len(steps))],
-			balancer: chance.IntN(soakBalancers),
-			duration: time.Duration(300+chance.IntN(2500)) * time.Millisecond,
+			step:     steps[random.IntN(len(steps))],
+			balancer: random.IntN(soakBalancers),
+			duration: time.Duration(300+random.IntN(2500)) * time.Millisecond,
 		}
-		made = append(made, next)
+		events = append(events, next)
 		if blockingSteps[next.step] {
 			at += next.duration
 		}
@@ -79,15 +79,15 @@
 // makeRestorePlan makes the plan of a seed in which the store comes back from copies again and
 // again, while balancers and back ends come and go.
 func makeRestorePlan(seed int, length time.Duration) plan {
-	chance := rand.New(rand.NewPCG(uint64(seed), 3))
-	var made plan
+	random := rand.New(rand.NewPCG(uint64(seed), 3))
+	var events plan
 	add := func(at time.Duration, steps ...string) time.Duration {
-		next := event{at: at, step: steps[chance.IntN(len(steps))], balancer: chance.IntN(soakBalancers),
-			duration: time.Duration(300+chance.IntN(2000)) * time.Millisecond}
-		made = append(made, next)
+		next := event{at: at, step: steps[random.IntN(len(steps))], balancer: random.IntN(soakBalancers),
+			duration: time.Duration(300+random.IntN(2000)) * time.Millisecond}
+		events = append(events, next)
 		return next.duration
 	}
-	pause := func() time.Duration { return time.Duration(150+chance.IntN(800)) * time.Millisecond }
+	pause := func() time.Duration { return time.Duration(150+random.IntN(800)) * time.Millisecond }
 	for at := pause(); at < length; {
 		for storm := at + faultPhaseTime; at < storm; at += pause() {
 			away := add(at, "store-drill")
@@ -99,7 +99,7 @@
 			add(at, quietSteps...)
 		}
 	}
-	return made
+	return events
 }
 
 // String writes a plan, one event a line, as parsePlan reads it; what was skipped is
@@ -146,13 +146,13 @@
 // kinds of events come.
 func TestPlan(t *testing.T) {
 	t.Parallel()
-	made := makePlan(7, 60*time.Minute)
-	require.Equal(t, made, makePlan(7, 60*time.Minute))
-	read, err := parsePlan("# a remark\n" + made.String())
+	events := makePlan(7, 60*time.Minute)
+	require.Equal(t, events, makePlan(7, 60*time.Minute))
+	read, err := parsePlan("# a remark\n" + events.String())
 	require.NoError(t, err)
-	require.Equal(t, made, read)
+	require.Equal(t, events, read)
 	seen := make(map[string]bool)
-	for _, next := range made {
+	for _, next := range events {
 		seen[next.step] = true
 	}
 	require.Len(t, seen, len(soakSteps))
--- a/test/e2e/reservations_test.go
+++ b/test/e2e/reservations_test.go
@@ -20,45 +20,45 @@
 }
 
 // reserve holds balancers as away, if that may be.
-func (holds *reservations) reserve(places []int) bool {
+func (holds *reservations) reserve(balancers []int) bool {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
-	held := func(place int) bool {
-		return holds.changingSettings[place] || slices.Contains(holds.unavailable, place)
+	held := func(balancer int) bool {
+		return holds.changingSettings[balancer] || slices.Contains(holds.unavailable, balancer)
 	}
-	if len(holds.unavailable) > 0 && len(holds.unavailable)+len(places) > holds.limit || slices.ContainsFunc(places, held) {
+	if len(holds.unavailable) > 0 && len(holds.unavailable)+len(balancers) > holds.limit || slices.ContainsFunc(balancers, held) {
 		return false
 	}
-	holds.unavailable = append(holds.unavailable, places...)
+	holds.unavailable = append(holds.unavailable, balancers...)
 	return true
 }
 
-// release ends what reserve began with the same places.
-func (holds *reservations) release(places []int) {
+// release ends what reserve began with the same balancers.
+func (holds *reservations) release(balancers []int) {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
-	holds.unavailable = slices.DeleteFunc(holds.unavailable, func(place int) bool { return slices.Contains(places, place) })
+	holds.unavailable = slices.DeleteFunc(holds.unavailable, func(balancer int) bool { return slices.Contains(balancers, balancer) })
 }
 
 // reserveSettings holds a balancer as one whose settings file is changed, if that may be.
-func (holds *reservations) reserveSettings(place int) bool {
+func (holds *reservations) reserveSettings(balancer int) bool {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
-	if holds.changingSettings[place] || slices.Contains(holds.unavailable, place) {
+	if holds.changingSettings[balancer] || slices.Contains(holds.unavailable, balancer) {
 		return false
 	}
 	if holds.changingSettings == nil {
 		holds.changingSettings = make(map[int]bool)
 	}
-	holds.changingSettings[place] = true
+	holds.changingSettings[balancer] = true
 	return true
 }
 
 // releaseSettings ends what change began.
-func (holds *reservations) releaseSettings(place int) {
+func (holds *reservations) releaseSettings(balancer int) {
 	holds.mutex.Lock()
 	defer holds.mutex.Unlock()
-	delete(holds.changingSettings, place)
+	delete(holds.changingSettings, balancer)
 }
 
 // A changed settings file holds its own balancer only.
--- a/test/e2e/restarts_test.go
+++ b/test/e2e/restarts_test.go
@@ -27,17 +27,17 @@
 // makeRestartPlan makes the plan of a seed in which balancers are stopped, changed and killed in
 // series that overlap, in and after bursts.
 func makeRestartPlan(seed int, length time.Duration) plan {
-	chance := rand.New(rand.NewPCG(uint64(seed), 4))
-	var made plan
-	for at := time.Duration(0); at < length; at += time.Duration(100+chance.IntN(500)) * time.Millisecond {
+	random := rand.New(rand.NewPCG(uint64(seed), 4))
+	var events plan
+	for at := time.Duration(0); at < length; at += time.Duration(100+random.IntN(500)) * time.Millisecond {
 		steps := restartSteps
 		if at%cycleTime < faultPhaseTime {
 			steps = slices.Concat(restartFaults, restartSteps)
 		}
-		made = append(made, event{at: at, step: steps[chance.IntN(len(steps))], balancer: chance.IntN(soakBalancers),
-			duration: time.Duration(300+chance.IntN(1500)) * time.Millisecond})
+		events = append(events, event{at: at, step: steps[random.IntN(len(steps))], balancer: random.IntN(soakBalancers),
+			duration: time.Duration(300+random.IntN(1500)) * time.Millisecond})
 	}
-	return made
+	return events
 }
 
 // TestSoakOfRestarts guards against requests that are shed, refused or held up while balancers
--- a/test/e2e/settings_test.go
+++ b/test/e2e/settings_test.go
@@ -12,8 +12,8 @@
 )
 
 // settingsFile is the file of a balancer and what stands in it.
-func (soak *soak) settingsFile(place int) (path, content string) {
-	path = filepath.Join(soak.dir, soak.process(place).name+".yaml")
+func (soak *soak) settingsFile(balancer int) (path, content string) {
+	path = filepath.Join(soak.dir, soak.process(balancer).name+".yaml")
 	read, err := os.ReadFile(path)
 	require.NoError(soak.t, err)
 	return path, string(read)
@@ -21,44 +21,44 @@
 
 // changeSettings changes what a running balancer takes: the level of its log and
 // the order of its seeds. Every other time it is told so.
-func (soak *soak) changeSettings(place int, length time.Duration) {
-	if !soak.reservations.reserveSettings(place) {
+func (soak *soak) changeSettings(balancer int, length time.Duration) {
+	if !soak.reservations.reserveSettings(balancer) {
 		soak.markSkipped()
 		return
 	}
-	path, content := soak.settingsFile(place)
+	path, content := soak.settingsFile(balancer)
 	changed := strings.Replace(content, "log_level: debug", "log_level: info", 1)
 	if changed == content {
 		changed = strings.Replace(content, "log_level: info", "log_level: debug", 1)
 	}
-	skipped := soak.logSize(place)
+	skipped := soak.logSize(balancer)
 	soak.write(path, changed)
-	soak.signalReload(place, length)
+	soak.signalReload(balancer, length)
 	soak.activeFaults.Go(func() {
-		soak.requireLogLine(place, skipped, "Settings: in force.")
-		soak.reservations.releaseSettings(place)
+		soak.requireLogLine(balancer, skipped, "Settings: in force.")
+		soak.reservations.releaseSettings(balancer)
 	})
 }
 
 // breakSettings writes a file that a running balancer must refuse, and then the
 // good one again.
-func (soak *soak) breakSettings(place int, length time.Duration) {
-	if !soak.reservations.reserveSettings(place) {
+func (soak *soak) breakSettings(balancer int, length time.Duration) {
+	if !soak.reservations.reserveSettings(balancer) {
 		soak.markSkipped()
 		return
 	}
-	path, content := soak.settingsFile(place)
+	path, content := soak.settingsFile(balancer)
 	faulty := content[:len(content)/2]
 	if length/(2*time.Millisecond)%2 == 0 {
 		faulty = strings.Replace(content, "zone: ", "zone: other-", 1)
 	}
-	skipped := soak.logSize(place)
+	skipped := soak.logSize(balancer)
 	soak.write(path, faulty)
-	soak.signalReload(place, length)
+	soak.signalReload(balancer, length)
 	soak.activeFaults.Go(func() {
-		soak.requireLogLine(place, skipped, "Settings: refused, the old ones stay.")
+		soak.requireLogLine(balancer, skipped, "Settings: refused, the old ones stay.")
 		soak.write(path, content)
-		soak.reservations.releaseSettings(place)
+		soak.reservations.releaseSettings(balancer)
 	})
 }
 
@@ -66,30 +66,30 @@
 	require.NoError(soak.t, os.WriteFile(path, []byte(content), 0o600))
 }
 
-func (soak *soak) signalReload(place int, length time.Duration) {
+func (soak *soak) signalReload(balancer int, length time.Duration) {
 	if length%(2*time.Millisecond) == 0 {
-		_ = soak.process(place).command.Process.Signal(syscall.SIGHUP)
+		_ = soak.process(balancer).command.Process.Signal(syscall.SIGHUP)
 	}
 }
 
 // requireLogLine requires that a balancer's log tells something soon, unless the balancer
 // is disturbed meanwhile. Skipped is the size of the log before.
-func (soak *soak) requireLogLine(place int, skipped int64, wanted string) {
+func (soak *soak) requireLogLine(balancer int, skipped int64, wanted string) {
 	began := time.Now()
-	watched := soak.process(place)
+	watched := soak.process(balancer)
 	time.Sleep(settingsTimeout)
 	content, err := os.ReadFile(watched.log.Name())
 	require.NoError(soak.t, err)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	if !strings.Contains(string(content[skipped:]), wanted) && soak.history.undisturbed(began, time.Now(), []int{place}) && watched == soak.processes[place] {
+	if !strings.Contains(string(content[skipped:]), wanted) && soak.history.undisturbed(began, time.Now(), []int{balancer}) && watched == soak.processes[balancer] {
 		soak.history.violations = append(soak.history.violations, fmt.Sprintf("%s did not say %q from %s on", watched.name, wanted, began.Format(time.TimeOnly)))
 	}
 }
 
 // logSize is the size of a balancer's log.
-func (soak *soak) logSize(place int) int64 {
-	information, err := os.Stat(soak.process(place).log.Name())
+func (soak *soak) logSize(balancer int) int64 {
+	information, err := os.Stat(soak.process(balancer).log.Name())
 	require.NoError(soak.t, err)
 	return information.Size()
 }
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -22,7 +22,7 @@
 	soakSeedVariable    = "INDIGOBARROW_SOAK_SEED"
 	// soakBalancersVariable is how many balancers there are.
 	soakBalancersVariable = "INDIGOBARROW_SOAK_BALANCERS"
-	// soakPlanVariable is a file with a plan to play in place of the seed's.
+	// soakPlanVariable is a file with a plan to play in balancer of the seed's.
 	soakPlanVariable   = "INDIGOBARROW_SOAK_PLAN"
 	soakDefaultSeconds = 24
 	soakDefaultSeed    = 1
@@ -63,7 +63,7 @@
 	plan      plan
 	processes []*process
 	// storeProxies and peers stand before the store and before each balancer's socket
-	// for the others, by the balancers' places.
+	// for the others, by the balancers' balancers.
 	storeProxies, peerProxies []*swallow.Proxy
 	historyMutex              sync.Mutex
 	history                   history
@@ -71,7 +71,7 @@
 	movingPool                string
 	startedAt                 time.Time
 	activeFaults              sync.WaitGroup
-	// eventIndex is the place in the plan of the step of now.
+	// eventIndex is the balancer in the plan of the step of now.
 	eventIndex   int
 	reservations reservations
 	bursting     atomic.Bool
@@ -149,8 +149,8 @@
 			made.addBackend(each.pool)
 		}
 	}
-	for place := range soakBalancers {
-		made.addBalancer(place)
+	for balancer := range soakBalancers {
+		made.addBalancer(balancer)
 	}
 	site.waitReady(soakBalancers)
 	made.startedAt = time.Now()
@@ -160,17 +160,17 @@
 
 // addBalancer starts a balancer that calls the store, and is called by the others,
 // through proxies.
-func (soak *soak) addBalancer(place int) {
-	host := soak.ip(1, place+1)
-	store := soak.storeCaller(place) + ":8169"
-	soak.storeProxies = append(soak.storeProxies, startProxy(soak.t, store, soak.ip(0, 1)+":8169", soak.storeCaller(place)))
+func (soak *soak) addBalancer(balancer int) {
+	host := soak.ip(1, balancer+1)
+	store := soak.storeCaller(balancer) + ":8169"
+	soak.storeProxies = append(soak.storeProxies, startProxy(soak.t, store, soak.ip(0, 1)+":8169", soak.storeCaller(balancer)))
 	soak.peerProxies = append(soak.peerProxies, startProxy(soak.t, host+":8166", host+":8266", ""))
-	started := soak.startBalancerAt(zones[place%len(zones)], store, "--peer-listen", host+":8266")
+	started := soak.startBalancerAt(zones[balancer%len(zones)], store, "--peer-listen", host+":8266")
 	soak.processes = append(soak.processes, started)
 }
 
 // storeCaller is the IP from which a balancer's calls come to the store.
-func (soak *soak) storeCaller(place int) string { return soak.ip(0, 10+place) }
+func (soak *soak) storeCaller(balancer int) string { return soak.ip(0, 10+balancer) }
 
 func (soak *soak) addBackend(pool string) {
 	soak.backendCount++
