--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -45,7 +45,7 @@
 	// skipUnchanged makes a back end skip writing an entry that equals the stored one, so
 	// that only changes raise the store's revision.
 	skipUnchanged bool
-	// configuration is the last one that operators wrote.
+	// configuration is the last one that operators wrote; backups are those of the store.
 	configuration []byte
 	backups       backups
 }
@@ -297,7 +297,7 @@
 	var waiting, others sync.WaitGroup
 	failures := make(chan error, len(flows))
 	done := make(chan struct{})
-	began := time.Now()
+	start := time.Now()
 	for index, flow := range flows {
 		if servers[index] == "lending/i-a0" {
 			waiting.Go(func() {
@@ -316,7 +316,7 @@
 	for err := range failures {
 		require.ErrorIs(t, err, echonet.ErrBroken)
 	}
-	require.Less(t, time.Since(began), 2500*time.Millisecond)
+	require.Less(t, time.Since(start), 2500*time.Millisecond)
 	site.requireNoMisrouted()
 }
 
@@ -366,25 +366,25 @@
 	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
 	time.Sleep(5500 * time.Millisecond) // exceeds the clock difference that is allowed for
 	site.mutex.Lock()
-	ended := site.backends["i-a0"]
-	ended.withoutEntry = true
-	ended.Stop()
+	stopped := site.backends["i-a0"]
+	stopped.withoutEntry = true
+	stopped.Stop()
 	site.mutex.Unlock()
 	site.startBackend("i-a0", "lending", zones[0], 1)
-	later, ours := site.openFlows(site.target("198.18.0.1", 443), 20)
+	laterFlows, laterServers := site.openFlows(site.target("198.18.0.1", 443), 20)
 	var kept []*echonet.Flow
-	var holders []string
+	var keptServers []string
 	for index, flow := range flows {
 		if servers[index] == "lending/i-a0" {
 			require.True(t, flow.AwaitReset(2*time.Second), "flow %d", index)
 			continue
 		}
-		kept, holders = append(kept, flow), append(holders, servers[index])
+		kept, keptServers = append(kept, flow), append(keptServers, servers[index])
 	}
 	require.Less(t, len(kept), len(flows))
-	require.Contains(t, ours, "lending/i-a0", "the restarted back end takes flows")
-	site.requireSameBackend(kept, holders)
-	site.requireSameBackend(later, ours)
+	require.Contains(t, laterServers, "lending/i-a0", "the restarted back end takes flows")
+	site.requireSameBackend(kept, keptServers)
+	site.requireSameBackend(laterFlows, laterServers)
 	site.requireNoMisrouted()
 }
 
@@ -392,9 +392,9 @@
 	t.Parallel()
 	site, _ := newLendingSite(t, 4)
 	site.mutex.Lock()
-	ended := site.backends["i-a0"]
-	ended.withoutEntry = true
-	ended.Stop()
+	stopped := site.backends["i-a0"]
+	stopped.withoutEntry = true
+	stopped.Stop()
 	site.mutex.Unlock()
 	site.startBackend("i-cc", "covers", zones[0], 1)
 	for range 20 {
@@ -470,9 +470,9 @@
 		for _, balancer := range group {
 			site.restart(balancer)
 		}
-		began := time.Now()
+		start := time.Now()
 		site.waitReady(5)
-		require.Less(t, time.Since(began), 2*time.Second, "the routers probe readiness twice a second")
+		require.Less(t, time.Since(start), 2*time.Second, "the routers probe readiness twice a second")
 	}
 	site.requireSameBackend(flows, servers)
 	site.openFlows(site.target("198.18.0.1", 443), 10)
@@ -573,6 +573,6 @@
 	require.False(t, opensThere(), "%s and %s have learned of the evacuation from a peer", restarted[0].name, restarted[1].name)
 	site.store.SetFaults(metadata.Faults{})
 	site.store.Remove("op/evacuate/" + evacuated)
-	requireEventually(true, "revoked")
+	requireEventually(true, "the evacuation is revoked")
 	site.requireNoMisrouted()
 }
--- a/test/e2e/callers_test.go
+++ b/test/e2e/callers_test.go
@@ -12,37 +12,40 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/echonet"
 )
 
-// runCaller opens flows and sends requests on them until the context ends.
+// runCaller opens flows and sends requests on them until the context is canceled.
 func (soak *soak) runCaller(ctx context.Context, number int) {
-	for turn := 0; ctx.Err() == nil; turn++ {
-		name := soakRoutes[(number+turn)%len(soakRoutes)]
-		flow, server, err := soak.openFlow(name, fmt.Sprintf("%d-%d", number, turn))
+	for round := 0; ctx.Err() == nil; round++ {
+		name := soakRoutes[(number+round)%len(soakRoutes)]
+		flow, server, err := soak.openFlow(name, fmt.Sprintf("%d-%d", number, round))
 		if err == nil {
-			soak.sendRequests(ctx, flow, name, server, fmt.Sprintf("%d-%d", number, turn))
+			soak.sendRequests(ctx, flow, name, server, fmt.Sprintf("%d-%d", number, round))
 		} else {
 			time.Sleep(retryPause)
 		}
 	}
 }
 
-// openFlow opens a flow with its first request.
+// openFlow opens a flow and sends its first request. It returns the flow and the back end
+// that answered.
 func (soak *soak) openFlow(name, body string) (*echonet.Flow, string, error) {
-	attempt := attempt{route: name, isOpening: true, at: time.Now(), body: body}
+	entry := attempt{route: name, isOpening: true, at: time.Now(), body: body}
 	flow, err := soak.client.Open(soak.target(soakTargets[name], 443))
 	if err == nil {
-		attempt.server, err = flow.Request(body)
+		entry.server, err = flow.Request(body)
 	}
-	soak.recordAttempt(attempt, flow, err)
-	return flow, attempt.server, err
+	soak.recordAttempt(entry, flow, err)
+	return flow, entry.server, err
 }
 
+// sendRequests sends requests on an open flow until one fails or all are sent, and closes
+// the flow.
 func (soak *soak) sendRequests(ctx context.Context, flow *echonet.Flow, name, server, body string) {
 	for request := range requestsPerFlow {
 		time.Sleep(requestInterval)
-		attempt := attempt{route: name, at: time.Now(), previousServer: server, body: fmt.Sprintf("%s-%d", body, request)}
+		entry := attempt{route: name, at: time.Now(), previousServer: server, body: fmt.Sprintf("%s-%d", body, request)}
 		var err error
-		attempt.server, err = flow.Request(attempt.body)
-		soak.recordAttempt(attempt, flow, err)
+		entry.server, err = flow.Request(entry.body)
+		soak.recordAttempt(entry, flow, err)
 		if err != nil || ctx.Err() != nil {
 			break
 		}
@@ -50,16 +53,16 @@
 	flow.Close()
 }
 
-// burst asks more of the desk than its back ends can do: two in three callers on the
-// patient route, one request a flow.
-func (soak *soak) burst(length time.Duration) {
+// burst sends the desk more requests than its back ends can process: one request per flow,
+// two of three callers on the patient route and the others on the urgent one.
+func (soak *soak) burst(duration time.Duration) {
 	if !soak.bursting.CompareAndSwap(false, true) {
 		soak.markSkipped()
 		return
 	}
 	now := time.Now()
 	soak.historyMutex.Lock()
-	soak.history.bursts = append(soak.history.bursts, span{from: now, until: now.Add(length)})
+	soak.history.bursts = append(soak.history.bursts, span{from: now, until: now.Add(duration)})
 	number := len(soak.history.bursts)
 	soak.historyMutex.Unlock()
 	soak.activeFaults.Go(func() {
@@ -70,8 +73,8 @@
 				name = "urgent"
 			}
 			callers.Go(func() {
-				for turn := 0; time.Since(now) < length; turn++ {
-					flow, _, err := soak.openFlow(name, fmt.Sprintf("burst-%d-%d-%d", number, caller, turn))
+				for round := 0; time.Since(now) < duration; round++ {
+					flow, _, err := soak.openFlow(name, fmt.Sprintf("burst-%d-%d-%d", number, caller, round))
 					if err != nil {
 						time.Sleep(retryPause)
 					}
@@ -98,19 +101,19 @@
 	return outcomeDeadline
 }
 
-// recordAttempt notes the end of an attempt.
-func (soak *soak) recordAttempt(attempt attempt, flow *echonet.Flow, err error) {
-	attempt.ended, attempt.result, attempt.port = time.Now(), outcomeOf(err), flow.Port()
-	attempt.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), attempt.port, soakTargets[attempt.route])
+// recordAttempt completes an attempt with its end and its outcome and adds it to the history.
+func (soak *soak) recordAttempt(entry attempt, flow *echonet.Flow, err error) {
+	entry.ended, entry.result, entry.port = time.Now(), outcomeOf(err), flow.Port()
+	entry.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), entry.port, soakTargets[entry.route])
 	for _, node := range flow.Via() {
-		attempt.via = append(attempt.via, balancerAt(node))
+		entry.via = append(entry.via, balancerAt(node))
 	}
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	soak.history.attempts = append(soak.history.attempts, attempt)
+	soak.history.attempts = append(soak.history.attempts, entry)
 }
 
-// balancerAt is the balancer of the balancer at an address.
+// balancerAt returns the index of the balancer at an address.
 func balancerAt(node netip.AddrPort) int {
 	address := node.Addr().As4()
 	return int(address[3]) - 1
--- a/test/e2e/checker_histories_test.go
+++ b/test/e2e/checker_histories_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// builder makes up histories.
+// builder builds artificial histories whose times are relative to start.
 type builder struct {
 	start time.Time
 }
 
 func newHistoryBuilder() builder { return builder{start: time.Now()} }
 
-// timeAt is the time some seconds after the start.
-func (builder builder) timeAt(number float64) time.Time {
-	return builder.start.Add(time.Duration(number * float64(time.Second)))
+// timeAt returns the time some seconds after the start.
+func (builder builder) timeAt(seconds float64) time.Time {
+	return builder.start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// answeredOpening is a flow's opening that was answered soon.
+// answeredOpening returns the opening of a flow that a back end answered after 0.1 s.
 func (builder builder) answeredOpening(at float64, server string) attempt {
 	return attempt{route: "lending", isOpening: true, at: builder.timeAt(at), ended: builder.timeAt(at + 0.1), server: server}
 }
 
-// laterRequest is a request on an open flow of lending/i-1.
+// laterRequest returns a request on an open flow of back end lending/i-1.
 func (builder builder) laterRequest(result outcome, server string) attempt {
 	return attempt{route: "lending", at: builder.timeAt(20), ended: builder.timeAt(20.1), result: result, previousServer: "lending/i-1", server: server}
 }
@@ -38,116 +38,116 @@
 	}
 }
 
-// For each promise a build-up history that breaks it is caught, and one that is
-// excused is not.
+// For each guarantee, the checker must report an artificial history that violates it, and must
+// not report one in which the violation is excused.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	builder := newHistoryBuilder()
-	second, opened, later, build := builder.timeAt, builder.answeredOpening, builder.laterRequest, builder.build
-	require.Empty(t, build(opened(10, "lending/i-1"), later(outcomeAnswered, "lending/i-1"), later(outcomeDeadline, "")).check())
-	require.Len(t, build(opened(1, "covers/i-1")).check(), 1, "another service")
-	require.Len(t, build(later(outcomeBroken, "")).check(), 1, "reset")
-	require.Len(t, build(later(outcomeAnswered, "lending/i-2")).check(), 1, "another back end")
-
-	excused := build(later(outcomeBroken, ""))
-	excused.dead["lending/i-1"] = second(19)
-	require.Empty(t, excused.check(), "its back end had ended")
-
-	drained := build(opened(14, "lending/i-1"))
-	drained.leaving["lending/i-1"] = second(10)
+	timeAt, answeredOpening, laterRequest, build := builder.timeAt, builder.answeredOpening, builder.laterRequest, builder.build
+	require.Empty(t, build(answeredOpening(10, "lending/i-1"), laterRequest(outcomeAnswered, "lending/i-1"), laterRequest(outcomeDeadline, "")).check())
+	require.Len(t, build(answeredOpening(1, "covers/i-1")).check(), 1, "another service")
+	require.Len(t, build(laterRequest(outcomeBroken, "")).check(), 1, "reset")
+	require.Len(t, build(laterRequest(outcomeAnswered, "lending/i-2")).check(), 1, "another back end")
+
+	excused := build(laterRequest(outcomeBroken, ""))
+	excused.dead["lending/i-1"] = timeAt(19)
+	require.Empty(t, excused.check(), "its back end had stopped")
+
+	drained := build(answeredOpening(14, "lending/i-1"))
+	drained.leaving["lending/i-1"] = timeAt(10)
 	require.Len(t, drained.check(), 1, "drain")
-	drained.attempts[0].at = second(13.5)
+	drained.attempts[0].at = timeAt(13.5)
 	require.Len(t, drained.check(), 1)
-	drained.blackholes = []blackhole{{at: second(9.9), balancer: 2}}
-	require.Len(t, drained.check(), 1, "another balancer's connections had just gone silent")
+	drained.blackholes = []blackhole{{at: timeAt(9.9), balancer: 2}}
+	require.Len(t, drained.check(), 1, "another balancer's connections had just stopped carrying data")
 	drained.attempts[0].via = []int{2}
-	require.Empty(t, drained.check(), "connections had just gone silent")
-	drained.attempts[0].at = second(14.1)
-	require.Len(t, drained.check(), 1, "connections had gone silent, but longer ago")
+	require.Empty(t, drained.check(), "connections had just stopped carrying data")
+	drained.attempts[0].at = timeAt(14.1)
+	require.Len(t, drained.check(), 1, "connections had stopped carrying data, but longer ago")
 	drained.blackholes, drained.attempts[0].via = nil, nil
-	drained.disturbances = []disturbance{{span: span{from: second(9), until: second(10.5)}, balancers: []int{2}}}
+	drained.disturbances = []disturbance{{span: span{from: timeAt(9), until: timeAt(10.5)}, balancers: []int{2}}}
 	require.Len(t, drained.check(), 1, "another balancer was down just before")
 	drained.attempts[0].via = []int{1, 2}
 	require.Empty(t, drained.check(), "its balancer was down just before")
-	drained.disturbances[0].until = second(9.9)
-	require.Len(t, drained.check(), 1, "its balancer had been in touch for long enough")
+	drained.disturbances[0].until = timeAt(9.9)
+	require.Len(t, drained.check(), 1, "its balancer had been undisturbed for long enough")
 	drained.disturbances[0].balancers = nil
 	require.Empty(t, drained.check(), "the store was down just before")
 
-	restarted := build(opened(13.9, "lending/i-1"))
-	restarted.leaving["lending/i-1"] = second(5)
-	restarted.disturbances = []disturbance{{span: span{from: second(10), until: second(10)}, balancers: []int{2}}}
+	restarted := build(answeredOpening(13.9, "lending/i-1"))
+	restarted.leaving["lending/i-1"] = timeAt(5)
+	restarted.disturbances = []disturbance{{span: span{from: timeAt(10), until: timeAt(10)}, balancers: []int{2}}}
 	restarted.attempts[0].via = []int{2}
 	require.Empty(t, restarted.check(), "its balancer was started 3.9 s before")
-	restarted.attempts[0].at = second(14)
+	restarted.attempts[0].at = timeAt(14)
 	require.Len(t, restarted.check(), 1, "its balancer was started 4 s before")
-	restarted.attempts[0].at, restarted.attempts[0].via = second(13.9), []int{1}
+	restarted.attempts[0].at, restarted.attempts[0].via = timeAt(13.9), []int{1}
 	require.Len(t, restarted.check(), 1, "another balancer was started")
 
-	moved := build(opened(14, "lending/i-1"))
-	moved.pools["lending"] = append(moved.pools["lending"], poolSpan{pool: "covers", span: span{from: second(10)}})
-	moved.pools["lending"][0].until = second(10)
+	moved := build(answeredOpening(14, "lending/i-1"))
+	moved.pools["lending"] = append(moved.pools["lending"], poolSpan{pool: "covers", span: span{from: timeAt(10)}})
+	moved.pools["lending"][0].until = timeAt(10)
 	require.Len(t, moved.check(), 1, "configuration")
-	moved.blackholes = []blackhole{{at: second(9.9), balancer: 2}}
-	require.Len(t, moved.check(), 1, "another balancer's connections had just gone silent")
+	moved.blackholes = []blackhole{{at: timeAt(9.9), balancer: 2}}
+	require.Len(t, moved.check(), 1, "another balancer's connections had just stopped carrying data")
 	moved.attempts[0].via = []int{1, 2}
-	require.Empty(t, moved.check(), "connections had just gone silent")
-	moved.attempts[0].at = second(14.1)
-	require.Len(t, moved.check(), 1, "connections had gone silent, but longer ago")
+	require.Empty(t, moved.check(), "connections had just stopped carrying data")
+	moved.attempts[0].at = timeAt(14.1)
+	require.Len(t, moved.check(), 1, "connections had stopped carrying data, but longer ago")
 
-	held := later(outcomeAnswered, "lending/i-1")
-	held.ended = second(21.5)
-	require.Len(t, build(held).check(), 1, "held up")
-	held.ended, held.via = second(26), []int{2}
-	require.Len(t, build(held).check(), 1, "held up for long")
+	delayed := laterRequest(outcomeAnswered, "lending/i-1")
+	delayed.ended = timeAt(21.5)
+	require.Len(t, build(delayed).check(), 1, "delayed request")
+	delayed.ended, delayed.via = timeAt(26), []int{2}
+	require.Len(t, build(delayed).check(), 1, "delayed for long")
 
-	refused := opened(10, "")
+	refused := answeredOpening(10, "")
 	refused.result = outcomeRefused
 	require.Len(t, build(refused).check(), 1, "refusal")
 	refused.port = 7
 	excusedRefusal := build(refused)
 	excusedRefusal.overloadedRoutes = map[string]bool{"lending": true}
-	excusedRefusal.bursts = []span{{from: second(7), until: second(9)}}
+	excusedRefusal.bursts = []span{{from: timeAt(7), until: timeAt(9)}}
 	require.Empty(t, excusedRefusal.check(), "refused in a burst")
 	excusedRefusal.openedPorts = map[uint16]bool{7: true}
 	require.Len(t, excusedRefusal.check(), 1, "refused, but it reached a back end")
 	excusedRefusal.openedPorts = nil
-	excusedRefusal.bursts[0].until = second(7.9)
-	require.Len(t, excusedRefusal.check(), 2, "refused after a burst: new flows in calm, and all are served as before")
-
-	mourned := build(refused)
-	mourned.dead["lending/i-9"] = second(8)
-	require.Len(t, mourned.check(), 1, "refused after the planned end of a back end that had left")
-	mourned.crashed = map[string]bool{"lending/i-9": true}
-	require.Empty(t, mourned.check(), "refused after the crash of a back end")
-	mourned.dead["lending/i-9"] = second(3.9)
-	require.Len(t, mourned.check(), 1, "refused long after a crash")
-	mourned.dead["lending/i-9"] = second(10.2)
-	require.Len(t, mourned.check(), 1, "refused before a crash")
-
-	shed := later(outcomeShed, "lending/i-1")
+	excusedRefusal.bursts[0].until = timeAt(7.9)
+	require.Len(t, excusedRefusal.check(), 2, "refused after a burst: violates checkRefusal and checkBurstRecovery")
+
+	afterCrash := build(refused)
+	afterCrash.dead["lending/i-9"] = timeAt(8)
+	require.Len(t, afterCrash.check(), 1, "refused after the planned stop of a back end that had left")
+	afterCrash.crashed = map[string]bool{"lending/i-9": true}
+	require.Empty(t, afterCrash.check(), "refused after the crash of a back end")
+	afterCrash.dead["lending/i-9"] = timeAt(3.9)
+	require.Len(t, afterCrash.check(), 1, "refused long after a crash")
+	afterCrash.dead["lending/i-9"] = timeAt(10.2)
+	require.Len(t, afterCrash.check(), 1, "refused before a crash")
+
+	shed := laterRequest(outcomeShed, "lending/i-1")
 	shed.body = "page"
 	require.Empty(t, build(shed).check())
-	ran := build(shed)
-	ran.runs = map[string]int{"page": 1}
-	require.Len(t, ran.check(), 1, "shed, but it ran")
-	ran.runs["page"] = 0
-	ran.overloadedRoutes = map[string]bool{"lending": true}
-	require.Len(t, ran.check(), 1, "shed with no burst near")
-	ran.bursts = []span{{from: second(17), until: second(19)}}
-	require.Empty(t, ran.check(), "shed in a burst")
-	require.Len(t, build(later(outcomeBroken, "")).check(), 1)
-	ran.attempts[0] = later(outcomeBroken, "")
-	require.Len(t, ran.check(), 1, "an open flow was reset in a burst")
-
-	late := opened(10, "")
-	late.result, late.ended = outcomeDeadline, second(11.4)
+	executed := build(shed)
+	executed.runs = map[string]int{"page": 1}
+	require.Len(t, executed.check(), 1, "shed, but it ran")
+	executed.runs["page"] = 0
+	executed.overloadedRoutes = map[string]bool{"lending": true}
+	require.Len(t, executed.check(), 1, "shed with no burst near")
+	executed.bursts = []span{{from: timeAt(17), until: timeAt(19)}}
+	require.Empty(t, executed.check(), "shed in a burst")
+	require.Len(t, build(laterRequest(outcomeBroken, "")).check(), 1)
+	executed.attempts[0] = laterRequest(outcomeBroken, "")
+	require.Len(t, executed.check(), 1, "an open flow was reset in a burst")
+
+	late := answeredOpening(10, "")
+	late.result, late.ended = outcomeDeadline, timeAt(11.4)
 	unserved := build(late)
 	unserved.overloadedRoutes = map[string]bool{"lending": true}
 	require.Len(t, unserved.check(), 1, "not opened with no burst near")
 	unserved.attempts[0].result = outcomeRefused
 	require.Len(t, unserved.check(), 2, "refused with no burst near")
 
-	answered := later(outcomeAnswered, "lending/i-1")
+	answered := laterRequest(outcomeAnswered, "lending/i-1")
 	answered.body = "page"
 	twice := build(answered)
 	twice.runs = map[string]int{"page": 2}
@@ -157,41 +157,41 @@
 	twice.runs["page"] = 1
 	require.Empty(t, twice.check())
 
-	told := build()
-	told.violations = []string{"settings were not taken"}
-	require.Len(t, told.check(), 1)
+	recorded := build()
+	recorded.violations = []string{"settings were not applied"}
+	require.Len(t, recorded.check(), 1)
 }
 
-// What was disturbed is excused by each rule on its own, no more than that.
+// Each rule must by itself excuse what a disturbance affected, and nothing else.
 func TestCheckerExcusesEachDisturbance(t *testing.T) {
 	builder := newHistoryBuilder()
-	second := builder.timeAt
-	ofBalancer := []disturbance{{span: span{from: second(7), until: second(8)}, balancers: []int{2}}}
+	timeAt := builder.timeAt
+	balancerDisturbance := []disturbance{{span: span{from: timeAt(7), until: timeAt(8)}, balancers: []int{2}}}
 	refused := builder.answeredOpening(10, "")
 	refused.result, refused.port, refused.via = outcomeRefused, 7, []int{2}
 	refusal := builder.build(refused)
-	require.Equal(t, []string{"a new flow was refused in calm"}, refusal.violationsOf(refused))
+	require.Equal(t, []string{"a new flow was refused without a disturbance"}, refusal.violationsOf(refused))
 
 	moved := builder.build(builder.answeredOpening(14, "lending/i-1"))
-	moved.pools["lending"] = []poolSpan{{pool: "lending", span: span{from: second(0), until: second(10)}}, {pool: "covers", span: span{from: second(10)}}}
+	moved.pools["lending"] = []poolSpan{{pool: "lending", span: span{from: timeAt(0), until: timeAt(10)}}, {pool: "covers", span: span{from: timeAt(10)}}}
 	moved.attempts[0].via = []int{2}
 	require.Len(t, moved.check(), 1)
-	moved.disturbances = []disturbance{{span: span{from: second(11), until: second(12)}, balancers: []int{2}}}
+	moved.disturbances = []disturbance{{span: span{from: timeAt(11), until: timeAt(12)}, balancers: []int{2}}}
 	require.Empty(t, moved.check(), "its balancer was disturbed since it moved")
 	moved.attempts[0].via = []int{1}
-	require.Len(t, moved.check(), 1, "another one was")
-
-	held := builder.laterRequest(outcomeAnswered, "lending/i-1")
-	held.ended, held.via = second(26), []int{2}
-	slow := builder.build(held)
-	slow.disturbances = []disturbance{{span: span{from: second(15), until: second(16.1)}, balancers: []int{2}}}
-	require.Empty(t, slow.check(), "held up, but its balancer was disturbed 3.9 s before")
-	slow.disturbances[0].until = second(16)
-	require.Len(t, slow.check(), 1, "held up, its balancer in touch for 4 s")
-	slow.dead["lending/i-1"] = second(25)
-	require.Empty(t, slow.check(), "its back end ended meanwhile")
-	slow.dead["lending/i-1"] = second(27)
-	require.Len(t, slow.check(), 1, "its back end ended later")
+	require.Len(t, moved.check(), 1, "another balancer was disturbed")
+
+	delayed := builder.laterRequest(outcomeAnswered, "lending/i-1")
+	delayed.ended, delayed.via = timeAt(26), []int{2}
+	delayedHistory := builder.build(delayed)
+	delayedHistory.disturbances = []disturbance{{span: span{from: timeAt(15), until: timeAt(16.1)}, balancers: []int{2}}}
+	require.Empty(t, delayedHistory.check(), "delayed, but its balancer was disturbed 3.9 s before")
+	delayedHistory.disturbances[0].until = timeAt(16)
+	require.Len(t, delayedHistory.check(), 1, "delayed, its balancer undisturbed for 4 s")
+	delayedHistory.dead["lending/i-1"] = timeAt(25)
+	require.Empty(t, delayedHistory.check(), "its back end stopped meanwhile")
+	delayedHistory.dead["lending/i-1"] = timeAt(27)
+	require.Len(t, delayedHistory.check(), 1, "its back end stopped later")
 
 	rules := map[string]func(*history) string{
 		"refusal":   func(history *history) string { return history.checkRefusal(refused) },
@@ -199,25 +199,25 @@
 		"burst":     func(history *history) string { return history.checkBurstRecovery(refused) },
 	}
 	for name, rule := range rules {
-		judged := builder.build(refused)
-		judged.openedPorts = map[uint16]bool{7: true}
+		tested := builder.build(refused)
+		tested.openedPorts = map[uint16]bool{7: true}
 		if name == "burst" {
-			judged.overloadedRoutes = map[string]bool{"lending": true}
+			tested.overloadedRoutes = map[string]bool{"lending": true}
 		}
-		require.NotEmpty(t, rule(judged), name)
-		judged.disturbances = ofBalancer
-		require.Empty(t, rule(judged), "%s: its balancer was disturbed", name)
-		judged.disturbances = nil
-		judged.dead["lending/i-9"] = second(8)
-		require.NotEmpty(t, rule(judged), "%s: a back end that had left ended", name)
-		judged.crashed = map[string]bool{"lending/i-9": true}
-		require.Empty(t, rule(judged), "%s: a back end crashed", name)
+		require.NotEmpty(t, rule(tested), name)
+		tested.disturbances = balancerDisturbance
+		require.Empty(t, rule(tested), "%s: its balancer was disturbed", name)
+		tested.disturbances = nil
+		tested.dead["lending/i-9"] = timeAt(8)
+		require.NotEmpty(t, rule(tested), "%s: a back end that had left stopped", name)
+		tested.crashed = map[string]bool{"lending/i-9": true}
+		require.Empty(t, rule(tested), "%s: a back end crashed", name)
 	}
 
-	crowded := builder.build(refused)
-	crowded.overloadedRoutes = map[string]bool{"urgent": true}
-	crowded.bursts = []span{{from: second(9), until: second(11)}}
-	require.Len(t, crowded.check(), 1, "refused in a burst on another route")
-	crowded.overloadedRoutes["lending"] = true
-	require.Empty(t, crowded.check(), "refused in a burst on its route")
+	overloaded := builder.build(refused)
+	overloaded.overloadedRoutes = map[string]bool{"urgent": true}
+	overloaded.bursts = []span{{from: timeAt(9), until: timeAt(11)}}
+	require.Len(t, overloaded.check(), 1, "refused in a burst on another route")
+	overloaded.overloadedRoutes["lending"] = true
+	require.Empty(t, overloaded.check(), "refused in a burst on its route")
 }
--- a/test/e2e/checker_test.go
+++ b/test/e2e/checker_test.go
@@ -7,48 +7,50 @@
 	"time"
 )
 
-// The bounds that the checker judges by.
+// The bounds that the checker applies.
 const (
 	drainBound  = 3 * time.Second
 	configBound = 3 * time.Second
-	// settleTime is for how long nothing must have disturbed the store or the
-	// balancers before a bound in time is judged.
+	// settleTime is how long the store and the balancers must have been undisturbed before
+	// a time bound is checked.
 	settleTime = 4 * time.Second
-	// latencyBound is how long a request may take in calm.
+	// latencyBound is how long a request may take while nothing is disturbed.
 	latencyBound = time.Second
-	// blackholeSlack is how much later news may come where connections have just gone
-	// silent, which only time shows: new ones work, so it excuses nothing else.
+	// blackholeSlack is the extra time that updates may take where open connections have just
+	// stopped carrying data, which only a timeout detects. New connections work, so nothing
+	// but this delay is excused.
 	blackholeSlack = time.Second
-	// burstRecoveryBound is after how long all are served as before a burst.
+	// burstRecoveryBound is the time after a burst within which all requests must be served
+	// again as before it.
 	burstRecoveryBound = 2 * time.Second
-	// crashRecoveryBound is for how long the death of a back end may cost new flows.
+	// crashRecoveryBound is how long new flows may fail after the crash of a back end.
 	crashRecoveryBound = 6 * time.Second
 )
 
-// check returns the promises that were broken, in words.
+// check returns a description of each violated guarantee.
 func (history *history) check() []string {
-	broken := slices.Clone(history.violations)
-	for _, judged := range history.attempts {
-		for _, complaint := range history.violationsOf(judged) {
-			broken = append(broken, fmt.Sprintf("%s: %s", complaint, history.describe(judged)))
+	found := slices.Clone(history.violations)
+	for _, entry := range history.attempts {
+		for _, violation := range history.violationsOf(entry) {
+			found = append(found, fmt.Sprintf("%s: %s", violation, history.describe(entry)))
 		}
 	}
-	return broken
+	return found
 }
 
-// violationsOf returns the promises that were broken in one attempt.
-func (history *history) violationsOf(judged attempt) []string {
-	var broken []string
+// violationsOf returns the guarantees that one attempt violates.
+func (history *history) violationsOf(entry attempt) []string {
+	var found []string
 	rules := []func(attempt) string{
 		history.checkPool, history.checkAffinity, history.checkDrain, history.checkConfiguration, history.checkRefusal, history.checkLatency,
 		history.checkRefusedUndelivered, history.checkRunCount, history.checkBurstRecovery,
 	}
 	for _, rule := range rules {
-		if complaint := rule(judged); complaint != "" {
-			broken = append(broken, complaint)
+		if violation := rule(entry); violation != "" {
+			found = append(found, violation)
 		}
 	}
-	return broken
+	return found
 }
 
 func poolOf(server string) string {
@@ -56,6 +58,7 @@
 	return pool
 }
 
+// checkPool checks that an answer comes from a pool that the route has had.
 func (history *history) checkPool(attempt attempt) string {
 	if attempt.result != outcomeAnswered {
 		return ""
@@ -68,8 +71,8 @@
 	return "answered by a pool that the route never had"
 }
 
-// checkAffinity: an open flow is broken, or answered by another back end, only if
-// its back end has ended.
+// checkAffinity checks that an open flow is reset, or answered by another back end, only if
+// its back end has stopped.
 func (history *history) checkAffinity(attempt attempt) string {
 	if attempt.isOpening {
 		return ""
@@ -80,15 +83,16 @@
 	}
 	switch {
 	case attempt.result == outcomeBroken:
-		return "an open flow was reset while its back end lived"
+		return "an open flow was reset while its back end was running"
 	case attempt.result == outcomeAnswered && attempt.server != attempt.previousServer:
 		return "an open flow was answered by another back end"
 	}
 	return ""
 }
 
-// checkDrain: the store, when a back end began to leave, and who took a new flow were
-// in touch, so that the flow goes elsewhere.
+// checkDrain checks that no new flow goes to a back end that began to leave longer than
+// drainBound ago. It applies if the store was undisturbed when the back end began to leave
+// and so were the balancers of the flow when it was opened.
 func (history *history) checkDrain(attempt attempt) string {
 	left, leaving := history.leaving[attempt.server]
 	late := leaving && attempt.at.After(left.Add(drainBound+history.allowedDelay(attempt)))
@@ -98,6 +102,8 @@
 	return ""
 }
 
+// checkConfiguration checks that a new flow follows the latest configuration once configBound
+// has passed since the change.
 func (history *history) checkConfiguration(attempt attempt) string {
 	if !attempt.isOpening || attempt.result != outcomeAnswered {
 		return ""
@@ -111,17 +117,18 @@
 	return ""
 }
 
-// checkRefusal: in calm no flow is refused, but where a burst crowds its route.
+// checkRefusal checks that no new flow is refused while nothing is disturbed, except during a
+// burst on its route or after the crash of a back end.
 func (history *history) checkRefusal(attempt attempt) string {
 	if attempt.isOpening && attempt.result == outcomeRefused && !history.duringBurst(attempt) && !history.nearCrash(attempt) &&
 		history.undisturbed(attempt.at, attempt.ended, attempt.via) {
-		return "a new flow was refused in calm"
+		return "a new flow was refused without a disturbance"
 	}
 	return ""
 }
 
-// checkRefusedUndelivered: a first packet that balancers in touch refused has reached no back
-// end.
+// checkRefusedUndelivered checks that a first packet which undisturbed balancers refused has
+// reached no back end.
 func (history *history) checkRefusedUndelivered(attempt attempt) string {
 	if attempt.isOpening && attempt.result == outcomeRefused && history.openedPorts[attempt.port] && !history.nearCrash(attempt) &&
 		history.undisturbed(attempt.at, attempt.ended, attempt.via) {
@@ -130,22 +137,23 @@
 	return ""
 }
 
-// checkRunCount: a request runs once at most, one that was answered once, and one that
-// was refused or shed not at all.
+// checkRunCount checks that a request ran at most once, that an answered request ran once, and
+// that a refused or shed request did not run.
 func (history *history) checkRunCount(attempt attempt) string {
 	runs := history.runs[attempt.body]
 	switch {
 	case runs > 1:
 		return "a request ran twice"
 	case runs > 0 && (attempt.result == outcomeShed || attempt.isOpening && attempt.result == outcomeRefused):
-		return "a request ran that was said not to have run"
+		return "a request ran although it was reported as not run"
 	case runs == 0 && attempt.result == outcomeAnswered && attempt.body != "":
-		return "a request was answered that has not run"
+		return "a request was answered without having run"
 	}
 	return ""
 }
 
-// checkBurstRecovery: after a burst all are served as before it.
+// checkBurstRecovery checks that, outside of bursts, every request on an overloaded route is
+// answered as before the burst.
 func (history *history) checkBurstRecovery(attempt attempt) string {
 	if attempt.result == outcomeAnswered || !history.overloadedRoutes[attempt.route] || history.duringBurst(attempt) || history.nearCrash(attempt) ||
 		!history.undisturbed(attempt.at, attempt.ended, attempt.via) {
@@ -154,8 +162,8 @@
 	return "a request was not served though no burst was near"
 }
 
-// checkLatency: in calm, planned stops and all, a request on an open flow is
-// answered soon.
+// checkLatency checks that a request on an open flow is answered within latencyBound while
+// nothing is disturbed. Planned stops are no disturbance.
 func (history *history) checkLatency(attempt attempt) string {
 	if attempt.isOpening || attempt.ended.Sub(attempt.at) < latencyBound || !history.undisturbed(attempt.at, attempt.ended, attempt.via) {
 		return ""
@@ -163,5 +171,5 @@
 	if died, dead := history.dead[attempt.previousServer]; dead && died.Before(attempt.ended) {
 		return ""
 	}
-	return "a request was held up in calm"
+	return "a request was delayed without a disturbance"
 }
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -158,7 +158,7 @@
 	cluster.putJSON("http://"+cluster.ip(0, 2)+":7003/nodes", addresses)
 }
 
-// putJSON sends a PUT request to a stand-in. It retries, since the stand-in may still be
+// putJSON sends a PUT request to a simulator. It retries, since the simulator may still be
 // starting.
 func (cluster *cluster) putJSON(url string, body any) {
 	encoded, err := json.Marshal(body)
--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -44,10 +44,10 @@
 		cluster.removeNode(id)
 		cluster.setFabric()
 		cluster.signal(id, syscall.SIGTERM)
-		ended := make(chan error, 1)
-		go func() { ended <- cluster.nodes[id].command.Wait() }()
+		exited := make(chan error, 1)
+		go func() { exited <- cluster.nodes[id].command.Wait() }()
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			require.NoError(t, err, "node %s", id)
 		case <-time.After(30 * time.Second):
 			require.Fail(t, "the planned stop did not finish", "node %s", id)
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -13,29 +13,32 @@
 )
 
 const (
-	// failoverTime is for how long routers and balancers may miss a killed one.
+	// failoverTime is how long routers and balancers may take to notice a killed balancer.
 	failoverTime = time.Second
-	// slowDelay is how long a slow store holds back its answers, and a slow
-	// connection what it carries.
+	// slowDelay is the delay of each response of a slow store and of all data on a slow
+	// connection.
 	slowDelay = 250 * time.Millisecond
-	// lateWriteDelay is how long a store holds back a write; nobody waits for it so long.
+	// lateWriteDelay is the delay before the store applies a late write. It exceeds the time
+	// that any client waits for a write.
 	lateWriteDelay = 1500 * time.Millisecond
-	// refusalTime is for how long the store refuses some balancers.
+	// refusalTime is how long the store refuses or throttles the balancers of a zone.
 	refusalTime = 10 * time.Second
-	// pollInterval is how often a planned stop asks whether it's its turn.
+	// pollInterval is how often a planned stop checks whether it may begin, and how often the
+	// log of a starting balancer is read.
 	pollInterval = 50 * time.Millisecond
-	// startTimeout is how long a start is waited for.
+	// startTimeout is the maximum wait for a balancer to start.
 	startTimeout = 5 * time.Second
-	// settingsTimeout is within which a balancer takes a changed settings file.
+	// settingsTimeout is the time within which a balancer must apply or refuse a changed
+	// settings file.
 	settingsTimeout = 3500 * time.Millisecond
 )
 
-// plannedSteps are planned work: no caller may notice any of it. Stops come more
-// often, since one in a few only shows a balancer that ends too early.
+// plannedSteps are planned work, which no caller may notice. Stops are listed twice, since
+// only one in several of them exposes a balancer that exits too early.
 var plannedSteps = []string{"stop", "stop", "leave", "vanish", "move", "burst", "settings", "settings-faulty"}
 
-// faultSteps are faults. Those of links harm what is open and let new connections pass.
-// A mute link carries no calls, a deaf one no answers.
+// faultSteps are the faults. Faults of links affect open connections; new connections
+// work. A mute link drops requests, a deaf link drops responses.
 var faultSteps = []string{"kill", "lose", "pause", "kill-zone", "pause-zone", "kill-all", "pause-all",
 	"store-busy", "store-silent", "store-throttles", "store-slow", "store-late", "store-compacts",
 	"store-refuses-some", "store-throttles-some", "store-drill",
@@ -43,13 +46,13 @@
 	"peer-link-silent", "peer-link-deaf", "peer-link-mute", "peer-link-reset", "peer-link-slow",
 	"crash", "crash-zone"}
 
-// blockingSteps are the steps after whose length the next one begins.
+// blockingSteps are the steps whose duration passes before the next step begins.
 var blockingSteps = map[string]bool{"pause": true, "pause-zone": true, "pause-all": true, "store-busy": true, "store-silent": true,
 	"store-throttles": true, "store-slow": true, "store-late": true, "store-drill": true,
 	"peer-link-slow": true, "settings-faulty": true}
 
-// soakSteps are what is done at each step. It is filled at the start, since the
-// plan's reader refers to it.
+// soakSteps maps the name of each step to its action. It is filled in by init, since
+// parsePlan refers to it and an initializer would be a cycle.
 var soakSteps map[string]func(*soak, event)
 
 func init() {
@@ -104,7 +107,7 @@
 	}
 }
 
-// allBalancers are the balancers of all balancers.
+// allBalancers returns the indexes of all balancers.
 func allBalancers() []int {
 	balancers := make([]int, soakBalancers)
 	for balancer := range balancers {
@@ -113,7 +116,7 @@
 	return balancers
 }
 
-// balancersInZoneOf are the balancers of the balancers in the zone of one.
+// balancersInZoneOf returns the indexes of the balancers in the given balancer's zone.
 func balancersInZoneOf(balancer int) []int {
 	var balancers []int
 	for other := range soakBalancers {
@@ -124,41 +127,41 @@
 	return balancers
 }
 
-// recordDisturbance notes that balancers, or the store if none are named, are disturbed for a
-// time, and runs the end of that.
-func (soak *soak) recordDisturbance(balancers []int, length time.Duration, end func()) {
+// recordDisturbance records that balancers, or the store if none are given, are disturbed
+// for a time, and calls end, if it isn't nil, after that time.
+func (soak *soak) recordDisturbance(balancers []int, duration time.Duration, end func()) {
 	now := time.Now()
 	soak.historyMutex.Lock()
-	soak.history.disturbances = append(soak.history.disturbances, disturbance{span: span{from: now, until: now.Add(length)}, balancers: balancers})
+	soak.history.disturbances = append(soak.history.disturbances, disturbance{span: span{from: now, until: now.Add(duration)}, balancers: balancers})
 	soak.historyMutex.Unlock()
 	if end == nil {
 		return
 	}
 	soak.activeFaults.Go(func() {
-		time.Sleep(length)
+		time.Sleep(duration)
 		end()
 	})
 }
 
-// kill kills balancers, which start again after a time. Those that live must manage
-// without them soon.
-func (soak *soak) kill(balancers []int, away time.Duration) {
-	if !soak.terminate(balancers, syscall.SIGKILL, away) {
+// kill kills balancers, which restart after a time. The remaining ones must take over within
+// failoverTime.
+func (soak *soak) kill(balancers []int, downtime time.Duration) {
+	if !soak.terminate(balancers, syscall.SIGKILL, downtime) {
 		soak.markSkipped()
 		return
 	}
 	soak.recordDisturbance(balancers, failoverTime, nil)
 }
 
-// stopWhenPossible stops a balancer as planned. If others are away, or its settings file is
-// changed, it waits for its turn, unless one waits already.
-func (soak *soak) stopWhenPossible(balancer int, away time.Duration) {
+// stopWhenPossible stops a balancer as planned. While others are down or its settings file
+// is being changed, the stop waits. If another planned stop waits already, it is skipped.
+func (soak *soak) stopWhenPossible(balancer int, downtime time.Duration) {
 	if !soak.stopPending.CompareAndSwap(false, true) {
 		soak.markSkipped()
 		return
 	}
 	soak.activeFaults.Go(func() {
-		for !soak.terminate([]int{balancer}, syscall.SIGTERM, away) {
+		for !soak.terminate([]int{balancer}, syscall.SIGTERM, downtime) {
 			time.Sleep(pollInterval)
 		}
 		soak.stopCount.Add(1)
@@ -166,11 +169,12 @@
 	})
 }
 
-// markSkipped notes that the step of now isn't done.
+// markSkipped marks the current event as not carried out.
 func (soak *soak) markSkipped() { soak.plan[soak.eventIndex].skipped = true }
 
-// terminate ends balancers unless some are away already, and starts them again.
-func (soak *soak) terminate(balancers []int, signal syscall.Signal, away time.Duration) bool {
+// terminate sends a signal to balancers and restarts them after a time. It returns false and
+// does nothing if they can't be reserved, because others are down or settings are being changed.
+func (soak *soak) terminate(balancers []int, signal syscall.Signal, downtime time.Duration) bool {
 	if !soak.reservations.reserve(balancers) {
 		return false
 	}
@@ -181,7 +185,7 @@
 		for _, balancer := range balancers {
 			_ = soak.process(balancer).command.Wait()
 		}
-		time.Sleep(away)
+		time.Sleep(downtime)
 		if signal == syscall.SIGKILL {
 			soak.recordDisturbance(balancers, 0, nil)
 		}
@@ -193,8 +197,8 @@
 	return true
 }
 
-// restartBalancer starts a balancer and waits until it has read its settings file: one that starts
-// with a faulty file ends, as it must.
+// restartBalancer starts a balancer and waits until it has read its settings file, since a
+// balancer that starts with a faulty file exits, as it must.
 func (soak *soak) restartBalancer(balancer int) {
 	skipped := soak.logSize(balancer)
 	restarted := soak.restart(soak.process(balancer))
@@ -210,7 +214,7 @@
 	}
 }
 
-func (soak *soak) pause(balancers []int, length time.Duration) {
+func (soak *soak) pause(balancers []int, duration time.Duration) {
 	if !soak.reservations.reserve(balancers) {
 		soak.markSkipped()
 		return
@@ -218,7 +222,7 @@
 	for _, balancer := range balancers {
 		require.NoError(soak.t, soak.processes[balancer].command.Process.Signal(syscall.SIGSTOP))
 	}
-	soak.recordDisturbance(balancers, length, func() {
+	soak.recordDisturbance(balancers, duration, func() {
 		for _, balancer := range balancers {
 			_ = soak.processes[balancer].command.Process.Signal(syscall.SIGCONT)
 		}
@@ -233,8 +237,8 @@
 	}
 }
 
-// zoneStoreFaultStep has the store refuse the balancers of a zone, for so long that those who
-// rely on them would miss something.
+// zoneStoreFaultStep applies faults to the store calls of the balancers of a zone, for long
+// enough that balancers which depend on them for updates would miss some.
 func zoneStoreFaultStep(faults metadata.Faults) func(*soak, event) {
 	return func(soak *soak, next event) {
 		balancers := balancersInZoneOf(next.balancer)
--- a/test/e2e/history_test.go
+++ b/test/e2e/history_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// outcome is how a flow's opening or a request on it ended.
+// outcome is the result of opening a flow or of a request on an open flow.
 type outcome int
 
 const (
@@ -14,116 +14,119 @@
 	outcomeRefused
 	outcomeBroken
 	outcomeDeadline
-	// outcomeShed: the back end said that it has not run the request.
+	// outcomeShed means that the back end rejected the request without running it.
 	outcomeShed
 )
 
-// attempt is one opening with its first request, or a later request.
+// attempt is the opening of a flow with its first request, or a later request on it.
 type attempt struct {
 	route     string
 	isOpening bool
 	at        time.Time
 	ended     time.Time
 	result    outcome
-	// server is "pool/id" of who answered, earlier that of the flow before.
+	// server is "pool/id" of the back end that answered, previousServer that of the back end
+	// which had answered on the flow before.
 	server, previousServer string
-	// port is the client's port of the flow, flow its name in the logs, body the
-	// request's bytes.
+	// port is the flow's client port, flow its name in the logs, and body the content of
+	// the request.
 	port uint16
 	flow string
 	body string
-	// via are the balancers that its packets were sent to, by their balancers.
+	// via are the indexes of the balancers that the packets were sent to.
 	via []int
 }
 
-// history is all that the checker judges.
+// history is what a soak recorded, for the checker.
 type history struct {
 	attempts []attempt
-	// allowed are the pools that a route ever had, with the time from which on
-	// a pool was the only one, and until when.
+	// pools are all pools that each route has had, with the span during which each was the
+	// route's only pool.
 	pools map[string][]poolSpan
-	// leaving is when a back end was said to be leaving or gone; dead when it
-	// ended.
+	// leaving is when a back end was announced as draining or removed, dead when it stopped.
 	leaving, dead map[string]time.Time
-	// crashed are the back ends that ended without having left.
+	// crashed are the back ends that stopped without having been drained or removed.
 	crashed map[string]bool
-	// disturbances are the spans of faults of the store or of balancers.
+	// disturbances are the faults of the store or of balancers, with their times.
 	disturbances []disturbance
-	// blackholes are when open connections of balancers went silent.
+	// blackholes are the times at which open connections of balancers stopped carrying data.
 	blackholes []blackhole
-	// bursts are when more was asked of some routes than their back ends can do.
+	// bursts are the spans in which overloadedRoutes received more requests than their back
+	// ends can process.
 	bursts           []span
 	overloadedRoutes map[string]bool
-	// runs tells how often each request has run, took of which clients' ports a
-	// back end took first packets.
+	// runs counts how often each request was run, by its body. openedPorts are the client
+	// ports from which a back end received first packets.
 	runs        map[string]int
 	openedPorts map[uint16]bool
-	// startedAt is what times are told from.
+	// startedAt is the time that reported times are relative to.
 	startedAt time.Time
-	// violations are what was found broken while the soak ran.
+	// violations are those that were found while the soak ran.
 	violations []string
 }
 
-// disturbance is a fault of balancers, or of the store if none are named.
+// disturbance is a fault of balancers, or of the store if balancers is empty.
 type disturbance struct {
 	span
 	balancers []int
 }
 
-// blackhole is when the open connections to the store of a balancer, or to it of the
-// others, went silent.
+// blackhole is the time at which a balancer's open connections to the store, or those of its
+// peers to it, stopped carrying data.
 type blackhole struct {
 	at       time.Time
 	balancer int
 }
 
+// span is a period of time. A zero until means that it has not ended.
 type span struct {
 	from, until time.Time
 }
 
+// poolSpan is a period in which a route has one pool.
 type poolSpan struct {
 	pool string
 	span
 }
 
-// affects tells whether a trouble struck the store or one of some balancers.
-func (struck disturbance) affects(balancers []int) bool {
-	return len(struck.balancers) == 0 || slices.ContainsFunc(struck.balancers, func(balancer int) bool { return slices.Contains(balancers, balancer) })
+// affects reports whether a disturbance is one of the store or of one of the balancers.
+func (d disturbance) affects(balancers []int) bool {
+	return len(d.balancers) == 0 || slices.ContainsFunc(d.balancers, func(balancer int) bool { return slices.Contains(balancers, balancer) })
 }
 
-// undisturbed tells whether the store and some balancers were in touch from one time
-// until another: nothing disturbed them then or in settleTime before.
+// undisturbed reports whether neither the store nor any of the balancers was disturbed from
+// one time until another, or in settleTime before.
 func (history *history) undisturbed(from, until time.Time, balancers []int) bool {
-	for _, trouble := range history.disturbances {
-		if trouble.affects(balancers) && trouble.from.Before(until) && trouble.until.Add(settleTime).After(from) {
+	for _, disturbance := range history.disturbances {
+		if disturbance.affects(balancers) && disturbance.from.Before(until) && disturbance.until.Add(settleTime).After(from) {
 			return false
 		}
 	}
 	return true
 }
 
-// allowedDelay is how much later news may come at an attempt: that via the balancer whose
-// connections have gone silent.
+// allowedDelay returns the extra time that an update may take to reach the balancers of an
+// attempt. It isn't zero if open connections of one of them have just stopped carrying data.
 func (history *history) allowedDelay(attempt attempt) time.Duration {
-	silent := func(silence blackhole) bool {
-		return slices.Contains(attempt.via, silence.balancer) && silence.at.Before(attempt.at) && attempt.at.Sub(silence.at) < settleTime+blackholeSlack
+	isRecent := func(blackhole blackhole) bool {
+		return slices.Contains(attempt.via, blackhole.balancer) && blackhole.at.Before(attempt.at) && attempt.at.Sub(blackhole.at) < settleTime+blackholeSlack
 	}
-	if slices.ContainsFunc(history.blackholes, silent) {
+	if slices.ContainsFunc(history.blackholes, isRecent) {
 		return blackholeSlack
 	}
 	return 0
 }
 
-// duringBurst tells whether an attempt falls into a burst on its route, or into what a
-// burst may cost after it.
+// duringBurst reports whether an attempt overlaps a burst on its route, or the time that
+// recovery may take after a burst.
 func (history *history) duringBurst(attempt attempt) bool {
 	return history.overloadedRoutes[attempt.route] && slices.ContainsFunc(history.bursts, func(burst span) bool {
 		return attempt.ended.After(burst.from) && attempt.at.Before(burst.until.Add(burstRecoveryBound))
 	})
 }
 
-// nearCrash tells whether a back end crashed a little before an attempt or during it.
-// The planned end of one that had left excuses nothing.
+// nearCrash reports whether a back end crashed shortly before or during an attempt. The
+// planned stop of a back end that had left before doesn't count.
 func (history *history) nearCrash(attempt attempt) bool {
 	for server, died := range history.dead {
 		if history.crashed[server] && died.Before(attempt.ended) && died.Add(crashRecoveryBound).After(attempt.at) {
@@ -133,12 +136,12 @@
 	return false
 }
 
-// describe tells an attempt for a reader, with the time since its back end began to leave.
-func (history *history) describe(told attempt) string {
-	text := fmt.Sprintf("route %s, opens %t, at %.2f s, took %s, %s, by %q after %q, flow %s, via balancers %v", told.route, told.isOpening,
-		told.at.Sub(history.startedAt).Seconds(), told.ended.Sub(told.at), outcomeNames[told.result], told.server, told.previousServer, told.flow, told.via)
-	if left, leaving := history.leaving[told.server]; leaving {
-		text += fmt.Sprintf(", %.2f s after it began to leave", told.at.Sub(left).Seconds())
+// describe formats an attempt for the report, with the time since its back end began to leave.
+func (history *history) describe(entry attempt) string {
+	text := fmt.Sprintf("route %s, opens %t, at %.2f s, took %s, %s, by %q after %q, flow %s, via balancers %v", entry.route, entry.isOpening,
+		entry.at.Sub(history.startedAt).Seconds(), entry.ended.Sub(entry.at), outcomeNames[entry.result], entry.server, entry.previousServer, entry.flow, entry.via)
+	if left, leaving := history.leaving[entry.server]; leaving {
+		text += fmt.Sprintf(", %.2f s after it began to leave", entry.at.Sub(left).Seconds())
 	}
 	return text
 }
--- a/test/e2e/leaving_test.go
+++ b/test/e2e/leaving_test.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// oldestReady returns the back end of a pool that has been ready for longest, if
-// there are more than two.
+// oldestReady returns the back end of a pool that has been ready for the longest time, or ""
+// if at most two are ready.
 func (soak *soak) oldestReady(pool string) string {
-	oldest, count := "", 0
+	oldestReady, count := "", 0
 	for _, id := range soak.readyBackends(pool) {
 		count++
-		if oldest == "" || len(id) < len(oldest) || len(id) == len(oldest) && id < oldest {
-			oldest = id
+		if oldestReady == "" || len(id) < len(oldestReady) || len(id) == len(oldestReady) && id < oldestReady {
+			oldestReady = id
 		}
 	}
 	if count <= 2 {
 		return ""
 	}
-	return oldest
+	return oldestReady
 }
 
-// readyBackends are the back ends of a pool that take flows.
+// readyBackends returns the back ends of a pool that accept new flows.
 func (soak *soak) readyBackends(pool string) []string {
 	soak.mutex.Lock()
 	defer soak.mutex.Unlock()
@@ -33,7 +33,7 @@
 	return found
 }
 
-// readyInZone are the back ends of a pool in a zone that take flows.
+// readyInZone returns the back ends of a pool in a zone that accept new flows.
 func (soak *soak) readyInZone(pool, zone string) []string {
 	var found []string
 	for _, id := range soak.readyBackends(pool) {
@@ -50,7 +50,7 @@
 	return soak.backends[id].zone
 }
 
-// leave lets a back end leave with or without a notice; another takes its part.
+// leave drains a back end or removes its entry without notice, and starts a replacement.
 func (soak *soak) leave(how string) {
 	id := soak.oldestReady("lending")
 	if id == "" {
@@ -70,7 +70,7 @@
 	})
 }
 
-// crash ends back ends at once; their entries go a little later.
+// crash stops back ends at once and starts replacements. Their entries are removed a little later.
 func (soak *soak) crash(ids ...string) {
 	for _, id := range ids {
 		if id == "" {
@@ -85,21 +85,22 @@
 	}
 }
 
+// terminateBackend stops a back end and removes its entry after three intervals of entries.
 func (soak *soak) terminateBackend(id string) {
 	soak.recordTime(soak.history.dead, id)
 	soak.mutex.Lock()
-	ended := soak.backends[id]
-	ended.withoutEntry = true
+	backend := soak.backends[id]
+	backend.withoutEntry = true
 	soak.mutex.Unlock()
-	ended.Stop()
+	backend.Stop()
 	soak.activeFaults.Go(func() {
 		time.Sleep(3 * entryInterval)
 		soak.store.Remove("servers/" + id)
 	})
 }
 
-func (soak *soak) recordTime(marks map[string]time.Time, id string) {
+func (soak *soak) recordTime(times map[string]time.Time, id string) {
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	marks["lending/"+id] = time.Now()
+	times["lending/"+id] = time.Now()
 }
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -6,21 +6,22 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// blackhole lets the open connections to the store of a balancer, or to it of the
-// others, carry nothing more.
-func (soak *soak) blackhole(proxies []*swallow.Proxy, balancer int, ways ...swallow.Way) {
-	proxies[balancer].Silence(ways...)
+// blackhole makes the open connections from a balancer to the store, or from its peers to
+// it, drop all further data without closing them.
+func (soak *soak) blackhole(proxies []*swallow.Proxy, balancer int, directions ...swallow.Way) {
+	proxies[balancer].Silence(directions...)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
 	soak.history.blackholes = append(soak.history.blackholes, blackhole{at: time.Now(), balancer: balancer})
 }
 
+// resetLinks resets the open connections of a balancer's proxy.
 func (soak *soak) resetLinks(proxies []*swallow.Proxy, balancer int) {
 	proxies[balancer].Reset()
 	soak.recordDisturbance(soak.balancersBehind(proxies, balancer), 0, nil)
 }
 
-// balancersBehind are the balancers whose connections end at a proxy.
+// balancersBehind returns the balancers whose connections go through a proxy.
 func (soak *soak) balancersBehind(proxies []*swallow.Proxy, balancer int) []int {
 	if proxies[balancer] == soak.storeProxies[balancer] {
 		return []int{balancer}
@@ -28,8 +29,8 @@
 	return allBalancers()
 }
 
-// delayLinks holds back what passes to a balancer and back.
-func (soak *soak) delayLinks(balancer int, length time.Duration) {
+// delayLinks delays the data between a balancer and its peers in both directions.
+func (soak *soak) delayLinks(balancer int, duration time.Duration) {
 	soak.peerProxies[balancer].Delay(slowDelay)
-	soak.recordDisturbance(allBalancers(), length, func() { soak.peerProxies[balancer].Delay(0) })
+	soak.recordDisturbance(allBalancers(), duration, func() { soak.peerProxies[balancer].Delay(0) })
 }
--- a/test/e2e/operators_test.go
+++ b/test/e2e/operators_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// command runs the operators' command against the cluster and returns what it
-// printed and its exit code.
+// command runs the indigobarrow command against the cluster and returns its output and its
+// exit code.
 func (cluster *cluster) command(arguments ...string) (string, int) {
 	command := exec.Command(binary(cluster.t, "indigobarrow"), arguments...)
 	command.Env = append(os.Environ(), "INDIGOBARROW_NODE="+cluster.host(cluster.nodeIDs[0])+":6070")
@@ -23,13 +23,14 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
+// writeFile writes a file in the cluster's directory and returns its path.
 func (cluster *cluster) writeFile(name, content string) string {
 	path := filepath.Join(cluster.dir, name)
 	require.NoError(cluster.t, os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
-// TestOperatorCommands drives the commands as the README shows them to a newcomer.
+// TestOperatorCommands runs the commands in the order in which the README introduces them.
 func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 6)
@@ -74,11 +75,12 @@
 	require.Eventually(t, func() bool {
 		_, code := cluster.command("drain", "lending/lending-1")
 		return code == 2
-	}, 5*time.Second, 100*time.Millisecond, "without a token nothing may be changed any more")
+	}, 5*time.Second, 100*time.Millisecond, "without a token, changes must be refused")
 	cluster.verify(cluster.finishCallers())
 }
 
-// explainSomeFlow explains a flow of the callers and one that nobody has seen.
+// explainSomeFlow runs the explain command for a flow of the callers and for one that no node
+// has seen.
 func (cluster *cluster) explainSomeFlow(expect func(int, string, ...string) string) {
 	recent := expect(0, lendingAddress, "explain", "--recent")
 	var flow string
--- a/test/e2e/plan_test.go
+++ b/test/e2e/plan_test.go
@@ -14,35 +14,37 @@
 )
 
 const (
-	// longDowntime is how long a lost balancer stays away.
+	// longDowntime is how long a lost balancer stays down.
 	longDowntime = 14 * time.Second
-	// A soak goes through cycles: faults of all kinds, then planned work only,
-	// long enough to judge it by its bounds in time.
+	// A soak runs in cycles of cycleTime. Each begins with faults of all kinds for
+	// faultPhaseTime; then comes planned work only, for long enough that time bounds can
+	// be checked.
 	cycleTime      = 22 * time.Second
 	faultPhaseTime = 6 * time.Second
 )
 
-// event is one fault or piece of planned work.
+// event is one fault or one piece of planned work.
 type event struct {
 	at   time.Duration
 	step string
-	// balancer is the balancer that it strikes, or the first of them.
+	// balancer is the index of the affected balancer, or of one in the affected zone.
 	balancer int
 	duration time.Duration
-	// skipped is set when it was not done, since another step held its balancer.
+	// skipped is set if the event was not carried out, for instance because another step had
+	// reserved its balancer.
 	skipped bool
 }
 
-// plan is what happens in a soak, in the order of time.
+// plan lists the events of a soak, ordered by time.
 type plan []event
 
-// makePlan makes the plan of a seed.
-func makePlan(seed int, length time.Duration) plan {
+// makePlan generates the plan for a seed.
+func makePlan(seed int, duration time.Duration) plan {
 	random := rand.New(rand.NewPCG(uint64(seed), 2))
 	var events plan
 	for at := time.Duration(0); ; {
 		at += time.Duration(200+random.IntN(1200)) * time.Millisecond
-		if at > length {
+		if at > duration {
 			return events
 		}
 		steps := plannedSteps
@@ -63,22 +65,23 @@
 }
 
 const (
-	// Drills come in series for faultPhaseTime, then planned work only for restoreQuietTime, in which
-	// bounds in time are judged.
+	// Store restores come in series for faultPhaseTime. Planned work only follows for
+	// restoreQuietTime, in which time bounds are checked.
 	restoreQuietTime = 9 * time.Second
 )
 
-// restoreSteps overlap a drill: faults, and planned work, which meanwhile may be noticed.
+// restoreSteps are faults and planned work that overlap a restore of the store. Callers may
+// notice planned work during that time.
 var restoreSteps = []string{"kill", "kill-zone", "kill-all", "pause-zone", "store-compacts", "store-refuses-some", "store-link-silent",
 	"peer-link-silent", "crash", "stop", "leave", "vanish", "move", "settings"}
 
-// quietSteps are planned work that leaves the back ends room: what is refused or held up by it
-// is no burst's.
+// quietSteps are planned work that doesn't exhaust the back ends' capacity, so that a refused
+// or delayed request can't be the effect of a burst.
 var quietSteps = []string{"stop", "leave", "vanish", "move", "settings"}
 
-// makeRestorePlan makes the plan of a seed in which the store comes back from copies again and
-// again, while balancers and back ends come and go.
-func makeRestorePlan(seed int, length time.Duration) plan {
+// makeRestorePlan generates the plan for a seed in which the store is restored from backups
+// repeatedly, while balancers and back ends start and stop.
+func makeRestorePlan(seed int, duration time.Duration) plan {
 	random := rand.New(rand.NewPCG(uint64(seed), 3))
 	var events plan
 	add := func(at time.Duration, steps ...string) time.Duration {
@@ -88,22 +91,22 @@
 		return next.duration
 	}
 	pause := func() time.Duration { return time.Duration(150+random.IntN(800)) * time.Millisecond }
-	for at := pause(); at < length; {
-		for storm := at + faultPhaseTime; at < storm; at += pause() {
-			away := add(at, "store-drill")
-			add(at+away/3, restoreSteps...)
-			add(at+away/2, restoreSteps...)
-			at += away
+	for at := pause(); at < duration; {
+		for faultsEnd := at + faultPhaseTime; at < faultsEnd; at += pause() {
+			outage := add(at, "store-drill")
+			add(at+outage/3, restoreSteps...)
+			add(at+outage/2, restoreSteps...)
+			at += outage
 		}
-		for calm := at + restoreQuietTime; at < calm; at += 2 * pause() {
+		for quietEnd := at + restoreQuietTime; at < quietEnd; at += 2 * pause() {
 			add(at, quietSteps...)
 		}
 	}
 	return events
 }
 
-// String writes a plan, one event a line, as parsePlan reads it; what was skipped is
-// marked.
+// String returns the plan in the format that parsePlan reads, one event per line. Skipped
+// events are marked.
 func (plan plan) String() string {
 	var text strings.Builder
 	for _, next := range plan {
@@ -116,7 +119,7 @@
 	return text.String()
 }
 
-// parsePlan reads a plan. Lines that start with # are passed over.
+// parsePlan parses a plan. Lines that start with # are ignored.
 func parsePlan(text string) (plan, error) {
 	var read plan
 	for _, line := range strings.Split(text, "\n") {
@@ -124,43 +127,43 @@
 			continue
 		}
 		var next event
-		var at, length string
-		if _, err := fmt.Sscan(line, &at, &next.step, &next.balancer, &length); err != nil {
+		var at, duration string
+		if _, err := fmt.Sscan(line, &at, &next.step, &next.balancer, &duration); err != nil {
 			return nil, errors.Wrapf(err, "plan: %q", line)
 		}
-		var first, second error
-		next.at, first = time.ParseDuration(at)
-		next.duration, second = time.ParseDuration(length)
-		if err := errors.CombineErrors(first, second); err != nil {
+		var atError, durationError error
+		next.at, atError = time.ParseDuration(at)
+		next.duration, durationError = time.ParseDuration(duration)
+		if err := errors.CombineErrors(atError, durationError); err != nil {
 			return nil, errors.Wrapf(err, "plan: %q", line)
 		}
 		if next.balancer < 0 || next.balancer >= soakBalancers || soakSteps[next.step] == nil {
-			return nil, errors.Newf("plan: %q: no such balancer or step", line)
+			return nil, errors.Newf("plan: %q: unknown balancer or step", line)
 		}
 		read = append(read, next)
 	}
 	return read, nil
 }
 
-// A seed makes the same plan each time, which is read as it was written, and all
-// kinds of events come.
+// A seed always gives the same plan, the plan is unchanged after writing and parsing, and it
+// contains every kind of step.
 func TestPlan(t *testing.T) {
 	t.Parallel()
-	events := makePlan(7, 60*time.Minute)
-	require.Equal(t, events, makePlan(7, 60*time.Minute))
-	read, err := parsePlan("# a remark\n" + events.String())
+	generated := makePlan(7, 60*time.Minute)
+	require.Equal(t, generated, makePlan(7, 60*time.Minute))
+	read, err := parsePlan("# a remark\n" + generated.String())
 	require.NoError(t, err)
-	require.Equal(t, events, read)
-	seen := make(map[string]bool)
-	for _, next := range events {
-		seen[next.step] = true
+	require.Equal(t, generated, read)
+	steps := make(map[string]bool)
+	for _, next := range generated {
+		steps[next.step] = true
 	}
-	require.Len(t, seen, len(soakSteps))
-	drills := makeRestorePlan(7, 10*time.Minute)
-	require.Equal(t, drills, makeRestorePlan(7, 10*time.Minute))
-	require.True(t, slices.IsSortedFunc(drills, func(a, b event) int { return cmp.Compare(a.at, b.at) }))
-	for _, faulty := range []string{"1s kill", "1s nothing 0 1s", "1s kill 5 1s", "1 kill 0 1s"} {
-		_, err := parsePlan(faulty)
-		require.Error(t, err, faulty)
+	require.Len(t, steps, len(soakSteps))
+	restores := makeRestorePlan(7, 10*time.Minute)
+	require.Equal(t, restores, makeRestorePlan(7, 10*time.Minute))
+	require.True(t, slices.IsSortedFunc(restores, func(a, b event) int { return cmp.Compare(a.at, b.at) }))
+	for _, malformed := range []string{"1s kill", "1s nothing 0 1s", "1s kill 5 1s", "1 kill 0 1s"} {
+		_, err := parsePlan(malformed)
+		require.Error(t, err, malformed)
 	}
 }
--- a/test/e2e/proxy_test.go
+++ b/test/e2e/proxy_test.go
@@ -11,21 +11,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startProxy forwards connections until the test ends.
+// startProxy starts a proxy that forwards connections from address to target until the test
+// ends. It dials from the given IP address, if there is one.
 func startProxy(t *testing.T, address, target, from string) *swallow.Proxy {
-	made, err := swallow.StartAt(address, target, from)
+	proxy, err := swallow.StartAt(address, target, from)
 	require.NoError(t, err)
-	t.Cleanup(made.Close)
-	return made
+	t.Cleanup(proxy.Close)
+	return proxy
 }
 
-// The proxy does to open connections what it says, and new ones work.
+// Each fault of the proxy must affect the open connections as documented, and new connections
+// must work.
 func TestProxy(t *testing.T) {
 	t.Parallel()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	heard := make(chan byte, 16)
+	received := make(chan byte, 16)
 	go func() {
 		for {
 			accepted, err := listener.Accept()
@@ -33,7 +35,7 @@
 				return
 			}
 			go func() {
-				_, _ = io.Copy(accepted, io.TeeReader(accepted, byteWriter(heard)))
+				_, _ = io.Copy(accepted, io.TeeReader(accepted, byteWriter(received)))
 			}()
 		}
 	}()
@@ -41,7 +43,7 @@
 	require.NoError(t, err)
 	address := front.Addr().String()
 	require.NoError(t, front.Close())
-	made := startProxy(t, address, listener.Addr().String(), "")
+	proxy := startProxy(t, address, listener.Addr().String(), "")
 	dial := func() net.Conn {
 		opened, err := net.Dial("tcp4", address)
 		require.NoError(t, err)
@@ -49,37 +51,37 @@
 		return opened
 	}
 	echo := func(connection net.Conn) error {
-		_, failure := connection.Write([]byte{'x'})
+		_, writeError := connection.Write([]byte{'x'})
 		_ = connection.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 		_, err := connection.Read(make([]byte, 1))
-		return cmp.Or(failure, err)
+		return cmp.Or(writeError, err)
 	}
 	first := dial()
 	require.NoError(t, echo(first))
-	<-heard
-	made.Silence(swallow.Back)
+	<-received
+	proxy.Silence(swallow.Back)
 	require.ErrorContains(t, echo(first), "timeout")
-	require.Equal(t, byte('x'), <-heard, "the other direction works")
+	require.Equal(t, byte('x'), <-received, "the other direction works")
 	require.NoError(t, echo(dial()))
-	<-heard
-	made.Silence(swallow.There, swallow.Back)
+	<-received
+	proxy.Silence(swallow.There, swallow.Back)
 	require.ErrorContains(t, echo(first), "timeout")
-	require.Empty(t, heard)
+	require.Empty(t, received)
 	second := dial()
-	made.Delay(50 * time.Millisecond)
-	began := time.Now()
+	proxy.Delay(50 * time.Millisecond)
+	start := time.Now()
 	require.NoError(t, echo(second))
-	require.GreaterOrEqual(t, time.Since(began), 100*time.Millisecond)
-	made.Reset()
+	require.GreaterOrEqual(t, time.Since(start), 100*time.Millisecond)
+	proxy.Reset()
 	require.ErrorContains(t, echo(second), "reset")
 }
 
-// byteWriter passes on each byte that is written to it.
+// byteWriter sends each byte that is written to it on a channel.
 type byteWriter chan<- byte
 
-func (told byteWriter) Write(content []byte) (int, error) {
-	for _, one := range content {
-		told <- one
+func (writer byteWriter) Write(content []byte) (int, error) {
+	for _, value := range content {
+		writer <- value
 	}
 	return len(content), nil
 }
--- a/test/e2e/reservations_test.go
+++ b/test/e2e/reservations_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reservations tells which balancers are away, that is down or paused, and whose settings
-// file is changed. One step has balancers away at a time, or several up to a limit of
-// balancers if one is set; a balancer isn't away while its file is changed. The zero
-// value holds none.
+// reservations records which balancers are unavailable, that is down or paused, and whose
+// settings file is being changed. Only one step at a time may make balancers unavailable,
+// or several steps up to limit balancers if a limit is set. A balancer can't be unavailable
+// while its settings file is being changed. The zero value has no reservations.
 type reservations struct {
 	mutex            sync.Mutex
 	limit            int
@@ -19,67 +19,70 @@
 	changingSettings map[int]bool
 }
 
-// reserve holds balancers as away, if that may be.
-func (holds *reservations) reserve(balancers []int) bool {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
-	held := func(balancer int) bool {
-		return holds.changingSettings[balancer] || slices.Contains(holds.unavailable, balancer)
+// reserve marks balancers as unavailable. It returns false and does nothing if that isn't
+// permitted.
+func (reservations *reservations) reserve(balancers []int) bool {
+	reservations.mutex.Lock()
+	defer reservations.mutex.Unlock()
+	reserved := func(balancer int) bool {
+		return reservations.changingSettings[balancer] || slices.Contains(reservations.unavailable, balancer)
 	}
-	if len(holds.unavailable) > 0 && len(holds.unavailable)+len(balancers) > holds.limit || slices.ContainsFunc(balancers, held) {
+	if len(reservations.unavailable) > 0 && len(reservations.unavailable)+len(balancers) > reservations.limit || slices.ContainsFunc(balancers, reserved) {
 		return false
 	}
-	holds.unavailable = append(holds.unavailable, balancers...)
+	reservations.unavailable = append(reservations.unavailable, balancers...)
 	return true
 }
 
-// release ends what reserve began with the same balancers.
-func (holds *reservations) release(balancers []int) {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
-	holds.unavailable = slices.DeleteFunc(holds.unavailable, func(balancer int) bool { return slices.Contains(balancers, balancer) })
+// release undoes reserve for the same balancers.
+func (reservations *reservations) release(balancers []int) {
+	reservations.mutex.Lock()
+	defer reservations.mutex.Unlock()
+	reservations.unavailable = slices.DeleteFunc(reservations.unavailable, func(balancer int) bool { return slices.Contains(balancers, balancer) })
 }
 
-// reserveSettings holds a balancer as one whose settings file is changed, if that may be.
-func (holds *reservations) reserveSettings(balancer int) bool {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
-	if holds.changingSettings[balancer] || slices.Contains(holds.unavailable, balancer) {
+// reserveSettings marks a balancer's settings file as being changed. It returns false and does
+// nothing if the file is being changed already or the balancer is unavailable.
+func (reservations *reservations) reserveSettings(balancer int) bool {
+	reservations.mutex.Lock()
+	defer reservations.mutex.Unlock()
+	if reservations.changingSettings[balancer] || slices.Contains(reservations.unavailable, balancer) {
 		return false
 	}
-	if holds.changingSettings == nil {
-		holds.changingSettings = make(map[int]bool)
+	if reservations.changingSettings == nil {
+		reservations.changingSettings = make(map[int]bool)
 	}
-	holds.changingSettings[balancer] = true
+	reservations.changingSettings[balancer] = true
 	return true
 }
 
-// releaseSettings ends what change began.
-func (holds *reservations) releaseSettings(balancer int) {
-	holds.mutex.Lock()
-	defer holds.mutex.Unlock()
-	delete(holds.changingSettings, balancer)
+// releaseSettings undoes reserveSettings.
+func (reservations *reservations) releaseSettings(balancer int) {
+	reservations.mutex.Lock()
+	defer reservations.mutex.Unlock()
+	delete(reservations.changingSettings, balancer)
 }
 
-// A changed settings file holds its own balancer only.
+// A change of a settings file must block only steps that affect the same balancer, and the
+// number of unavailable balancers must respect the limit.
 func TestReservations(t *testing.T) {
 	t.Parallel()
-	var held reservations
-	require.True(t, held.reserveSettings(2))
-	require.False(t, held.reserveSettings(2))
-	require.False(t, held.reserve([]int{1, 2}))
-	require.True(t, held.reserve([]int{1}), "settings of another balancer change")
-	require.False(t, held.reserve([]int{3}), "one is away")
-	require.False(t, held.reserveSettings(1), "it is away")
-	require.True(t, held.reserveSettings(3), "another is away")
-	held.release([]int{1})
-	held.releaseSettings(2)
-	require.True(t, held.reserve([]int{1, 2}))
+	var reserved reservations
+	require.True(t, reserved.reserveSettings(2))
+	require.False(t, reserved.reserveSettings(2))
+	require.False(t, reserved.reserve([]int{1, 2}))
+	require.True(t, reserved.reserve([]int{1}), "settings of another balancer change")
+	require.False(t, reserved.reserve([]int{3}), "one is unavailable")
+	require.False(t, reserved.reserveSettings(1), "it is unavailable")
+	require.True(t, reserved.reserveSettings(3), "another is unavailable")
+	reserved.release([]int{1})
+	reserved.releaseSettings(2)
+	require.True(t, reserved.reserve([]int{1, 2}))
 	several := reservations{limit: 2}
 	require.True(t, several.reserve([]int{0}))
-	require.False(t, several.reserve([]int{0}), "it is away")
+	require.False(t, several.reserve([]int{0}), "it is unavailable")
 	require.True(t, several.reserve([]int{4}))
-	require.False(t, several.reserve([]int{3}), "two are away")
+	require.False(t, several.reserve([]int{3}), "two are unavailable")
 	several.release([]int{0})
 	require.True(t, several.reserve([]int{3}))
 }
--- a/test/e2e/restarts_test.go
+++ b/test/e2e/restarts_test.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// restartsNetworks are the loopback networks that soaks of restarts run in, by their seeds:
-	// those that are left above the others.
+	// restartsNetworks is the number of loopback networks for soaks of restarts; the seed
+	// selects one. They are those left above the networks of the other soaks.
 	restartsFirstNetwork = restoreFirstNetwork + soakNetworks
 	restartsNetworks     = 35
-	// restartsDefaultSeconds is a cycle and its calm part once more.
+	// restartsDefaultSeconds is a whole cycle and the beginning of the next one.
 	restartsDefaultSeconds = 24
-	// restartsDownDivisor is one part in so many of the balancers that may be away at once.
+	// One in restartsDownDivisor of the balancers may be down at once.
 	restartsDownDivisor = 3
 )
 
-// restartSteps are planned work that comes in series, each step before the one before has ended.
+// restartSteps are planned work that comes in series. Each step begins before the previous one
+// has ended.
 var restartSteps = []string{"stop", "stop", "stop", "settings", "settings-faulty", "leave", "vanish", "move", "burst"}
 
-// restartFaults strike amid the series at the beginning of a cycle.
+// restartFaults are mixed into the series at the beginning of a cycle.
 var restartFaults = []string{"kill", "pause", "store-refuses-some", "store-busy", "peer-link-silent", "store-link-silent", "crash"}
 
-// makeRestartPlan makes the plan of a seed in which balancers are stopped, changed and killed in
-// series that overlap, in and after bursts.
-func makeRestartPlan(seed int, length time.Duration) plan {
+// makeRestartPlan generates the plan for a seed in which balancers are stopped, given new settings
+// and killed in overlapping series, during and after bursts.
+func makeRestartPlan(seed int, duration time.Duration) plan {
 	random := rand.New(rand.NewPCG(uint64(seed), 4))
 	var events plan
-	for at := time.Duration(0); at < length; at += time.Duration(100+random.IntN(500)) * time.Millisecond {
+	for at := time.Duration(0); at < duration; at += time.Duration(100+random.IntN(500)) * time.Millisecond {
 		steps := restartSteps
 		if at%cycleTime < faultPhaseTime {
 			steps = slices.Concat(restartFaults, restartSteps)
@@ -40,12 +41,12 @@
 	return events
 }
 
-// TestSoakOfRestarts guards against requests that are shed, refused or held up while balancers
-// stop, start and take settings in series that overlap, in and after bursts.
+// TestSoakOfRestarts guards against requests that are shed, refused or delayed while balancers
+// stop, start and apply settings in overlapping series, during and after bursts.
 func TestSoakOfRestarts(t *testing.T) {
 	seed := soakNumber(soakSeedVariable, soakDefaultSeed)
-	length := time.Duration(soakNumber(soakSecondsVariable, restartsDefaultSeconds)) * time.Second
-	soak := newSoak(t, restartsFirstNetwork+seed%restartsNetworks, makeRestartPlan(seed, length))
+	duration := time.Duration(soakNumber(soakSecondsVariable, restartsDefaultSeconds)) * time.Second
+	soak := newSoak(t, restartsFirstNetwork+seed%restartsNetworks, makeRestartPlan(seed, duration))
 	soak.reservations.limit = max(1, soakBalancers/restartsDownDivisor)
 	runSoak(t, soak, seed)
 }
--- a/test/e2e/restores_test.go
+++ b/test/e2e/restores_test.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	// backupInterval is how often the store's copies are taken, and maximumBackups how many there are.
+	// backupInterval is the time between two backups of the store. maximumBackups is how many
+	// are kept.
 	backupInterval = 250 * time.Millisecond
 	maximumBackups = 24
-	// rewriteTime is within which operators and back ends write again what the store lost.
+	// rewriteTime is the time in which operators and back ends rewrite what the store has lost
+	// by a restore.
 	rewriteTime = 1500 * time.Millisecond
 )
 
-// backups are those of a store, the oldest first.
+// backups holds the latest backups of a store, the oldest first.
 type backups struct {
 	mutex  sync.Mutex
 	recent []metadata.Copy
 }
 
-// takeBackups takes copies of the store until the site ends.
+// takeBackups takes backups of the store until the site ends.
 func (site *site) takeBackups() {
 	for site.ctx.Err() == nil {
-		taken := site.store.Copy()
+		backup := site.store.Copy()
 		site.backups.mutex.Lock()
-		site.backups.recent = append(site.backups.recent, taken)
+		site.backups.recent = append(site.backups.recent, backup)
 		if len(site.backups.recent) > maximumBackups {
 			site.backups.recent = site.backups.recent[1:]
 		}
@@ -41,17 +43,17 @@
 	}
 }
 
-// ofAge returns the copy that was taken about so long ago, or the oldest.
-func (c *backups) ofAge(age time.Duration) metadata.Copy {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.recent[max(0, len(c.recent)-1-int(age/backupInterval))]
+// ofAge returns the backup with about the given age, or the oldest one.
+func (b *backups) ofAge(age time.Duration) metadata.Copy {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.recent[max(0, len(b.recent)-1-int(age/backupInterval))]
 }
 
-// restoreStore puts the store back to a copy. Operators and back ends write again what they had
-// written since, the ends of back ends too.
-func (site *site) restoreStore(copied metadata.Copy) {
-	site.store.Restore(copied)
+// restoreStore restores the store from a backup. Operators and back ends then rewrite what they
+// had written since the backup, and entries of back ends that have stopped are removed again.
+func (site *site) restoreStore(backup metadata.Copy) {
+	site.store.Restore(backup)
 	site.store.SetFaults(metadata.Faults{})
 	time.Sleep(rewriteTime)
 	site.mutex.Lock()
@@ -64,20 +66,22 @@
 	}
 }
 
-// restoreAfterOutage lets the store be away for a time, and come back from a copy some seconds old.
-func (soak *soak) restoreAfterOutage(away time.Duration) {
-	copied := soak.backups.ofAge(away + time.Second)
+// restoreAfterOutage makes the store unavailable for a time and then restores it from a backup
+// that is some seconds old.
+func (soak *soak) restoreAfterOutage(outage time.Duration) {
+	backup := soak.backups.ofAge(outage + time.Second)
 	soak.store.SetFaults(metadata.Faults{Silent: true})
-	soak.recordDisturbance(nil, away+rewriteTime, nil)
+	soak.recordDisturbance(nil, outage+rewriteTime, nil)
 	soak.activeFaults.Go(func() {
-		time.Sleep(away)
-		soak.restoreStore(copied)
+		time.Sleep(outage)
+		soak.restoreStore(backup)
 	})
 }
 
-// Callers keep their flows through drills in a row, between which balancers are stopped, killed
-// and started: what was said before a drill holds during it, what is said after it holds in time,
-// and nobody goes back to what a copy shows.
+// The store is restored from the same old backup several times in a row. In between, balancers
+// are stopped, killed and started. Open flows must keep their back ends. What was written before
+// a restore must stay in force during it, what is written after it must come into force in time,
+// and no balancer may return to what the backup shows.
 func TestFlowsSurviveStoreRestores(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 13)
@@ -101,9 +105,9 @@
 		site.configure("r-lending 198.18.0.1 443 lending")
 		time.Sleep(configBound)
 		_, after := site.openFlows(site.target("198.18.0.1", 443), 10)
-		require.NotContains(t, after, "lending/i-a0", "it leaves")
+		require.NotContains(t, after, "lending/i-a0", "it is draining")
 		_, err := site.client.Open(site.target("198.18.0.3", 80))
-		require.ErrorIs(t, err, echonet.ErrRefused, "a route that was dropped after the drill")
+		require.ErrorIs(t, err, echonet.ErrRefused, "a route that was removed after the restore")
 		site.configure("r-lending 198.18.0.1 443 covers", "r-new 198.18.0.3 80 lending")
 		time.Sleep(configBound)
 	}
@@ -112,11 +116,11 @@
 	site.requireNoMisrouted()
 }
 
-// restoreAndRequireNoRollback has the store come back from a copy, and requires that meanwhile nobody
-// goes back to what it shows.
-func (site *site) restoreAndRequireNoRollback(copied metadata.Copy) {
+// restoreAndRequireNoRollback restores the store from a backup and requires that meanwhile no
+// balancer returns to what the backup shows.
+func (site *site) restoreAndRequireNoRollback(backup metadata.Copy) {
 	var writing sync.WaitGroup
-	writing.Go(func() { site.restoreStore(copied) })
+	writing.Go(func() { site.restoreStore(backup) })
 	for end := time.Now().Add(rewriteTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		_, moved := site.openFlows(site.target("198.18.0.1", 443), 2)
 		for _, server := range moved {
@@ -128,11 +132,12 @@
 	writing.Wait()
 }
 
-// replace ends a balancer, whose callers go on until its process is gone, and starts it again.
-func (site *site) replace(ended *process, signal syscall.Signal) *process {
-	require.NoError(site.t, ended.command.Process.Signal(signal))
-	_ = ended.command.Wait()
-	started := site.restart(ended)
+// replace terminates a balancer, waits until its process has exited, while callers go on, and
+// starts it again.
+func (site *site) replace(old *process, signal syscall.Signal) *process {
+	require.NoError(site.t, old.command.Process.Signal(signal))
+	_ = old.command.Wait()
+	replacement := site.restart(old)
 	site.waitReady(3)
-	return started
+	return replacement
 }
--- a/test/e2e/settings_test.go
+++ b/test/e2e/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settingsFile is the file of a balancer and what stands in it.
+// settingsFile returns the path and the content of a balancer's settings file.
 func (soak *soak) settingsFile(balancer int) (path, content string) {
 	path = filepath.Join(soak.dir, soak.process(balancer).name+".yaml")
 	read, err := os.ReadFile(path)
@@ -19,9 +19,9 @@
 	return path, string(read)
 }
 
-// changeSettings changes what a running balancer takes: the level of its log and
-// the order of its seeds. Every other time it is told so.
-func (soak *soak) changeSettings(balancer int, length time.Duration) {
+// changeSettings changes a setting that a running balancer applies: its log level. About
+// every other change is signaled with SIGHUP.
+func (soak *soak) changeSettings(balancer int, duration time.Duration) {
 	if !soak.reservations.reserveSettings(balancer) {
 		soak.markSkipped()
 		return
@@ -33,28 +33,28 @@
 	}
 	skipped := soak.logSize(balancer)
 	soak.write(path, changed)
-	soak.signalReload(balancer, length)
+	soak.signalReload(balancer, duration)
 	soak.activeFaults.Go(func() {
 		soak.requireLogLine(balancer, skipped, "Settings: in force.")
 		soak.reservations.releaseSettings(balancer)
 	})
 }
 
-// breakSettings writes a file that a running balancer must refuse, and then the
-// good one again.
-func (soak *soak) breakSettings(balancer int, length time.Duration) {
+// breakSettings writes a file that a running balancer must refuse, and then restores the
+// valid one.
+func (soak *soak) breakSettings(balancer int, duration time.Duration) {
 	if !soak.reservations.reserveSettings(balancer) {
 		soak.markSkipped()
 		return
 	}
 	path, content := soak.settingsFile(balancer)
 	faulty := content[:len(content)/2]
-	if length/(2*time.Millisecond)%2 == 0 {
+	if duration/(2*time.Millisecond)%2 == 0 {
 		faulty = strings.Replace(content, "zone: ", "zone: other-", 1)
 	}
 	skipped := soak.logSize(balancer)
 	soak.write(path, faulty)
-	soak.signalReload(balancer, length)
+	soak.signalReload(balancer, duration)
 	soak.activeFaults.Go(func() {
 		soak.requireLogLine(balancer, skipped, "Settings: refused, the old ones stay.")
 		soak.write(path, content)
@@ -66,28 +66,31 @@
 	require.NoError(soak.t, os.WriteFile(path, []byte(content), 0o600))
 }
 
-func (soak *soak) signalReload(balancer int, length time.Duration) {
-	if length%(2*time.Millisecond) == 0 {
+// signalReload sends SIGHUP to a balancer if the duration is an even number of milliseconds.
+// Otherwise the balancer has to notice the changed file on its own.
+func (soak *soak) signalReload(balancer int, duration time.Duration) {
+	if duration%(2*time.Millisecond) == 0 {
 		_ = soak.process(balancer).command.Process.Signal(syscall.SIGHUP)
 	}
 }
 
-// requireLogLine requires that a balancer's log tells something soon, unless the balancer
-// is disturbed meanwhile. Skipped is the size of the log before.
+// requireLogLine records a violation if a balancer's log doesn't contain the wanted text
+// after settingsTimeout, unless the balancer was disturbed or restarted meanwhile. It searches
+// the log beyond the first skipped bytes.
 func (soak *soak) requireLogLine(balancer int, skipped int64, wanted string) {
-	began := time.Now()
+	start := time.Now()
 	watched := soak.process(balancer)
 	time.Sleep(settingsTimeout)
 	content, err := os.ReadFile(watched.log.Name())
 	require.NoError(soak.t, err)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	if !strings.Contains(string(content[skipped:]), wanted) && soak.history.undisturbed(began, time.Now(), []int{balancer}) && watched == soak.processes[balancer] {
-		soak.history.violations = append(soak.history.violations, fmt.Sprintf("%s did not say %q from %s on", watched.name, wanted, began.Format(time.TimeOnly)))
+	if !strings.Contains(string(content[skipped:]), wanted) && soak.history.undisturbed(start, time.Now(), []int{balancer}) && watched == soak.processes[balancer] {
+		soak.history.violations = append(soak.history.violations, fmt.Sprintf("%s did not log %q after %s", watched.name, wanted, start.Format(time.TimeOnly)))
 	}
 }
 
-// logSize is the size of a balancer's log.
+// logSize returns the size of a balancer's log.
 func (soak *soak) logSize(balancer int) int64 {
 	information, err := os.Stat(soak.process(balancer).log.Name())
 	require.NoError(soak.t, err)
--- a/test/e2e/shrink_test.go
+++ b/test/e2e/shrink_test.go
@@ -10,35 +10,34 @@
 )
 
 const (
-	// soakShrinkVariable is a file with a plan that fails; the smallest one found
-	// that fails too takes its place.
+	// soakShrinkVariable is a file with a plan that fails. It is replaced with the smallest
+	// failing plan that is found.
 	soakShrinkVariable = "INDIGOBARROW_SOAK_SHRINK"
-	// shrinkTries bounds the plans that are played, of a minute or so each.
+	// shrinkTries limits the number of plans that are run. Each takes about a minute.
 	shrinkTries = 30
 )
 
-// shrink leaves out parts of a plan, first halves, then ever smaller ones, as long as
-// what is left fails.
-func shrink(begun plan, tries int, fails func(plan) bool) plan {
-	for size := (len(begun) + 1) / 2; size > 0; size /= 2 {
-		for place := 0; place < len(begun); {
+// shrink removes parts of a failing plan, halves first and then ever smaller parts, and keeps
+// each removal after which the rest still fails. It calls fails at most tries times.
+func shrink(failing plan, tries int, fails func(plan) bool) plan {
+	for size := (len(failing) + 1) / 2; size > 0; size /= 2 {
+		for index := 0; index < len(failing); {
 			if tries == 0 {
-				return begun
+				return failing
 			}
 			tries--
-			smaller := slices.Delete(slices.Clone(begun), place, min(place+size, len(begun)))
+			smaller := slices.Delete(slices.Clone(failing), index, min(index+size, len(failing)))
 			if fails(smaller) {
-				begun = smaller
+				failing = smaller
 			} else {
-				place += size
+				index += size
 			}
 		}
 	}
-	return begun
+	return failing
 }
 
-// TestSoakShrink makes a failing plan smaller, by playing smaller ones in processes
-// of their own.
+// TestSoakShrink reduces a failing plan by running smaller ones, each in a process of its own.
 func TestSoakShrink(t *testing.T) {
 	path := os.Getenv(soakShrinkVariable)
 	if path == "" {
@@ -46,32 +45,33 @@
 	}
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
-	begun, err := parsePlan(string(content))
+	failing, err := parsePlan(string(content))
 	require.NoError(t, err)
 	trial := path + ".trial"
-	found := shrink(begun, shrinkTries, func(smaller plan) bool {
+	found := shrink(failing, shrinkTries, func(smaller plan) bool {
 		require.NoError(t, os.WriteFile(trial, []byte(smaller.String()), 0o600))
 		command := exec.Command(os.Args[0], "-test.run", "^TestSoak$")
 		command.Env = append(os.Environ(), soakPlanVariable+"="+trial)
 		failed := command.Run() != nil
-		t.Logf("%d of %d events: failed is %t", len(smaller), len(begun), failed)
+		t.Logf("%d of %d events: failed is %t", len(smaller), len(failing), failed)
 		return failed
 	})
 	require.NoError(t, os.WriteFile(path, []byte(found.String()), 0o600))
 	require.NoError(t, os.Remove(trial))
-	t.Logf("%d of %d events are left:\n%s", len(found), len(begun), found)
+	t.Logf("%d of %d events are left:\n%s", len(found), len(failing), found)
 }
 
-// Of ten events two are needed; the others are left out, within the tries.
+// If two of ten events are needed for a failure, shrink removes all others within the limit
+// of tries, and with fewer tries it returns a plan that still fails.
 func TestShrink(t *testing.T) {
 	t.Parallel()
-	var begun plan
-	for place := range 10 {
-		begun = append(begun, event{step: "kill", balancer: place})
+	var all plan
+	for balancer := range 10 {
+		all = append(all, event{step: "kill", balancer: balancer})
 	}
 	needs := func(smaller plan) bool {
-		return slices.Contains(smaller, begun[2]) && slices.Contains(smaller, begun[7])
+		return slices.Contains(smaller, all[2]) && slices.Contains(smaller, all[7])
 	}
-	require.Equal(t, plan{begun[2], begun[7]}, shrink(begun, 30, needs))
-	require.True(t, needs(shrink(begun, 5, needs)), "too few tries")
+	require.Equal(t, plan{all[2], all[7]}, shrink(all, 30, needs))
+	require.True(t, needs(shrink(all, 5, needs)), "too few tries")
 }
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -16,23 +16,24 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// The settings of a soak, from the environment: make soak sets them.
+// The environment variables that configure a soak. "make soak" sets them.
 const (
 	soakSecondsVariable = "INDIGOBARROW_SOAK_SECONDS"
 	soakSeedVariable    = "INDIGOBARROW_SOAK_SEED"
-	// soakBalancersVariable is how many balancers there are.
+	// soakBalancersVariable is the number of balancers.
 	soakBalancersVariable = "INDIGOBARROW_SOAK_BALANCERS"
-	// soakPlanVariable is a file with a plan to play in balancer of the seed's.
+	// soakPlanVariable is a file with a plan to run instead of the seed's.
 	soakPlanVariable   = "INDIGOBARROW_SOAK_PLAN"
 	soakDefaultSeconds = 24
 	soakDefaultSeed    = 1
-	// restoreDefaultSeconds is two series of drills.
+	// restoreDefaultSeconds is enough for two series of store restores.
 	restoreDefaultSeconds = 30
 )
 
 const (
-	// soakNetworks are the loopback networks that soaks run in, by their seeds. Soaks of
-	// drills have others: one process may play both, and back ends keep their addresses.
+	// soakNetworks is the number of loopback networks for soaks; the seed selects one. Soaks
+	// of store restores use a range of their own, since one process may run both kinds of
+	// soak and back ends keep their addresses.
 	soakNetworks        = 50
 	soakFirstNetwork    = 20
 	restoreFirstNetwork = soakFirstNetwork + soakNetworks
@@ -43,39 +44,41 @@
 	soakClients         = 24
 	requestsPerFlow     = 12
 	requestInterval     = 60 * time.Millisecond
-	// burstCallers ask the desk's back ends without a pause in a burst: some 900
-	// times a second in all. They can do 300.
+	// burstCallers send requests to the desk's back ends without a pause during a burst, about
+	// 900 per second in all. The back ends can process 300.
 	burstCallers = 60
-	// retryPause is after how long a caller that was refused or shed tries again.
+	// retryPause is the pause of a caller after a refused or shed request.
 	retryPause = 50 * time.Millisecond
 )
 
-// soakBalancers is how many balancers a soak has. The plans that are kept are for five.
+// soakBalancers is the number of balancers of a soak. The stored plans are for five.
 var soakBalancers = soakNumber(soakBalancersVariable, 5)
 
-// deskLoad is what a back end of the desk can do at a time.
+// deskLoad is the processing model of a back end of the desk.
 var deskLoad = echonet.Load{Slots: 2, Queue: 8, Work: 20 * time.Millisecond, Length: 600}
 
-// soak is a site under random faults, with callers and the record of what they
-// saw. The seed decides the plan; when processes are scheduled is not decided.
+// soak is a site under random faults, with callers and the history of their attempts. The
+// seed determines the plan, but not how the operating system schedules the processes.
 type soak struct {
 	*site
 	plan      plan
 	processes []*process
-	// storeProxies and peers stand before the store and before each balancer's socket
-	// for the others, by the balancers' balancers.
+	// storeProxies and peerProxies forward the connections from each balancer to the store
+	// and from the other balancers to its peer socket. Both are indexed by balancer.
 	storeProxies, peerProxies []*swallow.Proxy
-	historyMutex              sync.Mutex
-	history                   history
-	backendCount              int
-	movingPool                string
-	startedAt                 time.Time
-	activeFaults              sync.WaitGroup
-	// eventIndex is the balancer in the plan of the step of now.
+	// historyMutex guards the history and the processes.
+	historyMutex sync.Mutex
+	history      history
+	backendCount int
+	movingPool   string
+	startedAt    time.Time
+	activeFaults sync.WaitGroup
+	// eventIndex is the index of the current event in the plan.
 	eventIndex   int
 	reservations reservations
 	bursting     atomic.Bool
-	// stopPending is set while a planned stop waits for its turn; stops counts those done.
+	// stopPending is set while a planned stop waits until it may begin. stopCount counts the
+	// planned stops that were carried out.
 	stopPending atomic.Bool
 	stopCount   atomic.Int64
 }
@@ -88,7 +91,8 @@
 	return number
 }
 
-// TestSoak injects faults into real processes and judges what the callers saw.
+// TestSoak injects random faults into real processes and checks the outcomes of the callers'
+// requests.
 func TestSoak(t *testing.T) {
 	seed := soakNumber(soakSeedVariable, soakDefaultSeed)
 	chosen := makePlan(seed, time.Duration(soakNumber(soakSecondsVariable, soakDefaultSeconds))*time.Second)
@@ -101,8 +105,9 @@
 	runSoak(t, newSoak(t, soakFirstNetwork+seed%soakNetworks, chosen), seed)
 }
 
-// TestSoakOfDrills has the store come back from copies in series, over which balancers are
-// stopped, killed, cut off and changed, and judges what the callers saw.
+// TestSoakOfDrills restores the store from backups in series, during which balancers are
+// stopped, killed, disconnected and given new settings, and checks the outcomes of the
+// callers' requests.
 func TestSoakOfDrills(t *testing.T) {
 	seed := soakNumber(soakSeedVariable, soakDefaultSeed)
 	chosen := makeRestorePlan(seed, time.Duration(soakNumber(soakSecondsVariable, restoreDefaultSeconds))*time.Second)
@@ -113,7 +118,8 @@
 	runSoak(t, soak, seed)
 }
 
-// runSoak plays a plan before callers who keep their flows until their back ends have gone.
+// runSoak carries out the plan of a soak while callers keep their flows open as long as the
+// back ends of these run, and checks the history.
 func runSoak(t *testing.T, soak *soak, seed int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -135,31 +141,31 @@
 
 func newSoak(t *testing.T, network int, chosen plan) *soak {
 	site := newSite(t, network)
-	made := &soak{site: site, plan: chosen, movingPool: "lending"}
-	made.history = history{pools: make(map[string][]poolSpan), leaving: make(map[string]time.Time), dead: make(map[string]time.Time),
+	created := &soak{site: site, plan: chosen, movingPool: "lending"}
+	created.history = history{pools: make(map[string][]poolSpan), leaving: make(map[string]time.Time), dead: make(map[string]time.Time),
 		crashed:          make(map[string]bool),
 		overloadedRoutes: map[string]bool{"urgent": true, "patient": true}}
-	made.configureRoutes()
+	created.configureRoutes()
 	now := time.Now()
 	for route, pool := range map[string]string{"lending": "lending", "covers": "covers", "moving": "lending", "urgent": "desk", "patient": "desk"} {
-		made.history.pools[route] = []poolSpan{{pool: pool, span: span{from: now}}}
+		created.history.pools[route] = []poolSpan{{pool: pool, span: span{from: now}}}
 	}
-	for _, each := range soakPools {
-		for range each.count {
-			made.addBackend(each.pool)
+	for _, entry := range soakPools {
+		for range entry.count {
+			created.addBackend(entry.pool)
 		}
 	}
 	for balancer := range soakBalancers {
-		made.addBalancer(balancer)
+		created.addBalancer(balancer)
 	}
 	site.waitReady(soakBalancers)
-	made.startedAt = time.Now()
-	made.history.startedAt = made.startedAt
-	return made
+	created.startedAt = time.Now()
+	created.history.startedAt = created.startedAt
+	return created
 }
 
-// addBalancer starts a balancer that calls the store, and is called by the others,
-// through proxies.
+// addBalancer starts a balancer. Its connections to the store, and those of its peers to it,
+// go through proxies.
 func (soak *soak) addBalancer(balancer int) {
 	host := soak.ip(1, balancer+1)
 	store := soak.storeCaller(balancer) + ":8169"
@@ -169,7 +175,7 @@
 	soak.processes = append(soak.processes, started)
 }
 
-// storeCaller is the IP from which a balancer's calls come to the store.
+// storeCaller is the source IP address of a balancer's calls at the store.
 func (soak *soak) storeCaller(balancer int) string { return soak.ip(0, 10+balancer) }
 
 func (soak *soak) addBackend(pool string) {
@@ -181,8 +187,7 @@
 	}
 }
 
-// configureRoutes writes the configuration. The desk has two routes of different
-// urgency.
+// configureRoutes writes the configuration. The desk has two routes of different priorities.
 func (soak *soak) configureRoutes() {
 	soak.configure(lendingRoute, coversRoute, "r-moving 198.18.0.3 443 "+soak.movingPool,
 		"r-urgent 198.18.0.4 443 desk 0 500", "r-patient 198.18.0.5 443 desk 3 2000")
@@ -191,8 +196,8 @@
 var (
 	soakTargets = map[string]string{"lending": "198.18.0.1", "covers": "198.18.0.2", "moving": "198.18.0.3",
 		"urgent": "198.18.0.4", "patient": "198.18.0.5"}
-	// soakPools are the back ends by their pools, in the order in which they start, so
-	// that the site is the same each time.
+	// soakPools are the numbers of back ends per pool, in the order in which they start. It
+	// isn't a map, so that the site is the same in each run.
 	soakPools = []struct {
 		pool  string
 		count int
@@ -200,38 +205,39 @@
 	soakRoutes = []string{"lending", "covers", "moving", "urgent", "patient"}
 )
 
-// collectBackendRecords adds what the back ends have seen to the history.
+// collectBackendRecords adds the executions and first packets that the back ends recorded to
+// the history.
 func (soak *soak) collectBackendRecords() {
 	soak.history.runs, soak.history.openedPorts = make(map[string]int), make(map[uint16]bool)
 	for _, backend := range soak.backends {
-		runs, took := backend.Record()
+		runs, openedPorts := backend.Record()
 		for body, count := range runs {
 			soak.history.runs[body] += count
 		}
-		for port := range took {
+		for port := range openedPorts {
 			soak.history.openedPorts[port] = true
 		}
 	}
 }
 
-// verify requires that no promise was broken and that everything is served at
-// the end.
+// verify requires that no guarantee was violated and that all requests of the last second
+// were answered.
 func (soak *soak) verify(seed int) {
 	soak.collectBackendRecords()
 	lastSecond, answeredLast := 0, 0
 	end := time.Now()
-	for _, seen := range soak.history.attempts {
-		if end.Sub(seen.at) < time.Second {
+	for _, attempt := range soak.history.attempts {
+		if end.Sub(attempt.at) < time.Second {
 			lastSecond++
-			if seen.result == outcomeAnswered {
+			if attempt.result == outcomeAnswered {
 				answeredLast++
 			}
 		}
 	}
 	soak.t.Logf("seed %d: %s; %d planned stops; plan:\n%s", seed, soak.outcomeSummary(), soak.stopCount.Load(), soak.plan)
-	broken := soak.history.check()
-	soak.saveArtifacts(seed, broken)
-	require.Empty(soak.t, broken, "broken promises")
+	violations := soak.history.check()
+	soak.saveArtifacts(seed, violations)
+	require.Empty(soak.t, violations, "violated guarantees")
 	require.Positive(soak.t, lastSecond)
 	require.Equal(soak.t, lastSecond, answeredLast, "served at the end")
 	soak.requireNoMisrouted()
