--- a/test/e2e/settings_test.go
+++ b/test/e2e/settings_test.go
@@ -35,7 +35,7 @@
 	soak.write(path, changed)
 	soak.signalReload(balancer, duration)
 	soak.activeFaults.Go(func() {
-		soak.requireLogLine(balancer, skipped, "Settings: in force.")
+		soak.checkLogLine(balancer, skipped, "Settings: in force.")
 		soak.reservations.releaseSettings(balancer)
 	})
 }
@@ -56,7 +56,7 @@
 	soak.write(path, faulty)
 	soak.signalReload(balancer, duration)
 	soak.activeFaults.Go(func() {
-		soak.requireLogLine(balancer, skipped, "Settings: refused, the old ones stay.")
+		soak.checkLogLine(balancer, skipped, "Settings: refused, the old ones stay.")
 		soak.write(path, content)
 		soak.reservations.releaseSettings(balancer)
 	})
@@ -74,10 +74,10 @@
 	}
 }
 
-// requireLogLine records a violation if a balancer's log doesn't contain the wanted text
+// checkLogLine records a violation if a balancer's log doesn't contain the wanted text
 // after settingsTimeout, unless the balancer was disturbed or restarted meanwhile. It searches
 // the log beyond the first skipped bytes.
-func (soak *soak) requireLogLine(balancer int, skipped int64, wanted string) {
+func (soak *soak) checkLogLine(balancer int, skipped int64, wanted string) {
 	start := time.Now()
 	watched := soak.process(balancer)
 	time.Sleep(settingsTimeout)
