--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -53,10 +53,13 @@
 // siteBackend is a back end and what its entry in the store shows.
 type siteBackend struct {
 	*echonet.Backend
-	address           netip.AddrPort
-	state             string
-	zone              string
-	withoutEntry      bool
+	address netip.AddrPort
+	state   string
+	zone    string
+	// withoutEntry is set once the entry is removed, or no longer written since the back end
+	// has stopped.
+	withoutEntry bool
+	// startMilliseconds is the start of the back end in Unix milliseconds.
 	startMilliseconds int64
 }
 
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -46,9 +46,12 @@
 	number       int
 	dir          string
 	allProcesses []*process
-	nodes        map[string]*process
-	nodeIDs      []string
-	started      int
+	// nodes are the processes of nodes by ID, or of balancers by name.
+	nodes map[string]*process
+	// nodeIDs are the nodes that the fabric sends to, in the order of their starts.
+	nodeIDs []string
+	// started counts the nodes or balancers started so far. Their addresses derive from it.
+	started int
 	// stoppedCounts holds the last counts of the back ends that were stopped, by address.
 	stoppedCounts map[string]backend.Counts
 }
--- a/test/e2e/leaving_test.go
+++ b/test/e2e/leaving_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// terminateBackend stops a back end and removes its entry after three intervals of entries.
+// terminateBackend stops a back end and removes its entry after three times entryInterval.
 func (soak *soak) terminateBackend(id string) {
 	soak.recordTime(soak.history.dead, id)
 	soak.mutex.Lock()
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -70,6 +70,7 @@
 	historyMutex sync.Mutex
 	history      history
 	backendCount int
+	// movingPool is the pool that the route "moving" leads to at present.
 	movingPool   string
 	startedAt    time.Time
 	activeFaults sync.WaitGroup
@@ -118,8 +119,8 @@
 	runSoak(t, soak, seed)
 }
 
-// runSoak carries out the plan of a soak while callers keep their flows open as long as the
-// back ends of these run, and checks the history.
+// runSoak carries out the plan of a soak while callers send requests on flows, which must last
+// until their back ends have gone, and then checks the history.
 func runSoak(t *testing.T, soak *soak, seed int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,9 +128,9 @@
 	for number := range soakClients {
 		callers.Go(func() { soak.runCaller(ctx, number) })
 	}
-	for step, next := range soak.plan {
+	for index, next := range soak.plan {
 		time.Sleep(time.Until(soak.startedAt.Add(next.at)))
-		soak.eventIndex = step
+		soak.eventIndex = index
 		soakSteps[next.step](soak, next)
 	}
 	soak.activeFaults.Wait()
