--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -10,26 +10,26 @@
 
 // watermark is the newest state that a node has shown.
 type watermark struct {
-	document, configuration, inForce uint64
+	document, configuration, activeRevision uint64
 }
 
-// Check returns the first promise that does not hold now. Broken flows are
+// CheckInvariants returns the first promise that does not hold now. Broken flows are
 // counted in the Result instead, since some faults make them unavoidable.
-func (world *World) Check() error {
+func (world *Simulation) CheckInvariants() error {
 	if world.Result.WrongService > 0 {
 		return errors.Newf("%d packets reached a back end of another service", world.Result.WrongService)
 	}
-	if world.Result.RefusedButHeld > 0 {
-		return errors.Newf("%d flows were refused although a back end held them", world.Result.RefusedButHeld)
+	if world.Result.RefusedAfterAccept > 0 {
+		return errors.Newf("%d flows were refused although a back end held them", world.Result.RefusedAfterAccept)
 	}
-	if err := world.checkWatermarks(); err != nil {
+	if err := world.checkMonotonic(); err != nil {
 		return err
 	}
 	return world.checkLevels()
 }
 
-// checkWatermarks checks that no node goes back.
-func (world *World) checkWatermarks() error {
+// checkMonotonic checks that no node goes back.
+func (world *Simulation) checkMonotonic() error {
 	if world.watermarks == nil {
 		world.watermarks = make(map[string]watermark)
 	}
@@ -38,12 +38,12 @@
 			continue
 		}
 		now := watermark{
-			document:      node.core.Document().GetVersion(),
-			configuration: node.core.Configuration().GetRevision(),
-			inForce:       node.inForce(),
+			document:       node.core.Document().GetVersion(),
+			configuration:  node.core.Configuration().GetRevision(),
+			activeRevision: node.activeRevision(),
 		}
 		last := world.watermarks[node.id]
-		if now.document < last.document || now.configuration < last.configuration || now.inForce < last.inForce {
+		if now.document < last.document || now.configuration < last.configuration || now.activeRevision < last.activeRevision {
 			return errors.Newf("node %s went back from %+v to %+v", node.id, last, now)
 		}
 		world.watermarks[node.id] = now
@@ -60,10 +60,10 @@
 
 // checkLevels checks that two nodes which trust their views are never more than
 // one level apart; package core explains why that is enough.
-func (world *World) checkLevels() error {
+func (world *Simulation) checkLevels() error {
 	var lowest, highest *node
 	for _, node := range world.nodes {
-		if node.dead || node.router.View() == nil || !node.router.Fresh(node.now()) {
+		if node.dead || node.router.View() == nil || !node.router.HasContact(node.now()) {
 			continue
 		}
 		if lowest == nil || node.level() < lowest.level() {
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -46,9 +46,9 @@
 
 // Settings are the plan's settings.
 func (plan Plan) Settings() Settings {
-	settings := DarAlWarraq(plan.Seed)
+	settings := DarAlWarraqSettings(plan.Seed)
 	if plan.User == "kayal" {
-		settings = Kayalpath(plan.Seed)
+		settings = KayalpathSettings(plan.Seed)
 	}
 	settings.Algorithm = plan.Algorithm
 	return settings.Scale(plan.Scale)
@@ -67,8 +67,8 @@
 		Flows: result.Flows, TotalBroken: result.TotalBroken(), Weighted: result.BrokenWeighted,
 		Broken: result.Broken, SecondBackend: result.SecondBackend, Refused: result.Refused,
 		Unopened: result.Unopened, Violation: result.Violation, Paths: paths,
-		MaximumOverMean: result.MeanMaximum(), Variation: result.MeanVariation(),
-		LeavingP99: Percentile(result.LeavingDelays, 99), InForceP99: Percentile(result.InForce, 99),
+		MaximumOverMean: result.MeanMaximumOverMean(), Variation: result.MeanVariation(),
+		LeavingP99: Percentile(result.LeavingDelays, 99), InForceP99: Percentile(result.ActivationDelays, 99),
 		ControlMean: result.ControlMean, ControlPeak: result.ControlPeak, ControlSecond: result.ControlSecond, BytesByKind: result.BytesByKind,
 		WeightChanges: result.WeightChanges, Imbalance: result.Imbalance, LeavingDelays: result.LeavingDelays,
 	}
--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -109,7 +109,7 @@
 	value, _ := json.Marshal(map[string]any{"backend_pool": backend.Pool, "addr": backend.address.String(),
 		"zone": backend.zone, "version": "v1", "capacity": 2, "state": backend.state, "warmup_left_ms": 0, "seq": seq,
 		"born": backend.startMilliseconds})
-	if site.skipUnchanged && site.store.Holds("servers/"+id, value) {
+	if site.skipUnchanged && site.store.HasValue("servers/"+id, value) {
 		return
 	}
 	site.store.Put("servers/"+id, value)
@@ -194,7 +194,7 @@
 }
 
 func (site *site) waitReady(count int) {
-	require.Eventually(site.t, func() bool { return site.router.In() == count }, 20*time.Second, 20*time.Millisecond,
+	require.Eventually(site.t, func() bool { return site.router.InService() == count }, 20*time.Second, 20*time.Millisecond,
 		"balancers in service")
 }
 
@@ -351,7 +351,7 @@
 	require.NoError(t, started[1].command.Process.Signal(syscall.SIGTERM))
 	for started[1].command.ProcessState == nil {
 		site.requireSameBackend(flows, servers)
-		if site.router.In() == 2 {
+		if site.router.InService() == 2 {
 			_ = started[1].command.Wait()
 		}
 	}
@@ -437,7 +437,7 @@
 	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 20)
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	for _, index := range []int{1, 2} {
 		require.NoError(t, started[index].command.Process.Kill())
 		_ = started[index].command.Wait()
@@ -465,7 +465,7 @@
 	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 20)
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	seeds, others := started[:3], started[3:]
 	for _, group := range [][]*process{seeds, others} {
 		kill(t, group)
@@ -566,7 +566,7 @@
 	site.store.Put("op/evacuate/"+evacuated, []byte("{}"))
 	requireEventually(false, "evacuated")
 	site.requireSameBackend(flows, servers)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	kill(t, started[1:])
 	site.waitReady(1)
 	restarted := []*process{site.restart(started[1]), site.restart(started[2])}
--- a/test/e2e/callers_test.go
+++ b/test/e2e/callers_test.go
@@ -105,7 +105,7 @@
 func (soak *soak) recordAttempt(entry attempt, flow *echonet.Flow, err error) {
 	entry.ended, entry.result, entry.port = time.Now(), outcomeOf(err), flow.Port()
 	entry.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), entry.port, soakTargets[entry.route])
-	for _, node := range flow.Via() {
+	for _, node := range flow.TakeBalancers() {
 		entry.via = append(entry.via, balancerAt(node))
 	}
 	soak.historyMutex.Lock()
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -302,27 +302,27 @@
 	for net, count := range map[int]int{2: lendingCount, 3: coversCount} {
 		for index := range count {
 			counts := cluster.backend(net, index)
-			foreign += counts.Foreign
-			for key, times := range counts.Runs {
+			foreign += counts.MisroutedPackets
+			for key, times := range counts.Executions {
 				runs[key] += times
 			}
 		}
 	}
 	t := cluster.t
 	t.Logf("flows %d, answers %d, broken %d, refused %d, not run %d, unknown %d, wrong %d, unopened %d, keys run %d",
-		total.Flows, total.Answers, total.Broken, total.Refused, total.NotRun, total.Unknown, total.Wrong, total.Unopened, len(runs))
+		total.Flows, total.Responses, total.Broken, total.Refused, total.NotRun, total.UnknownOutcomes, total.WrongResponses, total.FailedOpens, len(runs))
 	require.Zero(t, total.Broken, total.LastError)
-	require.Zero(t, total.Wrong, total.LastError)
-	require.Zero(t, total.Unknown)
+	require.Zero(t, total.WrongResponses, total.LastError)
+	require.Zero(t, total.UnknownOutcomes)
 	require.Zero(t, foreign, "packets at a back end of another service")
-	require.Positive(t, total.Answers)
+	require.Positive(t, total.Responses)
 	for key, times := range runs {
 		require.Equal(t, 1, times, "request %s ran more than once", key)
 	}
 	for _, key := range total.NotRunKeys {
 		require.Zero(t, runs[key], "request %s ran although refused as not run", key)
 	}
-	for _, key := range total.AnsweredKeys {
+	for _, key := range total.CompletedKeys {
 		require.Equal(t, 1, runs[key], "request %s was answered", key)
 	}
 }
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -74,29 +74,29 @@
 		"pause-zone": func(soak *soak, next event) { soak.pause(balancersInZoneOf(next.balancer), next.duration) },
 		"pause-all":  func(soak *soak, next event) { soak.pause(allBalancers(), next.duration) },
 
-		"store-busy":      storeFaultStep(metadata.Faults{Busy: true}),
-		"store-silent":    storeFaultStep(metadata.Faults{Silent: true}),
+		"store-busy":      storeFaultStep(metadata.Faults{Unavailable: true}),
+		"store-silent":    storeFaultStep(metadata.Faults{Unresponsive: true}),
 		"store-throttles": storeFaultStep(metadata.Faults{Throttled: true}),
 		"store-slow":      storeFaultStep(metadata.Faults{Delay: slowDelay}),
-		"store-late":      storeFaultStep(metadata.Faults{LateWrites: lateWriteDelay}),
+		"store-late":      storeFaultStep(metadata.Faults{WriteDelay: lateWriteDelay}),
 		"store-compacts":  func(soak *soak, _ event) { soak.store.Compact() },
 
 		"store-drill": func(soak *soak, next event) { soak.restoreAfterOutage(next.duration) },
 
-		"store-refuses-some":   zoneStoreFaultStep(metadata.Faults{Busy: true}),
+		"store-refuses-some":   zoneStoreFaultStep(metadata.Faults{Unavailable: true}),
 		"store-throttles-some": zoneStoreFaultStep(metadata.Faults{Throttled: true}),
 
 		"store-link-silent": func(soak *soak, next event) {
-			soak.blackhole(soak.storeProxies, next.balancer, swallow.There, swallow.Back)
+			soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
 		},
-		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.Back) },
-		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.There) },
+		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToClient) },
+		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget) },
 		"store-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.storeProxies, next.balancer) },
 		"peer-link-silent": func(soak *soak, next event) {
-			soak.blackhole(soak.peerProxies, next.balancer, swallow.There, swallow.Back)
+			soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
 		},
-		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.Back) },
-		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.There) },
+		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToClient) },
+		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget) },
 		"peer-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.peerProxies, next.balancer) },
 		"peer-link-slow":  func(soak *soak, next event) { soak.delayLinks(next.balancer, next.duration) },
 
@@ -243,11 +243,11 @@
 	return func(soak *soak, next event) {
 		balancers := balancersInZoneOf(next.balancer)
 		for _, balancer := range balancers {
-			soak.store.SetFaultsFor(soak.storeCaller(balancer), faults)
+			soak.store.SetCallerFaults(soak.storeCaller(balancer), faults)
 		}
 		soak.recordDisturbance(balancers, refusalTime, func() {
 			for _, balancer := range balancers {
-				soak.store.SetFaultsFor(soak.storeCaller(balancer), metadata.Faults{})
+				soak.store.SetCallerFaults(soak.storeCaller(balancer), metadata.Faults{})
 			}
 		})
 	}
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -8,8 +8,8 @@
 
 // blackhole makes the open connections from a balancer to the store, or from its peers to
 // it, drop all further data without closing them.
-func (soak *soak) blackhole(proxies []*swallow.Proxy, balancer int, directions ...swallow.Way) {
-	proxies[balancer].Silence(directions...)
+func (soak *soak) blackhole(proxies []*swallow.Proxy, balancer int, directions ...swallow.Direction) {
+	proxies[balancer].Blackhole(directions...)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
 	soak.history.blackholes = append(soak.history.blackholes, blackhole{at: time.Now(), balancer: balancer})
@@ -17,7 +17,7 @@
 
 // resetLinks resets the open connections of a balancer's proxy.
 func (soak *soak) resetLinks(proxies []*swallow.Proxy, balancer int) {
-	proxies[balancer].Reset()
+	proxies[balancer].ResetConnections()
 	soak.recordDisturbance(soak.balancersBehind(proxies, balancer), 0, nil)
 }
 
--- a/test/e2e/proxy_test.go
+++ b/test/e2e/proxy_test.go
@@ -59,12 +59,12 @@
 	first := dial()
 	require.NoError(t, echo(first))
 	<-received
-	proxy.Silence(swallow.Back)
+	proxy.Blackhole(swallow.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Equal(t, byte('x'), <-received, "the other direction works")
 	require.NoError(t, echo(dial()))
 	<-received
-	proxy.Silence(swallow.There, swallow.Back)
+	proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Empty(t, received)
 	second := dial()
@@ -72,7 +72,7 @@
 	start := time.Now()
 	require.NoError(t, echo(second))
 	require.GreaterOrEqual(t, time.Since(start), 100*time.Millisecond)
-	proxy.Reset()
+	proxy.ResetConnections()
 	require.ErrorContains(t, echo(second), "reset")
 }
 
--- a/test/e2e/restores_test.go
+++ b/test/e2e/restores_test.go
@@ -26,13 +26,13 @@
 // backups holds the latest backups of a store, the oldest first.
 type backups struct {
 	mutex  sync.Mutex
-	recent []metadata.Copy
+	recent []metadata.Backup
 }
 
 // takeBackups takes backups of the store until the site ends.
 func (site *site) takeBackups() {
 	for site.ctx.Err() == nil {
-		backup := site.store.Copy()
+		backup := site.store.Backup()
 		site.backups.mutex.Lock()
 		site.backups.recent = append(site.backups.recent, backup)
 		if len(site.backups.recent) > maximumBackups {
@@ -44,7 +44,7 @@
 }
 
 // ofAge returns the backup with about the given age, or the oldest one.
-func (b *backups) ofAge(age time.Duration) metadata.Copy {
+func (b *backups) ofAge(age time.Duration) metadata.Backup {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.recent[max(0, len(b.recent)-1-int(age/backupInterval))]
@@ -52,7 +52,7 @@
 
 // restoreStore restores the store from a backup. Operators and back ends then rewrite what they
 // had written since the backup, and entries of back ends that have stopped are removed again.
-func (site *site) restoreStore(backup metadata.Copy) {
+func (site *site) restoreStore(backup metadata.Backup) {
 	site.store.Restore(backup)
 	site.store.SetFaults(metadata.Faults{})
 	time.Sleep(rewriteTime)
@@ -70,7 +70,7 @@
 // that is some seconds old.
 func (soak *soak) restoreAfterOutage(outage time.Duration) {
 	backup := soak.backups.ofAge(outage + time.Second)
-	soak.store.SetFaults(metadata.Faults{Silent: true})
+	soak.store.SetFaults(metadata.Faults{Unresponsive: true})
 	soak.recordDisturbance(nil, outage+rewriteTime, nil)
 	soak.activeFaults.Go(func() {
 		time.Sleep(outage)
@@ -91,12 +91,12 @@
 	for index, flow := range flows {
 		callers.Go(func() { site.requestUntil(flow, servers[index], done) })
 	}
-	old := site.store.Copy()
+	old := site.store.Backup()
 	site.configure("r-lending 198.18.0.1 443 covers", "r-new 198.18.0.3 80 lending")
 	site.setState("i-a0", "draining")
 	time.Sleep(drainBound)
 	for round, restart := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL, 0} {
-		site.store.SetFaults(metadata.Faults{Silent: true})
+		site.store.SetFaults(metadata.Faults{Unresponsive: true})
 		time.Sleep(time.Second)
 		site.restoreAndRequireNoRollback(old)
 		if restart != 0 {
@@ -118,7 +118,7 @@
 
 // restoreAndRequireNoRollback restores the store from a backup and requires that meanwhile no
 // balancer returns to what the backup shows.
-func (site *site) restoreAndRequireNoRollback(backup metadata.Copy) {
+func (site *site) restoreAndRequireNoRollback(backup metadata.Backup) {
 	var writing sync.WaitGroup
 	writing.Go(func() { site.restoreStore(backup) })
 	for end := time.Now().Add(rewriteTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -55,7 +55,7 @@
 var soakBalancers = soakNumber(soakBalancersVariable, 5)
 
 // deskLoad is the processing model of a back end of the desk.
-var deskLoad = echonet.Load{Slots: 2, Queue: 8, Work: 20 * time.Millisecond, Length: 600}
+var deskLoad = echonet.LoadModel{Slots: 2, QueueLength: 8, ServiceTime: 20 * time.Millisecond, MinimumResponseSize: 600}
 
 // soak is a site under random faults, with callers and the history of their attempts. The
 // seed determines the plan, but not how the operating system schedules the processes.
@@ -184,7 +184,7 @@
 	id := fmt.Sprintf("i-%x", 0x1000+soak.backendCount)
 	soak.startBackend(id, pool, zones[soak.backendCount%len(zones)], soak.backendCount)
 	if pool == "desk" {
-		soak.backends[id].SetLoad(deskLoad)
+		soak.backends[id].SetLoadModel(deskLoad)
 	}
 }
 
@@ -211,7 +211,7 @@
 func (soak *soak) collectBackendRecords() {
 	soak.history.runs, soak.history.openedPorts = make(map[string]int), make(map[uint16]bool)
 	for _, backend := range soak.backends {
-		runs, openedPorts := backend.Record()
+		runs, openedPorts := backend.Executions()
 		for body, count := range runs {
 			soak.history.runs[body] += count
 		}
