--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -6,30 +6,31 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// blackhole lets the open connections to the store of a balancer, or to it of the
-// others, carry nothing more.
-func (soak *soak) blackhole(proxies []*swallow.Proxy, place int, ways ...swallow.Direction) {
-	proxies[place].Blackhole(ways...)
+// blackhole makes the open connections from a balancer to the store, or from its peers to
+// it, drop all further data without closing them.
+func (soak *soak) blackhole(proxies []*swallow.Proxy, balancer int, directions ...swallow.Direction) {
+	proxies[balancer].Blackhole(directions...)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
-	soak.history.blackholes = append(soak.history.blackholes, blackhole{at: time.Now(), balancer: place})
+	soak.history.blackholes = append(soak.history.blackholes, blackhole{at: time.Now(), balancer: balancer})
 }
 
-func (soak *soak) resetLinks(proxies []*swallow.Proxy, place int) {
-	proxies[place].ResetConnections()
-	soak.recordDisturbance(soak.balancersBehind(proxies, place), 0, nil)
+// resetLinks resets the open connections of a balancer's proxy.
+func (soak *soak) resetLinks(proxies []*swallow.Proxy, balancer int) {
+	proxies[balancer].ResetConnections()
+	soak.recordDisturbance(soak.balancersBehind(proxies, balancer), 0, nil)
 }
 
-// balancersBehind are the balancers whose connections end at a proxy.
-func (soak *soak) balancersBehind(proxies []*swallow.Proxy, place int) []int {
-	if proxies[place] == soak.storeProxies[place] {
-		return []int{place}
+// balancersBehind returns the balancers whose connections go through a proxy.
+func (soak *soak) balancersBehind(proxies []*swallow.Proxy, balancer int) []int {
+	if proxies[balancer] == soak.storeProxies[balancer] {
+		return []int{balancer}
 	}
 	return allBalancers()
 }
 
-// delayLinks holds back what passes to a balancer and back.
-func (soak *soak) delayLinks(place int, length time.Duration) {
-	soak.peerProxies[place].Delay(slowDelay)
-	soak.recordDisturbance(allBalancers(), length, func() { soak.peerProxies[place].Delay(0) })
+// delayLinks delays the data between a balancer and its peers in both directions.
+func (soak *soak) delayLinks(balancer int, duration time.Duration) {
+	soak.peerProxies[balancer].Delay(slowDelay)
+	soak.recordDisturbance(allBalancers(), duration, func() { soak.peerProxies[balancer].Delay(0) })
 }
