--- a/cmd/indigobarrow/lab.go
+++ b/cmd/indigobarrow/lab.go
@@ -55,7 +55,7 @@
 	}
 	printed := newTable("REPORTS", "TRUST", "CV", "MAX/MEAN", "WEIGHT CHANGES", "B/S MEAN", "BROKEN")
 	for _, row := range rows {
-		printed.row(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.Maximum),
+		printed.row(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.MaximumOverMean),
 			fmt.Sprint(row.WeightChanges), fmt.Sprintf("%.0f", row.ControlMean), fmt.Sprint(row.Broken))
 	}
 	return printed.flush()
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (baseline *baseline) configure(configuration *apiv1.Configuration) {
+func (baseline *baseline) setConfiguration(configuration *apiv1.Configuration) {
 	epoch := &apiv1.Epoch{Number: 1, Services: desiredRules(configuration)}
 	set, err := rule.NewSet(epoch)
 	if err != nil {
@@ -35,17 +35,17 @@
 }
 
 func (baseline *baseline) route(arrived packet) {
-	found := baseline.rules[arrived.flow.key.Address()]
+	found := baseline.rules[arrived.conn.key.Address()]
 	if found == nil {
 		baseline.node.world.Result.Dropped++
 		return
 	}
-	key := arrived.flow.key
+	key := arrived.conn.key
 	if backend, known := baseline.table[key]; known && baseline.algorithm == AlgorithmTable {
 		baseline.node.forward(arrived, backend)
 		return
 	}
-	backend := baseline.pick(found, arrived.flow.hash)
+	backend := baseline.selectBackend(found, arrived.conn.hash)
 	if baseline.algorithm == AlgorithmTable {
 		baseline.table[key] = backend
 	}
@@ -55,7 +55,7 @@
 	baseline.node.forward(arrived, backend)
 }
 
-func (baseline *baseline) pick(found *rule.Rule, hash uint64) uint32 {
+func (baseline *baseline) selectBackend(found *rule.Rule, hash uint64) uint32 {
 	if baseline.algorithm != AlgorithmModulo {
 		return found.Pick(hash)
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -10,7 +10,7 @@
 )
 
 // Nodes returns the IDs of the nodes that run, in the order of their start.
-func (world *World) Nodes() []string {
+func (world *Simulation) Nodes() []string {
 	var ids []string
 	for _, node := range world.nodes {
 		if !node.dead {
@@ -20,14 +20,14 @@
 	return ids
 }
 
-// Kill ends a node without notice. The fabric notices after its delay.
-func (world *World) Kill(id string) {
-	node := world.byID[id]
+// KillNode ends a node without notice. The fabric notices after its delay.
+func (world *Simulation) KillNode(id string) {
+	node := world.nodesByID[id]
 	node.dead = true
-	world.Clock.After(world.settings.FabricDelay, func() { world.unlist(node) })
+	world.Clock.After(world.settings.FabricConvergenceTime, func() { world.removeFromFabric(node) })
 }
 
-func (world *World) unlist(gone *node) {
+func (world *Simulation) removeFromFabric(gone *node) {
 	kept := world.fabric[:0:0]
 	for _, node := range world.fabric {
 		if node != gone {
@@ -37,10 +37,10 @@
 	world.fabric = kept
 }
 
-// Start adds a node in a zone; the fabric uses it after its delay.
-func (world *World) Start(zone string) string {
+// StartNode adds a node in a zone; the fabric uses it after its delay.
+func (world *Simulation) StartNode(zone string) string {
 	added := world.addNode(zone)
-	world.Clock.After(world.settings.FabricDelay, func() {
+	world.Clock.After(world.settings.FabricConvergenceTime, func() {
 		if !added.dead {
 			world.fabric = append(world.fabric, added)
 		}
@@ -48,13 +48,13 @@
 	return added.id
 }
 
-// StopPlanned stops a node as planned: it announces, hands over, and ends when
+// StopNodeGracefully stops a node as planned: it announces, hands over, and ends when
 // no epoch names it any more, or after the limit.
-func (world *World) StopPlanned(id string, limit time.Duration) {
-	node := world.byID[id]
+func (world *Simulation) StopNodeGracefully(id string, limit time.Duration) {
+	node := world.nodesByID[id]
 	node.core.Leave(node.now())
-	node.handle()
-	world.unlist(node)
+	node.applyCoreOutput()
+	world.removeFromFabric(node)
 	deadline := world.Clock.Now() + limit
 	var wait func()
 	wait = func() {
@@ -67,43 +67,45 @@
 	world.Clock.After(time.Second, wait)
 }
 
-// Pause stops a node's processor, as SIGSTOP does.
-func (world *World) Pause(id string) { world.byID[id].paused = true }
+// PauseNode stops a node's processor, as SIGSTOP does.
+func (world *Simulation) PauseNode(id string) { world.nodesByID[id].paused = true }
 
-// Resume lets a paused node go on.
-func (world *World) Resume(id string) { world.byID[id].resume() }
+// ResumeNode lets a paused node go on.
+func (world *Simulation) ResumeNode(id string) { world.nodesByID[id].resume() }
 
-// StoreOutage starts or ends an outage of the store.
-func (world *World) StoreOutage(down bool) {
+// SetStoreOutage starts or ends an outage of the store.
+func (world *Simulation) SetStoreOutage(down bool) {
 	world.store.down = down
 	if !down {
-		world.notify()
+		world.notifyWatchers()
 	}
 }
 
-// CutZone cuts a zone off from the others, or heals the cut.
-func (world *World) CutZone(zone string, off bool) { world.cuts[zone] = off }
+// SetZonePartitioned cuts a zone off from the others, or heals the cut.
+func (world *Simulation) SetZonePartitioned(zone string, off bool) {
+	world.partitionedZones[zone] = off
+}
 
 // Drain makes a back end leave, through the store.
-func (world *World) Drain(serviceIndex, place int) {
+func (world *Simulation) Drain(serviceIndex, place int) {
 	target := world.services[serviceIndex].backends[place]
 	target.leavingAt = world.Clock.Now()
-	world.change(func(configuration *apiv1.Configuration) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services[serviceIndex].Backends[place].Leaving = true
 	})
 }
 
 // DrainByMark makes a back end leave through one node, without the store.
-func (world *World) DrainByMark(serviceIndex, place int, id string) {
+func (world *Simulation) DrainByMark(serviceIndex, place int, id string) {
 	target := world.services[serviceIndex].backends[place]
 	target.leavingAt = world.Clock.Now()
-	node := world.byID[id]
+	node := world.nodesByID[id]
 	node.core.MarkLeaving(node.now(), target.id, "drained by an operator")
-	node.handle()
+	node.applyCoreOutput()
 }
 
 // Undrain ends a drain.
-func (world *World) Undrain(serviceIndex, place int) {
+func (world *Simulation) Undrain(serviceIndex, place int) {
 	target := world.services[serviceIndex].backends[place]
 	target.leavingAt = 0
 	incarnation := uint64(0)
@@ -114,22 +116,22 @@
 			}
 		}
 	}
-	world.change(func(configuration *apiv1.Configuration) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		changed := configuration.Services[serviceIndex].Backends[place]
 		changed.Leaving = false
 		changed.ClearedMark = max(changed.GetClearedMark()+1, incarnation)
 	})
 }
 
-// Reweigh sets a back end's weight, 1 to 1000.
-func (world *World) Reweigh(serviceIndex, place int, weight uint32) {
-	world.change(func(configuration *apiv1.Configuration) {
+// SetWeight sets a back end's weight, 1 to 1000.
+func (world *Simulation) SetWeight(serviceIndex, place int, weight uint32) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services[serviceIndex].Backends[place].Slots = weight
 	})
 }
 
 // AddBackend adds a back end with a weight to a service.
-func (world *World) AddBackend(serviceIndex int, weight uint32) {
+func (world *Simulation) AddBackend(serviceIndex int, weight uint32) {
 	service := world.services[serviceIndex]
 	number := world.store.configuration.GetNextBackendId()
 	zone := world.settings.Zones[len(service.backends)%len(world.settings.Zones)]
@@ -142,7 +144,7 @@
 	}
 	service.backends = append(service.backends, added)
 	world.backends[number] = added
-	world.change(func(configuration *apiv1.Configuration) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.NextBackendId++
 		described := configuration.Services[serviceIndex]
 		described.Backends = append(described.Backends,
@@ -153,16 +155,16 @@
 // MoveAddress deletes the last service and gives its address to a new one with
 // the back ends of the first service, when the release has settled. Flows of
 // the deleted service end with it.
-func (world *World) MoveAddress() {
+func (world *Simulation) MoveAddress() {
 	last := len(world.services) - 1
 	leaver := world.services[last]
-	for held := range world.open {
+	for held := range world.openFlows {
 		if held.service == leaver {
 			world.closeFlow(held)
 		}
 	}
 	leaver.deleted = true
-	world.change(func(configuration *apiv1.Configuration) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services = configuration.Services[:last]
 	})
 	released := world.store.configuration.GetRevision()
@@ -172,12 +174,12 @@
 			world.Clock.After(100*time.Millisecond, wait)
 			return
 		}
-		world.takeAddress(leaver)
+		world.reuseAddress(leaver)
 	}
 	wait()
 }
 
-func (world *World) takeAddress(leaver *service) {
+func (world *Simulation) reuseAddress(leaver *service) {
 	taker := &service{settings: leaver.settings, address: leaver.address, index: len(world.services)}
 	taker.settings.Name = "successor"
 	described := &apiv1.Service{Name: "successor", Port: 80, Address: fmt.Sprintf("10.200.%d.%d", leaver.index>>8, byte(leaver.index+1))}
@@ -190,19 +192,19 @@
 		described.Backends = append(described.Backends, &apiv1.Backend{Id: added.id, Name: added.name, Zone: added.zone})
 	}
 	world.services = append(world.services, taker)
-	world.change(func(configuration *apiv1.Configuration) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.NextBackendId += 2
 		configuration.Services = append(configuration.Services, described)
 	})
 	world.startTraffic(taker)
 }
 
-// Open returns the number of open flows.
-func (world *World) Open() int { return len(world.open) }
+// OpenFlows returns the number of open flows.
+func (world *Simulation) OpenFlows() int { return len(world.openFlows) }
 
-// Fill puts so many flows of the first service into every node's table, as if
+// FillFlowTables puts so many flows of the first service into every node's table, as if
 // all nodes had seen packets of all of them.
-func (world *World) Fill(count int) {
+func (world *Simulation) FillFlowTables(count int) {
 	address := world.services[0].address
 	for number := range count {
 		key := flow.Key{Source: [4]byte{11, byte(number >> 16), byte(number >> 8), byte(number)}, SourcePort: 2000,
@@ -216,8 +218,8 @@
 	}
 }
 
-// SentBytes is the control traffic of all nodes since the start of the run.
-func (world *World) SentBytes() uint64 {
+// ControlBytesSent is the control traffic of all nodes since the start of the run.
+func (world *Simulation) ControlBytesSent() uint64 {
 	total := uint64(0)
 	for _, node := range world.nodes {
 		for _, bytes := range node.bytesByKind {
@@ -228,12 +230,12 @@
 }
 
 // SettledRevision is the configuration of the settled epoch in the store.
-func (world *World) SettledRevision() uint64 {
+func (world *Simulation) SettledRevision() uint64 {
 	return world.store.document.GetSettled().GetConfigurationRevision()
 }
 
 // StoreWrites is the number of writes of the document.
-func (world *World) StoreWrites() int { return world.store.writes }
+func (world *Simulation) StoreWrites() int { return world.store.writes }
 
 // ZoneOf is the zone of a node.
-func (world *World) ZoneOf(id string) string { return world.byID[id].zone }
+func (world *Simulation) ZoneOf(id string) string { return world.nodesByID[id].zone }
--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -13,23 +13,23 @@
 	document, configuration, inForce uint64
 }
 
-// Check returns the first promise that does not hold now. Broken flows are
+// CheckInvariants returns the first promise that does not hold now. Broken flows are
 // counted in the Result instead, since some faults make them unavoidable.
-func (world *World) Check() error {
+func (world *Simulation) CheckInvariants() error {
 	if world.Result.WrongService > 0 {
 		return errors.Newf("%d packets reached a back end of another service", world.Result.WrongService)
 	}
-	if world.Result.RefusedButHeld > 0 {
-		return errors.Newf("%d flows were refused although a back end held them", world.Result.RefusedButHeld)
+	if world.Result.RefusedAfterAccept > 0 {
+		return errors.Newf("%d flows were refused although a back end held them", world.Result.RefusedAfterAccept)
 	}
-	if err := world.checkWatermarks(); err != nil {
+	if err := world.checkMonotonic(); err != nil {
 		return err
 	}
 	return world.checkLevels()
 }
 
-// checkWatermarks checks that no node goes back.
-func (world *World) checkWatermarks() error {
+// checkMonotonic checks that no node goes back.
+func (world *Simulation) checkMonotonic() error {
 	if world.watermarks == nil {
 		world.watermarks = make(map[string]watermark)
 	}
@@ -40,7 +40,7 @@
 		now := watermark{
 			document:      node.core.Document().GetVersion(),
 			configuration: node.core.Configuration().GetRevision(),
-			inForce:       node.inForce(),
+			inForce:       node.activeRevision(),
 		}
 		last := world.watermarks[node.id]
 		if now.document < last.document || now.configuration < last.configuration || now.inForce < last.inForce {
@@ -60,7 +60,7 @@
 
 // checkLevels checks that two nodes which trust their views are never more than
 // one level apart; package core explains why that is enough.
-func (world *World) checkLevels() error {
+func (world *Simulation) checkLevels() error {
 	var lowest, highest *node
 	for _, node := range world.nodes {
 		if node.dead || node.router.View() == nil || !node.router.Fresh(node.now()) {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -18,7 +18,7 @@
 // node is one balancer of the model: the real core and router, with modelled
 // sockets.
 type node struct {
-	world  *World
+	world  *Simulation
 	id     string
 	zone   string
 	core   *core.Core
@@ -27,41 +27,41 @@
 	paused bool
 	// inbox holds what arrived while the node was paused; traffic comes first,
 	// as the traffic goroutines may run before the control goroutine.
-	pausedPackets  []func()
-	pausedMessages []func()
-	parked         map[flow.Key][]packet
-	parkedCount    int
-	baseline       *baseline
-	controlBytes   uint64
-	bytesByKind    map[string]uint64
-	rates          []float64
-	alive          uint64
-	// followed is the document whose weights the node wants.
-	followed   uint64
-	startedAt  time.Duration
-	acceptedAt map[uint64]time.Duration
+	pausedPackets     []func()
+	pausedMessages    []func()
+	queuedPackets     map[flow.Key][]packet
+	queuedPacketCount int
+	baseline          *baseline
+	controlBytes      uint64
+	bytesByKind       map[string]uint64
+	controlRates      []float64
+	observedLiveness  uint64
+	// weightsDocumentVersion is the document whose weights the node wants.
+	weightsDocumentVersion uint64
+	startedAt              time.Duration
+	acceptedAt             map[uint64]time.Duration
 }
 
-// parkedLimit bounds the packets that wait for an answer of the keepers.
-const parkedLimit = 2048
+// maxQueuedPackets bounds the packets that wait for an answer of the keepers.
+const maxQueuedPackets = 2048
 
 // envelopeOverhead approximates the bytes that framing and the network add to
 // a message between nodes.
 const envelopeOverhead = 24
 
-func (world *World) addNode(zone string) *node {
-	world.nextNode++
-	id := fmt.Sprintf("%s-%d", zone, world.nextNode)
+func (world *Simulation) addNode(zone string) *node {
+	world.nodeCount++
+	id := fmt.Sprintf("%s-%d", zone, world.nodeCount)
 	table := flowtable.New(world.settings.FlowCapacity)
 	added := &node{
-		world:       world,
-		id:          id,
-		zone:        zone,
-		router:      router.New(table),
-		parked:      make(map[flow.Key][]packet),
-		bytesByKind: make(map[string]uint64),
-		startedAt:   world.Clock.Now(),
-		acceptedAt:  make(map[uint64]time.Duration),
+		world:         world,
+		id:            id,
+		zone:          zone,
+		router:        router.New(table),
+		queuedPackets: make(map[flow.Key][]packet),
+		bytesByKind:   make(map[string]uint64),
+		startedAt:     world.Clock.Now(),
+		acceptedAt:    make(map[uint64]time.Duration),
 	}
 	member := &apiv1.Member{Id: id, Zone: zone, PeerAddress: id, Incarnation: uint64(world.Clock.Milliseconds()) + 1}
 	control, err := core.New(world.settings.Core, member, table)
@@ -71,18 +71,18 @@
 	added.core = control
 	added.baseline = newBaseline(world.settings.Algorithm, added)
 	world.nodes = append(world.nodes, added)
-	world.byID[id] = added
-	added.meetOthers()
+	world.nodesByID[id] = added
+	added.addPeers()
 	added.readStore()
 	added.tick()
-	added.watchAlive()
+	added.pollGroupLiveness()
 	return added
 }
 
 func (node *node) running() bool { return !node.dead && !node.paused }
 
-// meetOthers stands for the seeds and the platform's machine list.
-func (node *node) meetOthers() {
+// addPeers stands for the seeds and the platform's machine list.
+func (node *node) addPeers() {
 	for _, other := range node.world.nodes {
 		if other != node && !other.dead {
 			node.core.AddPeer(&apiv1.Member{Id: other.id, Zone: other.zone, PeerAddress: other.id, Incarnation: 1})
@@ -96,31 +96,31 @@
 	}
 	if !node.paused {
 		node.core.Tick(node.now())
-		node.handle()
+		node.applyCoreOutput()
 	}
 	node.world.Clock.After(node.world.settings.TickInterval, node.tick)
 }
 
-// reachesStore reports whether the store answers the node; a zone that is cut
+// canReachStore reports whether the store answers the node; a zone that is cut
 // off does not reach it.
-func (node *node) reachesStore() bool {
-	reached := !node.world.cuts[node.zone] || node.world.settings.Store.ReachedFromCuts
+func (node *node) canReachStore() bool {
+	reached := !node.world.partitionedZones[node.zone] || node.world.settings.Store.ReachableWhenPartitioned
 	return reached && !node.world.store.down
 }
 
-// watchAlive reads the group's sign of life now and then.
-func (node *node) watchAlive() {
+// pollGroupLiveness reads the group's sign of life now and then.
+func (node *node) pollGroupLiveness() {
 	if node.dead {
 		return
 	}
-	if alive := node.world.store.alive; alive != node.alive && node.reachesStore() && !node.paused {
-		node.alive = alive
+	if alive := node.world.store.groupLivenessCount; alive != node.observedLiveness && node.canReachStore() && !node.paused {
+		node.observedLiveness = alive
 		node.core.ObserveGroupLiveness(node.now())
 	}
-	node.world.Clock.After(aliveInterval, node.watchAlive)
+	node.world.Clock.After(livenessPollInterval, node.pollGroupLiveness)
 }
 
-const aliveInterval = 5 * time.Second
+const livenessPollInterval = 5 * time.Second
 
 func (node *node) now() uint32 { return node.world.Clock.Milliseconds() }
 
@@ -128,29 +128,29 @@
 func (node *node) readStore() {
 	world := node.world
 	world.Clock.After(2*world.settings.Store.Delay, func() {
-		if !node.reachesStore() || !node.running() {
+		if !node.canReachStore() || !node.running() {
 			return
 		}
 		if world.store.document != nil {
 			node.core.ObserveDocument(node.now(), world.store.document)
 		}
 		node.core.ObserveConfiguration(node.now(), world.store.configuration)
-		node.handle()
+		node.applyCoreOutput()
 	})
 }
 
-// handle carries out what the core wants done.
-func (node *node) handle() {
+// applyCoreOutput carries out what the core wants done.
+func (node *node) applyCoreOutput() {
 	if configuration := node.core.Configuration(); configuration != nil {
 		revision := configuration.GetRevision()
 		if _, seen := node.acceptedAt[revision]; !seen {
 			node.acceptedAt[revision] = node.world.Clock.Now()
 			node.core.SetDesired(node.now(), revision, desiredRules(configuration), compile.ClearedMarks(configuration))
 			node.markLeaving(configuration)
-			node.baseline.configure(configuration)
+			node.baseline.setConfiguration(configuration)
 		}
 	}
-	node.followWeights()
+	node.applyDocumentWeights()
 	out := node.core.Ready()
 	if out.View != nil {
 		node.router.SetView(out.View)
@@ -163,8 +163,8 @@
 	for _, resolution := range out.Resolutions {
 		node.resolve(resolution)
 	}
-	if out.RefreshGroupLiveness && node.reachesStore() {
-		node.world.store.alive++
+	if out.RefreshGroupLiveness && node.canReachStore() {
+		node.world.store.groupLivenessCount++
 	}
 	if out.Write != nil {
 		node.world.store.write(node, out.Write.Document, func(written bool) {
@@ -177,14 +177,14 @@
 	}
 }
 
-// followWeights wants the weights of the newest document, on the nodes that do
+// applyDocumentWeights wants the weights of the newest document, on the nodes that do
 // not run the policies.
-func (node *node) followWeights() {
+func (node *node) applyDocumentWeights() {
 	version := node.core.Document().GetVersion()
-	if !node.world.settings.Reports.Enabled || version == node.followed || node.world.decider() == node {
+	if !node.world.settings.Reports.Enabled || version == node.weightsDocumentVersion || node.world.policyNode() == node {
 		return
 	}
-	node.followed = version
+	node.weightsDocumentVersion = version
 	configuration := node.core.Configuration()
 	node.core.SetDesired(node.now(), configuration.GetRevision(),
 		compile.Rules(configuration, compile.NewestWeights(node.core.Document())), compile.ClearedMarks(configuration))
@@ -204,16 +204,16 @@
 
 // deliver sends a message between nodes, with delay, loss, duplication and
 // cuts.
-func (world *World) deliver(from *node, message *apiv1.Envelope) {
-	to := world.byID[message.GetTo()]
+func (world *Simulation) deliver(from *node, message *apiv1.Envelope) {
+	to := world.nodesByID[message.GetTo()]
 	size := uint64(proto.Size(message) + envelopeOverhead)
 	from.controlBytes += size
-	from.bytesByKind[kindOf(message)] += size
-	if to == nil || world.cut(from.zone, to.zone) || world.Clock.Random.Float64() < world.settings.Network.Loss {
+	from.bytesByKind[messageKind(message)] += size
+	if to == nil || world.partitioned(from.zone, to.zone) || world.Clock.Random.Float64() < world.settings.Network.MessageLoss {
 		return
 	}
 	copies := 1
-	if world.Clock.Random.Float64() < world.settings.Network.Duplicate {
+	if world.Clock.Random.Float64() < world.settings.Network.MessageDuplication {
 		copies = 2
 	}
 	for range copies {
@@ -222,7 +222,7 @@
 	}
 }
 
-func kindOf(message *apiv1.Envelope) string {
+func messageKind(message *apiv1.Envelope) string {
 	field := message.ProtoReflect().WhichOneof(message.ProtoReflect().Descriptor().Oneofs().Get(0))
 	if field == nil {
 		return "none"
@@ -239,7 +239,7 @@
 		return
 	}
 	node.core.Step(node.now(), message)
-	node.handle()
+	node.applyCoreOutput()
 }
 
 // route handles one packet as the traffic goroutines do.
@@ -255,16 +255,16 @@
 		node.baseline.route(arrived)
 		return
 	}
-	verdict := node.router.Decide(node.now(), arrived.flow.key, arrived.flow.hash, arrived.flags)
+	verdict := node.router.Decide(node.now(), arrived.conn.key, arrived.conn.hash, arrived.flags)
 	node.world.Result.Paths[verdict.Path]++
-	node.trace(arrived, verdict)
+	node.traceDecision(arrived, verdict)
 	switch verdict.Action {
 	case router.ActionForward:
 		node.forward(arrived, verdict.Backend)
 	case router.ActionAsk:
-		node.park(arrived, verdict)
+		node.queueForLookup(arrived, verdict)
 	case router.ActionRefuse:
-		node.world.refused(arrived)
+		node.world.refuseFlow(arrived)
 	case router.ActionDrop:
 		node.world.Result.Dropped++
 	}
@@ -273,51 +273,51 @@
 func (node *node) forward(arrived packet, backend uint32) {
 	world := node.world
 	target := world.backends[backend]
-	world.Clock.After(world.delay(node.zone, target.zone), func() { world.arrive(target, arrived) })
+	world.Clock.After(world.delay(node.zone, target.zone), func() { world.receiveAtBackend(target, arrived) })
 }
 
-func (node *node) park(arrived packet, verdict router.Verdict) {
-	if node.parkedCount >= parkedLimit {
+func (node *node) queueForLookup(arrived packet, verdict router.Verdict) {
+	if node.queuedPacketCount >= maxQueuedPackets {
 		node.world.Result.Dropped++
 		return
 	}
-	node.parkedCount++
-	key := arrived.flow.key
-	node.parked[key] = append(node.parked[key], arrived)
+	node.queuedPacketCount++
+	key := arrived.conn.key
+	node.queuedPackets[key] = append(node.queuedPackets[key], arrived)
 	node.core.Lookup(node.now(), key, verdict.Proposal, verdict.Bind, verdict.Opens)
-	node.handle()
+	node.applyCoreOutput()
 }
 
 func (node *node) resolve(resolution core.Resolution) {
-	waiting := node.parked[resolution.Key]
-	delete(node.parked, resolution.Key)
-	node.parkedCount -= len(waiting)
+	waiting := node.queuedPackets[resolution.Key]
+	delete(node.queuedPackets, resolution.Key)
+	node.queuedPacketCount -= len(waiting)
 	for _, arrived := range waiting {
 		if resolution.Backend == rule.NoBackend {
 			node.world.Result.Paths[router.PathDroppedKeepers]++
 			node.world.Result.Dropped++
 			continue
 		}
-		hash := arrived.flow.hash
+		hash := arrived.conn.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
 			node.router.Learn(node.now(), resolution.Key, hash, resolution.Backend, arrived.flags)
 		}
-		node.world.traceFlow(arrived.flow, "%s resolved to %d", node.id, resolution.Backend)
+		node.world.traceFlow(arrived.conn, "%s resolved to %d", node.id, resolution.Backend)
 		node.forward(arrived, resolution.Backend)
 	}
 }
 
-// trace notes a decision in the flow's history.
-func (node *node) trace(arrived packet, verdict router.Verdict) {
+// traceDecision notes a decision in the flow's history.
+func (node *node) traceDecision(arrived packet, verdict router.Verdict) {
 	if node.world.settings.Trace {
 		view := node.router.View()
-		node.world.traceFlow(arrived.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
+		node.world.traceFlow(arrived.conn, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
 			node.id, arrived.flags, verdict.Path, verdict.Action, verdict.Backend, verdict.Proposal, verdict.Bind,
 			view.Settled.Number, view.Phase, view.ActiveMarks, view.KnownMarks)
 	}
 }
 
-func (world *World) traceFlow(traced *simFlow, format string, values ...any) {
+func (world *Simulation) traceFlow(traced *connection, format string, values ...any) {
 	if world.settings.Trace {
 		traced.history = append(traced.history, fmt.Sprintf("%s ", world.Clock.Now())+fmt.Sprintf(format, values...))
 	}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -46,12 +46,12 @@
 
 // Settings are the plan's settings.
 func (plan Plan) Settings() Settings {
-	settings := DarAlWarraq(plan.Seed)
+	settings := DarAlWarraqSettings(plan.Seed)
 	if plan.User == "kayal" {
-		settings = Kayalpath(plan.Seed)
+		settings = KayalpathSettings(plan.Seed)
 	}
 	settings.Algorithm = plan.Algorithm
-	return settings.Scale(plan.Scale)
+	return settings.ScaleFlows(plan.Scale)
 }
 
 // Run makes the run.
@@ -66,9 +66,9 @@
 		Algorithm: plan.Algorithm, Seed: plan.Seed, Scale: plan.Scale,
 		Flows: result.Flows, TotalBroken: result.TotalBroken(), Weighted: result.BrokenWeighted,
 		Broken: result.Broken, SecondBackend: result.SecondBackend, Refused: result.Refused,
-		Unopened: result.Unopened, Violation: result.Violation, Paths: paths,
-		MaximumOverMean: result.MeanMaximum(), Variation: result.MeanVariation(),
-		LeavingP99: Percentile(result.LeavingDelays, 99), InForceP99: Percentile(result.InForce, 99),
+		Unopened: result.NeverEstablished, Violation: result.Violation, Paths: paths,
+		MaximumOverMean: result.MeanMaximumOverMean(), Variation: result.MeanVariation(),
+		LeavingP99: Percentile(result.LeavingDelays, 99), InForceP99: Percentile(result.ActivationDelays, 99),
 		ControlMean: result.ControlMean, ControlPeak: result.ControlPeak, ControlSecond: result.ControlSecond, BytesByKind: result.BytesByKind,
 		WeightChanges: result.WeightChanges, Imbalance: result.Imbalance, LeavingDelays: result.LeavingDelays,
 	}
--- a/internal/lab/reports.go
+++ b/internal/lab/policy.go
@@ -14,16 +14,16 @@
 	Policy  *policy.Program
 	// Lag is how old the reports are.
 	Lag time.Duration
-	// Liars is how many back ends of the first service report no load at all.
-	Liars int
-	// Capacity is the number of open flows that counts as a load of 1.
-	Capacity int
+	// MisreportingBackends is how many back ends of the first service report no load at all.
+	MisreportingBackends int
+	// FullLoadFlows is the number of open flows that counts as a load of 1.
+	FullLoadFlows int
 }
 
-const reportPeriod = 2 * time.Second
+const reportInterval = 2 * time.Second
 
-// startReports runs the policy as a node's report goroutine does.
-func (world *World) startReports() {
+// startPolicy runs the policy as a node's report goroutine does.
+func (world *Simulation) startPolicy() {
 	if !world.settings.Reports.Enabled {
 		return
 	}
@@ -32,14 +32,14 @@
 	var poll func()
 	poll = func() {
 		world.runPolicy(damper, history)
-		world.Clock.After(reportPeriod, poll)
+		world.Clock.After(reportInterval, poll)
 	}
-	world.Clock.After(warmTime, poll)
+	world.Clock.After(warmUpTime, poll)
 }
 
 // runPolicy evaluates the policy on the reports as the deciding node sees them.
-func (world *World) runPolicy(damper *policy.Damper, history map[uint32][]int) {
-	decider := world.decider()
+func (world *Simulation) runPolicy(damper *policy.Damper, history map[uint32][]int) {
+	decider := world.policyNode()
 	if decider == nil || decider.core.Configuration() == nil {
 		return
 	}
@@ -72,11 +72,11 @@
 	configuration := decider.core.Configuration()
 	decider.core.SetDesired(decider.now(), configuration.GetRevision(),
 		compile.Rules(configuration, weights), compile.ClearedMarks(configuration))
-	decider.handle()
+	decider.applyCoreOutput()
 }
 
-// decider is the running node of the lowest ID.
-func (world *World) decider() *node {
+// policyNode is the running node of the lowest ID.
+func (world *Simulation) policyNode() *node {
 	var first *node
 	for _, node := range world.nodes {
 		if node.running() && (first == nil || node.id < first.id) {
@@ -87,14 +87,14 @@
 }
 
 // reportedLoad is the load that a back end reports: late, or false.
-func (world *World) reportedLoad(backend *backend, place int, history map[uint32][]int) float64 {
+func (world *Simulation) reportedLoad(backend *backend, place int, history map[uint32][]int) float64 {
 	settings := world.settings.Reports
-	history[backend.id] = append(history[backend.id], backend.open)
-	late := int(settings.Lag / reportPeriod)
+	history[backend.id] = append(history[backend.id], backend.openFlows)
+	late := int(settings.Lag / reportInterval)
 	past := history[backend.id]
 	open := past[max(0, len(past)-1-late)]
-	if backend.service.index == 0 && place < settings.Liars {
+	if backend.service.index == 0 && place < settings.MisreportingBackends {
 		return 0
 	}
-	return min(1, float64(open)/float64(settings.Capacity))
+	return min(1, float64(open)/float64(settings.FullLoadFlows))
 }
--- a/internal/lab/property_test.go
+++ b/internal/lab/property_test.go
@@ -9,166 +9,168 @@
 	"pgregory.net/rapid"
 )
 
-// small is a world in which a hundred virtual seconds take a moment.
-func small(seed uint64) Settings {
-	settings := DarAlWarraq(seed)
+// smallSettings is a world in which a hundred virtual seconds take a moment.
+func smallSettings(seed uint64) Settings {
+	settings := DarAlWarraqSettings(seed)
 	settings.Services = []ServiceSettings{
-		{Name: "lending", Backends: 5, Arrivals: 20, MeanDuration: 30 * time.Second, PacketInterval: 700 * time.Millisecond, WarmFlows: 200},
-		{Name: "covers", Backends: 3, Arrivals: 5, MeanDuration: 10 * time.Second, PacketInterval: 700 * time.Millisecond, WarmFlows: 30},
+		{Name: "lending", Backends: 5, ArrivalRate: 20, MeanFlowDuration: 30 * time.Second, MeanPacketInterval: 700 * time.Millisecond, InitialFlows: 200},
+		{Name: "covers", Backends: 3, ArrivalRate: 5, MeanFlowDuration: 10 * time.Second, MeanPacketInterval: 700 * time.Millisecond, InitialFlows: 30},
 	}
-	settings.Network.Loss = 0.01
-	settings.Network.Duplicate = 0.01
+	settings.Network.MessageLoss = 0.01
+	settings.Network.MessageDuplication = 0.01
 	settings.FlowCapacity = 1 << 16
 	return settings
 }
 
-// driver draws actions and applies those that are possible.
-type driver struct {
-	t       *rapid.T
-	world   *World
-	leaving map[[2]int]bool
-	paused  string
-	cut     string
+// actionDriver draws actions and applies those that are possible.
+type actionDriver struct {
+	t               *rapid.T
+	world           *Simulation
+	drained         map[[2]int]bool
+	pausedNode      string
+	partitionedZone string
 }
 
-func (driver *driver) advance() {
+func (driver *actionDriver) advance() {
 	step := time.Duration(rapid.IntRange(50, 6000).Draw(driver.t, "milliseconds")) * time.Millisecond
 	end := driver.world.Clock.Now() + step
 	for driver.world.Clock.Now() < end {
 		driver.world.Clock.RunUntil(min(end, driver.world.Clock.Now()+20*time.Millisecond))
-		require.NoError(driver.t, driver.world.Check())
+		require.NoError(driver.t, driver.world.CheckInvariants())
 	}
 }
 
-func (driver *driver) pick() string {
+func (driver *actionDriver) drawNode() string {
 	return rapid.SampledFrom(driver.world.Nodes()).Draw(driver.t, "node")
 }
 
-func (driver *driver) drain() {
+func (driver *actionDriver) toggleDrain() {
 	place := [2]int{0, rapid.IntRange(0, 4).Draw(driver.t, "backend")}
 	switch {
-	case driver.leaving[place]:
+	case driver.drained[place]:
 		driver.world.Undrain(place[0], place[1])
-		delete(driver.leaving, place)
-	case len(driver.leaving) < 3:
+		delete(driver.drained, place)
+	case len(driver.drained) < 3:
 		driver.world.Drain(place[0], place[1])
-		driver.leaving[place] = true
+		driver.drained[place] = true
 	}
 }
 
-func (driver *driver) reweigh() {
+func (driver *actionDriver) setWeight() {
 	place := rapid.IntRange(0, 4).Draw(driver.t, "backend")
-	driver.world.Reweigh(0, place, uint32(rapid.IntRange(1, 10).Draw(driver.t, "weight"))*10)
+	driver.world.SetWeight(0, place, uint32(rapid.IntRange(1, 10).Draw(driver.t, "weight"))*10)
 }
 
-func (driver *driver) replace() {
+func (driver *actionDriver) replaceNode() {
 	if len(driver.world.Nodes()) < 6 {
 		return
 	}
-	id := driver.pick()
-	driver.world.Start(driver.world.byID[id].zone)
-	driver.world.StopPlanned(id, 20*time.Second)
+	id := driver.drawNode()
+	driver.world.StartNode(driver.world.nodesByID[id].zone)
+	driver.world.StopNodeGracefully(id, 20*time.Second)
 }
 
-func (driver *driver) kill() {
-	if len(driver.world.Nodes()) < 5 || driver.paused != "" || driver.cut != "" {
+func (driver *actionDriver) killNode() {
+	if len(driver.world.Nodes()) < 5 || driver.pausedNode != "" || driver.partitionedZone != "" {
 		return
 	}
-	driver.world.Kill(driver.pick())
+	driver.world.KillNode(driver.drawNode())
 }
 
-func (driver *driver) start() {
+func (driver *actionDriver) startNode() {
 	if len(driver.world.Nodes()) < 9 {
-		driver.world.Start(rapid.SampledFrom(driver.world.settings.Zones).Draw(driver.t, "zone"))
+		driver.world.StartNode(rapid.SampledFrom(driver.world.settings.Zones).Draw(driver.t, "zone"))
 	}
 }
 
-func (driver *driver) pause() {
-	if driver.paused != "" {
-		if !driver.world.byID[driver.paused].dead {
-			driver.world.Resume(driver.paused)
+func (driver *actionDriver) togglePause() {
+	if driver.pausedNode != "" {
+		if !driver.world.nodesByID[driver.pausedNode].dead {
+			driver.world.ResumeNode(driver.pausedNode)
 		}
-		driver.paused = ""
+		driver.pausedNode = ""
 		return
 	}
-	driver.paused = driver.pick()
-	driver.world.Pause(driver.paused)
+	driver.pausedNode = driver.drawNode()
+	driver.world.PauseNode(driver.pausedNode)
 }
 
-func (driver *driver) cutZone() {
-	if driver.cut != "" {
-		driver.world.CutZone(driver.cut, false)
-		driver.cut = ""
+func (driver *actionDriver) togglePartition() {
+	if driver.partitionedZone != "" {
+		driver.world.SetZonePartitioned(driver.partitionedZone, false)
+		driver.partitionedZone = ""
 		return
 	}
-	driver.cut = rapid.SampledFrom(driver.world.settings.Zones).Draw(driver.t, "zone")
-	driver.world.CutZone(driver.cut, true)
+	driver.partitionedZone = rapid.SampledFrom(driver.world.settings.Zones).Draw(driver.t, "zone")
+	driver.world.SetZonePartitioned(driver.partitionedZone, true)
 }
 
-func (driver *driver) outage() { driver.world.StoreOutage(!driver.world.store.down) }
+func (driver *actionDriver) toggleStoreOutage() {
+	driver.world.SetStoreOutage(!driver.world.store.down)
+}
 
-func newDriver(t *rapid.T) *driver {
-	settings := small(rapid.Uint64().Draw(t, "seed"))
-	settings.Store.LostAnswers = 0.3
-	made := &driver{t: t, world: New(settings), leaving: make(map[[2]int]bool)}
+func newActionDriver(t *rapid.T) *actionDriver {
+	settings := smallSettings(rapid.Uint64().Draw(t, "seed"))
+	settings.Store.ResponseLoss = 0.3
+	made := &actionDriver{t: t, world: New(settings), drained: make(map[[2]int]bool)}
 	made.world.Clock.RunUntil(25 * time.Second)
 	return made
 }
 
-// settle ends all faults and lets the group come to rest.
-func (driver *driver) settle() {
-	if driver.paused != "" && !driver.world.byID[driver.paused].dead {
-		driver.world.Resume(driver.paused)
+// healAndConverge ends all faults and lets the group come to rest.
+func (driver *actionDriver) healAndConverge() {
+	if driver.pausedNode != "" && !driver.world.nodesByID[driver.pausedNode].dead {
+		driver.world.ResumeNode(driver.pausedNode)
 	}
-	if driver.cut != "" {
-		driver.world.CutZone(driver.cut, false)
+	if driver.partitionedZone != "" {
+		driver.world.SetZonePartitioned(driver.partitionedZone, false)
 	}
-	driver.world.StoreOutage(false)
+	driver.world.SetStoreOutage(false)
 	driver.world.Clock.RunUntil(driver.world.Clock.Now() + 90*time.Second)
-	require.NoError(driver.t, driver.world.Check())
+	require.NoError(driver.t, driver.world.CheckInvariants())
 	revision := driver.world.store.configuration.GetRevision()
 	for _, node := range driver.world.nodes {
 		if node.running() {
-			require.Equal(driver.t, revision, node.inForce(), "node %s: accepted configuration is not in force: %s", node.id, describe(node))
+			require.Equal(driver.t, revision, node.activeRevision(), "node %s: accepted configuration is not in force: %s", node.id, describe(node))
 		}
 	}
 }
 
-// checks is the number of cases in CI; rapid's own flag sets it otherwise.
-func checks(t *testing.T, count int) {
+// setRapidChecks is the number of cases in CI; rapid's own flag sets it otherwise.
+func setRapidChecks(t *testing.T, count int) {
 	if os.Getenv("INDIGOBARROW_LONG") == "" {
-		require.NoError(t, setRapid("checks", count))
-		require.NoError(t, setRapid("seed", 1))
+		require.NoError(t, setRapidFlag("checks", count))
+		require.NoError(t, setRapidFlag("seed", 1))
 	}
 }
 
 func TestPlannedChangesBreakNoFlow(t *testing.T) {
-	checks(t, 12)
+	setRapidChecks(t, 12)
 	rapid.Check(t, func(t *rapid.T) {
-		driver := newDriver(t)
-		actions := []func(){driver.drain, driver.reweigh, driver.replace, driver.start, driver.outage}
+		driver := newActionDriver(t)
+		actions := []func(){driver.toggleDrain, driver.setWeight, driver.replaceNode, driver.startNode, driver.toggleStoreOutage}
 		for range rapid.IntRange(4, 16).Draw(t, "actions") {
 			rapid.SampledFrom(actions).Draw(t, "action")()
 			driver.advance()
 		}
-		driver.settle()
+		driver.healAndConverge()
 		require.Zero(t, driver.world.Result.TotalBroken(), "broken: %v", driver.world.Result.Broken)
 		require.Zero(t, driver.world.Result.SecondBackend)
 	})
 }
 
-func TestFaultsKeepThePromises(t *testing.T) {
-	checks(t, 16)
+func TestFaultsPreserveInvariants(t *testing.T) {
+	setRapidChecks(t, 16)
 	broken, flows := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		driver := newDriver(t)
-		actions := []func(){driver.drain, driver.reweigh, driver.replace, driver.start, driver.outage,
-			driver.kill, driver.pause, driver.cutZone}
+		driver := newActionDriver(t)
+		actions := []func(){driver.toggleDrain, driver.setWeight, driver.replaceNode, driver.startNode, driver.toggleStoreOutage,
+			driver.killNode, driver.togglePause, driver.togglePartition}
 		for range rapid.IntRange(4, 16).Draw(t, "actions") {
 			rapid.SampledFrom(actions).Draw(t, "action")()
 			driver.advance()
 		}
-		driver.settle()
+		driver.healAndConverge()
 		broken += driver.world.Result.TotalBroken()
 		flows += driver.world.Result.Flows
 	})
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -77,8 +77,8 @@
 	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(image.Bytes())), nil
 }
 
-// grouped sums a value of the rows by scenario, for each method.
-func grouped(rows []Row, value func(Row) float64) (scenarios []string, methods []string, sums map[string]map[string]float64) {
+// sumByScenario sums a value of the rows by scenario, for each method.
+func sumByScenario(rows []Row, value func(Row) float64) (scenarios []string, methods []string, sums map[string]map[string]float64) {
 	sums = make(map[string]map[string]float64)
 	seen := make(map[string]bool)
 	for _, row := range rows {
@@ -97,12 +97,12 @@
 	return scenarios, methods, sums
 }
 
-func bars(title, axis string, rows []Row, value func(Row) float64) (*plot.Plot, error) {
+func barChart(title, axis string, rows []Row, value func(Row) float64) (*plot.Plot, error) {
 	drawn := plot.New()
 	drawn.Title.Text = title
 	drawn.Y.Label.Text = axis
 	drawn.Y.Min = 0
-	scenarios, methods, sums := grouped(rows, value)
+	scenarios, methods, sums := sumByScenario(rows, value)
 	width := vg.Points(min(14, 500/float64(len(scenarios)*len(methods))))
 	for place, method := range methods {
 		values := make(plotter.Values, len(scenarios))
@@ -128,13 +128,13 @@
 }
 
 func plotBroken(rows []Row) (*plot.Plot, error) {
-	return bars("Broken flows (notices and purchases count double)", "broken flows of 100,000", rows, func(row Row) float64 {
+	return barChart("Broken flows (notices and purchases count double)", "broken flows of 100,000", rows, func(row Row) float64 {
 		return float64(row.Weighted) * 100_000 / float64(max(row.Flows, 1))
 	})
 }
 
 func plotControl(rows []Row) (*plot.Plot, error) {
-	return bars("Control traffic of a node, mean", "bytes a second", rows, func(row Row) float64 { return row.ControlMean })
+	return barChart("Control traffic of a node, mean", "bytes a second", rows, func(row Row) float64 { return row.ControlMean })
 }
 
 func plotImbalance(rows []Row) (*plot.Plot, error) {
@@ -150,7 +150,7 @@
 		}
 		var points plotter.XYs
 		for _, sample := range row.Imbalance {
-			if sample.At > 2*warmTime {
+			if sample.At > 2*warmUpTime {
 				points = append(points, plotter.XY{X: sample.At.Seconds(), Y: sample.MaximumOverMean})
 			}
 		}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -11,16 +11,16 @@
 	Name string
 	// Planned scenarios must break no flow.
 	Planned bool
-	// Length is the virtual time of the run.
-	Length time.Duration
+	// Duration is the virtual time of the run.
+	Duration time.Duration
 	// Prepare changes the settings; it may be nil.
 	Prepare func(*Settings)
-	// Play plans the events.
-	Play func(*World)
+	// ScheduleEvents plans the events.
+	ScheduleEvents func(*Simulation)
 }
 
-// At runs an action at a virtual time.
-func (world *World) At(at time.Duration, action func()) {
+// Schedule runs an action at a virtual time.
+func (world *Simulation) Schedule(at time.Duration, action func()) {
 	world.Clock.After(at-world.Clock.Now(), action)
 }
 
@@ -33,124 +33,124 @@
 
 func plannedScenarios() []Scenario {
 	return []Scenario{
-		{Name: "quiet", Planned: true, Length: 120 * seconds, Play: func(*World) {}},
-		{Name: "drain", Planned: true, Length: 120 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Drain(0, 3) })
-		}},
-		{Name: "drain-steady", Planned: true, Length: 300 * seconds, Play: func(world *World) {
-			world.At(200*seconds, func() { world.Drain(0, 3) })
-		}},
-		{Name: "drain-and-undrain", Planned: true, Length: 150 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Drain(0, 3) })
-			world.At(60*seconds, func() { world.Drain(0, 7) })
-			world.At(80*seconds, func() { world.Undrain(0, 3) })
-		}},
-		{Name: "planned-stop", Planned: true, Length: 120 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Start(world.settings.Zones[0]) })
-			world.At(41*seconds, func() { world.StopPlanned(world.Nodes()[0], 20*seconds) })
-		}},
-		{Name: "weights", Planned: true, Length: 150 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Reweigh(0, 1, 50) })
-			world.At(60*seconds, func() { world.Reweigh(0, 5, 30) })
-			world.At(80*seconds, func() { world.Reweigh(0, 1, 100) })
-		}},
-		{Name: "replace-all-nodes", Planned: true, Length: 240 * seconds, Prepare: func(settings *Settings) {
-			settings.Services[0].MeanDuration = time.Hour
-		}, Play: func(world *World) {
+		{Name: "quiet", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(*Simulation) {}},
+		{Name: "drain", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.Drain(0, 3) })
+		}},
+		{Name: "drain-steady", Planned: true, Duration: 300 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(200*seconds, func() { world.Drain(0, 3) })
+		}},
+		{Name: "drain-and-undrain", Planned: true, Duration: 150 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.Drain(0, 3) })
+			world.Schedule(60*seconds, func() { world.Drain(0, 7) })
+			world.Schedule(80*seconds, func() { world.Undrain(0, 3) })
+		}},
+		{Name: "planned-stop", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.StartNode(world.settings.Zones[0]) })
+			world.Schedule(41*seconds, func() { world.StopNodeGracefully(world.Nodes()[0], 20*seconds) })
+		}},
+		{Name: "weights", Planned: true, Duration: 150 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.SetWeight(0, 1, 50) })
+			world.Schedule(60*seconds, func() { world.SetWeight(0, 5, 30) })
+			world.Schedule(80*seconds, func() { world.SetWeight(0, 1, 100) })
+		}},
+		{Name: "replace-all-nodes", Planned: true, Duration: 240 * seconds, Prepare: func(settings *Settings) {
+			settings.Services[0].MeanFlowDuration = time.Hour
+		}, ScheduleEvents: func(world *Simulation) {
 			for place, id := range world.Nodes() {
 				at := time.Duration(40+25*place) * seconds
-				world.At(at, func() { world.Start(world.byID[id].zone) })
-				world.At(at+2*seconds, func() { world.StopPlanned(id, 20*seconds) })
+				world.Schedule(at, func() { world.StartNode(world.nodesByID[id].zone) })
+				world.Schedule(at+2*seconds, func() { world.StopNodeGracefully(id, 20*seconds) })
 			}
 		}},
-		{Name: "racing-operators", Planned: true, Length: 120 * seconds, Play: func(world *World) {
+		{Name: "racing-operators", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
 			for turn := range 10 {
 				at := 40*seconds + time.Duration(turn)*300*time.Millisecond
-				world.At(at, func() { world.Reweigh(0, 2, uint32(50+5*turn)) })
-				world.At(at, func() { world.Reweigh(0, 2, uint32(100-5*turn)) })
+				world.Schedule(at, func() { world.SetWeight(0, 2, uint32(50+5*turn)) })
+				world.Schedule(at, func() { world.SetWeight(0, 2, uint32(100-5*turn)) })
 			}
 		}},
-		{Name: "store-down-10-minutes", Planned: true, Length: 720 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.StoreOutage(true) })
-			world.At(60*seconds, func() { world.DrainByMark(0, 3, world.Nodes()[1]) })
-			world.At(120*seconds, func() { world.Start(world.settings.Zones[1]) })
-			world.At(640*seconds, func() { world.StoreOutage(false) })
-			world.At(650*seconds, func() { world.drainInStore(0, 3) })
-		}},
-		{Name: "store-answers-lost", Planned: true, Length: 150 * seconds, Prepare: func(settings *Settings) {
-			settings.Store.LostAnswers = 0.5
-		}, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Drain(0, 3) })
-			world.At(60*seconds, func() { world.Reweigh(0, 5, 30) })
-			world.At(80*seconds, func() { world.Drain(0, 8) })
-		}},
-		{Name: "address-moves", Planned: true, Length: 120 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Pause(world.Nodes()[2]) })
-			world.At(41*seconds, world.MoveAddress)
-			world.At(60*seconds, func() { world.Resume(world.Nodes()[2]) })
-		}},
-		{Name: "cold-start", Planned: true, Length: 180 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.AddBackend(0, 30) })
-			world.At(70*seconds, func() { world.Reweigh(0, 14, 100) })
+		{Name: "store-down-10-minutes", Planned: true, Duration: 720 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.SetStoreOutage(true) })
+			world.Schedule(60*seconds, func() { world.DrainByMark(0, 3, world.Nodes()[1]) })
+			world.Schedule(120*seconds, func() { world.StartNode(world.settings.Zones[1]) })
+			world.Schedule(640*seconds, func() { world.SetStoreOutage(false) })
+			world.Schedule(650*seconds, func() { world.drainInStore(0, 3) })
+		}},
+		{Name: "store-answers-lost", Planned: true, Duration: 150 * seconds, Prepare: func(settings *Settings) {
+			settings.Store.ResponseLoss = 0.5
+		}, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.Drain(0, 3) })
+			world.Schedule(60*seconds, func() { world.SetWeight(0, 5, 30) })
+			world.Schedule(80*seconds, func() { world.Drain(0, 8) })
+		}},
+		{Name: "address-moves", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.PauseNode(world.Nodes()[2]) })
+			world.Schedule(41*seconds, world.MoveAddress)
+			world.Schedule(60*seconds, func() { world.ResumeNode(world.Nodes()[2]) })
+		}},
+		{Name: "cold-start", Planned: true, Duration: 180 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.AddBackend(0, 30) })
+			world.Schedule(70*seconds, func() { world.SetWeight(0, 14, 100) })
 		}},
 	}
 }
 
 func faultScenarios() []Scenario {
 	return []Scenario{
-		{Name: "kill", Length: 120 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Kill(world.Nodes()[0]) })
-			world.At(50*seconds, func() { world.Start(world.settings.Zones[0]) })
+		{Name: "kill", Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.KillNode(world.Nodes()[0]) })
+			world.Schedule(50*seconds, func() { world.StartNode(world.settings.Zones[0]) })
 		}},
-		{Name: "kill-during-drain", Length: 120 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.Drain(0, 3) })
-			world.At(40*seconds+200*time.Millisecond, func() { world.Kill(world.Nodes()[0]) })
-			world.At(60*seconds, func() { world.Start(world.settings.Zones[0]) })
+		{Name: "kill-during-drain", Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.Drain(0, 3) })
+			world.Schedule(40*seconds+200*time.Millisecond, func() { world.KillNode(world.Nodes()[0]) })
+			world.Schedule(60*seconds, func() { world.StartNode(world.settings.Zones[0]) })
 		}},
-		{Name: "pause", Length: 120 * seconds, Play: func(world *World) {
+		{Name: "pause", Duration: 120 * seconds, ScheduleEvents: func(world *Simulation) {
 			id := world.Nodes()[2]
-			world.At(40*seconds, func() { world.Pause(id) })
-			world.At(45*seconds, func() { world.Drain(0, 3) })
-			world.At(55*seconds, func() { world.Resume(id) })
+			world.Schedule(40*seconds, func() { world.PauseNode(id) })
+			world.Schedule(45*seconds, func() { world.Drain(0, 3) })
+			world.Schedule(55*seconds, func() { world.ResumeNode(id) })
 		}},
-		{Name: "zone-cut", Length: 180 * seconds, Play: func(world *World) {
+		{Name: "zone-cut", Duration: 180 * seconds, ScheduleEvents: func(world *Simulation) {
 			zone := world.settings.Zones[1]
-			world.At(40*seconds, func() { world.CutZone(zone, true) })
-			world.At(60*seconds, func() { world.Drain(0, 3) })
-			world.At(100*seconds, func() { world.CutZone(zone, false) })
+			world.Schedule(40*seconds, func() { world.SetZonePartitioned(zone, true) })
+			world.Schedule(60*seconds, func() { world.Drain(0, 3) })
+			world.Schedule(100*seconds, func() { world.SetZonePartitioned(zone, false) })
 		}},
-		{Name: "zone-lost", Length: 180 * seconds, Play: func(world *World) {
+		{Name: "zone-lost", Duration: 180 * seconds, ScheduleEvents: func(world *Simulation) {
 			zone := world.settings.Zones[1]
-			world.At(40*seconds, func() {
+			world.Schedule(40*seconds, func() {
 				for _, id := range world.Nodes() {
-					if world.byID[id].zone == zone {
-						world.Kill(id)
+					if world.nodesByID[id].zone == zone {
+						world.KillNode(id)
 					}
 				}
 			})
-			world.At(60*seconds, func() { world.Drain(0, 3) })
-			world.At(90*seconds, func() { world.Start(zone); world.Start(zone) })
-		}},
-		{Name: "kill-during-store-outage", Length: 180 * seconds, Play: func(world *World) {
-			world.At(40*seconds, func() { world.StoreOutage(true) })
-			world.At(50*seconds, func() { world.Kill(world.Nodes()[0]) })
-			world.At(60*seconds, func() { world.DrainByMark(0, 3, world.Nodes()[1]) })
-			world.At(100*seconds, func() { world.Start(world.settings.Zones[0]) })
-			world.At(120*seconds, func() { world.StoreOutage(false) })
-			world.At(122*seconds, func() { world.drainInStore(0, 3) })
-		}},
-		{Name: "pause-during-planned-stop", Length: 150 * seconds, Play: func(world *World) {
+			world.Schedule(60*seconds, func() { world.Drain(0, 3) })
+			world.Schedule(90*seconds, func() { world.StartNode(zone); world.StartNode(zone) })
+		}},
+		{Name: "kill-during-store-outage", Duration: 180 * seconds, ScheduleEvents: func(world *Simulation) {
+			world.Schedule(40*seconds, func() { world.SetStoreOutage(true) })
+			world.Schedule(50*seconds, func() { world.KillNode(world.Nodes()[0]) })
+			world.Schedule(60*seconds, func() { world.DrainByMark(0, 3, world.Nodes()[1]) })
+			world.Schedule(100*seconds, func() { world.StartNode(world.settings.Zones[0]) })
+			world.Schedule(120*seconds, func() { world.SetStoreOutage(false) })
+			world.Schedule(122*seconds, func() { world.drainInStore(0, 3) })
+		}},
+		{Name: "pause-during-planned-stop", Duration: 150 * seconds, ScheduleEvents: func(world *Simulation) {
 			stopped, paused := world.Nodes()[0], world.Nodes()[4]
-			world.At(40*seconds, func() { world.Pause(paused) })
-			world.At(40*seconds, func() { world.StopPlanned(stopped, 20*seconds) })
-			world.At(52*seconds, func() { world.Resume(paused) })
+			world.Schedule(40*seconds, func() { world.PauseNode(paused) })
+			world.Schedule(40*seconds, func() { world.StopNodeGracefully(stopped, 20*seconds) })
+			world.Schedule(52*seconds, func() { world.ResumeNode(paused) })
 		}},
 	}
 }
 
 // drainInStore repeats a drain that was only a mark during an outage.
-func (world *World) drainInStore(serviceIndex, place int) {
-	world.change(func(configuration *apiv1.Configuration) {
+func (world *Simulation) drainInStore(serviceIndex, place int) {
+	world.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services[serviceIndex].Backends[place].Leaving = true
 	})
 }
@@ -161,10 +161,10 @@
 		scenario.Prepare(&settings)
 	}
 	world := New(settings)
-	scenario.Play(world)
-	for world.Clock.Now() < scenario.Length {
+	scenario.ScheduleEvents(world)
+	for world.Clock.Now() < scenario.Duration {
 		world.Clock.RunUntil(world.Clock.Now() + 100*time.Millisecond)
-		if err := world.Check(); err != nil && settings.Algorithm == AlgorithmEpochs {
+		if err := world.CheckInvariants(); err != nil && settings.Algorithm == AlgorithmEpochs {
 			world.Result.Violation = err.Error()
 			break
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/simulation.go
@@ -14,31 +14,31 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// World is one run.
-type World struct {
-	Clock    *Clock
-	Result   Result
-	settings Settings
-	nodes    []*node
-	byID     map[string]*node
-	nextNode int
-	store    *store
-	services []*service
-	backends map[uint32]*backend
-	open     map[*simFlow]struct{}
-	nextFlow uint32
+// Simulation is one run.
+type Simulation struct {
+	Clock     *Clock
+	Result    Result
+	settings  Settings
+	nodes     []*node
+	nodesByID map[string]*node
+	nodeCount int
+	store     *store
+	services  []*service
+	backends  map[uint32]*backend
+	openFlows map[*connection]struct{}
+	flowCount uint32
 	// fabric is the list of nodes that packets are sprayed over.
 	fabric []*node
-	// cuts are the zones cut off from all others.
-	cuts map[string]bool
-	// changedAt is when each configuration revision was accepted.
-	changedAt  map[uint64]time.Duration
+	// partitionedZones are the zones cut off from all others.
+	partitionedZones map[string]bool
+	// acceptedAt is when each configuration revision was accepted.
+	acceptedAt map[uint64]time.Duration
 	watermarks map[string]watermark
 }
 
 // Result is what a run has measured.
 type Result struct {
-	Flows, Established, Completed, Unopened, Refused int
+	Flows, Established, Completed, NeverEstablished, Refused int
 	// Broken counts broken flows by cause; BrokenWeighted counts those with a
 	// Return Notice or purchase double.
 	Broken         map[string]int
@@ -47,16 +47,16 @@
 	SecondBackend int
 	// WrongService counts packets at a back end of another service.
 	WrongService int
-	// RefusedButHeld counts refusals of flows that a back end held.
-	RefusedButHeld int
-	Dropped        int
-	Paths          [router.PathCount]int
+	// RefusedAfterAccept counts refusals of flows that a back end held.
+	RefusedAfterAccept int
+	Dropped            int
+	Paths              [router.PathCount]int
 	// LeavingDelays are the times from a back end's start of leaving to each
 	// new flow that it still accepted.
 	LeavingDelays []time.Duration
-	// InForce are the times from accepting a configuration to its being active
+	// ActivationDelays are the times from accepting a configuration to its being active
 	// on each node.
-	InForce []time.Duration
+	ActivationDelays []time.Duration
 	// WeightChanges counts the changes of weights by the policy.
 	WeightChanges int
 	// Traces are the histories of broken flows, when the settings ask for them.
@@ -81,20 +81,20 @@
 }
 
 // New makes a world whose nodes, services and traffic start at time 0.
-func New(settings Settings) *World {
-	world := &World{
-		Clock:     NewClock(settings.Seed),
-		settings:  settings,
-		byID:      make(map[string]*node),
-		backends:  make(map[uint32]*backend),
-		open:      make(map[*simFlow]struct{}),
-		cuts:      make(map[string]bool),
-		changedAt: make(map[uint64]time.Duration),
+func New(settings Settings) *Simulation {
+	world := &Simulation{
+		Clock:            NewClock(settings.Seed),
+		settings:         settings,
+		nodesByID:        make(map[string]*node),
+		backends:         make(map[uint32]*backend),
+		openFlows:        make(map[*connection]struct{}),
+		partitionedZones: make(map[string]bool),
+		acceptedAt:       make(map[uint64]time.Duration),
 	}
 	world.Result.Broken = make(map[string]int)
 	world.Result.BytesByKind = make(map[string]uint64)
 	world.store = &store{world: world}
-	world.configure()
+	world.createServices()
 	for range settings.NodesPerZone {
 		for _, zone := range settings.Zones {
 			world.fabric = append(world.fabric, world.addNode(zone))
@@ -103,14 +103,14 @@
 	for _, service := range world.services {
 		world.startTraffic(service)
 	}
-	world.startReports()
-	world.sample()
-	world.watchInForce()
+	world.startPolicy()
+	world.sampleEverySecond()
+	world.pollActivation()
 	return world
 }
 
-// configure makes the services and the first configuration.
-func (world *World) configure() {
+// createServices makes the services and the first configuration.
+func (world *Simulation) createServices() {
 	configuration := &apiv1.Configuration{Revision: 1}
 	number := uint32(0)
 	for index, settings := range world.settings.Services {
@@ -130,49 +130,49 @@
 	}
 	configuration.NextBackendId = number + 1
 	world.store.configuration = configuration
-	world.changedAt[1] = 0
+	world.acceptedAt[1] = 0
 }
 
-// warmTime is when traffic starts, after the nodes have met; the warm flows
+// warmUpTime is when traffic starts, after the nodes have met; the warm flows
 // are opened over as long again.
-const warmTime = 10 * time.Second
+const warmUpTime = 10 * time.Second
 
-func (world *World) startTraffic(service *service) {
-	for range service.settings.WarmFlows {
-		at := warmTime + time.Duration(world.Clock.Random.Float64()*float64(warmTime))
+func (world *Simulation) startTraffic(service *service) {
+	for range service.settings.InitialFlows {
+		at := warmUpTime + time.Duration(world.Clock.Random.Float64()*float64(warmUpTime))
 		world.Clock.After(at, func() { world.openFlow(service) })
 	}
-	if service.settings.Arrivals > 0 {
-		world.Clock.After(warmTime, func() { world.nextArrival(service) })
+	if service.settings.ArrivalRate > 0 {
+		world.Clock.After(warmUpTime, func() { world.scheduleArrivals(service) })
 	}
 }
 
-func (world *World) nextArrival(service *service) {
+func (world *Simulation) scheduleArrivals(service *service) {
 	world.openFlow(service)
-	mean := time.Duration(float64(time.Second) / service.settings.Arrivals)
-	world.Clock.After(world.Clock.Exponential(mean), func() { world.nextArrival(service) })
+	mean := time.Duration(float64(time.Second) / service.settings.ArrivalRate)
+	world.Clock.After(world.Clock.Exponential(mean), func() { world.scheduleArrivals(service) })
 }
 
-// sample measures once a second.
-func (world *World) sample() {
+// sampleEverySecond measures once a second.
+func (world *Simulation) sampleEverySecond() {
 	world.Result.Imbalance = append(world.Result.Imbalance, world.imbalance())
 	for _, node := range world.nodes {
 		rate := float64(node.controlBytes)
 		node.controlBytes = 0
-		node.rates = append(node.rates, rate)
-		if world.Clock.Now() > 2*warmTime {
+		node.controlRates = append(node.controlRates, rate)
+		if world.Clock.Now() > 2*warmUpTime {
 			world.Result.ControlSecond = max(world.Result.ControlSecond, rate)
-			world.Result.ControlPeak = max(world.Result.ControlPeak, node.recentRate())
+			world.Result.ControlPeak = max(world.Result.ControlPeak, node.recentControlRate())
 		}
 	}
-	world.Clock.After(time.Second, world.sample)
+	world.Clock.After(time.Second, world.sampleEverySecond)
 }
 
-// rateWindow is the number of seconds over which control traffic is judged.
-const rateWindow = 10
+// rateWindowSeconds is the number of seconds over which control traffic is judged.
+const rateWindowSeconds = 10
 
-func (node *node) recentRate() float64 {
-	recent := node.rates[max(0, len(node.rates)-rateWindow):]
+func (node *node) recentControlRate() float64 {
+	recent := node.controlRates[max(0, len(node.controlRates)-rateWindowSeconds):]
 	total := 0.0
 	for _, rate := range recent {
 		total += rate
@@ -180,19 +180,19 @@
 	return total / float64(len(recent))
 }
 
-// watchInForce looks often for configurations that have come into force.
-func (world *World) watchInForce() {
-	world.noteInForce()
-	world.Clock.After(inForceInterval, world.watchInForce)
+// pollActivation looks often for configurations that have come into force.
+func (world *Simulation) pollActivation() {
+	world.recordActivation()
+	world.Clock.After(activationPollInterval, world.pollActivation)
 }
 
-const inForceInterval = 20 * time.Millisecond
+const activationPollInterval = 20 * time.Millisecond
 
-func (world *World) imbalance() Imbalance {
+func (world *Simulation) imbalance() Imbalance {
 	var counts []float64
 	for _, backend := range world.services[0].backends {
 		if backend.leavingAt == 0 {
-			counts = append(counts, float64(backend.open))
+			counts = append(counts, float64(backend.openFlows))
 		}
 	}
 	var total, squares, largest float64
@@ -214,27 +214,27 @@
 	}
 }
 
-// noteInForce records when the newest configuration became active on all
+// recordActivation records when the newest configuration became active on all
 // running nodes.
-func (world *World) noteInForce() {
+func (world *Simulation) recordActivation() {
 	revision := world.store.configuration.GetRevision()
-	since, waiting := world.changedAt[revision]
+	since, waiting := world.acceptedAt[revision]
 	if !waiting {
 		return
 	}
 	for _, node := range world.nodes {
-		if node.running() && node.inForce() < revision {
+		if node.running() && node.activeRevision() < revision {
 			return
 		}
 	}
-	delete(world.changedAt, revision)
+	delete(world.acceptedAt, revision)
 	if revision > 1 {
-		world.Result.InForce = append(world.Result.InForce, world.Clock.Now()-since)
+		world.Result.ActivationDelays = append(world.Result.ActivationDelays, world.Clock.Now()-since)
 	}
 }
 
-// inForce is the configuration that new flows follow on a node.
-func (node *node) inForce() uint64 {
+// activeRevision is the configuration that new flows follow on a node.
+func (node *node) activeRevision() uint64 {
 	view := node.router.View()
 	if view == nil {
 		return 0
@@ -246,8 +246,8 @@
 }
 
 // Finish closes the books of a run.
-func (world *World) Finish() Result {
-	seconds := (world.Clock.Now() - warmTime).Seconds()
+func (world *Simulation) Finish() Result {
+	seconds := (world.Clock.Now() - warmUpTime).Seconds()
 	var total uint64
 	running := 0
 	for _, node := range world.nodes {
@@ -275,8 +275,8 @@
 	return result.mean(func(sample Imbalance) float64 { return sample.Variation })
 }
 
-// MeanMaximum is the mean of the maximum over the mean over the run.
-func (result Result) MeanMaximum() float64 {
+// MeanMaximumOverMean is the mean of the maximum over the mean over the run.
+func (result Result) MeanMaximumOverMean() float64 {
 	return result.mean(func(sample Imbalance) float64 { return sample.MaximumOverMean })
 }
 
@@ -284,7 +284,7 @@
 func (result Result) mean(value func(Imbalance) float64) float64 {
 	total, count := 0.0, 0
 	for _, sample := range result.Imbalance {
-		if sample.At > 2*warmTime {
+		if sample.At > 2*warmUpTime {
 			total += value(sample)
 			count++
 		}
@@ -302,27 +302,27 @@
 	return sorted[min(len(sorted)-1, int(math.Ceil(p/100*float64(len(sorted))))-1)]
 }
 
-func (world *World) cut(left, right string) bool {
-	return left != right && (world.cuts[left] || world.cuts[right])
+func (world *Simulation) partitioned(left, right string) bool {
+	return left != right && (world.partitionedZones[left] || world.partitionedZones[right])
 }
 
-func (world *World) delay(from, to string) time.Duration {
+func (world *Simulation) delay(from, to string) time.Duration {
 	network := world.settings.Network
-	delay := network.SameZone
+	delay := network.SameZoneDelay
 	if from != to {
-		delay = network.OtherZone
+		delay = network.CrossZoneDelay
 	}
 	return delay + time.Duration(world.Clock.Random.Float64()*float64(network.Jitter))
 }
 
-// change applies a change to the configuration as the admin API would.
-func (world *World) change(edit func(*apiv1.Configuration)) {
+// changeConfiguration applies a change to the configuration as the admin API would.
+func (world *Simulation) changeConfiguration(edit func(*apiv1.Configuration)) {
 	next := proto.CloneOf(world.store.configuration)
 	edit(next)
 	next.Revision++
 	world.store.configuration = next
-	world.changedAt[next.GetRevision()] = world.Clock.Now()
-	world.notify()
+	world.acceptedAt[next.GetRevision()] = world.Clock.Now()
+	world.notifyWatchers()
 }
 
 // desiredRules compiles a configuration; the model keeps a back end's weight in
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -11,25 +11,25 @@
 // store is the model of the platform's key-value service: one document and one
 // configuration, each under compare-and-swap.
 type store struct {
-	world         *World
+	world         *Simulation
 	document      *apiv1.EpochDocument
 	configuration *apiv1.Configuration
 	// Down is set during an outage.
 	down bool
 	// writes and conflicts count compare-and-swaps.
 	writes, conflicts int
-	// alive counts the changes of the group's sign of life.
-	alive uint64
-	// slow is added to every answer.
-	slow time.Duration
+	// groupLivenessCount counts the changes of the group's sign of life.
+	groupLivenessCount uint64
+	// extraDelay is added to every answer.
+	extraDelay time.Duration
 }
 
 // write tries a compare-and-swap of the document. The answer may be lost after
 // the write took effect; done is then called with false.
 func (store *store) write(writer *node, document *apiv1.EpochDocument, done func(bool)) {
 	world := store.world
-	world.Clock.After(world.settings.Store.Delay+store.slow, func() {
-		if !writer.reachesStore() {
+	world.Clock.After(world.settings.Store.Delay+store.extraDelay, func() {
+		if !writer.canReachStore() {
 			world.Clock.After(time.Second, func() { done(false) })
 			return
 		}
@@ -37,23 +37,23 @@
 		if held {
 			store.writes++
 			store.document = proto.CloneOf(document)
-			world.notify()
+			world.notifyWatchers()
 		} else {
 			store.conflicts++
 		}
-		if world.Clock.Random.Float64() < world.settings.Store.LostAnswers {
+		if world.Clock.Random.Float64() < world.settings.Store.ResponseLoss {
 			held = false
 		}
 		world.Clock.After(world.settings.Store.Delay, func() { done(held) })
 	})
 }
 
-// notify tells the watchers, the nodes of the lowest ranks; the others learn
+// notifyWatchers tells the watchers, the nodes of the lowest ranks; the others learn
 // from them.
-func (world *World) notify() {
+func (world *Simulation) notifyWatchers() {
 	world.Clock.After(world.settings.Store.WatchDelay, func() {
 		for _, node := range world.nodes {
-			if !node.running() || !node.reachesStore() || node.core.WatchRank() >= watchersPerGroup {
+			if !node.running() || !node.canReachStore() || node.core.WatchRank() >= maxStoreWatchers {
 				continue
 			}
 			node.readStore()
@@ -61,4 +61,4 @@
 	})
 }
 
-const watchersPerGroup = 3
+const maxStoreWatchers = 3
