--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -34,33 +34,33 @@
 	baseline.rules = set.Rules()
 }
 
-func (baseline *baseline) route(arrived packet) {
-	found := baseline.rules[arrived.conn.key.Address()]
-	if found == nil {
-		baseline.node.world.Result.Dropped++
+func (baseline *baseline) route(pkt packet) {
+	serviceRule := baseline.rules[pkt.conn.key.Address()]
+	if serviceRule == nil {
+		baseline.node.sim.Result.Dropped++
 		return
 	}
-	key := arrived.conn.key
-	if backend, known := baseline.table[key]; known && baseline.algorithm == AlgorithmTable {
-		baseline.node.forward(arrived, backend)
+	key := pkt.conn.key
+	if backend, tracked := baseline.table[key]; tracked && baseline.algorithm == AlgorithmTable {
+		baseline.node.forward(pkt, backend)
 		return
 	}
-	backend := baseline.selectBackend(found, arrived.conn.hash)
+	backend := baseline.selectBackend(serviceRule, pkt.conn.hash)
 	if baseline.algorithm == AlgorithmTable {
 		baseline.table[key] = backend
 	}
-	if arrived.flags&router.PacketCloses != 0 {
+	if pkt.flags&router.PacketCloses != 0 {
 		delete(baseline.table, key)
 	}
-	baseline.node.forward(arrived, backend)
+	baseline.node.forward(pkt, backend)
 }
 
-func (baseline *baseline) selectBackend(found *rule.Rule, hash uint64) uint32 {
+func (baseline *baseline) selectBackend(serviceRule *rule.Rule, hash uint64) uint32 {
 	if baseline.algorithm != AlgorithmModulo {
-		return found.Pick(hash)
+		return serviceRule.Pick(hash)
 	}
 	var usable []uint32
-	for _, candidate := range found.Candidates() {
+	for _, candidate := range serviceRule.Candidates() {
 		if candidate.Weight > 0 {
 			usable = append(usable, candidate.Backend)
 		}
--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -15,25 +15,25 @@
 
 // CheckInvariants returns the first promise that does not hold now. Broken flows are
 // counted in the Result instead, since some faults make them unavoidable.
-func (world *Simulation) CheckInvariants() error {
-	if world.Result.WrongService > 0 {
-		return errors.Newf("%d packets reached a back end of another service", world.Result.WrongService)
+func (sim *Simulation) CheckInvariants() error {
+	if sim.Result.WrongService > 0 {
+		return errors.Newf("%d packets reached a back end of another service", sim.Result.WrongService)
 	}
-	if world.Result.RefusedAfterAccept > 0 {
-		return errors.Newf("%d flows were refused although a back end held them", world.Result.RefusedAfterAccept)
+	if sim.Result.RefusedAfterAccept > 0 {
+		return errors.Newf("%d flows were refused although a back end held them", sim.Result.RefusedAfterAccept)
 	}
-	if err := world.checkMonotonic(); err != nil {
+	if err := sim.checkMonotonic(); err != nil {
 		return err
 	}
-	return world.checkLevels()
+	return sim.checkLevels()
 }
 
 // checkMonotonic checks that no node goes back.
-func (world *Simulation) checkMonotonic() error {
-	if world.watermarks == nil {
-		world.watermarks = make(map[string]watermark)
+func (sim *Simulation) checkMonotonic() error {
+	if sim.watermarks == nil {
+		sim.watermarks = make(map[string]watermark)
 	}
-	for _, node := range world.nodes {
+	for _, node := range sim.nodes {
 		if !node.running() {
 			continue
 		}
@@ -42,11 +42,11 @@
 			configuration: node.core.Configuration().GetRevision(),
 			inForce:       node.activeRevision(),
 		}
-		last := world.watermarks[node.id]
+		last := sim.watermarks[node.id]
 		if now.document < last.document || now.configuration < last.configuration || now.inForce < last.inForce {
 			return errors.Newf("node %s went back from %+v to %+v", node.id, last, now)
 		}
-		world.watermarks[node.id] = now
+		sim.watermarks[node.id] = now
 	}
 	return nil
 }
@@ -60,9 +60,9 @@
 
 // checkLevels checks that two nodes which trust their views are never more than
 // one level apart; package core explains why that is enough.
-func (world *Simulation) checkLevels() error {
+func (sim *Simulation) checkLevels() error {
 	var lowest, highest *node
-	for _, node := range world.nodes {
+	for _, node := range sim.nodes {
 		if node.dead || node.router.View() == nil || !node.router.Fresh(node.now()) {
 			continue
 		}
@@ -74,7 +74,7 @@
 		}
 	}
 	if lowest != nil && highest.level()-lowest.level() > 1 {
-		return errors.Newf("levels apart at %s: %s and %s", world.Clock.Now(), describe(lowest), describe(highest))
+		return errors.Newf("levels apart at %s: %s and %s", sim.Clock.Now(), describe(lowest), describe(highest))
 	}
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -17,32 +17,32 @@
 		settings.Network.SYNACKLoss = 0.5
 		settings.Services[0].ArrivalRate = 150
 		settings.Trace = true
-		world := New(settings)
-		world.Schedule(25*time.Second, func() { world.SetStoreOutage(true) })
-		for place := range 3 {
-			at := time.Duration(30+10*place) * time.Second
-			world.Schedule(at, func() { world.DrainByMark(0, place, world.Nodes()[place]) })
+		sim := New(settings)
+		sim.Schedule(25*time.Second, func() { sim.SetStoreOutage(true) })
+		for backendIndex := range 3 {
+			at := time.Duration(30+10*backendIndex) * time.Second
+			sim.Schedule(at, func() { sim.DrainByMark(0, backendIndex, sim.Nodes()[backendIndex]) })
 		}
-		world.Clock.RunUntil(70 * time.Second)
-		require.NoError(t, world.CheckInvariants())
-		require.Zero(t, world.Result.SecondBackend, "seed %d: %v", seed+1, world.Result.Traces)
-		require.Zero(t, world.Result.TotalBroken(), "seed %d: %v", seed+1, world.Result.Broken)
+		sim.Clock.RunUntil(70 * time.Second)
+		require.NoError(t, sim.CheckInvariants())
+		require.Zero(t, sim.Result.SecondBackend, "seed %d: %v", seed+1, sim.Result.Traces)
+		require.Zero(t, sim.Result.TotalBroken(), "seed %d: %v", seed+1, sim.Result.Broken)
 	}
 }
 
 func TestDrainAndKillBreakNoFlow(t *testing.T) {
-	world := New(DarAlWarraqSettings(1).ScaleFlows(0.15))
-	world.Clock.RunUntil(40 * time.Second)
-	world.Drain(0, 3)
-	world.Clock.RunUntil(80 * time.Second)
-	world.KillNode(world.Nodes()[0])
-	world.StartNode("maadi")
-	world.Clock.RunUntil(120 * time.Second)
-	result := world.Finish()
+	sim := New(DarAlWarraqSettings(1).ScaleFlows(0.15))
+	sim.Clock.RunUntil(40 * time.Second)
+	sim.Drain(0, 3)
+	sim.Clock.RunUntil(80 * time.Second)
+	sim.KillNode(sim.Nodes()[0])
+	sim.StartNode("maadi")
+	sim.Clock.RunUntil(120 * time.Second)
+	result := sim.Finish()
 	t.Logf("%+v", result.Broken)
 	result.Imbalance = nil
 	t.Logf("%+v", result)
-	for _, node := range world.nodes {
+	for _, node := range sim.nodes {
 		t.Log(node.id, node.dead, node.core.Document().GetVersion(), node.core.Phase(), node.core.WaitingFor(), node.core.RecordCount(), node.router.Table().Len(), node.bytesByKind)
 	}
 	require.Zero(t, result.TotalBroken())
@@ -50,21 +50,21 @@
 
 // TestWholeGroupReplaced: all nodes die at once and others take their place.
 func TestWholeGroupReplaced(t *testing.T) {
-	world := New(smallSettings(1))
-	world.Clock.RunUntil(30 * time.Second)
-	for _, id := range world.Nodes() {
-		world.KillNode(id)
+	sim := New(smallSettings(1))
+	sim.Clock.RunUntil(30 * time.Second)
+	for _, id := range sim.Nodes() {
+		sim.KillNode(id)
 	}
 	for range 2 {
-		for _, zone := range world.settings.Zones {
-			world.StartNode(zone)
+		for _, zone := range sim.settings.Zones {
+			sim.StartNode(zone)
 		}
 	}
-	world.Clock.RunUntil(100 * time.Second)
-	world.Drain(0, 1)
-	world.Clock.RunUntil(130 * time.Second)
-	require.NoError(t, world.CheckInvariants())
-	for _, node := range world.nodes {
+	sim.Clock.RunUntil(100 * time.Second)
+	sim.Drain(0, 1)
+	sim.Clock.RunUntil(130 * time.Second)
+	require.NoError(t, sim.CheckInvariants())
+	for _, node := range sim.nodes {
 		if node.running() {
 			require.Equal(t, uint64(2), node.activeRevision(), describe(node))
 		}
@@ -74,13 +74,13 @@
 // TestLongPartitionHeals: a zone that is cut off longer than the others remember its
 // nodes is taken back.
 func TestLongPartitionHeals(t *testing.T) {
-	world := New(smallSettings(1))
-	world.Schedule(30*time.Second, func() { world.SetZonePartitioned("nasr", true) })
-	world.Schedule(40*time.Second, func() { world.SetWeight(0, 1, 40) })
-	world.Schedule(90*time.Second, func() { world.SetZonePartitioned("nasr", false) })
-	world.Clock.RunUntil(115 * time.Second)
-	require.NoError(t, world.CheckInvariants())
-	for _, node := range world.nodes {
+	sim := New(smallSettings(1))
+	sim.Schedule(30*time.Second, func() { sim.SetZonePartitioned("nasr", true) })
+	sim.Schedule(40*time.Second, func() { sim.SetWeight(0, 1, 40) })
+	sim.Schedule(90*time.Second, func() { sim.SetZonePartitioned("nasr", false) })
+	sim.Clock.RunUntil(115 * time.Second)
+	require.NoError(t, sim.CheckInvariants())
+	for _, node := range sim.nodes {
 		require.Equal(t, "fresh", node.core.Contact(), describe(node))
 		require.Equal(t, uint64(2), node.activeRevision(), describe(node))
 		require.Len(t, node.core.Document().GetSettled().GetMembers(), 6)
@@ -95,36 +95,36 @@
 		settings.Trace = true
 		settings.Services[0].InitialFlows = 1500
 		settings.Services[0].MeanFlowDuration = time.Minute
-		world := New(settings)
-		world.Schedule(30*time.Second, func() { world.Drain(0, 1) })
-		world.Schedule(30*time.Second+200*time.Millisecond, func() { world.KillNode(world.Nodes()[0]) })
-		world.Schedule(45*time.Second, func() { world.StartNode("maadi") })
-		world.Clock.RunUntil(70 * time.Second)
-		require.NoError(t, world.CheckInvariants())
-		require.Zero(t, world.Result.TotalBroken(), "seed %d: %v", seed+1, world.Result.Traces)
+		sim := New(settings)
+		sim.Schedule(30*time.Second, func() { sim.Drain(0, 1) })
+		sim.Schedule(30*time.Second+200*time.Millisecond, func() { sim.KillNode(sim.Nodes()[0]) })
+		sim.Schedule(45*time.Second, func() { sim.StartNode("maadi") })
+		sim.Clock.RunUntil(70 * time.Second)
+		require.NoError(t, sim.CheckInvariants())
+		require.Zero(t, sim.Result.TotalBroken(), "seed %d: %v", seed+1, sim.Result.Traces)
 	}
 }
 
 // runAddressMove lets an address go to another service while a node sleeps.
-func runAddressMove(without core.Guard) *Simulation {
+func runAddressMove(disabled core.Guard) *Simulation {
 	settings := smallSettings(1)
 	settings.Services[1].ArrivalRate = 60
-	settings.Core.Disabled = without
-	world := New(settings)
-	world.Schedule(30*time.Second, func() { world.PauseNode(world.Nodes()[2]) })
-	world.Schedule(31*time.Second, world.MoveAddress)
-	world.Schedule(50*time.Second, func() { world.ResumeNode(world.Nodes()[2]) })
-	world.Clock.RunUntil(90 * time.Second)
-	return world
+	settings.Core.Disabled = disabled
+	sim := New(settings)
+	sim.Schedule(30*time.Second, func() { sim.PauseNode(sim.Nodes()[2]) })
+	sim.Schedule(31*time.Second, sim.MoveAddress)
+	sim.Schedule(50*time.Second, func() { sim.ResumeNode(sim.Nodes()[2]) })
+	sim.Clock.RunUntil(90 * time.Second)
+	return sim
 }
 
 // TestAddressReuse: no packet for the new service reaches a back end of the old
 // one, and it does when a node that slept trusts its old view.
 func TestAddressReuse(t *testing.T) {
-	world := runAddressMove(0)
-	require.NoError(t, world.CheckInvariants())
-	require.Zero(t, world.Result.WrongService)
-	require.Greater(t, world.services[2].backends[0].acceptedFlows, 50, "the new service must be served")
+	sim := runAddressMove(0)
+	require.NoError(t, sim.CheckInvariants())
+	require.Zero(t, sim.Result.WrongService)
+	require.Greater(t, sim.services[2].backends[0].acceptedFlows, 50, "the new service must be served")
 	require.Positive(t, runAddressMove(core.GuardContact).Result.WrongService, "without contact")
 }
 
@@ -133,14 +133,14 @@
 func TestNewNodeAppliesLeavingMarks(t *testing.T) {
 	settings := smallSettings(1)
 	settings.Services[0].ArrivalRate = 200
-	world := New(settings)
-	world.Schedule(25*time.Second, func() { world.SetStoreOutage(true) })
-	world.Schedule(26*time.Second, func() { world.KillNode(world.Nodes()[3]) })
-	world.Schedule(30*time.Second, func() { world.DrainByMark(0, 1, world.Nodes()[0]) })
-	world.Schedule(40*time.Second, func() { world.StartNode("giza") })
-	world.Schedule(50*time.Second, func() { world.StartNode("nasr") })
-	world.Clock.RunUntil(60 * time.Second)
-	require.NoError(t, world.CheckInvariants())
-	require.Zero(t, world.Result.TotalBroken())
-	require.Less(t, Percentile(world.Result.LeavingDelays, 100), 3*time.Second)
+	sim := New(settings)
+	sim.Schedule(25*time.Second, func() { sim.SetStoreOutage(true) })
+	sim.Schedule(26*time.Second, func() { sim.KillNode(sim.Nodes()[3]) })
+	sim.Schedule(30*time.Second, func() { sim.DrainByMark(0, 1, sim.Nodes()[0]) })
+	sim.Schedule(40*time.Second, func() { sim.StartNode("giza") })
+	sim.Schedule(50*time.Second, func() { sim.StartNode("nasr") })
+	sim.Clock.RunUntil(60 * time.Second)
+	require.NoError(t, sim.CheckInvariants())
+	require.Zero(t, sim.Result.TotalBroken())
+	require.Less(t, Percentile(sim.Result.LeavingDelays, 100), 3*time.Second)
 }
--- a/internal/lab/loadtrust.go
+++ b/internal/lab/loadtrust.go
@@ -30,16 +30,16 @@
 // RunTrust measures what load trust does to imbalance under honest, lagging and
 // lying reports, and when a back end starts cold.
 func RunTrust(seed uint64, scale float64) ([]TrustRow, error) {
-	kinds := []reportCondition{
+	conditions := []reportCondition{
 		{name: "honest"},
 		{name: "lagging 6 s", lag: 6 * time.Second},
 		{name: "two of 14 report no load", misreportingBackends: 2},
 		{name: "cold start at 60 s", addBackendAt: 60 * time.Second},
 	}
 	var rows []TrustRow
-	for _, kind := range kinds {
+	for _, condition := range conditions {
 		for _, trust := range []float64{0, 0.5, 1} {
-			row, err := runTrust(seed, scale, kind, trust)
+			row, err := runTrust(seed, scale, condition, trust)
 			if err != nil {
 				return nil, err
 			}
@@ -49,7 +49,7 @@
 	return rows, nil
 }
 
-func runTrust(seed uint64, scale float64, kind reportCondition, trust float64) (TrustRow, error) {
+func runTrust(seed uint64, scale float64, condition reportCondition, trust float64) (TrustRow, error) {
 	program, err := policy.Compile(&apiv1.Policy{
 		Name:      "experiment",
 		Weight:    "(up_seconds < 20.0 ? 0.4 : 1.0) * (1.0 - 0.8 * load)",
@@ -61,14 +61,14 @@
 	settings := KayalpathSettings(seed).ScaleFlows(scale)
 	settings.Services[0].MeanFlowDuration = 2 * time.Minute
 	settings.Services[0].ArrivalRate *= 5
-	perBackend := settings.Services[0].ArrivalRate * settings.Services[0].MeanFlowDuration.Seconds() / float64(settings.Services[0].Backends)
-	settings.Reports = ReportSettings{Enabled: true, Policy: program, Lag: kind.lag, MisreportingBackends: kind.misreportingBackends, FullLoadFlows: int(2 * perBackend)}
-	world := New(settings)
-	if kind.addBackendAt > 0 {
-		world.Schedule(kind.addBackendAt, func() { world.AddBackend(0, 100) })
+	flowsPerBackend := settings.Services[0].ArrivalRate * settings.Services[0].MeanFlowDuration.Seconds() / float64(settings.Services[0].Backends)
+	settings.Reports = ReportSettings{Enabled: true, Policy: program, Lag: condition.lag, MisreportingBackends: condition.misreportingBackends, FullLoadFlows: int(2 * flowsPerBackend)}
+	sim := New(settings)
+	if condition.addBackendAt > 0 {
+		sim.Schedule(condition.addBackendAt, func() { sim.AddBackend(0, 100) })
 	}
-	world.Clock.RunUntil(300 * time.Second)
-	result := world.Finish()
-	return TrustRow{Reports: kind.name, Trust: trust, Variation: result.MeanVariation(), MaximumOverMean: result.MeanMaximumOverMean(),
+	sim.Clock.RunUntil(300 * time.Second)
+	result := sim.Finish()
+	return TrustRow{Reports: condition.name, Trust: trust, Variation: result.MeanVariation(), MaximumOverMean: result.MeanMaximumOverMean(),
 		WeightChanges: result.WeightChanges, ControlMean: result.ControlMean, Broken: result.TotalBroken()}, nil
 }
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -18,7 +18,7 @@
 // node is one balancer of the model: the real core and router, with modelled
 // sockets.
 type node struct {
-	world  *Simulation
+	sim    *Simulation
 	id     string
 	zone   string
 	core   *core.Core
@@ -49,29 +49,29 @@
 // a message between nodes.
 const envelopeOverhead = 24
 
-func (world *Simulation) addNode(zone string) *node {
-	world.nodeCount++
-	id := fmt.Sprintf("%s-%d", zone, world.nodeCount)
-	table := flowtable.New(world.settings.FlowCapacity)
+func (sim *Simulation) addNode(zone string) *node {
+	sim.nodeCount++
+	id := fmt.Sprintf("%s-%d", zone, sim.nodeCount)
+	table := flowtable.New(sim.settings.FlowCapacity)
 	added := &node{
-		world:         world,
+		sim:           sim,
 		id:            id,
 		zone:          zone,
 		router:        router.New(table),
 		queuedPackets: make(map[flow.Key][]packet),
 		bytesByKind:   make(map[string]uint64),
-		startedAt:     world.Clock.Now(),
+		startedAt:     sim.Clock.Now(),
 		acceptedAt:    make(map[uint64]time.Duration),
 	}
-	member := &apiv1.Member{Id: id, Zone: zone, PeerAddress: id, Incarnation: uint64(world.Clock.Milliseconds()) + 1}
-	control, err := core.New(world.settings.Core, member, table)
+	member := &apiv1.Member{Id: id, Zone: zone, PeerAddress: id, Incarnation: uint64(sim.Clock.Milliseconds()) + 1}
+	control, err := core.New(sim.settings.Core, member, table)
 	if err != nil {
 		panic(err)
 	}
 	added.core = control
-	added.baseline = newBaseline(world.settings.Algorithm, added)
-	world.nodes = append(world.nodes, added)
-	world.nodesByID[id] = added
+	added.baseline = newBaseline(sim.settings.Algorithm, added)
+	sim.nodes = append(sim.nodes, added)
+	sim.nodesByID[id] = added
 	added.addPeers()
 	added.readStore()
 	added.tick()
@@ -83,7 +83,7 @@
 
 // addPeers stands for the seeds and the platform's machine list.
 func (node *node) addPeers() {
-	for _, other := range node.world.nodes {
+	for _, other := range node.sim.nodes {
 		if other != node && !other.dead {
 			node.core.AddPeer(&apiv1.Member{Id: other.id, Zone: other.zone, PeerAddress: other.id, Incarnation: 1})
 		}
@@ -98,14 +98,14 @@
 		node.core.Tick(node.now())
 		node.applyCoreOutput()
 	}
-	node.world.Clock.After(node.world.settings.TickInterval, node.tick)
+	node.sim.Clock.After(node.sim.settings.TickInterval, node.tick)
 }
 
 // canReachStore reports whether the store answers the node; a zone that is cut
 // off does not reach it.
 func (node *node) canReachStore() bool {
-	reached := !node.world.partitionedZones[node.zone] || node.world.settings.Store.ReachableWhenPartitioned
-	return reached && !node.world.store.down
+	reachable := !node.sim.partitionedZones[node.zone] || node.sim.settings.Store.ReachableWhenPartitioned
+	return reachable && !node.sim.store.down
 }
 
 // pollGroupLiveness reads the group's sign of life now and then.
@@ -113,28 +113,28 @@
 	if node.dead {
 		return
 	}
-	if alive := node.world.store.groupLivenessCount; alive != node.observedLiveness && node.canReachStore() && !node.paused {
-		node.observedLiveness = alive
+	if liveness := node.sim.store.groupLivenessCount; liveness != node.observedLiveness && node.canReachStore() && !node.paused {
+		node.observedLiveness = liveness
 		node.core.ObserveGroupLiveness(node.now())
 	}
-	node.world.Clock.After(livenessPollInterval, node.pollGroupLiveness)
+	node.sim.Clock.After(livenessPollInterval, node.pollGroupLiveness)
 }
 
 const livenessPollInterval = 5 * time.Second
 
-func (node *node) now() uint32 { return node.world.Clock.Milliseconds() }
+func (node *node) now() uint32 { return node.sim.Clock.Milliseconds() }
 
 // readStore reads both values after the store's delay.
 func (node *node) readStore() {
-	world := node.world
-	world.Clock.After(2*world.settings.Store.Delay, func() {
+	sim := node.sim
+	sim.Clock.After(2*sim.settings.Store.Delay, func() {
 		if !node.canReachStore() || !node.running() {
 			return
 		}
-		if world.store.document != nil {
-			node.core.ObserveDocument(node.now(), world.store.document)
+		if sim.store.document != nil {
+			node.core.ObserveDocument(node.now(), sim.store.document)
 		}
-		node.core.ObserveConfiguration(node.now(), world.store.configuration)
+		node.core.ObserveConfiguration(node.now(), sim.store.configuration)
 		node.applyCoreOutput()
 	})
 }
@@ -144,7 +144,7 @@
 	if configuration := node.core.Configuration(); configuration != nil {
 		revision := configuration.GetRevision()
 		if _, seen := node.acceptedAt[revision]; !seen {
-			node.acceptedAt[revision] = node.world.Clock.Now()
+			node.acceptedAt[revision] = node.sim.Clock.Now()
 			node.core.SetDesired(node.now(), revision, desiredRules(configuration), compile.ClearedMarks(configuration))
 			node.markLeaving(configuration)
 			node.baseline.setConfiguration(configuration)
@@ -158,16 +158,16 @@
 	}
 	node.router.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, message := range out.Messages {
-		node.world.deliver(node, message)
+		node.sim.deliver(node, message)
 	}
 	for _, resolution := range out.Resolutions {
 		node.resolve(resolution)
 	}
 	if out.RefreshGroupLiveness && node.canReachStore() {
-		node.world.store.groupLivenessCount++
+		node.sim.store.groupLivenessCount++
 	}
 	if out.Write != nil {
-		node.world.store.write(node, out.Write.Document, func(written bool) {
+		node.sim.store.write(node, out.Write.Document, func(written bool) {
 			if !node.running() {
 				return
 			}
@@ -181,7 +181,7 @@
 // not run the policies.
 func (node *node) applyDocumentWeights() {
 	version := node.core.Document().GetVersion()
-	if !node.world.settings.Reports.Enabled || version == node.weightsDocumentVersion || node.world.policyNode() == node {
+	if !node.sim.settings.Reports.Enabled || version == node.weightsDocumentVersion || node.sim.policyNode() == node {
 		return
 	}
 	node.weightsDocumentVersion = version
@@ -204,21 +204,21 @@
 
 // deliver sends a message between nodes, with delay, loss, duplication and
 // cuts.
-func (world *Simulation) deliver(from *node, message *apiv1.Envelope) {
-	to := world.nodesByID[message.GetTo()]
+func (sim *Simulation) deliver(from *node, message *apiv1.Envelope) {
+	to := sim.nodesByID[message.GetTo()]
 	size := uint64(proto.Size(message) + envelopeOverhead)
 	from.controlBytes += size
 	from.bytesByKind[messageKind(message)] += size
-	if to == nil || world.partitioned(from.zone, to.zone) || world.Clock.Random.Float64() < world.settings.Network.MessageLoss {
+	if to == nil || sim.partitioned(from.zone, to.zone) || sim.Clock.Random.Float64() < sim.settings.Network.MessageLoss {
 		return
 	}
 	copies := 1
-	if world.Clock.Random.Float64() < world.settings.Network.MessageDuplication {
+	if sim.Clock.Random.Float64() < sim.settings.Network.MessageDuplication {
 		copies = 2
 	}
 	for range copies {
 		copied := proto.CloneOf(message)
-		world.Clock.After(world.delay(from.zone, to.zone), func() { to.receive(copied) })
+		sim.Clock.After(sim.delay(from.zone, to.zone), func() { to.receive(copied) })
 	}
 }
 
@@ -243,48 +243,48 @@
 }
 
 // route handles one packet as the traffic goroutines do.
-func (node *node) route(arrived packet) {
+func (node *node) route(pkt packet) {
 	if node.dead {
 		return
 	}
 	if node.paused {
-		node.pausedPackets = append(node.pausedPackets, func() { node.route(arrived) })
+		node.pausedPackets = append(node.pausedPackets, func() { node.route(pkt) })
 		return
 	}
-	if node.world.settings.Algorithm != AlgorithmEpochs {
-		node.baseline.route(arrived)
+	if node.sim.settings.Algorithm != AlgorithmEpochs {
+		node.baseline.route(pkt)
 		return
 	}
-	verdict := node.router.Decide(node.now(), arrived.conn.key, arrived.conn.hash, arrived.flags)
-	node.world.Result.Paths[verdict.Path]++
-	node.traceDecision(arrived, verdict)
-	switch verdict.Action {
+	decision := node.router.Decide(node.now(), pkt.conn.key, pkt.conn.hash, pkt.flags)
+	node.sim.Result.Paths[decision.Path]++
+	node.traceDecision(pkt, decision)
+	switch decision.Action {
 	case router.ActionForward:
-		node.forward(arrived, verdict.Backend)
+		node.forward(pkt, decision.Backend)
 	case router.ActionAsk:
-		node.queueForLookup(arrived, verdict)
+		node.queueForLookup(pkt, decision)
 	case router.ActionRefuse:
-		node.world.refuseFlow(arrived)
+		node.sim.refuseFlow(pkt)
 	case router.ActionDrop:
-		node.world.Result.Dropped++
+		node.sim.Result.Dropped++
 	}
 }
 
-func (node *node) forward(arrived packet, backend uint32) {
-	world := node.world
-	target := world.backends[backend]
-	world.Clock.After(world.delay(node.zone, target.zone), func() { world.receiveAtBackend(target, arrived) })
+func (node *node) forward(pkt packet, backend uint32) {
+	sim := node.sim
+	target := sim.backends[backend]
+	sim.Clock.After(sim.delay(node.zone, target.zone), func() { sim.receiveAtBackend(target, pkt) })
 }
 
-func (node *node) queueForLookup(arrived packet, verdict router.Verdict) {
+func (node *node) queueForLookup(pkt packet, decision router.Verdict) {
 	if node.queuedPacketCount >= maxQueuedPackets {
-		node.world.Result.Dropped++
+		node.sim.Result.Dropped++
 		return
 	}
 	node.queuedPacketCount++
-	key := arrived.conn.key
-	node.queuedPackets[key] = append(node.queuedPackets[key], arrived)
-	node.core.Lookup(node.now(), key, verdict.Proposal, verdict.Bind, verdict.Opens)
+	key := pkt.conn.key
+	node.queuedPackets[key] = append(node.queuedPackets[key], pkt)
+	node.core.Lookup(node.now(), key, decision.Proposal, decision.Bind, decision.Opens)
 	node.applyCoreOutput()
 }
 
@@ -292,34 +292,34 @@
 	waiting := node.queuedPackets[resolution.Key]
 	delete(node.queuedPackets, resolution.Key)
 	node.queuedPacketCount -= len(waiting)
-	for _, arrived := range waiting {
+	for _, pkt := range waiting {
 		if resolution.Backend == rule.NoBackend {
-			node.world.Result.Paths[router.PathDroppedKeepers]++
-			node.world.Result.Dropped++
+			node.sim.Result.Paths[router.PathDroppedKeepers]++
+			node.sim.Result.Dropped++
 			continue
 		}
-		hash := arrived.conn.hash
+		hash := pkt.conn.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
-			node.router.Learn(node.now(), resolution.Key, hash, resolution.Backend, arrived.flags)
+			node.router.Learn(node.now(), resolution.Key, hash, resolution.Backend, pkt.flags)
 		}
-		node.world.traceFlow(arrived.conn, "%s resolved to %d", node.id, resolution.Backend)
-		node.forward(arrived, resolution.Backend)
+		node.sim.traceFlow(pkt.conn, "%s resolved to %d", node.id, resolution.Backend)
+		node.forward(pkt, resolution.Backend)
 	}
 }
 
 // traceDecision notes a decision in the flow's history.
-func (node *node) traceDecision(arrived packet, verdict router.Verdict) {
-	if node.world.settings.Trace {
+func (node *node) traceDecision(pkt packet, decision router.Verdict) {
+	if node.sim.settings.Trace {
 		view := node.router.View()
-		node.world.traceFlow(arrived.conn, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
-			node.id, arrived.flags, verdict.Path, verdict.Action, verdict.Backend, verdict.Proposal, verdict.Bind,
+		node.sim.traceFlow(pkt.conn, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
+			node.id, pkt.flags, decision.Path, decision.Action, decision.Backend, decision.Proposal, decision.Bind,
 			view.Settled.Number, view.Phase, view.ActiveMarks, view.KnownMarks)
 	}
 }
 
-func (world *Simulation) traceFlow(traced *connection, format string, values ...any) {
-	if world.settings.Trace {
-		traced.history = append(traced.history, fmt.Sprintf("%s ", world.Clock.Now())+fmt.Sprintf(format, values...))
+func (sim *Simulation) traceFlow(conn *connection, format string, values ...any) {
+	if sim.settings.Trace {
+		conn.history = append(conn.history, fmt.Sprintf("%s ", sim.Clock.Now())+fmt.Sprintf(format, values...))
 	}
 }
 
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -23,39 +23,39 @@
 const reportInterval = 2 * time.Second
 
 // startPolicy runs the policy as a node's report goroutine does.
-func (world *Simulation) startPolicy() {
-	if !world.settings.Reports.Enabled {
+func (sim *Simulation) startPolicy() {
+	if !sim.settings.Reports.Enabled {
 		return
 	}
 	damper := policy.NewDamper(nil)
 	history := make(map[uint32][]int)
-	var poll func()
-	poll = func() {
-		world.runPolicy(damper, history)
-		world.Clock.After(reportInterval, poll)
+	var evaluate func()
+	evaluate = func() {
+		sim.runPolicy(damper, history)
+		sim.Clock.After(reportInterval, evaluate)
 	}
-	world.Clock.After(warmUpTime, poll)
+	sim.Clock.After(warmUpTime, evaluate)
 }
 
 // runPolicy evaluates the policy on the reports as the deciding node sees them.
-func (world *Simulation) runPolicy(damper *policy.Damper, history map[uint32][]int) {
-	decider := world.policyNode()
+func (sim *Simulation) runPolicy(damper *policy.Damper, history map[uint32][]int) {
+	decider := sim.policyNode()
 	if decider == nil || decider.core.Configuration() == nil {
 		return
 	}
 	outcomes := make(map[uint32]policy.Outcome)
-	for _, service := range world.services {
-		mean := 0.0
-		reported := make([]float64, len(service.backends))
-		for place, backend := range service.backends {
-			reported[place] = world.reportedLoad(backend, place, history)
-			mean += reported[place] / float64(len(service.backends))
+	for _, service := range sim.services {
+		meanLoad := 0.0
+		loads := make([]float64, len(service.backends))
+		for backendIndex, backend := range service.backends {
+			loads[backendIndex] = sim.reportedLoad(backend, backendIndex, history)
+			meanLoad += loads[backendIndex] / float64(len(service.backends))
 		}
-		for place, backend := range service.backends {
-			outcome, err := world.settings.Reports.Policy.Evaluate(policy.Facts{
+		for backendIndex, backend := range service.backends {
+			outcome, err := sim.settings.Reports.Policy.Evaluate(policy.Facts{
 				Name: backend.name, Zone: backend.zone, MachineState: "live", Healthy: true,
-				Load: reported[place], MeanLoad: mean, ReportAge: world.settings.Reports.Lag.Seconds(),
-				UpSeconds: (world.Clock.Now() - backend.startedAt).Seconds(),
+				Load: loads[backendIndex], MeanLoad: meanLoad, ReportAge: sim.settings.Reports.Lag.Seconds(),
+				UpSeconds: (sim.Clock.Now() - backend.startedAt).Seconds(),
 			})
 			if err != nil {
 				panic(err)
@@ -63,12 +63,12 @@
 			outcomes[backend.id] = outcome
 		}
 	}
-	now := time.Unix(0, 0).Add(world.Clock.Now())
+	now := time.Unix(0, 0).Add(sim.Clock.Now())
 	weights, changed := damper.Update(now, outcomes)
 	if !changed {
 		return
 	}
-	world.Result.WeightChanges++
+	sim.Result.WeightChanges++
 	configuration := decider.core.Configuration()
 	decider.core.SetDesired(decider.now(), configuration.GetRevision(),
 		compile.Rules(configuration, weights), compile.ClearedMarks(configuration))
@@ -76,9 +76,9 @@
 }
 
 // policyNode is the running node of the lowest ID.
-func (world *Simulation) policyNode() *node {
+func (sim *Simulation) policyNode() *node {
 	var first *node
-	for _, node := range world.nodes {
+	for _, node := range sim.nodes {
 		if node.running() && (first == nil || node.id < first.id) {
 			first = node
 		}
@@ -87,13 +87,13 @@
 }
 
 // reportedLoad is the load that a back end reports: late, or false.
-func (world *Simulation) reportedLoad(backend *backend, place int, history map[uint32][]int) float64 {
-	settings := world.settings.Reports
+func (sim *Simulation) reportedLoad(backend *backend, backendIndex int, history map[uint32][]int) float64 {
+	settings := sim.settings.Reports
 	history[backend.id] = append(history[backend.id], backend.openFlows)
-	late := int(settings.Lag / reportInterval)
-	past := history[backend.id]
-	open := past[max(0, len(past)-1-late)]
-	if backend.service.index == 0 && place < settings.MisreportingBackends {
+	lagReports := int(settings.Lag / reportInterval)
+	openCounts := history[backend.id]
+	open := openCounts[max(0, len(openCounts)-1-lagReports)]
+	if backend.service.index == 0 && backendIndex < settings.MisreportingBackends {
 		return 0
 	}
 	return min(1, float64(open)/float64(settings.FullLoadFlows))
--- a/internal/lab/property_test.go
+++ b/internal/lab/property_test.go
@@ -25,111 +25,111 @@
 // actionDriver draws actions and applies those that are possible.
 type actionDriver struct {
 	t               *rapid.T
-	world           *Simulation
+	sim             *Simulation
 	drained         map[[2]int]bool
 	pausedNode      string
 	partitionedZone string
 }
 
 func (driver *actionDriver) advance() {
-	step := time.Duration(rapid.IntRange(50, 6000).Draw(driver.t, "milliseconds")) * time.Millisecond
-	end := driver.world.Clock.Now() + step
-	for driver.world.Clock.Now() < end {
-		driver.world.Clock.RunUntil(min(end, driver.world.Clock.Now()+20*time.Millisecond))
-		require.NoError(driver.t, driver.world.CheckInvariants())
+	duration := time.Duration(rapid.IntRange(50, 6000).Draw(driver.t, "milliseconds")) * time.Millisecond
+	end := driver.sim.Clock.Now() + duration
+	for driver.sim.Clock.Now() < end {
+		driver.sim.Clock.RunUntil(min(end, driver.sim.Clock.Now()+20*time.Millisecond))
+		require.NoError(driver.t, driver.sim.CheckInvariants())
 	}
 }
 
 func (driver *actionDriver) drawNode() string {
-	return rapid.SampledFrom(driver.world.Nodes()).Draw(driver.t, "node")
+	return rapid.SampledFrom(driver.sim.Nodes()).Draw(driver.t, "node")
 }
 
 func (driver *actionDriver) toggleDrain() {
 	place := [2]int{0, rapid.IntRange(0, 4).Draw(driver.t, "backend")}
 	switch {
 	case driver.drained[place]:
-		driver.world.Undrain(place[0], place[1])
+		driver.sim.Undrain(place[0], place[1])
 		delete(driver.drained, place)
 	case len(driver.drained) < 3:
-		driver.world.Drain(place[0], place[1])
+		driver.sim.Drain(place[0], place[1])
 		driver.drained[place] = true
 	}
 }
 
 func (driver *actionDriver) setWeight() {
 	place := rapid.IntRange(0, 4).Draw(driver.t, "backend")
-	driver.world.SetWeight(0, place, uint32(rapid.IntRange(1, 10).Draw(driver.t, "weight"))*10)
+	driver.sim.SetWeight(0, place, uint32(rapid.IntRange(1, 10).Draw(driver.t, "weight"))*10)
 }
 
 func (driver *actionDriver) replaceNode() {
-	if len(driver.world.Nodes()) < 6 {
+	if len(driver.sim.Nodes()) < 6 {
 		return
 	}
 	id := driver.drawNode()
-	driver.world.StartNode(driver.world.nodesByID[id].zone)
-	driver.world.StopNodeGracefully(id, 20*time.Second)
+	driver.sim.StartNode(driver.sim.nodesByID[id].zone)
+	driver.sim.StopNodeGracefully(id, 20*time.Second)
 }
 
 func (driver *actionDriver) killNode() {
-	if len(driver.world.Nodes()) < 5 || driver.pausedNode != "" || driver.partitionedZone != "" {
+	if len(driver.sim.Nodes()) < 5 || driver.pausedNode != "" || driver.partitionedZone != "" {
 		return
 	}
-	driver.world.KillNode(driver.drawNode())
+	driver.sim.KillNode(driver.drawNode())
 }
 
 func (driver *actionDriver) startNode() {
-	if len(driver.world.Nodes()) < 9 {
-		driver.world.StartNode(rapid.SampledFrom(driver.world.settings.Zones).Draw(driver.t, "zone"))
+	if len(driver.sim.Nodes()) < 9 {
+		driver.sim.StartNode(rapid.SampledFrom(driver.sim.settings.Zones).Draw(driver.t, "zone"))
 	}
 }
 
 func (driver *actionDriver) togglePause() {
 	if driver.pausedNode != "" {
-		if !driver.world.nodesByID[driver.pausedNode].dead {
-			driver.world.ResumeNode(driver.pausedNode)
+		if !driver.sim.nodesByID[driver.pausedNode].dead {
+			driver.sim.ResumeNode(driver.pausedNode)
 		}
 		driver.pausedNode = ""
 		return
 	}
 	driver.pausedNode = driver.drawNode()
-	driver.world.PauseNode(driver.pausedNode)
+	driver.sim.PauseNode(driver.pausedNode)
 }
 
 func (driver *actionDriver) togglePartition() {
 	if driver.partitionedZone != "" {
-		driver.world.SetZonePartitioned(driver.partitionedZone, false)
+		driver.sim.SetZonePartitioned(driver.partitionedZone, false)
 		driver.partitionedZone = ""
 		return
 	}
-	driver.partitionedZone = rapid.SampledFrom(driver.world.settings.Zones).Draw(driver.t, "zone")
-	driver.world.SetZonePartitioned(driver.partitionedZone, true)
+	driver.partitionedZone = rapid.SampledFrom(driver.sim.settings.Zones).Draw(driver.t, "zone")
+	driver.sim.SetZonePartitioned(driver.partitionedZone, true)
 }
 
 func (driver *actionDriver) toggleStoreOutage() {
-	driver.world.SetStoreOutage(!driver.world.store.down)
+	driver.sim.SetStoreOutage(!driver.sim.store.down)
 }
 
 func newActionDriver(t *rapid.T) *actionDriver {
 	settings := smallSettings(rapid.Uint64().Draw(t, "seed"))
 	settings.Store.ResponseLoss = 0.3
-	made := &actionDriver{t: t, world: New(settings), drained: make(map[[2]int]bool)}
-	made.world.Clock.RunUntil(25 * time.Second)
-	return made
+	driver := &actionDriver{t: t, sim: New(settings), drained: make(map[[2]int]bool)}
+	driver.sim.Clock.RunUntil(25 * time.Second)
+	return driver
 }
 
 // healAndConverge ends all faults and lets the group come to rest.
 func (driver *actionDriver) healAndConverge() {
-	if driver.pausedNode != "" && !driver.world.nodesByID[driver.pausedNode].dead {
-		driver.world.ResumeNode(driver.pausedNode)
+	if driver.pausedNode != "" && !driver.sim.nodesByID[driver.pausedNode].dead {
+		driver.sim.ResumeNode(driver.pausedNode)
 	}
 	if driver.partitionedZone != "" {
-		driver.world.SetZonePartitioned(driver.partitionedZone, false)
+		driver.sim.SetZonePartitioned(driver.partitionedZone, false)
 	}
-	driver.world.SetStoreOutage(false)
-	driver.world.Clock.RunUntil(driver.world.Clock.Now() + 90*time.Second)
-	require.NoError(driver.t, driver.world.CheckInvariants())
-	revision := driver.world.store.configuration.GetRevision()
-	for _, node := range driver.world.nodes {
+	driver.sim.SetStoreOutage(false)
+	driver.sim.Clock.RunUntil(driver.sim.Clock.Now() + 90*time.Second)
+	require.NoError(driver.t, driver.sim.CheckInvariants())
+	revision := driver.sim.store.configuration.GetRevision()
+	for _, node := range driver.sim.nodes {
 		if node.running() {
 			require.Equal(driver.t, revision, node.activeRevision(), "node %s: accepted configuration is not in force: %s", node.id, describe(node))
 		}
@@ -154,8 +154,8 @@
 			driver.advance()
 		}
 		driver.healAndConverge()
-		require.Zero(t, driver.world.Result.TotalBroken(), "broken: %v", driver.world.Result.Broken)
-		require.Zero(t, driver.world.Result.SecondBackend)
+		require.Zero(t, driver.sim.Result.TotalBroken(), "broken: %v", driver.sim.Result.Broken)
+		require.Zero(t, driver.sim.Result.SecondBackend)
 	})
 }
 
@@ -171,8 +171,8 @@
 			driver.advance()
 		}
 		driver.healAndConverge()
-		broken += driver.world.Result.TotalBroken()
-		flows += driver.world.Result.Flows
+		broken += driver.sim.Result.TotalBroken()
+		flows += driver.sim.Result.Flows
 	})
 	t.Logf("broken %d of %d flows", broken, flows)
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -25,23 +25,23 @@
 // plots of imbalance, broken flows and the delays of leaving.
 func WriteReport(path string, rows []Row) error {
 	page := reportPage{Rows: rows, Made: time.Now().UTC().Format(time.RFC3339)}
-	for _, draw := range []func([]Row) (*plot.Plot, error){plotBroken, plotImbalance, plotControl} {
-		drawn, err := draw(rows)
+	for _, newPlot := range []func([]Row) (*plot.Plot, error){plotBroken, plotImbalance, plotControl} {
+		graph, err := newPlot(rows)
 		if err != nil {
 			return errors.Wrap(err, "report: plot")
 		}
-		encoded, err := encodePlot(drawn)
+		encoded, err := encodePlot(graph)
 		if err != nil {
 			return errors.Wrap(err, "report: plot")
 		}
 		page.Plots = append(page.Plots, encoded)
 	}
 	page.Leaving = leavingTable(rows)
-	var written bytes.Buffer
-	if err := reportTemplate.Execute(&written, page); err != nil {
+	var output bytes.Buffer
+	if err := reportTemplate.Execute(&output, page); err != nil {
 		return errors.Wrap(err, "report")
 	}
-	return errors.Wrap(os.WriteFile(path, written.Bytes(), 0o644), "report")
+	return errors.Wrap(os.WriteFile(path, output.Bytes(), 0o644), "report")
 }
 
 type reportPage struct {
@@ -65,8 +65,8 @@
 	histogramDigits  = 3
 )
 
-func encodePlot(drawn *plot.Plot) (template.URL, error) {
-	writer, err := drawn.WriterTo(plotWidth, plotHeight, "png")
+func encodePlot(graph *plot.Plot) (template.URL, error) {
+	writer, err := graph.WriterTo(plotWidth, plotHeight, "png")
 	if err != nil {
 		return "", err
 	}
@@ -97,11 +97,11 @@
 	return scenarios, methods, sums
 }
 
-func barChart(title, axis string, rows []Row, value func(Row) float64) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = title
-	drawn.Y.Label.Text = axis
-	drawn.Y.Min = 0
+func barChart(title, yLabel string, rows []Row, value func(Row) float64) (*plot.Plot, error) {
+	graph := plot.New()
+	graph.Title.Text = title
+	graph.Y.Label.Text = yLabel
+	graph.Y.Min = 0
 	scenarios, methods, sums := sumByScenario(rows, value)
 	width := vg.Points(min(14, 500/float64(len(scenarios)*len(methods))))
 	for place, method := range methods {
@@ -116,15 +116,15 @@
 		chart.Color = plotutil.Color(place)
 		chart.LineStyle.Width = 0
 		chart.Offset = width * vg.Length(float64(place)-float64(len(methods)-1)/2)
-		drawn.Add(chart)
-		drawn.Legend.Add(method, chart)
+		graph.Add(chart)
+		graph.Legend.Add(method, chart)
 	}
-	drawn.Legend.Top = true
-	drawn.NominalX(scenarios...)
-	drawn.X.Tick.Label.Rotation = 0.5
-	drawn.X.Tick.Label.XAlign = -1
-	drawn.X.Tick.Label.Font.Size = vg.Points(7)
-	return drawn, nil
+	graph.Legend.Top = true
+	graph.NominalX(scenarios...)
+	graph.X.Tick.Label.Rotation = 0.5
+	graph.X.Tick.Label.XAlign = -1
+	graph.X.Tick.Label.Font.Size = vg.Points(7)
+	return graph, nil
 }
 
 func plotBroken(rows []Row) (*plot.Plot, error) {
@@ -138,11 +138,11 @@
 }
 
 func plotImbalance(rows []Row) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = "Imbalance over time (first user and seed, method epochs)"
-	drawn.X.Label.Text = "seconds"
-	drawn.Y.Label.Text = "maximum over mean"
-	drawn.Legend.Top = true
+	graph := plot.New()
+	graph.Title.Text = "Imbalance over time (first user and seed, method epochs)"
+	graph.X.Label.Text = "seconds"
+	graph.Y.Label.Text = "maximum over mean"
+	graph.Legend.Top = true
 	place := 0
 	for _, row := range rows {
 		if row.Algorithm != AlgorithmEpochs || row.User != rows[0].User || row.Seed != rows[0].Seed || place == 7 {
@@ -159,11 +159,11 @@
 			return nil, err
 		}
 		line.Color = plotutil.Color(place)
-		drawn.Add(line)
-		drawn.Legend.Add(row.Scenario, line)
+		graph.Add(line)
+		graph.Legend.Add(row.Scenario, line)
 		place++
 	}
-	return drawn, nil
+	return graph, nil
 }
 
 // leavingTable gives percentiles of the time until a leaving back end gets no
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -103,22 +103,22 @@
 	return twoServices(seed, []string{"ernakulam", "vyttila", "kakkanad"}, "booking", "timetables", 3*time.Millisecond)
 }
 
-func twoServices(seed uint64, zones []string, large, small string, client time.Duration) Settings {
+func twoServices(seed uint64, zones []string, largeService, smallService string, clientDelay time.Duration) Settings {
 	return Settings{
 		Seed:         seed,
 		Algorithm:    AlgorithmEpochs,
 		Zones:        zones,
 		NodesPerZone: 2,
 		Services: []ServiceSettings{
-			{Name: large, Backends: 14, ArrivalRate: 40, MeanFlowDuration: 10 * time.Minute,
+			{Name: largeService, Backends: 14, ArrivalRate: 40, MeanFlowDuration: 10 * time.Minute,
 				MeanPacketInterval: 2 * time.Second, InitialFlows: 24_000},
-			{Name: small, Backends: 4, ArrivalRate: 60, MeanFlowDuration: time.Minute,
+			{Name: smallService, Backends: 4, ArrivalRate: 60, MeanFlowDuration: time.Minute,
 				MeanPacketInterval: 2 * time.Second, InitialFlows: 4000},
 		},
 		Network: NetworkSettings{
 			SameZoneDelay:      200 * time.Microsecond,
 			CrossZoneDelay:     1500 * time.Microsecond,
-			ClientDelay:        client,
+			ClientDelay:        clientDelay,
 			Jitter:             300 * time.Microsecond,
 			SYNACKLoss:         0.02,
 			MessageLoss:        0.001,
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -82,7 +82,7 @@
 
 // New makes a world whose nodes, services and traffic start at time 0.
 func New(settings Settings) *Simulation {
-	world := &Simulation{
+	sim := &Simulation{
 		Clock:            NewClock(settings.Seed),
 		settings:         settings,
 		nodesByID:        make(map[string]*node),
@@ -91,81 +91,81 @@
 		partitionedZones: make(map[string]bool),
 		acceptedAt:       make(map[uint64]time.Duration),
 	}
-	world.Result.Broken = make(map[string]int)
-	world.Result.BytesByKind = make(map[string]uint64)
-	world.store = &store{world: world}
-	world.createServices()
+	sim.Result.Broken = make(map[string]int)
+	sim.Result.BytesByKind = make(map[string]uint64)
+	sim.store = &store{sim: sim}
+	sim.createServices()
 	for range settings.NodesPerZone {
 		for _, zone := range settings.Zones {
-			world.fabric = append(world.fabric, world.addNode(zone))
+			sim.fabric = append(sim.fabric, sim.addNode(zone))
 		}
 	}
-	for _, service := range world.services {
-		world.startTraffic(service)
+	for _, service := range sim.services {
+		sim.startTraffic(service)
 	}
-	world.startPolicy()
-	world.sampleEverySecond()
-	world.pollActivation()
-	return world
+	sim.startPolicy()
+	sim.sampleEverySecond()
+	sim.pollActivation()
+	return sim
 }
 
 // createServices makes the services and the first configuration.
-func (world *Simulation) createServices() {
+func (sim *Simulation) createServices() {
 	configuration := &apiv1.Configuration{Revision: 1}
 	number := uint32(0)
-	for index, settings := range world.settings.Services {
+	for index, settings := range sim.settings.Services {
 		address := flow.Address{IP: [4]byte{10, 200, byte(index >> 8), byte(index + 1)}, Port: 80, Protocol: flow.ProtocolTCP}
-		made := &service{settings: settings, address: address, index: index}
-		described := &apiv1.Service{Name: settings.Name, Address: fmt.Sprintf("10.200.%d.%d", index>>8, byte(index+1)), Port: 80}
-		for place := range settings.Backends {
+		newService := &service{settings: settings, address: address, index: index}
+		definition := &apiv1.Service{Name: settings.Name, Address: fmt.Sprintf("10.200.%d.%d", index>>8, byte(index+1)), Port: 80}
+		for backendIndex := range settings.Backends {
 			number++
-			zone := world.settings.Zones[place%len(world.settings.Zones)]
-			added := &backend{id: number, name: fmt.Sprintf("%s-%d", settings.Name, place), zone: zone, service: made}
-			made.backends = append(made.backends, added)
-			world.backends[number] = added
-			described.Backends = append(described.Backends, &apiv1.Backend{Id: number, Name: added.name, Zone: zone})
+			zone := sim.settings.Zones[backendIndex%len(sim.settings.Zones)]
+			added := &backend{id: number, name: fmt.Sprintf("%s-%d", settings.Name, backendIndex), zone: zone, service: newService}
+			newService.backends = append(newService.backends, added)
+			sim.backends[number] = added
+			definition.Backends = append(definition.Backends, &apiv1.Backend{Id: number, Name: added.name, Zone: zone})
 		}
-		world.services = append(world.services, made)
-		configuration.Services = append(configuration.Services, described)
+		sim.services = append(sim.services, newService)
+		configuration.Services = append(configuration.Services, definition)
 	}
 	configuration.NextBackendId = number + 1
-	world.store.configuration = configuration
-	world.acceptedAt[1] = 0
+	sim.store.configuration = configuration
+	sim.acceptedAt[1] = 0
 }
 
 // warmUpTime is when traffic starts, after the nodes have met; the warm flows
 // are opened over as long again.
 const warmUpTime = 10 * time.Second
 
-func (world *Simulation) startTraffic(service *service) {
+func (sim *Simulation) startTraffic(service *service) {
 	for range service.settings.InitialFlows {
-		at := warmUpTime + time.Duration(world.Clock.Random.Float64()*float64(warmUpTime))
-		world.Clock.After(at, func() { world.openFlow(service) })
+		at := warmUpTime + time.Duration(sim.Clock.Random.Float64()*float64(warmUpTime))
+		sim.Clock.After(at, func() { sim.openFlow(service) })
 	}
 	if service.settings.ArrivalRate > 0 {
-		world.Clock.After(warmUpTime, func() { world.scheduleArrivals(service) })
+		sim.Clock.After(warmUpTime, func() { sim.scheduleArrivals(service) })
 	}
 }
 
-func (world *Simulation) scheduleArrivals(service *service) {
-	world.openFlow(service)
+func (sim *Simulation) scheduleArrivals(service *service) {
+	sim.openFlow(service)
 	mean := time.Duration(float64(time.Second) / service.settings.ArrivalRate)
-	world.Clock.After(world.Clock.Exponential(mean), func() { world.scheduleArrivals(service) })
+	sim.Clock.After(sim.Clock.Exponential(mean), func() { sim.scheduleArrivals(service) })
 }
 
 // sampleEverySecond measures once a second.
-func (world *Simulation) sampleEverySecond() {
-	world.Result.Imbalance = append(world.Result.Imbalance, world.imbalance())
-	for _, node := range world.nodes {
+func (sim *Simulation) sampleEverySecond() {
+	sim.Result.Imbalance = append(sim.Result.Imbalance, sim.imbalance())
+	for _, node := range sim.nodes {
 		rate := float64(node.controlBytes)
 		node.controlBytes = 0
 		node.controlRates = append(node.controlRates, rate)
-		if world.Clock.Now() > 2*warmUpTime {
-			world.Result.ControlSecond = max(world.Result.ControlSecond, rate)
-			world.Result.ControlPeak = max(world.Result.ControlPeak, node.recentControlRate())
+		if sim.Clock.Now() > 2*warmUpTime {
+			sim.Result.ControlSecond = max(sim.Result.ControlSecond, rate)
+			sim.Result.ControlPeak = max(sim.Result.ControlPeak, node.recentControlRate())
 		}
 	}
-	world.Clock.After(time.Second, world.sampleEverySecond)
+	sim.Clock.After(time.Second, sim.sampleEverySecond)
 }
 
 // rateWindowSeconds is the number of seconds over which control traffic is judged.
@@ -181,16 +181,16 @@
 }
 
 // pollActivation looks often for configurations that have come into force.
-func (world *Simulation) pollActivation() {
-	world.recordActivation()
-	world.Clock.After(activationPollInterval, world.pollActivation)
+func (sim *Simulation) pollActivation() {
+	sim.recordActivation()
+	sim.Clock.After(activationPollInterval, sim.pollActivation)
 }
 
 const activationPollInterval = 20 * time.Millisecond
 
-func (world *Simulation) imbalance() Imbalance {
+func (sim *Simulation) imbalance() Imbalance {
 	var counts []float64
-	for _, backend := range world.services[0].backends {
+	for _, backend := range sim.services[0].backends {
 		if backend.leavingAt == 0 {
 			counts = append(counts, float64(backend.openFlows))
 		}
@@ -202,13 +202,13 @@
 	}
 	mean := total / float64(len(counts))
 	if mean == 0 {
-		return Imbalance{At: world.Clock.Now(), MaximumOverMean: 1}
+		return Imbalance{At: sim.Clock.Now(), MaximumOverMean: 1}
 	}
 	for _, count := range counts {
 		squares += (count - mean) * (count - mean)
 	}
 	return Imbalance{
-		At:              world.Clock.Now(),
+		At:              sim.Clock.Now(),
 		MaximumOverMean: largest / mean,
 		Variation:       math.Sqrt(squares/float64(len(counts))) / mean,
 	}
@@ -216,20 +216,20 @@
 
 // recordActivation records when the newest configuration became active on all
 // running nodes.
-func (world *Simulation) recordActivation() {
-	revision := world.store.configuration.GetRevision()
-	since, waiting := world.acceptedAt[revision]
-	if !waiting {
+func (sim *Simulation) recordActivation() {
+	revision := sim.store.configuration.GetRevision()
+	acceptedAt, pending := sim.acceptedAt[revision]
+	if !pending {
 		return
 	}
-	for _, node := range world.nodes {
+	for _, node := range sim.nodes {
 		if node.running() && node.activeRevision() < revision {
 			return
 		}
 	}
-	delete(world.acceptedAt, revision)
+	delete(sim.acceptedAt, revision)
 	if revision > 1 {
-		world.Result.ActivationDelays = append(world.Result.ActivationDelays, world.Clock.Now()-since)
+		sim.Result.ActivationDelays = append(sim.Result.ActivationDelays, sim.Clock.Now()-acceptedAt)
 	}
 }
 
@@ -246,19 +246,19 @@
 }
 
 // Finish closes the books of a run.
-func (world *Simulation) Finish() Result {
-	seconds := (world.Clock.Now() - warmUpTime).Seconds()
+func (sim *Simulation) Finish() Result {
+	seconds := (sim.Clock.Now() - warmUpTime).Seconds()
 	var total uint64
 	running := 0
-	for _, node := range world.nodes {
+	for _, node := range sim.nodes {
 		running++
 		for kind, bytes := range node.bytesByKind {
-			world.Result.BytesByKind[kind] += bytes
+			sim.Result.BytesByKind[kind] += bytes
 			total += bytes
 		}
 	}
-	world.Result.ControlMean = float64(total) / seconds / float64(running)
-	return world.Result
+	sim.Result.ControlMean = float64(total) / seconds / float64(running)
+	return sim.Result
 }
 
 // TotalBroken is the number of broken flows of all causes.
@@ -302,27 +302,27 @@
 	return sorted[min(len(sorted)-1, int(math.Ceil(p/100*float64(len(sorted))))-1)]
 }
 
-func (world *Simulation) partitioned(left, right string) bool {
-	return left != right && (world.partitionedZones[left] || world.partitionedZones[right])
+func (sim *Simulation) partitioned(left, right string) bool {
+	return left != right && (sim.partitionedZones[left] || sim.partitionedZones[right])
 }
 
-func (world *Simulation) delay(from, to string) time.Duration {
-	network := world.settings.Network
+func (sim *Simulation) delay(from, to string) time.Duration {
+	network := sim.settings.Network
 	delay := network.SameZoneDelay
 	if from != to {
 		delay = network.CrossZoneDelay
 	}
-	return delay + time.Duration(world.Clock.Random.Float64()*float64(network.Jitter))
+	return delay + time.Duration(sim.Clock.Random.Float64()*float64(network.Jitter))
 }
 
 // changeConfiguration applies a change to the configuration as the admin API would.
-func (world *Simulation) changeConfiguration(edit func(*apiv1.Configuration)) {
-	next := proto.CloneOf(world.store.configuration)
-	edit(next)
+func (sim *Simulation) changeConfiguration(apply func(*apiv1.Configuration)) {
+	next := proto.CloneOf(sim.store.configuration)
+	apply(next)
 	next.Revision++
-	world.store.configuration = next
-	world.acceptedAt[next.GetRevision()] = world.Clock.Now()
-	world.notifyWatchers()
+	sim.store.configuration = next
+	sim.acceptedAt[next.GetRevision()] = sim.Clock.Now()
+	sim.notifyWatchers()
 }
 
 // desiredRules compiles a configuration; the model keeps a back end's weight in
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -11,7 +11,7 @@
 // store is the model of the platform's key-value service: one document and one
 // configuration, each under compare-and-swap.
 type store struct {
-	world         *Simulation
+	sim           *Simulation
 	document      *apiv1.EpochDocument
 	configuration *apiv1.Configuration
 	// Down is set during an outage.
@@ -27,32 +27,32 @@
 // write tries a compare-and-swap of the document. The answer may be lost after
 // the write took effect; done is then called with false.
 func (store *store) write(writer *node, document *apiv1.EpochDocument, done func(bool)) {
-	world := store.world
-	world.Clock.After(world.settings.Store.Delay+store.extraDelay, func() {
+	sim := store.sim
+	sim.Clock.After(sim.settings.Store.Delay+store.extraDelay, func() {
 		if !writer.canReachStore() {
-			world.Clock.After(time.Second, func() { done(false) })
+			sim.Clock.After(time.Second, func() { done(false) })
 			return
 		}
-		held := document.GetVersion() == store.document.GetVersion()+1
-		if held {
+		applied := document.GetVersion() == store.document.GetVersion()+1
+		if applied {
 			store.writes++
 			store.document = proto.CloneOf(document)
-			world.notifyWatchers()
+			sim.notifyWatchers()
 		} else {
 			store.conflicts++
 		}
-		if world.Clock.Random.Float64() < world.settings.Store.ResponseLoss {
-			held = false
+		if sim.Clock.Random.Float64() < sim.settings.Store.ResponseLoss {
+			applied = false
 		}
-		world.Clock.After(world.settings.Store.Delay, func() { done(held) })
+		sim.Clock.After(sim.settings.Store.Delay, func() { done(applied) })
 	})
 }
 
 // notifyWatchers tells the watchers, the nodes of the lowest ranks; the others learn
 // from them.
-func (world *Simulation) notifyWatchers() {
-	world.Clock.After(world.settings.Store.WatchDelay, func() {
-		for _, node := range world.nodes {
+func (sim *Simulation) notifyWatchers() {
+	sim.Clock.After(sim.settings.Store.WatchDelay, func() {
+		for _, node := range sim.nodes {
 			if !node.running() || !node.canReachStore() || node.core.WatchRank() >= maxStoreWatchers {
 				continue
 			}
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -70,189 +70,189 @@
 )
 
 // openFlow starts a new flow of a service.
-func (world *Simulation) openFlow(service *service) {
+func (sim *Simulation) openFlow(service *service) {
 	if service.deleted {
 		return
 	}
-	world.flowCount++
-	zone := world.settings.Zones[world.Clock.Random.IntN(len(world.settings.Zones))]
-	opened := &connection{
+	sim.flowCount++
+	zone := sim.settings.Zones[sim.Clock.Random.IntN(len(sim.settings.Zones))]
+	conn := &connection{
 		service:      service,
 		zone:         zone,
-		endsAt:       world.Clock.Now() + world.Clock.Exponential(service.settings.MeanFlowDuration),
-		countsDouble: world.Clock.Random.IntN(countsDoubleOneIn) == 0,
+		endsAt:       sim.Clock.Now() + sim.Clock.Exponential(service.settings.MeanFlowDuration),
+		countsDouble: sim.Clock.Random.IntN(countsDoubleOneIn) == 0,
 	}
 	var source [4]byte
-	binary.BigEndian.PutUint32(source[:], 0x0a400000+uint32(world.flowCount>>14))
-	opened.key = flow.Key{
+	binary.BigEndian.PutUint32(source[:], 0x0a400000+uint32(sim.flowCount>>14))
+	conn.key = flow.Key{
 		Source:          source,
 		Destination:     service.address.IP,
-		SourcePort:      uint16(world.flowCount&0x3fff) + 30000,
+		SourcePort:      uint16(sim.flowCount&0x3fff) + 30000,
 		DestinationPort: service.address.Port,
 		Protocol:        flow.ProtocolTCP,
 	}
-	opened.hash = opened.key.Hash()
-	world.Result.Flows++
-	world.sendSYN(opened, 0)
+	conn.hash = conn.key.Hash()
+	sim.Result.Flows++
+	sim.sendSYN(conn, 0)
 }
 
-func (world *Simulation) sendSYN(opened *connection, tries int) {
-	if opened.established || opened.ended || opened.service.deleted {
+func (sim *Simulation) sendSYN(conn *connection, attempts int) {
+	if conn.established || conn.ended || conn.service.deleted {
 		return
 	}
-	if tries >= maxSYNAttempts {
-		opened.ended = true
-		world.Result.NeverEstablished++
+	if attempts >= maxSYNAttempts {
+		conn.ended = true
+		sim.Result.NeverEstablished++
 		return
 	}
-	world.spray(packet{conn: opened, flags: router.PacketOpens, delivered: new(bool)})
-	world.Clock.After(initialSYNTimeout<<tries, func() { world.sendSYN(opened, tries+1) })
+	sim.spray(packet{conn: conn, flags: router.PacketOpens, delivered: new(bool)})
+	sim.Clock.After(initialSYNTimeout<<attempts, func() { sim.sendSYN(conn, attempts+1) })
 }
 
 // sendData sends a packet of an open flow until it arrives.
-func (world *Simulation) sendData(sent packet) {
-	if sent.conn.ended || *sent.delivered {
+func (sim *Simulation) sendData(pkt packet) {
+	if pkt.conn.ended || *pkt.delivered {
 		return
 	}
-	if sent.attempts >= maxDataAttempts {
-		world.breakFlow(sent.conn, "stalled")
+	if pkt.attempts >= maxDataAttempts {
+		sim.breakFlow(pkt.conn, "stalled")
 		return
 	}
-	world.spray(sent)
-	sent.attempts++
-	world.Clock.After(initialDataTimeout<<(sent.attempts-1), func() { world.sendData(sent) })
+	sim.spray(pkt)
+	pkt.attempts++
+	sim.Clock.After(initialDataTimeout<<(pkt.attempts-1), func() { sim.sendData(pkt) })
 }
 
 // spray hands a packet to any node on the fabric's list that the caller's zone
 // reaches.
-func (world *Simulation) spray(sent packet) {
-	candidates := world.fabric[:0:0]
-	for _, node := range world.fabric {
-		if !world.partitioned(sent.conn.zone, node.zone) {
+func (sim *Simulation) spray(pkt packet) {
+	candidates := sim.fabric[:0:0]
+	for _, node := range sim.fabric {
+		if !sim.partitioned(pkt.conn.zone, node.zone) {
 			candidates = append(candidates, node)
 		}
 	}
 	if len(candidates) == 0 {
 		return
 	}
-	chosen := candidates[world.Clock.Random.IntN(len(candidates))]
-	world.Clock.After(world.settings.Network.ClientDelay, func() { chosen.route(sent) })
+	chosen := candidates[sim.Clock.Random.IntN(len(candidates))]
+	sim.Clock.After(sim.settings.Network.ClientDelay, func() { chosen.route(pkt) })
 }
 
 // receiveAtBackend is a packet at a back end: the place where the promises are checked.
-func (world *Simulation) receiveAtBackend(target *backend, arrived packet) {
-	held := arrived.conn
-	if target.service != held.service {
-		world.Result.WrongService++
+func (sim *Simulation) receiveAtBackend(target *backend, pkt packet) {
+	conn := pkt.conn
+	if target.service != conn.service {
+		sim.Result.WrongService++
 	}
-	if arrived.flags&router.PacketOpens != 0 {
-		world.receiveSYN(target, held)
+	if pkt.flags&router.PacketOpens != 0 {
+		sim.receiveSYN(target, conn)
 		return
 	}
-	if held.ended {
+	if conn.ended {
 		return
 	}
-	if held.acceptedBy != target {
-		world.breakFlow(held, "misrouted")
+	if conn.acceptedBy != target {
+		sim.breakFlow(conn, "misrouted")
 		return
 	}
-	*arrived.delivered = true
-	if arrived.flags&router.PacketCloses != 0 {
-		world.closeFlow(held)
+	*pkt.delivered = true
+	if pkt.flags&router.PacketCloses != 0 {
+		sim.closeFlow(conn)
 	}
 }
 
-func (world *Simulation) receiveSYN(target *backend, held *connection) {
+func (sim *Simulation) receiveSYN(target *backend, conn *connection) {
 	switch {
-	case held.ended:
-	case held.acceptedBy == target:
-		world.sendSYNACK(held)
-	case held.acceptedBy != nil:
-		world.Result.SecondBackend++
-		world.traceFlow(held, "SYN at second back end %d, held by %d", target.id, held.acceptedBy.id)
-		world.Result.Traces = append(world.Result.Traces, held.history)
+	case conn.ended:
+	case conn.acceptedBy == target:
+		sim.sendSYNACK(conn)
+	case conn.acceptedBy != nil:
+		sim.Result.SecondBackend++
+		sim.traceFlow(conn, "SYN at second back end %d, held by %d", target.id, conn.acceptedBy.id)
+		sim.Result.Traces = append(sim.Result.Traces, conn.history)
 	default:
-		held.acceptedBy = target
+		conn.acceptedBy = target
 		target.openFlows++
 		target.acceptedFlows++
-		target.lastAcceptedAt = world.Clock.Now()
+		target.lastAcceptedAt = sim.Clock.Now()
 		if target.leavingAt != 0 {
-			world.Result.LeavingDelays = append(world.Result.LeavingDelays, world.Clock.Now()-target.leavingAt)
+			sim.Result.LeavingDelays = append(sim.Result.LeavingDelays, sim.Clock.Now()-target.leavingAt)
 		}
-		world.openFlows[held] = struct{}{}
-		world.sendSYNACK(held)
+		sim.openFlows[conn] = struct{}{}
+		sim.sendSYNACK(conn)
 	}
 }
 
 // sendSYNACK lets the caller know that its flow is open, unless the answer is
 // lost.
-func (world *Simulation) sendSYNACK(held *connection) {
-	if world.Clock.Random.Float64() < world.settings.Network.SYNACKLoss {
+func (sim *Simulation) sendSYNACK(conn *connection) {
+	if sim.Clock.Random.Float64() < sim.settings.Network.SYNACKLoss {
 		return
 	}
-	world.Clock.After(world.settings.Network.ClientDelay, func() {
-		if held.established {
+	sim.Clock.After(sim.settings.Network.ClientDelay, func() {
+		if conn.established {
 			return
 		}
-		held.established = true
-		world.Result.Established++
-		world.schedulePacket(held)
+		conn.established = true
+		sim.Result.Established++
+		sim.schedulePacket(conn)
 	})
 }
 
 // schedulePacket plans the next packet of a flow: data, or its end.
-func (world *Simulation) schedulePacket(held *connection) {
-	wait := world.Clock.Exponential(held.service.settings.MeanPacketInterval)
-	world.Clock.After(wait, func() {
-		if held.ended {
+func (sim *Simulation) schedulePacket(conn *connection) {
+	interval := sim.Clock.Exponential(conn.service.settings.MeanPacketInterval)
+	sim.Clock.After(interval, func() {
+		if conn.ended {
 			return
 		}
-		next := packet{conn: held, delivered: new(bool)}
-		if world.Clock.Now() >= held.endsAt {
+		next := packet{conn: conn, delivered: new(bool)}
+		if sim.Clock.Now() >= conn.endsAt {
 			next.flags = router.PacketCloses
-			world.sendData(next)
+			sim.sendData(next)
 			return
 		}
-		world.sendData(next)
-		world.schedulePacket(held)
+		sim.sendData(next)
+		sim.schedulePacket(conn)
 	})
 }
 
-func (world *Simulation) closeFlow(held *connection) {
-	if held.ended {
+func (sim *Simulation) closeFlow(conn *connection) {
+	if conn.ended {
 		return
 	}
-	held.ended = true
-	held.acceptedBy.openFlows--
-	delete(world.openFlows, held)
-	world.Result.Completed++
+	conn.ended = true
+	conn.acceptedBy.openFlows--
+	delete(sim.openFlows, conn)
+	sim.Result.Completed++
 }
 
-func (world *Simulation) breakFlow(held *connection, cause string) {
-	if held.ended {
+func (sim *Simulation) breakFlow(conn *connection, cause string) {
+	if conn.ended {
 		return
 	}
-	held.ended = true
-	if held.acceptedBy != nil {
-		held.acceptedBy.openFlows--
+	conn.ended = true
+	if conn.acceptedBy != nil {
+		conn.acceptedBy.openFlows--
 	}
-	delete(world.openFlows, held)
-	world.Result.Broken[cause]++
-	world.Result.Traces = append(world.Result.Traces, held.history)
-	world.Result.BrokenWeighted++
-	if held.countsDouble {
-		world.Result.BrokenWeighted++
+	delete(sim.openFlows, conn)
+	sim.Result.Broken[cause]++
+	sim.Result.Traces = append(sim.Result.Traces, conn.history)
+	sim.Result.BrokenWeighted++
+	if conn.countsDouble {
+		sim.Result.BrokenWeighted++
 	}
 }
 
 // refuseFlow is a RST to a SYN that was forwarded to nobody.
-func (world *Simulation) refuseFlow(arrived packet) {
-	held := arrived.conn
-	if held.acceptedBy != nil {
-		world.Result.RefusedAfterAccept++
+func (sim *Simulation) refuseFlow(pkt packet) {
+	conn := pkt.conn
+	if conn.acceptedBy != nil {
+		sim.Result.RefusedAfterAccept++
 	}
-	if !held.ended && !held.established {
-		held.ended = true
-		world.Result.Refused++
+	if !conn.ended && !conn.established {
+		conn.ended = true
+		sim.Result.Refused++
 	}
 }
