--- a/cmd/indigobarrow/lab.go
+++ b/cmd/indigobarrow/lab.go
@@ -49,7 +49,7 @@
 }
 
 func runTrust(_ context.Context, command *cli.Command) error {
-	rows, err := lab.RunTrust(command.Uint64("seed"), command.Float64("scale"))
+	rows, err := lab.RunLoadTrust(command.Uint64("seed"), command.Float64("scale"))
 	if err != nil {
 		return err
 	}
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -35,17 +35,17 @@
 }
 
 func (baseline *baseline) route(pkt packet) {
-	serviceRule := baseline.rules[pkt.conn.key.Address()]
+	serviceRule := baseline.rules[pkt.flow.key.Address()]
 	if serviceRule == nil {
 		baseline.node.sim.Result.Dropped++
 		return
 	}
-	key := pkt.conn.key
+	key := pkt.flow.key
 	if backend, tracked := baseline.table[key]; tracked && baseline.algorithm == AlgorithmTable {
 		baseline.node.forward(pkt, backend)
 		return
 	}
-	backend := baseline.selectBackend(serviceRule, pkt.conn.hash)
+	backend := baseline.selectBackend(serviceRule, pkt.flow.hash)
 	if baseline.algorithm == AlgorithmTable {
 		baseline.table[key] = backend
 	}
--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -10,7 +10,7 @@
 
 // watermark is the newest state that a node has shown.
 type watermark struct {
-	document, configuration, inForce uint64
+	document, configuration, activeRevision uint64
 }
 
 // CheckInvariants returns the first promise that does not hold now. Broken flows are
@@ -38,12 +38,12 @@
 			continue
 		}
 		now := watermark{
-			document:      node.core.Document().GetVersion(),
-			configuration: node.core.Configuration().GetRevision(),
-			inForce:       node.activeRevision(),
+			document:       node.core.Document().GetVersion(),
+			configuration:  node.core.Configuration().GetRevision(),
+			activeRevision: node.activeRevision(),
 		}
 		last := sim.watermarks[node.id]
-		if now.document < last.document || now.configuration < last.configuration || now.inForce < last.inForce {
+		if now.document < last.document || now.configuration < last.configuration || now.activeRevision < last.activeRevision {
 			return errors.Newf("node %s went back from %+v to %+v", node.id, last, now)
 		}
 		sim.watermarks[node.id] = now
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestDrainAndKillBreakNoFlow(t *testing.T) {
-	sim := New(DarAlWarraqSettings(1).ScaleFlows(0.15))
+	sim := New(DarAlWarraqSettings(1).Scale(0.15))
 	sim.Clock.RunUntil(40 * time.Second)
 	sim.Drain(0, 3)
 	sim.Clock.RunUntil(80 * time.Second)
--- a/internal/lab/loadtrust.go
+++ b/internal/lab/loadtrust.go
@@ -8,8 +8,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/policy"
 )
 
-// TrustRow is the outcome of one experiment on load trust.
-type TrustRow struct {
+// LoadTrustRow is the outcome of one experiment on load trust.
+type LoadTrustRow struct {
 	Reports         string
 	Trust           float64
 	Variation       float64
@@ -27,19 +27,19 @@
 	addBackendAt         time.Duration
 }
 
-// RunTrust measures what load trust does to imbalance under honest, lagging and
+// RunLoadTrust measures what load trust does to imbalance under honest, lagging and
 // lying reports, and when a back end starts cold.
-func RunTrust(seed uint64, scale float64) ([]TrustRow, error) {
+func RunLoadTrust(seed uint64, scale float64) ([]LoadTrustRow, error) {
 	conditions := []reportCondition{
 		{name: "honest"},
 		{name: "lagging 6 s", lag: 6 * time.Second},
 		{name: "two of 14 report no load", misreportingBackends: 2},
 		{name: "cold start at 60 s", addBackendAt: 60 * time.Second},
 	}
-	var rows []TrustRow
+	var rows []LoadTrustRow
 	for _, condition := range conditions {
 		for _, trust := range []float64{0, 0.5, 1} {
-			row, err := runTrust(seed, scale, condition, trust)
+			row, err := runLoadTrust(seed, scale, condition, trust)
 			if err != nil {
 				return nil, err
 			}
@@ -49,16 +49,16 @@
 	return rows, nil
 }
 
-func runTrust(seed uint64, scale float64, condition reportCondition, trust float64) (TrustRow, error) {
+func runLoadTrust(seed uint64, scale float64, condition reportCondition, trust float64) (LoadTrustRow, error) {
 	program, err := policy.Compile(&apiv1.Policy{
 		Name:      "experiment",
 		Weight:    "(up_seconds < 20.0 ? 0.4 : 1.0) * (1.0 - 0.8 * load)",
 		LoadTrust: fmt.Sprintf("%.1f", trust),
 	})
 	if err != nil {
-		return TrustRow{}, err
+		return LoadTrustRow{}, err
 	}
-	settings := KayalpathSettings(seed).ScaleFlows(scale)
+	settings := KayalpathSettings(seed).Scale(scale)
 	settings.Services[0].MeanFlowDuration = 2 * time.Minute
 	settings.Services[0].ArrivalRate *= 5
 	flowsPerBackend := settings.Services[0].ArrivalRate * settings.Services[0].MeanFlowDuration.Seconds() / float64(settings.Services[0].Backends)
@@ -69,6 +69,6 @@
 	}
 	sim.Clock.RunUntil(300 * time.Second)
 	result := sim.Finish()
-	return TrustRow{Reports: condition.name, Trust: trust, Variation: result.MeanVariation(), MaximumOverMean: result.MeanMaximumOverMean(),
+	return LoadTrustRow{Reports: condition.name, Trust: trust, Variation: result.MeanVariation(), MaximumOverMean: result.MeanMaximumOverMean(),
 		WeightChanges: result.WeightChanges, ControlMean: result.ControlMean, Broken: result.TotalBroken()}, nil
 }
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -35,7 +35,7 @@
 	controlBytes      uint64
 	bytesByKind       map[string]uint64
 	controlRates      []float64
-	observedLiveness  uint64
+	groupLiveness     uint64
 	// weightsDocumentVersion is the document whose weights the node wants.
 	weightsDocumentVersion uint64
 	startedAt              time.Duration
@@ -113,8 +113,8 @@
 	if node.dead {
 		return
 	}
-	if liveness := node.sim.store.groupLivenessCount; liveness != node.observedLiveness && node.canReachStore() && !node.paused {
-		node.observedLiveness = liveness
+	if groupLiveness := node.sim.store.groupLiveness; groupLiveness != node.groupLiveness && node.canReachStore() && !node.paused {
+		node.groupLiveness = groupLiveness
 		node.core.ObserveGroupLiveness(node.now())
 	}
 	node.sim.Clock.After(livenessPollInterval, node.pollGroupLiveness)
@@ -164,7 +164,7 @@
 		node.resolve(resolution)
 	}
 	if out.RefreshGroupLiveness && node.canReachStore() {
-		node.sim.store.groupLivenessCount++
+		node.sim.store.groupLiveness++
 	}
 	if out.Write != nil {
 		node.sim.store.write(node, out.Write.Document, func(written bool) {
@@ -255,7 +255,7 @@
 		node.baseline.route(pkt)
 		return
 	}
-	decision := node.router.Decide(node.now(), pkt.conn.key, pkt.conn.hash, pkt.flags)
+	decision := node.router.Decide(node.now(), pkt.flow.key, pkt.flow.hash, pkt.flags)
 	node.sim.Result.Paths[decision.Path]++
 	node.traceDecision(pkt, decision)
 	switch decision.Action {
@@ -282,7 +282,7 @@
 		return
 	}
 	node.queuedPacketCount++
-	key := pkt.conn.key
+	key := pkt.flow.key
 	node.queuedPackets[key] = append(node.queuedPackets[key], pkt)
 	node.core.Lookup(node.now(), key, decision.Proposal, decision.Bind, decision.Opens)
 	node.applyCoreOutput()
@@ -298,11 +298,11 @@
 			node.sim.Result.Dropped++
 			continue
 		}
-		hash := pkt.conn.hash
+		hash := pkt.flow.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
 			node.router.Learn(node.now(), resolution.Key, hash, resolution.Backend, pkt.flags)
 		}
-		node.sim.traceFlow(pkt.conn, "%s resolved to %d", node.id, resolution.Backend)
+		node.sim.traceFlow(pkt.flow, "%s resolved to %d", node.id, resolution.Backend)
 		node.forward(pkt, resolution.Backend)
 	}
 }
@@ -311,7 +311,7 @@
 func (node *node) traceDecision(pkt packet, decision router.Verdict) {
 	if node.sim.settings.Trace {
 		view := node.router.View()
-		node.sim.traceFlow(pkt.conn, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
+		node.sim.traceFlow(pkt.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
 			node.id, pkt.flags, decision.Path, decision.Action, decision.Backend, decision.Proposal, decision.Bind,
 			view.Settled.Number, view.Phase, view.ActiveMarks, view.KnownMarks)
 	}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -51,7 +51,7 @@
 		settings = KayalpathSettings(plan.Seed)
 	}
 	settings.Algorithm = plan.Algorithm
-	return settings.ScaleFlows(plan.Scale)
+	return settings.Scale(plan.Scale)
 }
 
 // Run makes the run.
@@ -66,7 +66,7 @@
 		Algorithm: plan.Algorithm, Seed: plan.Seed, Scale: plan.Scale,
 		Flows: result.Flows, TotalBroken: result.TotalBroken(), Weighted: result.BrokenWeighted,
 		Broken: result.Broken, SecondBackend: result.SecondBackend, Refused: result.Refused,
-		Unopened: result.NeverEstablished, Violation: result.Violation, Paths: paths,
+		Unopened: result.Unopened, Violation: result.Violation, Paths: paths,
 		MaximumOverMean: result.MeanMaximumOverMean(), Variation: result.MeanVariation(),
 		LeavingP99: Percentile(result.LeavingDelays, 99), InForceP99: Percentile(result.ActivationDelays, 99),
 		ControlMean: result.ControlMean, ControlPeak: result.ControlPeak, ControlSecond: result.ControlSecond, BytesByKind: result.BytesByKind,
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -39,8 +39,8 @@
 
 // runPolicy evaluates the policy on the reports as the deciding node sees them.
 func (sim *Simulation) runPolicy(damper *policy.Damper, history map[uint32][]int) {
-	decider := sim.policyNode()
-	if decider == nil || decider.core.Configuration() == nil {
+	policyNode := sim.policyNode()
+	if policyNode == nil || policyNode.core.Configuration() == nil {
 		return
 	}
 	outcomes := make(map[uint32]policy.Outcome)
@@ -69,10 +69,10 @@
 		return
 	}
 	sim.Result.WeightChanges++
-	configuration := decider.core.Configuration()
-	decider.core.SetDesired(decider.now(), configuration.GetRevision(),
+	configuration := policyNode.core.Configuration()
+	policyNode.core.SetDesired(policyNode.now(), configuration.GetRevision(),
 		compile.Rules(configuration, weights), compile.ClearedMarks(configuration))
-	decider.applyCoreOutput()
+	policyNode.applyCoreOutput()
 }
 
 // policyNode is the running node of the lowest ID.
@@ -92,9 +92,9 @@
 	history[backend.id] = append(history[backend.id], backend.openFlows)
 	lagReports := int(settings.Lag / reportInterval)
 	openCounts := history[backend.id]
-	open := openCounts[max(0, len(openCounts)-1-lagReports)]
+	openFlows := openCounts[max(0, len(openCounts)-1-lagReports)]
 	if backend.service.index == 0 && backendIndex < settings.MisreportingBackends {
 		return 0
 	}
-	return min(1, float64(open)/float64(settings.FullLoadFlows))
+	return min(1, float64(openFlows)/float64(settings.FullLoadFlows))
 }
--- a/internal/lab/property_test.go
+++ b/internal/lab/property_test.go
@@ -22,8 +22,8 @@
 	return settings
 }
 
-// actionDriver draws actions and applies those that are possible.
-type actionDriver struct {
+// driver draws actions and applies those that are possible.
+type driver struct {
 	t               *rapid.T
 	sim             *Simulation
 	drained         map[[2]int]bool
@@ -31,7 +31,7 @@
 	partitionedZone string
 }
 
-func (driver *actionDriver) advance() {
+func (driver *driver) advance() {
 	duration := time.Duration(rapid.IntRange(50, 6000).Draw(driver.t, "milliseconds")) * time.Millisecond
 	end := driver.sim.Clock.Now() + duration
 	for driver.sim.Clock.Now() < end {
@@ -40,28 +40,28 @@
 	}
 }
 
-func (driver *actionDriver) drawNode() string {
+func (driver *driver) drawNode() string {
 	return rapid.SampledFrom(driver.sim.Nodes()).Draw(driver.t, "node")
 }
 
-func (driver *actionDriver) toggleDrain() {
-	place := [2]int{0, rapid.IntRange(0, 4).Draw(driver.t, "backend")}
+func (driver *driver) toggleDrain() {
+	backend := [2]int{0, rapid.IntRange(0, 4).Draw(driver.t, "backend")}
 	switch {
-	case driver.drained[place]:
-		driver.sim.Undrain(place[0], place[1])
-		delete(driver.drained, place)
+	case driver.drained[backend]:
+		driver.sim.Undrain(backend[0], backend[1])
+		delete(driver.drained, backend)
 	case len(driver.drained) < 3:
-		driver.sim.Drain(place[0], place[1])
-		driver.drained[place] = true
+		driver.sim.Drain(backend[0], backend[1])
+		driver.drained[backend] = true
 	}
 }
 
-func (driver *actionDriver) setWeight() {
-	place := rapid.IntRange(0, 4).Draw(driver.t, "backend")
-	driver.sim.SetWeight(0, place, uint32(rapid.IntRange(1, 10).Draw(driver.t, "weight"))*10)
+func (driver *driver) setWeight() {
+	backend := rapid.IntRange(0, 4).Draw(driver.t, "backend")
+	driver.sim.SetWeight(0, backend, uint32(rapid.IntRange(1, 10).Draw(driver.t, "weight"))*10)
 }
 
-func (driver *actionDriver) replaceNode() {
+func (driver *driver) replaceNode() {
 	if len(driver.sim.Nodes()) < 6 {
 		return
 	}
@@ -70,20 +70,20 @@
 	driver.sim.StopNodeGracefully(id, 20*time.Second)
 }
 
-func (driver *actionDriver) killNode() {
+func (driver *driver) killNode() {
 	if len(driver.sim.Nodes()) < 5 || driver.pausedNode != "" || driver.partitionedZone != "" {
 		return
 	}
 	driver.sim.KillNode(driver.drawNode())
 }
 
-func (driver *actionDriver) startNode() {
+func (driver *driver) startNode() {
 	if len(driver.sim.Nodes()) < 9 {
 		driver.sim.StartNode(rapid.SampledFrom(driver.sim.settings.Zones).Draw(driver.t, "zone"))
 	}
 }
 
-func (driver *actionDriver) togglePause() {
+func (driver *driver) togglePause() {
 	if driver.pausedNode != "" {
 		if !driver.sim.nodesByID[driver.pausedNode].dead {
 			driver.sim.ResumeNode(driver.pausedNode)
@@ -95,7 +95,7 @@
 	driver.sim.PauseNode(driver.pausedNode)
 }
 
-func (driver *actionDriver) togglePartition() {
+func (driver *driver) togglePartition() {
 	if driver.partitionedZone != "" {
 		driver.sim.SetZonePartitioned(driver.partitionedZone, false)
 		driver.partitionedZone = ""
@@ -105,20 +105,20 @@
 	driver.sim.SetZonePartitioned(driver.partitionedZone, true)
 }
 
-func (driver *actionDriver) toggleStoreOutage() {
+func (driver *driver) toggleStoreOutage() {
 	driver.sim.SetStoreOutage(!driver.sim.store.down)
 }
 
-func newActionDriver(t *rapid.T) *actionDriver {
+func newDriver(t *rapid.T) *driver {
 	settings := smallSettings(rapid.Uint64().Draw(t, "seed"))
 	settings.Store.ResponseLoss = 0.3
-	driver := &actionDriver{t: t, sim: New(settings), drained: make(map[[2]int]bool)}
-	driver.sim.Clock.RunUntil(25 * time.Second)
-	return driver
+	d := &driver{t: t, sim: New(settings), drained: make(map[[2]int]bool)}
+	d.sim.Clock.RunUntil(25 * time.Second)
+	return d
 }
 
 // healAndConverge ends all faults and lets the group come to rest.
-func (driver *actionDriver) healAndConverge() {
+func (driver *driver) healAndConverge() {
 	if driver.pausedNode != "" && !driver.sim.nodesByID[driver.pausedNode].dead {
 		driver.sim.ResumeNode(driver.pausedNode)
 	}
@@ -147,7 +147,7 @@
 func TestPlannedChangesBreakNoFlow(t *testing.T) {
 	setRapidChecks(t, 12)
 	rapid.Check(t, func(t *rapid.T) {
-		driver := newActionDriver(t)
+		driver := newDriver(t)
 		actions := []func(){driver.toggleDrain, driver.setWeight, driver.replaceNode, driver.startNode, driver.toggleStoreOutage}
 		for range rapid.IntRange(4, 16).Draw(t, "actions") {
 			rapid.SampledFrom(actions).Draw(t, "action")()
@@ -163,7 +163,7 @@
 	setRapidChecks(t, 16)
 	broken, flows := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		driver := newActionDriver(t)
+		driver := newDriver(t)
 		actions := []func(){driver.toggleDrain, driver.setWeight, driver.replaceNode, driver.startNode, driver.toggleStoreOutage,
 			driver.killNode, driver.togglePause, driver.togglePartition}
 		for range rapid.IntRange(4, 16).Draw(t, "actions") {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -104,7 +104,7 @@
 	graph.Y.Min = 0
 	scenarios, methods, sums := sumByScenario(rows, value)
 	width := vg.Points(min(14, 500/float64(len(scenarios)*len(methods))))
-	for place, method := range methods {
+	for methodIndex, method := range methods {
 		values := make(plotter.Values, len(scenarios))
 		for index, scenario := range scenarios {
 			values[index] = sums[method][scenario]
@@ -113,9 +113,9 @@
 		if err != nil {
 			return nil, err
 		}
-		chart.Color = plotutil.Color(place)
+		chart.Color = plotutil.Color(methodIndex)
 		chart.LineStyle.Width = 0
-		chart.Offset = width * vg.Length(float64(place)-float64(len(methods)-1)/2)
+		chart.Offset = width * vg.Length(float64(methodIndex)-float64(len(methods)-1)/2)
 		graph.Add(chart)
 		graph.Legend.Add(method, chart)
 	}
@@ -143,9 +143,9 @@
 	graph.X.Label.Text = "seconds"
 	graph.Y.Label.Text = "maximum over mean"
 	graph.Legend.Top = true
-	place := 0
+	plotted := 0
 	for _, row := range rows {
-		if row.Algorithm != AlgorithmEpochs || row.User != rows[0].User || row.Seed != rows[0].Seed || place == 7 {
+		if row.Algorithm != AlgorithmEpochs || row.User != rows[0].User || row.Seed != rows[0].Seed || plotted == 7 {
 			continue
 		}
 		var points plotter.XYs
@@ -158,10 +158,10 @@
 		if err != nil {
 			return nil, err
 		}
-		line.Color = plotutil.Color(place)
+		line.Color = plotutil.Color(plotted)
 		graph.Add(line)
 		graph.Legend.Add(row.Scenario, line)
-		place++
+		plotted++
 	}
 	return graph, nil
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -11,8 +11,8 @@
 	Name string
 	// Planned scenarios must break no flow.
 	Planned bool
-	// Duration is the virtual time of the run.
-	Duration time.Duration
+	// SimulatedTime is the virtual time of the run.
+	SimulatedTime time.Duration
 	// Prepare changes the settings; it may be nil.
 	Prepare func(*Settings)
 	// ScheduleEvents plans the events.
@@ -33,28 +33,28 @@
 
 func plannedScenarios() []Scenario {
 	return []Scenario{
-		{Name: "quiet", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(*Simulation) {}},
-		{Name: "drain", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "quiet", Planned: true, SimulatedTime: 120 * seconds, ScheduleEvents: func(*Simulation) {}},
+		{Name: "drain", Planned: true, SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.Drain(0, 3) })
 		}},
-		{Name: "drain-steady", Planned: true, Duration: 300 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "drain-steady", Planned: true, SimulatedTime: 300 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(200*seconds, func() { sim.Drain(0, 3) })
 		}},
-		{Name: "drain-and-undrain", Planned: true, Duration: 150 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "drain-and-undrain", Planned: true, SimulatedTime: 150 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.Drain(0, 3) })
 			sim.Schedule(60*seconds, func() { sim.Drain(0, 7) })
 			sim.Schedule(80*seconds, func() { sim.Undrain(0, 3) })
 		}},
-		{Name: "planned-stop", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "planned-stop", Planned: true, SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.StartNode(sim.settings.Zones[0]) })
 			sim.Schedule(41*seconds, func() { sim.StopNodeGracefully(sim.Nodes()[0], 20*seconds) })
 		}},
-		{Name: "weights", Planned: true, Duration: 150 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "weights", Planned: true, SimulatedTime: 150 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.SetWeight(0, 1, 50) })
 			sim.Schedule(60*seconds, func() { sim.SetWeight(0, 5, 30) })
 			sim.Schedule(80*seconds, func() { sim.SetWeight(0, 1, 100) })
 		}},
-		{Name: "replace-all-nodes", Planned: true, Duration: 240 * seconds, Prepare: func(settings *Settings) {
+		{Name: "replace-all-nodes", Planned: true, SimulatedTime: 240 * seconds, Prepare: func(settings *Settings) {
 			settings.Services[0].MeanFlowDuration = time.Hour
 		}, ScheduleEvents: func(sim *Simulation) {
 			for index, id := range sim.Nodes() {
@@ -63,33 +63,33 @@
 				sim.Schedule(at+2*seconds, func() { sim.StopNodeGracefully(id, 20*seconds) })
 			}
 		}},
-		{Name: "racing-operators", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "racing-operators", Planned: true, SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			for attempt := range 10 {
 				at := 40*seconds + time.Duration(attempt)*300*time.Millisecond
 				sim.Schedule(at, func() { sim.SetWeight(0, 2, uint32(50+5*attempt)) })
 				sim.Schedule(at, func() { sim.SetWeight(0, 2, uint32(100-5*attempt)) })
 			}
 		}},
-		{Name: "store-down-10-minutes", Planned: true, Duration: 720 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "store-down-10-minutes", Planned: true, SimulatedTime: 720 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.SetStoreOutage(true) })
 			sim.Schedule(60*seconds, func() { sim.DrainByMark(0, 3, sim.Nodes()[1]) })
 			sim.Schedule(120*seconds, func() { sim.StartNode(sim.settings.Zones[1]) })
 			sim.Schedule(640*seconds, func() { sim.SetStoreOutage(false) })
 			sim.Schedule(650*seconds, func() { sim.drainInStore(0, 3) })
 		}},
-		{Name: "store-answers-lost", Planned: true, Duration: 150 * seconds, Prepare: func(settings *Settings) {
+		{Name: "store-answers-lost", Planned: true, SimulatedTime: 150 * seconds, Prepare: func(settings *Settings) {
 			settings.Store.ResponseLoss = 0.5
 		}, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.Drain(0, 3) })
 			sim.Schedule(60*seconds, func() { sim.SetWeight(0, 5, 30) })
 			sim.Schedule(80*seconds, func() { sim.Drain(0, 8) })
 		}},
-		{Name: "address-moves", Planned: true, Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "address-moves", Planned: true, SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.PauseNode(sim.Nodes()[2]) })
 			sim.Schedule(41*seconds, sim.MoveAddress)
 			sim.Schedule(60*seconds, func() { sim.ResumeNode(sim.Nodes()[2]) })
 		}},
-		{Name: "cold-start", Planned: true, Duration: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "cold-start", Planned: true, SimulatedTime: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.AddBackend(0, 30) })
 			sim.Schedule(70*seconds, func() { sim.SetWeight(0, 14, 100) })
 		}},
@@ -98,28 +98,28 @@
 
 func faultScenarios() []Scenario {
 	return []Scenario{
-		{Name: "kill", Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "kill", SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.KillNode(sim.Nodes()[0]) })
 			sim.Schedule(50*seconds, func() { sim.StartNode(sim.settings.Zones[0]) })
 		}},
-		{Name: "kill-during-drain", Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "kill-during-drain", SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.Drain(0, 3) })
 			sim.Schedule(40*seconds+200*time.Millisecond, func() { sim.KillNode(sim.Nodes()[0]) })
 			sim.Schedule(60*seconds, func() { sim.StartNode(sim.settings.Zones[0]) })
 		}},
-		{Name: "pause", Duration: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "pause", SimulatedTime: 120 * seconds, ScheduleEvents: func(sim *Simulation) {
 			id := sim.Nodes()[2]
 			sim.Schedule(40*seconds, func() { sim.PauseNode(id) })
 			sim.Schedule(45*seconds, func() { sim.Drain(0, 3) })
 			sim.Schedule(55*seconds, func() { sim.ResumeNode(id) })
 		}},
-		{Name: "zone-cut", Duration: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "zone-cut", SimulatedTime: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
 			zone := sim.settings.Zones[1]
 			sim.Schedule(40*seconds, func() { sim.SetZonePartitioned(zone, true) })
 			sim.Schedule(60*seconds, func() { sim.Drain(0, 3) })
 			sim.Schedule(100*seconds, func() { sim.SetZonePartitioned(zone, false) })
 		}},
-		{Name: "zone-lost", Duration: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "zone-lost", SimulatedTime: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
 			zone := sim.settings.Zones[1]
 			sim.Schedule(40*seconds, func() {
 				for _, id := range sim.Nodes() {
@@ -131,7 +131,7 @@
 			sim.Schedule(60*seconds, func() { sim.Drain(0, 3) })
 			sim.Schedule(90*seconds, func() { sim.StartNode(zone); sim.StartNode(zone) })
 		}},
-		{Name: "kill-during-store-outage", Duration: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "kill-during-store-outage", SimulatedTime: 180 * seconds, ScheduleEvents: func(sim *Simulation) {
 			sim.Schedule(40*seconds, func() { sim.SetStoreOutage(true) })
 			sim.Schedule(50*seconds, func() { sim.KillNode(sim.Nodes()[0]) })
 			sim.Schedule(60*seconds, func() { sim.DrainByMark(0, 3, sim.Nodes()[1]) })
@@ -139,7 +139,7 @@
 			sim.Schedule(120*seconds, func() { sim.SetStoreOutage(false) })
 			sim.Schedule(122*seconds, func() { sim.drainInStore(0, 3) })
 		}},
-		{Name: "pause-during-planned-stop", Duration: 150 * seconds, ScheduleEvents: func(sim *Simulation) {
+		{Name: "pause-during-planned-stop", SimulatedTime: 150 * seconds, ScheduleEvents: func(sim *Simulation) {
 			stopped, paused := sim.Nodes()[0], sim.Nodes()[4]
 			sim.Schedule(40*seconds, func() { sim.PauseNode(paused) })
 			sim.Schedule(40*seconds, func() { sim.StopNodeGracefully(stopped, 20*seconds) })
@@ -162,7 +162,7 @@
 	}
 	sim := New(settings)
 	scenario.ScheduleEvents(sim)
-	for sim.Clock.Now() < scenario.Duration {
+	for sim.Clock.Now() < scenario.SimulatedTime {
 		sim.Clock.RunUntil(sim.Clock.Now() + 100*time.Millisecond)
 		if err := sim.CheckInvariants(); err != nil && settings.Algorithm == AlgorithmEpochs {
 			sim.Result.Violation = err.Error()
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -81,8 +81,8 @@
 	Reports ReportSettings
 }
 
-// ScaleFlows multiplies the flows of all services.
-func (settings Settings) ScaleFlows(factor float64) Settings {
+// Scale multiplies the flows of all services.
+func (settings Settings) Scale(factor float64) Settings {
 	services := append([]ServiceSettings(nil), settings.Services...)
 	for index := range services {
 		services[index].ArrivalRate *= factor
@@ -95,15 +95,15 @@
 // DarAlWarraqSettings are the sizes of Dar al-Warraq Lending House: three zones, 14
 // and 4 back ends of about 2,000 connections each.
 func DarAlWarraqSettings(seed uint64) Settings {
-	return twoServices(seed, []string{"maadi", "nasr", "giza"}, "lending", "covers", time.Millisecond)
+	return twoServiceSettings(seed, []string{"maadi", "nasr", "giza"}, "lending", "covers", time.Millisecond)
 }
 
 // KayalpathSettings are the sizes of Kayalpath Ticketing Edge.
 func KayalpathSettings(seed uint64) Settings {
-	return twoServices(seed, []string{"ernakulam", "vyttila", "kakkanad"}, "booking", "timetables", 3*time.Millisecond)
+	return twoServiceSettings(seed, []string{"ernakulam", "vyttila", "kakkanad"}, "booking", "timetables", 3*time.Millisecond)
 }
 
-func twoServices(seed uint64, zones []string, largeService, smallService string, clientDelay time.Duration) Settings {
+func twoServiceSettings(seed uint64, zones []string, largeService, smallService string, clientDelay time.Duration) Settings {
 	return Settings{
 		Seed:         seed,
 		Algorithm:    AlgorithmEpochs,
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -38,7 +38,7 @@
 
 // Result is what a run has measured.
 type Result struct {
-	Flows, Established, Completed, NeverEstablished, Refused int
+	Flows, Established, Completed, Unopened, Refused int
 	// Broken counts broken flows by cause; BrokenWeighted counts those with a
 	// Return Notice or purchase double.
 	Broken         map[string]int
@@ -218,7 +218,7 @@
 // running nodes.
 func (sim *Simulation) recordActivation() {
 	revision := sim.store.configuration.GetRevision()
-	acceptedAt, pending := sim.acceptedAt[revision]
+	acceptTime, pending := sim.acceptedAt[revision]
 	if !pending {
 		return
 	}
@@ -229,7 +229,7 @@
 	}
 	delete(sim.acceptedAt, revision)
 	if revision > 1 {
-		sim.Result.ActivationDelays = append(sim.Result.ActivationDelays, sim.Clock.Now()-acceptedAt)
+		sim.Result.ActivationDelays = append(sim.Result.ActivationDelays, sim.Clock.Now()-acceptTime)
 	}
 }
 
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -18,8 +18,8 @@
 	down bool
 	// writes and conflicts count compare-and-swaps.
 	writes, conflicts int
-	// groupLivenessCount counts the changes of the group's sign of life.
-	groupLivenessCount uint64
+	// groupLiveness counts the changes of the group's sign of life.
+	groupLiveness uint64
 	// extraDelay is added to every answer.
 	extraDelay time.Duration
 }
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -28,7 +28,7 @@
 
 // packet is one packet on its way.
 type packet struct {
-	conn     *connection
+	flow     *connection
 	flags    router.PacketFlags
 	attempts int
 	// delivered is shared by the copies of a packet.
@@ -102,20 +102,20 @@
 	}
 	if attempts >= maxSYNAttempts {
 		conn.ended = true
-		sim.Result.NeverEstablished++
+		sim.Result.Unopened++
 		return
 	}
-	sim.spray(packet{conn: conn, flags: router.PacketOpens, delivered: new(bool)})
+	sim.spray(packet{flow: conn, flags: router.PacketOpens, delivered: new(bool)})
 	sim.Clock.After(initialSYNTimeout<<attempts, func() { sim.sendSYN(conn, attempts+1) })
 }
 
 // sendData sends a packet of an open flow until it arrives.
 func (sim *Simulation) sendData(pkt packet) {
-	if pkt.conn.ended || *pkt.delivered {
+	if pkt.flow.ended || *pkt.delivered {
 		return
 	}
 	if pkt.attempts >= maxDataAttempts {
-		sim.breakFlow(pkt.conn, "stalled")
+		sim.breakFlow(pkt.flow, "stalled")
 		return
 	}
 	sim.spray(pkt)
@@ -128,7 +128,7 @@
 func (sim *Simulation) spray(pkt packet) {
 	candidates := sim.fabric[:0:0]
 	for _, node := range sim.fabric {
-		if !sim.partitioned(pkt.conn.zone, node.zone) {
+		if !sim.partitioned(pkt.flow.zone, node.zone) {
 			candidates = append(candidates, node)
 		}
 	}
@@ -141,7 +141,7 @@
 
 // receiveAtBackend is a packet at a back end: the place where the promises are checked.
 func (sim *Simulation) receiveAtBackend(target *backend, pkt packet) {
-	conn := pkt.conn
+	conn := pkt.flow
 	if target.service != conn.service {
 		sim.Result.WrongService++
 	}
@@ -207,7 +207,7 @@
 		if conn.ended {
 			return
 		}
-		next := packet{conn: conn, delivered: new(bool)}
+		next := packet{flow: conn, delivered: new(bool)}
 		if sim.Clock.Now() >= conn.endsAt {
 			next.flags = router.PacketCloses
 			sim.sendData(next)
@@ -247,7 +247,7 @@
 
 // refuseFlow is a RST to a SYN that was forwarded to nobody.
 func (sim *Simulation) refuseFlow(pkt packet) {
-	conn := pkt.conn
+	conn := pkt.flow
 	if conn.acceptedBy != nil {
 		sim.Result.RefusedAfterAccept++
 	}
