--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -7,8 +7,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// baseline decides by one of the methods this design is compared with. Each
-// node follows the newest configuration it has.
+// baseline routes packets with one of the algorithms that epochs are compared
+// with. Each node applies a configuration as soon as it receives it.
 type baseline struct {
 	algorithm Algorithm
 	node      *node
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -9,7 +9,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/flowtable"
 )
 
-// Nodes returns the IDs of the nodes that run, in the order of their start.
+// Nodes returns the IDs of the nodes that have not been killed or stopped, in the
+// order of their start. Paused nodes are included.
 func (sim *Simulation) Nodes() []string {
 	var ids []string
 	for _, node := range sim.nodes {
@@ -20,7 +21,8 @@
 	return ids
 }
 
-// KillNode ends a node without notice. The fabric notices after its delay.
+// KillNode ends a node without notice. The fabric stops sending packets to it
+// after its convergence time.
 func (sim *Simulation) KillNode(id string) {
 	node := sim.nodesByID[id]
 	node.dead = true
@@ -37,7 +39,8 @@
 	sim.fabric = remaining
 }
 
-// StartNode adds a node in a zone; the fabric uses it after its delay.
+// StartNode adds a node in a zone and returns its ID. The fabric sends packets to
+// it after its convergence time.
 func (sim *Simulation) StartNode(zone string) string {
 	added := sim.addNode(zone)
 	sim.Clock.After(sim.settings.FabricConvergenceTime, func() {
@@ -48,29 +51,30 @@
 	return added.id
 }
 
-// StopNodeGracefully stops a node as planned: it announces, hands over, and ends when
-// no epoch names it any more, or after the limit.
+// StopNodeGracefully stops a node as planned: the node announces that it leaves,
+// hands over its state, and ends when no epoch lists it any more, or when the
+// limit has passed.
 func (sim *Simulation) StopNodeGracefully(id string, limit time.Duration) {
 	node := sim.nodesByID[id]
 	node.core.Leave(node.now())
 	node.applyCoreOutput()
 	sim.removeFromFabric(node)
 	deadline := sim.Clock.Now() + limit
-	var wait func()
-	wait = func() {
+	var waitForStop func()
+	waitForStop = func() {
 		if node.dead || node.core.CanStop() || sim.Clock.Now() >= deadline {
 			node.dead = true
 			return
 		}
-		sim.Clock.After(100*time.Millisecond, wait)
+		sim.Clock.After(100*time.Millisecond, waitForStop)
 	}
-	sim.Clock.After(time.Second, wait)
+	sim.Clock.After(time.Second, waitForStop)
 }
 
-// PauseNode stops a node's processor, as SIGSTOP does.
+// PauseNode suspends a node, as SIGSTOP suspends a process.
 func (sim *Simulation) PauseNode(id string) { sim.nodesByID[id].paused = true }
 
-// ResumeNode lets a paused node go on.
+// ResumeNode resumes a paused node.
 func (sim *Simulation) ResumeNode(id string) { sim.nodesByID[id].resume() }
 
 // SetStoreOutage starts or ends an outage of the store.
@@ -81,12 +85,14 @@
 	}
 }
 
-// SetZonePartitioned cuts a zone off from the others, or heals the cut.
+// SetZonePartitioned partitions the network between a zone and all others, or
+// ends the partition.
 func (sim *Simulation) SetZonePartitioned(zone string, partitioned bool) {
 	sim.partitionedZones[zone] = partitioned
 }
 
-// Drain makes a back end leave, through the store.
+// Drain marks a back end as leaving in the configuration, which the nodes read
+// from the store.
 func (sim *Simulation) Drain(serviceIndex, backendIndex int) {
 	target := sim.services[serviceIndex].backends[backendIndex]
 	target.leavingAt = sim.Clock.Now()
@@ -95,7 +101,8 @@
 	})
 }
 
-// DrainByMark makes a back end leave through one node, without the store.
+// DrainByMark drains a back end with a leaving mark that one node creates and
+// passes on to the others, without the store.
 func (sim *Simulation) DrainByMark(serviceIndex, backendIndex int, id string) {
 	target := sim.services[serviceIndex].backends[backendIndex]
 	target.leavingAt = sim.Clock.Now()
@@ -104,7 +111,8 @@
 	node.applyCoreOutput()
 }
 
-// Undrain ends a drain.
+// Undrain ends the drain of a back end. It also clears leaving marks up to the
+// highest incarnation that any node has.
 func (sim *Simulation) Undrain(serviceIndex, backendIndex int) {
 	target := sim.services[serviceIndex].backends[backendIndex]
 	target.leavingAt = 0
@@ -123,38 +131,38 @@
 	})
 }
 
-// SetWeight sets a back end's weight, 1 to 1000.
+// SetWeight sets a back end's weight in the configuration, from 1 to 1000.
 func (sim *Simulation) SetWeight(serviceIndex, backendIndex int, weight uint32) {
 	sim.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services[serviceIndex].Backends[backendIndex].Slots = weight
 	})
 }
 
-// AddBackend adds a back end with a weight to a service.
+// AddBackend adds a back end with the given weight to a service.
 func (sim *Simulation) AddBackend(serviceIndex int, weight uint32) {
 	service := sim.services[serviceIndex]
-	number := sim.store.configuration.GetNextBackendId()
+	backendID := sim.store.configuration.GetNextBackendId()
 	zone := sim.settings.Zones[len(service.backends)%len(sim.settings.Zones)]
 	added := &backend{
-		id:        number,
+		id:        backendID,
 		name:      fmt.Sprintf("%s-%d", service.settings.Name, len(service.backends)),
 		zone:      zone,
 		service:   service,
 		startedAt: sim.Clock.Now(),
 	}
 	service.backends = append(service.backends, added)
-	sim.backends[number] = added
+	sim.backends[backendID] = added
 	sim.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.NextBackendId++
 		definition := configuration.Services[serviceIndex]
 		definition.Backends = append(definition.Backends,
-			&apiv1.Backend{Id: number, Name: added.name, Zone: zone, Slots: weight})
+			&apiv1.Backend{Id: backendID, Name: added.name, Zone: zone, Slots: weight})
 	})
 }
 
-// MoveAddress deletes the last service and gives its address to a new one with
-// the back ends of the first service, when the release has settled. Flows of
-// the deleted service end with it.
+// MoveAddress deletes the last service and closes its flows. When the epoch
+// without that service has settled, it assigns the service's address to a new
+// service with two new back ends.
 func (sim *Simulation) MoveAddress() {
 	last := len(sim.services) - 1
 	oldService := sim.services[last]
@@ -167,25 +175,25 @@
 	sim.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services = configuration.Services[:last]
 	})
-	released := sim.store.configuration.GetRevision()
-	var wait func()
-	wait = func() {
-		if sim.SettledRevision() < released {
-			sim.Clock.After(100*time.Millisecond, wait)
+	releaseRevision := sim.store.configuration.GetRevision()
+	var waitForRelease func()
+	waitForRelease = func() {
+		if sim.SettledRevision() < releaseRevision {
+			sim.Clock.After(100*time.Millisecond, waitForRelease)
 			return
 		}
 		sim.reuseAddress(oldService)
 	}
-	wait()
+	waitForRelease()
 }
 
 func (sim *Simulation) reuseAddress(oldService *service) {
 	newService := &service{settings: oldService.settings, address: oldService.address, index: len(sim.services)}
 	newService.settings.Name = "successor"
 	definition := &apiv1.Service{Name: "successor", Port: 80, Address: fmt.Sprintf("10.200.%d.%d", oldService.index>>8, byte(oldService.index+1))}
-	number := sim.store.configuration.GetNextBackendId()
+	firstID := sim.store.configuration.GetNextBackendId()
 	for backendIndex := range 2 {
-		added := &backend{id: number + uint32(backendIndex), name: fmt.Sprintf("successor-%d", backendIndex),
+		added := &backend{id: firstID + uint32(backendIndex), name: fmt.Sprintf("successor-%d", backendIndex),
 			zone: sim.settings.Zones[backendIndex], service: newService, startedAt: sim.Clock.Now()}
 		newService.backends = append(newService.backends, added)
 		sim.backends[added.id] = added
@@ -202,12 +210,12 @@
 // OpenFlows returns the number of open flows.
 func (sim *Simulation) OpenFlows() int { return len(sim.openFlows) }
 
-// FillFlowTables puts so many flows of the first service into every node's table, as if
-// all nodes had seen packets of all of them.
+// FillFlowTables adds count flows of the first service to the flow table of every
+// node, as if every node had seen packets of all of them.
 func (sim *Simulation) FillFlowTables(count int) {
 	address := sim.services[0].address
-	for number := range count {
-		key := flow.Key{Source: [4]byte{11, byte(number >> 16), byte(number >> 8), byte(number)}, SourcePort: 2000,
+	for index := range count {
+		key := flow.Key{Source: [4]byte{11, byte(index >> 16), byte(index >> 8), byte(index)}, SourcePort: 2000,
 			Destination: address.IP, DestinationPort: address.Port, Protocol: address.Protocol}
 		hash := key.Hash()
 		for _, node := range sim.nodes {
@@ -218,7 +226,8 @@
 	}
 }
 
-// ControlBytesSent is the control traffic of all nodes since the start of the run.
+// ControlBytesSent returns the bytes of control traffic that all nodes have sent
+// since the start of the run.
 func (sim *Simulation) ControlBytesSent() uint64 {
 	total := uint64(0)
 	for _, node := range sim.nodes {
@@ -229,13 +238,14 @@
 	return total
 }
 
-// SettledRevision is the configuration of the settled epoch in the store.
+// SettledRevision returns the configuration revision of the settled epoch in the
+// store.
 func (sim *Simulation) SettledRevision() uint64 {
 	return sim.store.document.GetSettled().GetConfigurationRevision()
 }
 
-// StoreWrites is the number of writes of the document.
+// StoreWrites returns the number of successful writes of the document.
 func (sim *Simulation) StoreWrites() int { return sim.store.writes }
 
-// ZoneOf is the zone of a node.
+// ZoneOf returns the zone of a node.
 func (sim *Simulation) ZoneOf(id string) string { return sim.nodesByID[id].zone }
--- a/internal/lab/guard_test.go
+++ b/internal/lab/guard_test.go
@@ -9,8 +9,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/core"
 )
 
-// newGuardSimulation is a run that meets every guard: drains, new weights, replaced
-// nodes, resent SYNs and lost messages.
+// newGuardSimulation returns a simulation with the settings of guardSettings.
 func newGuardSimulation(seed uint64, disabled core.Guard) *Simulation {
 	return New(guardSettings(seed, disabled))
 }
@@ -23,7 +22,9 @@
 	return settings
 }
 
-// schedulePlannedChanges must break no flow with all guards in place.
+// schedulePlannedChanges schedules drains, new weights and replaced nodes. Together
+// with the retransmitted SYNs and lost messages of guardSettings they exercise the
+// guards; no flow may break while all guards are enabled.
 func schedulePlannedChanges(sim *Simulation) {
 	sim.Schedule(30*seconds, func() { sim.Drain(0, 1) })
 	sim.Schedule(40*seconds, func() { sim.SetWeight(0, 2, 40) })
@@ -34,7 +35,8 @@
 	sim.Schedule(92*seconds, func() { sim.StartNode("nasr") })
 }
 
-// scheduleKeeperLoss loses one keeper right after a change; the other has a copy.
+// scheduleKeeperLoss kills one keeper soon after a change; the other keeper has a
+// copy of its records.
 func scheduleKeeperLoss(sim *Simulation) {
 	sim.Schedule(30*seconds, func() { sim.SetStoreOutage(true) })
 	sim.Schedule(31*seconds, func() { sim.DrainByMark(0, 1, sim.Nodes()[0]) })
@@ -42,7 +44,7 @@
 	sim.Schedule(47*seconds, func() { sim.StartNode("giza") })
 }
 
-// schedulePause lets a node sleep while the rule changes twice.
+// schedulePause pauses a node while the rule changes twice.
 func schedulePause(sim *Simulation) {
 	id := sim.Nodes()[3]
 	sim.Schedule(30*seconds, func() { sim.PauseNode(id) })
@@ -51,7 +53,7 @@
 	sim.Schedule(52*seconds, func() { sim.ResumeNode(id) })
 }
 
-// schedulePartition cuts a zone off while the rule changes.
+// schedulePartition partitions a zone while the rule changes.
 func schedulePartition(sim *Simulation) {
 	sim.Schedule(30*seconds, func() { sim.SetZonePartitioned("nasr", true) })
 	sim.Schedule(36*seconds, func() { sim.SetWeight(0, 1, 20) })
@@ -86,8 +88,8 @@
 	return total
 }
 
-// TestRemovingGuardBreaksFlows is the red and the green run of each promise: with all
-// guards a run breaks nothing, and with one removed it does.
+// TestRemovingGuardBreaksFlows checks that a run has no broken flow and no
+// violation with all guards enabled, and has some with any one guard disabled.
 func TestRemovingGuardBreaksFlows(t *testing.T) {
 	runs := []struct {
 		name           string
@@ -113,8 +115,8 @@
 	}
 }
 
-// TestRejoinGuardLimitsBrokenFlows: a cut may break flows when it heals, but far fewer with the
-// guard than without it.
+// TestRejoinGuardLimitsBrokenFlows checks that the end of a partition, which may
+// break flows, breaks fewer than half as many with the guard as without it.
 func TestRejoinGuardLimitsBrokenFlows(t *testing.T) {
 	withGuards := countViolations(t, schedulePartition, 0)
 	found := countViolations(t, schedulePartition, core.GuardRejoin)
@@ -122,8 +124,9 @@
 	require.Greater(t, found, 2*withGuards)
 }
 
-// TestPublishGuardPreventsCompetingWriters: with the store in reach of both sides of a cut, only the
-// guard keeps the sides from publishing against each other.
+// TestPublishGuardPreventsCompetingWriters checks a partition whose two sides both
+// reach the store: without the guard, both sides keep publishing documents that
+// replace those of the other side.
 func TestPublishGuardPreventsCompetingWriters(t *testing.T) {
 	versions := make(map[core.Guard]uint64)
 	for _, disabled := range []core.Guard{0, core.GuardPublish} {
--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -8,13 +8,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// watermark is the newest state that a node has shown.
+// watermark holds the newest versions that a node has reached.
 type watermark struct {
 	document, configuration, activeRevision uint64
 }
 
-// CheckInvariants returns the first promise that does not hold now. Broken flows are
-// counted in the Result instead, since some faults make them unavoidable.
+// CheckInvariants returns an error for the first invariant that is violated now.
+// Broken flows are counted in the Result instead, since some faults make them
+// unavoidable.
 func (sim *Simulation) CheckInvariants() error {
 	if sim.Result.WrongService > 0 {
 		return errors.Newf("%d packets reached a back end of another service", sim.Result.WrongService)
@@ -28,7 +29,8 @@
 	return sim.checkLevels()
 }
 
-// checkMonotonic checks that no node goes back.
+// checkMonotonic checks that no node returns to an older document, configuration
+// or active revision.
 func (sim *Simulation) checkMonotonic() error {
 	if sim.watermarks == nil {
 		sim.watermarks = make(map[string]watermark)
@@ -51,15 +53,16 @@
 	return nil
 }
 
-// level orders the states that a node passes through: flipped and the settled
-// state after it are one level, since they decide alike.
+// level numbers the states that a node passes through in order. The flipped
+// phase and the settled state after it are the same level, since a node decides
+// alike in both.
 func (node *node) level() uint64 {
 	view := node.router.View()
 	return 3*view.Settled.Number + uint64(view.Phase)
 }
 
-// checkLevels checks that two nodes which trust their views are never more than
-// one level apart; package core explains why that is enough.
+// checkLevels checks that any two nodes that trust their views are at most one
+// level apart; package core explains why that is sufficient.
 func (sim *Simulation) checkLevels() error {
 	var lowest, highest *node
 	for _, node := range sim.nodes {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,8 +9,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/core"
 )
 
-// TestLeavingMarkWithRetransmittedSYN: a back end is marked during a store outage while many
-// SYNs come again through other nodes.
+// TestLeavingMarkWithRetransmittedSYN checks that no flow reaches a second back end
+// when back ends are marked as leaving during a store outage while many SYNs are
+// retransmitted through other nodes.
 func TestLeavingMarkWithRetransmittedSYN(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := smallSettings(seed + 1)
@@ -48,7 +49,8 @@
 	require.Zero(t, result.TotalBroken())
 }
 
-// TestWholeGroupReplaced: all nodes die at once and others take their place.
+// TestWholeGroupReplaced checks that new nodes apply configurations after all
+// nodes of the group were killed at once.
 func TestWholeGroupReplaced(t *testing.T) {
 	sim := New(smallSettings(1))
 	sim.Clock.RunUntil(30 * time.Second)
@@ -71,8 +73,8 @@
 	}
 }
 
-// TestLongPartitionHeals: a zone that is cut off longer than the others remember its
-// nodes is taken back.
+// TestLongPartitionHeals checks that the nodes of a zone rejoin the group after a
+// partition that lasts longer than the other nodes remember them.
 func TestLongPartitionHeals(t *testing.T) {
 	sim := New(smallSettings(1))
 	sim.Schedule(30*time.Second, func() { sim.SetZonePartitioned("nasr", true) })
@@ -87,8 +89,8 @@
 	}
 }
 
-// TestKillDuringDrain: a keeper that dies while a back end leaves takes no
-// record with it, since the other keeper has a copy.
+// TestKillDuringDrain checks that no record is lost when a keeper is killed while a
+// back end leaves, since the other keeper has a copy.
 func TestKillDuringDrain(t *testing.T) {
 	for seed := range uint64(6) {
 		settings := smallSettings(seed + 1)
@@ -105,7 +107,8 @@
 	}
 }
 
-// runAddressMove lets an address go to another service while a node sleeps.
+// runAddressMove assigns the address of a service to another service while a node
+// is paused.
 func runAddressMove(disabled core.Guard) *Simulation {
 	settings := smallSettings(1)
 	settings.Services[1].ArrivalRate = 60
@@ -118,8 +121,9 @@
 	return sim
 }
 
-// TestAddressReuse: no packet for the new service reaches a back end of the old
-// one, and it does when a node that slept trusts its old view.
+// TestAddressReuse checks that no packet for the new service reaches a back end of
+// the old one. Without the contact guard, a resumed node trusts its old view and
+// sends packets there.
 func TestAddressReuse(t *testing.T) {
 	sim := runAddressMove(0)
 	require.NoError(t, sim.CheckInvariants())
@@ -128,8 +132,8 @@
 	require.Positive(t, runAddressMove(core.GuardContact).Result.WrongService, "without contact")
 }
 
-// TestNewNodeAppliesLeavingMarks: a node that starts during an outage of the store sends
-// no new flow to a back end that has been leaving for long.
+// TestNewNodeAppliesLeavingMarks checks that a node that starts during a store
+// outage sends no new flow to a back end that has long been leaving.
 func TestNewNodeAppliesLeavingMarks(t *testing.T) {
 	settings := smallSettings(1)
 	settings.Services[0].ArrivalRate = 200
--- a/internal/lab/loadtrust.go
+++ b/internal/lab/loadtrust.go
@@ -8,7 +8,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/policy"
 )
 
-// LoadTrustRow is the outcome of one experiment on load trust.
+// LoadTrustRow holds the results of one experiment on load trust.
 type LoadTrustRow struct {
 	Reports         string
 	Trust           float64
@@ -19,7 +19,8 @@
 	Broken          int
 }
 
-// reportCondition is how honest the back ends' reports are.
+// reportCondition describes how accurate and recent the back ends' reports are,
+// and when a new back end is added, if at all.
 type reportCondition struct {
 	name                 string
 	lag                  time.Duration
@@ -27,8 +28,8 @@
 	addBackendAt         time.Duration
 }
 
-// RunLoadTrust measures what load trust does to imbalance under honest, lagging and
-// lying reports, and when a back end starts cold.
+// RunLoadTrust measures the effect of load trust on imbalance with correct, lagging
+// and false reports, and when a newly started back end is added.
 func RunLoadTrust(seed uint64, scale float64) ([]LoadTrustRow, error) {
 	conditions := []reportCondition{
 		{name: "honest"},
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -15,7 +15,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// node is one balancer of the model: the real core and router, with modelled
+// node is one simulated balancer: it runs the real core and router, with modeled
 // sockets.
 type node struct {
 	sim    *Simulation
@@ -25,8 +25,9 @@
 	router *router.Router
 	dead   bool
 	paused bool
-	// inbox holds what arrived while the node was paused; traffic comes first,
-	// as the traffic goroutines may run before the control goroutine.
+	// pausedPackets and pausedMessages hold what arrived while the node was
+	// paused. The packets are handled first, since in a real node the traffic
+	// goroutines may run before the control goroutine.
 	pausedPackets     []func()
 	pausedMessages    []func()
 	queuedPackets     map[flow.Key][]packet
@@ -36,17 +37,19 @@
 	bytesByKind       map[string]uint64
 	controlRates      []float64
 	groupLiveness     uint64
-	// weightsDocumentVersion is the document whose weights the node wants.
+	// weightsDocumentVersion is the version of the document whose weights the
+	// node last set as desired.
 	weightsDocumentVersion uint64
 	startedAt              time.Duration
 	acceptedAt             map[uint64]time.Duration
 }
 
-// maxQueuedPackets bounds the packets that wait for an answer of the keepers.
+// maxQueuedPackets bounds the packets of a node that wait for the keepers'
+// response to a lookup; further packets are dropped.
 const maxQueuedPackets = 2048
 
-// envelopeOverhead approximates the bytes that framing and the network add to
-// a message between nodes.
+// envelopeOverhead is the approximate number of bytes that framing and the
+// network add to a message between nodes.
 const envelopeOverhead = 24
 
 func (sim *Simulation) addNode(zone string) *node {
@@ -64,11 +67,11 @@
 		acceptedAt:    make(map[uint64]time.Duration),
 	}
 	member := &apiv1.Member{Id: id, Zone: zone, PeerAddress: id, Incarnation: uint64(sim.Clock.Milliseconds()) + 1}
-	control, err := core.New(sim.settings.Core, member, table)
+	nodeCore, err := core.New(sim.settings.Core, member, table)
 	if err != nil {
 		panic(err)
 	}
-	added.core = control
+	added.core = nodeCore
 	added.baseline = newBaseline(sim.settings.Algorithm, added)
 	sim.nodes = append(sim.nodes, added)
 	sim.nodesByID[id] = added
@@ -81,7 +84,8 @@
 
 func (node *node) running() bool { return !node.dead && !node.paused }
 
-// addPeers stands for the seeds and the platform's machine list.
+// addPeers makes all other running nodes known to the core, in place of the seeds
+// and the platform's machine list.
 func (node *node) addPeers() {
 	for _, other := range node.sim.nodes {
 		if other != node && !other.dead {
@@ -101,14 +105,15 @@
 	node.sim.Clock.After(node.sim.settings.TickInterval, node.tick)
 }
 
-// canReachStore reports whether the store answers the node; a zone that is cut
-// off does not reach it.
+// canReachStore reports whether the node can reach the store. Nodes of a
+// partitioned zone cannot, unless the settings say otherwise.
 func (node *node) canReachStore() bool {
 	reachable := !node.sim.partitionedZones[node.zone] || node.sim.settings.Store.ReachableWhenPartitioned
 	return reachable && !node.sim.store.down
 }
 
-// pollGroupLiveness reads the group's sign of life now and then.
+// pollGroupLiveness reads the group liveness key from the store every
+// livenessPollInterval and reports changes of it to the core.
 func (node *node) pollGroupLiveness() {
 	if node.dead {
 		return
@@ -124,7 +129,8 @@
 
 func (node *node) now() uint32 { return node.sim.Clock.Milliseconds() }
 
-// readStore reads both values after the store's delay.
+// readStore reads the document and the configuration after a round trip to the
+// store.
 func (node *node) readStore() {
 	sim := node.sim
 	sim.Clock.After(2*sim.settings.Store.Delay, func() {
@@ -139,7 +145,8 @@
 	})
 }
 
-// applyCoreOutput carries out what the core wants done.
+// applyCoreOutput passes a new configuration to the core and to the baseline, and
+// carries out the core's output.
 func (node *node) applyCoreOutput() {
 	if configuration := node.core.Configuration(); configuration != nil {
 		revision := configuration.GetRevision()
@@ -151,23 +158,23 @@
 		}
 	}
 	node.applyDocumentWeights()
-	out := node.core.Ready()
-	if out.View != nil {
-		node.router.SetView(out.View)
-		node.core.ViewInForce(out.ViewVersion)
+	output := node.core.Ready()
+	if output.View != nil {
+		node.router.SetView(output.View)
+		node.core.ViewInForce(output.ViewVersion)
 	}
-	node.router.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
-	for _, message := range out.Messages {
+	node.router.SetContact(output.ContactLeaseEnd, output.ServeIsolated)
+	for _, message := range output.Messages {
 		node.sim.deliver(node, message)
 	}
-	for _, resolution := range out.Resolutions {
+	for _, resolution := range output.Resolutions {
 		node.resolve(resolution)
 	}
-	if out.RefreshGroupLiveness && node.canReachStore() {
+	if output.RefreshGroupLiveness && node.canReachStore() {
 		node.sim.store.groupLiveness++
 	}
-	if out.Write != nil {
-		node.sim.store.write(node, out.Write.Document, func(written bool) {
+	if output.Write != nil {
+		node.sim.store.write(node, output.Write.Document, func(written bool) {
 			if !node.running() {
 				return
 			}
@@ -177,8 +184,8 @@
 	}
 }
 
-// applyDocumentWeights wants the weights of the newest document, on the nodes that do
-// not run the policies.
+// applyDocumentWeights sets the weights of the newest document as desired, on the
+// nodes that do not run the policy.
 func (node *node) applyDocumentWeights() {
 	version := node.core.Document().GetVersion()
 	if !node.sim.settings.Reports.Enabled || version == node.weightsDocumentVersion || node.sim.policyNode() == node {
@@ -190,8 +197,8 @@
 		compile.Rules(configuration, compile.NewestWeights(node.core.Document())), compile.ClearedMarks(configuration))
 }
 
-// markLeaving spreads the drains of a configuration as marks, which is faster
-// than an epoch.
+// markLeaving creates leaving marks for the back ends that a configuration
+// drains: marks reach the other nodes sooner than an epoch does.
 func (node *node) markLeaving(configuration *apiv1.Configuration) {
 	for _, service := range configuration.GetServices() {
 		for _, backend := range service.GetBackends() {
@@ -202,8 +209,8 @@
 	}
 }
 
-// deliver sends a message between nodes, with delay, loss, duplication and
-// cuts.
+// deliver sends a message between nodes, subject to delay, loss, duplication and
+// partitions.
 func (sim *Simulation) deliver(from *node, message *apiv1.Envelope) {
 	to := sim.nodesByID[message.GetTo()]
 	size := uint64(proto.Size(message) + envelopeOverhead)
@@ -242,7 +249,7 @@
 	node.applyCoreOutput()
 }
 
-// route handles one packet as the traffic goroutines do.
+// route handles one packet as a traffic goroutine of a real node does.
 func (node *node) route(pkt packet) {
 	if node.dead {
 		return
@@ -289,10 +296,10 @@
 }
 
 func (node *node) resolve(resolution core.Resolution) {
-	waiting := node.queuedPackets[resolution.Key]
+	queued := node.queuedPackets[resolution.Key]
 	delete(node.queuedPackets, resolution.Key)
-	node.queuedPacketCount -= len(waiting)
-	for _, pkt := range waiting {
+	node.queuedPacketCount -= len(queued)
+	for _, pkt := range queued {
 		if resolution.Backend == rule.NoBackend {
 			node.sim.Result.Paths[router.PathDroppedKeepers]++
 			node.sim.Result.Dropped++
@@ -307,7 +314,8 @@
 	}
 }
 
-// traceDecision notes a decision in the flow's history.
+// traceDecision adds a routing decision to the flow's history if the settings ask
+// for traces.
 func (node *node) traceDecision(pkt packet, decision router.Verdict) {
 	if node.sim.settings.Trace {
 		view := node.router.View()
@@ -323,7 +331,8 @@
 	}
 }
 
-// resume lets a paused node go on, traffic first.
+// resume resumes a paused node: it handles the packets that arrived meanwhile,
+// then the messages.
 func (node *node) resume() {
 	node.paused = false
 	packets, messages := node.pausedPackets, node.pausedMessages
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Plan is one run to be made.
+// Plan describes one run of a scenario.
 type Plan struct {
 	Scenario  Scenario
 	User      string
 	Algorithm Algorithm
 	Seed      uint64
-	// Scale is the share of the user's flows.
+	// Scale is the factor by which the user's flows are multiplied.
 	Scale float64
 }
 
-// Row is the outcome of one run.
+// Row holds the results of one run, as the JSON lines and the report show them.
 type Row struct {
 	Scenario  string    `json:"scenario"`
 	Planned   bool      `json:"planned"`
@@ -44,7 +44,7 @@
 	LeavingDelays   []time.Duration   `json:"leaving_delays"`
 }
 
-// Settings are the plan's settings.
+// Settings returns the settings of the plan's user, algorithm, seed and scale.
 func (plan Plan) Settings() Settings {
 	settings := DarAlWarraqSettings(plan.Seed)
 	if plan.User == "kayal" {
@@ -54,7 +54,7 @@
 	return settings.Scale(plan.Scale)
 }
 
-// Run makes the run.
+// Run runs the scenario and returns its results.
 func (plan Plan) Run() Row {
 	result := plan.Scenario.Run(plan.Settings())
 	paths := make(map[string]int)
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -7,14 +7,16 @@
 	"github.com/indigobarrow/indigobarrow/internal/policy"
 )
 
-// ReportSettings describe the load reports of the back ends.
+// ReportSettings describes the load reports of the back ends and the policy that
+// computes weights from them.
 type ReportSettings struct {
-	// Enabled lets the node of the first rank run the policy.
+	// Enabled makes the running node with the lowest ID run the policy.
 	Enabled bool
 	Policy  *policy.Program
-	// Lag is how old the reports are.
+	// Lag is the age of the reports.
 	Lag time.Duration
-	// MisreportingBackends is how many back ends of the first service report no load at all.
+	// MisreportingBackends is the number of back ends of the first service that
+	// always report a load of 0.
 	MisreportingBackends int
 	// FullLoadFlows is the number of open flows that counts as a load of 1.
 	FullLoadFlows int
@@ -22,7 +24,8 @@
 
 const reportInterval = 2 * time.Second
 
-// startPolicy runs the policy as a node's report goroutine does.
+// startPolicy runs the policy every reportInterval once traffic has started, as
+// the report goroutine of a real node does.
 func (sim *Simulation) startPolicy() {
 	if !sim.settings.Reports.Enabled {
 		return
@@ -37,7 +40,8 @@
 	sim.Clock.After(warmUpTime, evaluate)
 }
 
-// runPolicy evaluates the policy on the reports as the deciding node sees them.
+// runPolicy evaluates the policy on the reports that the policy node has, and
+// passes the weights to that node's core if they changed.
 func (sim *Simulation) runPolicy(damper *policy.Damper, history map[uint32][]int) {
 	policyNode := sim.policyNode()
 	if policyNode == nil || policyNode.core.Configuration() == nil {
@@ -75,7 +79,7 @@
 	policyNode.applyCoreOutput()
 }
 
-// policyNode is the running node of the lowest ID.
+// policyNode returns the running node with the lowest ID, or nil if no node runs.
 func (sim *Simulation) policyNode() *node {
 	var first *node
 	for _, node := range sim.nodes {
@@ -86,7 +90,8 @@
 	return first
 }
 
-// reportedLoad is the load that a back end reports: late, or false.
+// reportedLoad returns the load that a back end reports: that of Lag ago, or 0 for
+// a misreporting back end.
 func (sim *Simulation) reportedLoad(backend *backend, backendIndex int, history map[uint32][]int) float64 {
 	settings := sim.settings.Reports
 	history[backend.id] = append(history[backend.id], backend.openFlows)
--- a/internal/lab/property_test.go
+++ b/internal/lab/property_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// smallSettings is a world in which a hundred virtual seconds take a moment.
+// smallSettings returns settings small enough that a hundred seconds of virtual
+// time take a moment to simulate.
 func smallSettings(seed uint64) Settings {
 	settings := DarAlWarraqSettings(seed)
 	settings.Services = []ServiceSettings{
@@ -22,7 +23,8 @@
 	return settings
 }
 
-// driver draws actions and applies those that are possible.
+// driver applies random actions to a simulation, skipping those that are not
+// possible in its state.
 type driver struct {
 	t               *rapid.T
 	sim             *Simulation
@@ -117,7 +119,8 @@
 	return d
 }
 
-// healAndConverge ends all faults and lets the group come to rest.
+// healAndConverge ends all faults, lets the group converge, and checks that the
+// accepted configuration is in force on all running nodes.
 func (driver *driver) healAndConverge() {
 	if driver.pausedNode != "" && !driver.sim.nodesByID[driver.pausedNode].dead {
 		driver.sim.ResumeNode(driver.pausedNode)
@@ -136,7 +139,8 @@
 	}
 }
 
-// setRapidChecks is the number of cases in CI; rapid's own flag sets it otherwise.
+// setRapidChecks sets the number of cases and a fixed seed, as in CI. With
+// INDIGOBARROW_LONG set, rapid's own flags apply.
 func setRapidChecks(t *testing.T, count int) {
 	if os.Getenv("INDIGOBARROW_LONG") == "" {
 		require.NoError(t, setRapidFlag("checks", count))
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -21,8 +21,9 @@
 
 func pathName(path int) string { return router.Path(path).String() }
 
-// WriteReport writes a self-contained HTML page with the rows side by side and
-// plots of imbalance, broken flows and the delays of leaving.
+// WriteReport writes a self-contained HTML page to path. It shows a table of the
+// rows, plots of broken flows, imbalance and control traffic, and a table of how
+// long leaving back ends still got new flows.
 func WriteReport(path string, rows []Row) error {
 	page := reportPage{Rows: rows, Made: time.Now().UTC().Format(time.RFC3339)}
 	for _, newPlot := range []func([]Row) (*plot.Plot, error){plotBroken, plotImbalance, plotControl} {
@@ -77,7 +78,8 @@
 	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(image.Bytes())), nil
 }
 
-// sumByScenario sums a value of the rows by scenario, for each method.
+// sumByScenario adds up a value of the rows by method and scenario. It returns the
+// scenarios in the order of the rows and the methods in alphabetical order.
 func sumByScenario(rows []Row, value func(Row) float64) (scenarios []string, methods []string, sums map[string]map[string]float64) {
 	sums = make(map[string]map[string]float64)
 	seen := make(map[string]bool)
@@ -166,8 +168,9 @@
 	return graph, nil
 }
 
-// leavingTable gives percentiles of the time until a leaving back end gets no
-// new flow, over all rows of a method.
+// leavingTable returns, for each method, percentiles of the time between the
+// start of a back end's leaving and each new flow that it still accepted, over
+// all rows of the method.
 func leavingTable(rows []Row) []leavingRow {
 	histograms := make(map[string]*hdrhistogram.Histogram)
 	for _, row := range rows {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -6,27 +6,27 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// Scenario is a failure or a planned change, driven at set times.
+// Scenario is a run with faults or planned changes at fixed times.
 type Scenario struct {
 	Name string
-	// Planned scenarios must break no flow.
+	// Planned is set for scenarios that must not break any flow.
 	Planned bool
-	// SimulatedTime is the virtual time of the run.
+	// SimulatedTime is the length of the run in virtual time.
 	SimulatedTime time.Duration
-	// Prepare changes the settings; it may be nil.
+	// Prepare changes the settings before the run; it may be nil.
 	Prepare func(*Settings)
-	// ScheduleEvents plans the events.
+	// ScheduleEvents schedules the scenario's events.
 	ScheduleEvents func(*Simulation)
 }
 
-// Schedule runs an action at a virtual time.
+// Schedule schedules an action to run at a virtual time.
 func (sim *Simulation) Schedule(at time.Duration, action func()) {
 	sim.Clock.After(at-sim.Clock.Now(), action)
 }
 
 const seconds = time.Second
 
-// Scenarios are the failures that the project drives.
+// Scenarios returns all predefined scenarios, the planned ones first.
 func Scenarios() []Scenario {
 	return append(plannedScenarios(), faultScenarios()...)
 }
@@ -148,14 +148,17 @@
 	}
 }
 
-// drainInStore repeats a drain that was only a mark during an outage.
+// drainInStore marks a back end as leaving in the configuration after DrainByMark
+// has drained it during a store outage. It leaves the start of the drain
+// unchanged.
 func (sim *Simulation) drainInStore(serviceIndex, backendIndex int) {
 	sim.changeConfiguration(func(configuration *apiv1.Configuration) {
 		configuration.Services[serviceIndex].Backends[backendIndex].Leaving = true
 	})
 }
 
-// Run plays a scenario.
+// Run runs the scenario and returns the results. With the epochs algorithm it
+// checks the invariants every 100 ms and stops at the first violation.
 func (scenario Scenario) Run(settings Settings) Result {
 	if scenario.Prepare != nil {
 		scenario.Prepare(&settings)
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -6,17 +6,18 @@
 	"github.com/indigobarrow/indigobarrow/internal/core"
 )
 
-// Algorithm is the way flows are bound to back ends.
+// Algorithm is the method that assigns flows to back ends.
 type Algorithm string
 
 const (
-	// AlgorithmEpochs is this project's design.
+	// AlgorithmEpochs uses the epochs of packages core and router.
 	AlgorithmEpochs Algorithm = "epochs"
-	// AlgorithmModulo hashes flows modulo the number of back ends.
+	// AlgorithmModulo takes the flow's hash modulo the number of back ends, without
+	// any state.
 	AlgorithmModulo Algorithm = "modulo"
-	// AlgorithmRendezvous uses rendezvous hashing without any state.
+	// AlgorithmRendezvous uses rendezvous hashing, without any state.
 	AlgorithmRendezvous Algorithm = "rendezvous"
-	// AlgorithmTable adds a local flow table to rendezvous hashing.
+	// AlgorithmTable uses rendezvous hashing and a flow table local to each node.
 	AlgorithmTable Algorithm = "table"
 )
 
@@ -24,28 +25,32 @@
 type ServiceSettings struct {
 	Name     string
 	Backends int
-	// ArrivalRate is the number of new flows a second.
+	// ArrivalRate is the mean number of new flows per second.
 	ArrivalRate float64
-	// MeanFlowDuration is the mean life of a flow.
+	// MeanFlowDuration is the mean time from the first SYN of a flow to its end.
 	MeanFlowDuration time.Duration
-	// MeanPacketInterval is the mean time between packets of a flow.
+	// MeanPacketInterval is the mean time between two packets of a flow.
 	MeanPacketInterval time.Duration
-	// InitialFlows are opened in the first seconds of the run.
+	// InitialFlows is the number of flows that are opened during the first seconds
+	// of the run, in addition to those of ArrivalRate.
 	InitialFlows int
 }
 
 // NetworkSettings describes the network between nodes.
 type NetworkSettings struct {
-	// SameZoneDelay and CrossZoneDelay are the one-way delays.
+	// SameZoneDelay and CrossZoneDelay are the one-way delays within a zone and
+	// between zones.
 	SameZoneDelay, CrossZoneDelay time.Duration
-	// ClientDelay is the one-way delay between callers and balancers.
+	// ClientDelay is the one-way delay between clients and balancers.
 	ClientDelay time.Duration
-	// Jitter is added to each delay, uniformly up to this much.
+	// Jitter bounds the random time, uniformly distributed from 0, that is added
+	// to the delays within and between zones.
 	Jitter time.Duration
-	// SYNACKLoss is the probability that the answer to a SYN is lost, so that the
-	// caller sends the SYN again.
+	// SYNACKLoss is the probability that the SYN-ACK is lost, so that the client
+	// retransmits the SYN.
 	SYNACKLoss float64
-	// MessageLoss and Duplicate are probabilities for messages between nodes.
+	// MessageLoss and MessageDuplication are the probabilities that a message
+	// between nodes is lost or duplicated.
 	MessageLoss, MessageDuplication float64
 }
 
@@ -53,15 +58,15 @@
 type StoreSettings struct {
 	// Delay is the one-way delay to the store.
 	Delay time.Duration
-	// ReachableWhenPartitioned lets a zone that is cut off reach the store.
+	// ReachableWhenPartitioned lets the nodes of a partitioned zone reach the store.
 	ReachableWhenPartitioned bool
-	// ResponseLoss is the probability that a write's answer is lost.
+	// ResponseLoss is the probability that the response to a write is lost.
 	ResponseLoss float64
-	// WatchDelay is how much later a watcher sees a change.
+	// WatchDelay is the time after which a watcher is notified of a change.
 	WatchDelay time.Duration
 }
 
-// Settings describe a run.
+// Settings describes a run.
 type Settings struct {
 	Seed         uint64
 	Algorithm    Algorithm
@@ -71,17 +76,19 @@
 	Network      NetworkSettings
 	Store        StoreSettings
 	Core         core.Config
-	// FabricConvergenceTime is how long the fabric sends packets to a node that is gone.
+	// FabricConvergenceTime is how long the fabric goes on sending packets to a
+	// killed node, and how long it takes to use a new one.
 	FabricConvergenceTime time.Duration
-	// TickInterval is how often a node's control state is ticked.
+	// TickInterval is the time between two ticks of a node's core.
 	TickInterval time.Duration
 	FlowCapacity int
-	// Trace keeps the history of each flow, for the search of a cause.
+	// Trace records the history of each flow, to find out why a flow broke.
 	Trace   bool
 	Reports ReportSettings
 }
 
-// Scale multiplies the flows of all services.
+// Scale returns settings in which the arrival rates and the initial flows of all
+// services are multiplied by a factor.
 func (settings Settings) Scale(factor float64) Settings {
 	services := append([]ServiceSettings(nil), settings.Services...)
 	for index := range services {
@@ -92,13 +99,15 @@
 	return settings
 }
 
-// DarAlWarraqSettings are the sizes of Dar al-Warraq Lending House: three zones, 14
-// and 4 back ends of about 2,000 connections each.
+// DarAlWarraqSettings returns settings with the sizes of the user Dar al-Warraq
+// Lending House: three zones, and services with 14 and 4 back ends of about 2,000
+// connections each.
 func DarAlWarraqSettings(seed uint64) Settings {
 	return twoServiceSettings(seed, []string{"maadi", "nasr", "giza"}, "lending", "covers", time.Millisecond)
 }
 
-// KayalpathSettings are the sizes of Kayalpath Ticketing Edge.
+// KayalpathSettings returns settings with the sizes of the user Kayalpath
+// Ticketing Edge.
 func KayalpathSettings(seed uint64) Settings {
 	return twoServiceSettings(seed, []string{"ernakulam", "vyttila", "kakkanad"}, "booking", "timetables", 3*time.Millisecond)
 }
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -14,7 +14,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// Simulation is one run.
+// Simulation holds the state of one run: its nodes, store, services and flows. It
+// must only be used from one goroutine.
 type Simulation struct {
 	Clock     *Clock
 	Result    Result
@@ -27,60 +28,67 @@
 	backends  map[uint32]*backend
 	openFlows map[*connection]struct{}
 	flowCount uint32
-	// fabric is the list of nodes that packets are sprayed over.
+	// fabric lists the nodes that the network fabric sends packets to, each packet
+	// to a random one.
 	fabric []*node
-	// partitionedZones are the zones cut off from all others.
+	// partitionedZones holds true for the zones that are partitioned from all others.
 	partitionedZones map[string]bool
-	// acceptedAt is when each configuration revision was accepted.
+	// acceptedAt is when each configuration revision was accepted; a revision is
+	// removed once it is active on all running nodes.
 	acceptedAt map[uint64]time.Duration
 	watermarks map[string]watermark
 }
 
-// Result is what a run has measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Flows, Established, Completed, Unopened, Refused int
-	// Broken counts broken flows by cause; BrokenWeighted counts those with a
-	// Return Notice or purchase double.
+	// Broken counts broken flows by cause. BrokenWeighted counts all broken flows,
+	// and those that carry a Return Notice or a purchase twice.
 	Broken         map[string]int
 	BrokenWeighted int
-	// SecondBackend counts SYNs that reached a second back end.
+	// SecondBackend counts SYNs that reached a back end after another one had
+	// accepted the flow.
 	SecondBackend int
-	// WrongService counts packets at a back end of another service.
+	// WrongService counts packets that reached a back end of another service.
 	WrongService int
-	// RefusedAfterAccept counts refusals of flows that a back end held.
+	// RefusedAfterAccept counts refusals of flows that a back end had accepted.
 	RefusedAfterAccept int
 	Dropped            int
 	Paths              [router.PathCount]int
-	// LeavingDelays are the times from a back end's start of leaving to each
+	// LeavingDelays are the times from the start of a back end's leaving to each
 	// new flow that it still accepted.
 	LeavingDelays []time.Duration
-	// ActivationDelays are the times from accepting a configuration to its being active
-	// on each node.
+	// ActivationDelays are the times from the acceptance of a configuration until
+	// it is active on all running nodes.
 	ActivationDelays []time.Duration
-	// WeightChanges counts the changes of weights by the policy.
+	// WeightChanges counts the evaluations of the policy that changed weights.
 	WeightChanges int
-	// Traces are the histories of broken flows, when the settings ask for them.
+	// Traces are the histories of broken flows and of flows that reached a second
+	// back end; they are empty unless the settings ask for traces.
 	Traces [][]string
-	// Violation is the first promise that did not hold, "" for none.
+	// Violation describes the first violated invariant, "" for none.
 	Violation string
-	// Imbalance has one sample a second for the first service.
+	// Imbalance has one sample per second of the first service.
 	Imbalance []Imbalance
-	// ControlMean is the control traffic that a node sends, in bytes a second;
-	// ControlPeak is the highest over ten seconds, ControlSecond over one.
+	// ControlMean is the mean control traffic that a node sends, in bytes per
+	// second. ControlPeak is the highest rate of a node over ten seconds,
+	// ControlSecond the highest over one second.
 	ControlMean, ControlPeak, ControlSecond float64
 	BytesByKind                             map[string]uint64
 }
 
-// Imbalance is the spread of open flows over the back ends of one service that
-// are not leaving.
+// Imbalance measures how evenly the open flows of a service are distributed over
+// its back ends that are not leaving.
 type Imbalance struct {
 	At time.Duration
-	// MaximumOverMean and Variation (coefficient of variation) are 1 and 0
-	// when all hold the same.
+	// MaximumOverMean is the maximum divided by the mean, Variation the
+	// coefficient of variation. They are 1 and 0 when all back ends have the same
+	// number of open flows.
 	MaximumOverMean, Variation float64
 }
 
-// New makes a world whose nodes, services and traffic start at time 0.
+// New returns a simulation whose nodes and services start at time 0. Advance its
+// Clock to run it.
 func New(settings Settings) *Simulation {
 	sim := &Simulation{
 		Clock:            NewClock(settings.Seed),
@@ -109,32 +117,33 @@
 	return sim
 }
 
-// createServices makes the services and the first configuration.
+// createServices creates the services and the first configuration from the
+// settings.
 func (sim *Simulation) createServices() {
 	configuration := &apiv1.Configuration{Revision: 1}
-	number := uint32(0)
+	backendID := uint32(0)
 	for index, settings := range sim.settings.Services {
 		address := flow.Address{IP: [4]byte{10, 200, byte(index >> 8), byte(index + 1)}, Port: 80, Protocol: flow.ProtocolTCP}
 		newService := &service{settings: settings, address: address, index: index}
 		definition := &apiv1.Service{Name: settings.Name, Address: fmt.Sprintf("10.200.%d.%d", index>>8, byte(index+1)), Port: 80}
 		for backendIndex := range settings.Backends {
-			number++
+			backendID++
 			zone := sim.settings.Zones[backendIndex%len(sim.settings.Zones)]
-			added := &backend{id: number, name: fmt.Sprintf("%s-%d", settings.Name, backendIndex), zone: zone, service: newService}
+			added := &backend{id: backendID, name: fmt.Sprintf("%s-%d", settings.Name, backendIndex), zone: zone, service: newService}
 			newService.backends = append(newService.backends, added)
-			sim.backends[number] = added
-			definition.Backends = append(definition.Backends, &apiv1.Backend{Id: number, Name: added.name, Zone: zone})
+			sim.backends[backendID] = added
+			definition.Backends = append(definition.Backends, &apiv1.Backend{Id: backendID, Name: added.name, Zone: zone})
 		}
 		sim.services = append(sim.services, newService)
 		configuration.Services = append(configuration.Services, definition)
 	}
-	configuration.NextBackendId = number + 1
+	configuration.NextBackendId = backendID + 1
 	sim.store.configuration = configuration
 	sim.acceptedAt[1] = 0
 }
 
-// warmUpTime is when traffic starts, after the nodes have met; the warm flows
-// are opened over as long again.
+// warmUpTime is when traffic starts, so that the nodes have found each other by
+// then. The initial flows are opened over a period of the same length after that.
 const warmUpTime = 10 * time.Second
 
 func (sim *Simulation) startTraffic(service *service) {
@@ -153,7 +162,8 @@
 	sim.Clock.After(sim.Clock.Exponential(mean), func() { sim.scheduleArrivals(service) })
 }
 
-// sampleEverySecond measures once a second.
+// sampleEverySecond records imbalance and control traffic once a second. Peaks of
+// control traffic count only after the initial flows have been opened.
 func (sim *Simulation) sampleEverySecond() {
 	sim.Result.Imbalance = append(sim.Result.Imbalance, sim.imbalance())
 	for _, node := range sim.nodes {
@@ -168,7 +178,8 @@
 	sim.Clock.After(time.Second, sim.sampleEverySecond)
 }
 
-// rateWindowSeconds is the number of seconds over which control traffic is judged.
+// rateWindowSeconds is the number of seconds over which the peak of control
+// traffic is averaged.
 const rateWindowSeconds = 10
 
 func (node *node) recentControlRate() float64 {
@@ -180,7 +191,8 @@
 	return total / float64(len(recent))
 }
 
-// pollActivation looks often for configurations that have come into force.
+// pollActivation checks every activationPollInterval whether the newest
+// configuration has become active.
 func (sim *Simulation) pollActivation() {
 	sim.recordActivation()
 	sim.Clock.After(activationPollInterval, sim.pollActivation)
@@ -214,8 +226,8 @@
 	}
 }
 
-// recordActivation records when the newest configuration became active on all
-// running nodes.
+// recordActivation records the activation delay of the newest configuration once
+// it is active on all running nodes. The first configuration is not recorded.
 func (sim *Simulation) recordActivation() {
 	revision := sim.store.configuration.GetRevision()
 	acceptTime, pending := sim.acceptedAt[revision]
@@ -233,7 +245,8 @@
 	}
 }
 
-// activeRevision is the configuration that new flows follow on a node.
+// activeRevision returns the configuration revision that applies to new flows on
+// the node.
 func (node *node) activeRevision() uint64 {
 	view := node.router.View()
 	if view == nil {
@@ -245,23 +258,23 @@
 	return view.Settled.Revision
 }
 
-// Finish closes the books of a run.
+// Finish adds the totals of control traffic to the results and returns them.
 func (sim *Simulation) Finish() Result {
 	seconds := (sim.Clock.Now() - warmUpTime).Seconds()
 	var total uint64
-	running := 0
+	nodeTotal := 0
 	for _, node := range sim.nodes {
-		running++
+		nodeTotal++
 		for kind, bytes := range node.bytesByKind {
 			sim.Result.BytesByKind[kind] += bytes
 			total += bytes
 		}
 	}
-	sim.Result.ControlMean = float64(total) / seconds / float64(running)
+	sim.Result.ControlMean = float64(total) / seconds / float64(nodeTotal)
 	return sim.Result
 }
 
-// TotalBroken is the number of broken flows of all causes.
+// TotalBroken returns the number of broken flows of all causes.
 func (result Result) TotalBroken() int {
 	total := 0
 	for _, count := range result.Broken {
@@ -270,17 +283,20 @@
 	return total
 }
 
-// MeanVariation is the mean coefficient of variation over the run.
+// MeanVariation returns the mean coefficient of variation over the run after the
+// warm-up.
 func (result Result) MeanVariation() float64 {
 	return result.mean(func(sample Imbalance) float64 { return sample.Variation })
 }
 
-// MeanMaximumOverMean is the mean of the maximum over the mean over the run.
+// MeanMaximumOverMean returns the mean of MaximumOverMean over the run after the
+// warm-up.
 func (result Result) MeanMaximumOverMean() float64 {
 	return result.mean(func(sample Imbalance) float64 { return sample.MaximumOverMean })
 }
 
-// mean averages a measure of imbalance over the run after the warm-up.
+// mean returns the mean of a measure of imbalance over the run after the initial
+// flows have been opened.
 func (result Result) mean(value func(Imbalance) float64) float64 {
 	total, count := 0.0, 0
 	for _, sample := range result.Imbalance {
@@ -292,7 +308,7 @@
 	return total / float64(max(count, 1))
 }
 
-// Percentile returns the p-th percentile of durations, 0 for none.
+// Percentile returns the p-th percentile of durations, or 0 if there are none.
 func Percentile(durations []time.Duration, p float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
@@ -315,7 +331,8 @@
 	return delay + time.Duration(sim.Clock.Random.Float64()*float64(network.Jitter))
 }
 
-// changeConfiguration applies a change to the configuration as the admin API would.
+// changeConfiguration applies a change to the configuration and notifies the
+// store's watchers, as an accepted request to the admin API does.
 func (sim *Simulation) changeConfiguration(apply func(*apiv1.Configuration)) {
 	next := proto.CloneOf(sim.store.configuration)
 	apply(next)
@@ -325,8 +342,8 @@
 	sim.notifyWatchers()
 }
 
-// desiredRules compiles a configuration; the model keeps a back end's weight in
-// its number of slots, 0 being a full share.
+// desiredRules compiles a configuration into rules. The simulation keeps a back
+// end's weight in its number of slots; 0 stands for the full weight.
 func desiredRules(configuration *apiv1.Configuration) []*apiv1.ServiceRule {
 	weights := make(compile.Weights)
 	for _, service := range configuration.GetServices() {
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -8,24 +8,26 @@
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 )
 
-// store is the model of the platform's key-value service: one document and one
+// store models the platform's key-value service: it holds one document and one
 // configuration, each under compare-and-swap.
 type store struct {
 	sim           *Simulation
 	document      *apiv1.EpochDocument
 	configuration *apiv1.Configuration
-	// Down is set during an outage.
+	// down is set during an outage.
 	down bool
-	// writes and conflicts count compare-and-swaps.
+	// writes and conflicts count the compare-and-swaps of the document that
+	// succeeded and those that failed.
 	writes, conflicts int
-	// groupLiveness counts the changes of the group's sign of life.
+	// groupLiveness counts the refreshes of the group liveness key.
 	groupLiveness uint64
-	// extraDelay is added to every answer.
+	// extraDelay is added to the delay of every write.
 	extraDelay time.Duration
 }
 
-// write tries a compare-and-swap of the document. The answer may be lost after
-// the write took effect; done is then called with false.
+// write attempts a compare-and-swap of the document. The response may be lost
+// after the write took effect; done is then called with false. If the writer
+// cannot reach the store, done is called with false one second later.
 func (store *store) write(writer *node, document *apiv1.EpochDocument, done func(bool)) {
 	sim := store.sim
 	sim.Clock.After(sim.settings.Store.Delay+store.extraDelay, func() {
@@ -48,8 +50,8 @@
 	})
 }
 
-// notifyWatchers tells the watchers, the nodes of the lowest ranks; the others learn
-// from them.
+// notifyWatchers notifies the watchers of the store, which are the nodes with the
+// lowest ranks, of a change; the other nodes receive it from them.
 func (sim *Simulation) notifyWatchers() {
 	sim.Clock.After(sim.settings.Store.WatchDelay, func() {
 		for _, node := range sim.nodes {
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -8,30 +8,32 @@
 	"github.com/indigobarrow/indigobarrow/internal/router"
 )
 
-// connection is one TCP connection of the model, as its caller sees it.
+// connection is one simulated TCP connection, that is, one flow, as its client
+// sees it.
 type connection struct {
 	key     flow.Key
 	hash    uint64
 	service *service
 	// acceptedBy is the back end that accepted the flow.
 	acceptedBy *backend
-	// established is set when the caller has seen the answer to its SYN.
+	// established is set when the client has received the SYN-ACK.
 	established bool
 	ended       bool
 	endsAt      time.Duration
 	zone        string
-	// countsDouble is set for flows that carry a Return Notice or a purchase.
+	// countsDouble is set for flows that carry a Return Notice or a purchase; they
+	// count double in Result.BrokenWeighted.
 	countsDouble bool
-	// history is kept when the settings ask for traces.
+	// history is recorded when the settings ask for traces.
 	history []string
 }
 
-// packet is one packet on its way.
+// packet is one packet in transit from a client to a back end.
 type packet struct {
 	flow     *connection
 	flags    router.PacketFlags
 	attempts int
-	// delivered is shared by the copies of a packet.
+	// delivered is shared by all transmissions of the packet.
 	delivered *bool
 }
 
@@ -40,7 +42,7 @@
 	address  flow.Address
 	backends []*backend
 	index    int
-	// deleted services get no further flows.
+	// deleted is set when the service gets no further flows.
 	deleted bool
 }
 
@@ -49,11 +51,11 @@
 	name    string
 	zone    string
 	service *service
-	// openFlows counts the flows held.
+	// openFlows is the number of open flows of the back end.
 	openFlows int
-	// leavingAt is when the back end began to leave; 0 is not.
+	// leavingAt is when the back end began to leave; it is 0 if it is not leaving.
 	leavingAt time.Duration
-	// lastAcceptedAt is when it last accepted a new flow.
+	// lastAcceptedAt is when the back end last accepted a new flow.
 	lastAcceptedAt time.Duration
 	acceptedFlows  int
 	// startedAt is when the back end was added.
@@ -65,7 +67,7 @@
 	maxDataAttempts    = 8
 	initialSYNTimeout  = time.Second
 	initialDataTimeout = 300 * time.Millisecond
-	countsDoubleOneIn  = 10
+	countsDoubleOneIn  = 10 // one flow in ten counts double when it breaks
 	clientsPerZone     = 250
 )
 
@@ -109,7 +111,8 @@
 	sim.Clock.After(initialSYNTimeout<<attempts, func() { sim.sendSYN(conn, attempts+1) })
 }
 
-// sendData sends a packet of an open flow until it arrives.
+// sendData sends a packet of an open flow and retransmits it with exponential
+// backoff until it arrives. After maxDataAttempts the flow counts as broken.
 func (sim *Simulation) sendData(pkt packet) {
 	if pkt.flow.ended || *pkt.delivered {
 		return
@@ -123,8 +126,8 @@
 	sim.Clock.After(initialDataTimeout<<(pkt.attempts-1), func() { sim.sendData(pkt) })
 }
 
-// spray hands a packet to any node on the fabric's list that the caller's zone
-// reaches.
+// spray sends a packet to a random node of the fabric that can be reached from the
+// client's zone.
 func (sim *Simulation) spray(pkt packet) {
 	candidates := sim.fabric[:0:0]
 	for _, node := range sim.fabric {
@@ -139,7 +142,8 @@
 	sim.Clock.After(sim.settings.Network.ClientDelay, func() { chosen.route(pkt) })
 }
 
-// receiveAtBackend is a packet at a back end: the place where the promises are checked.
+// receiveAtBackend handles a packet that arrives at a back end and detects packets
+// at the wrong back end or service.
 func (sim *Simulation) receiveAtBackend(target *backend, pkt packet) {
 	conn := pkt.flow
 	if target.service != conn.service {
@@ -184,8 +188,8 @@
 	}
 }
 
-// sendSYNACK lets the caller know that its flow is open, unless the answer is
-// lost.
+// sendSYNACK sends the SYN-ACK to the client, unless it is lost. The client then
+// starts to send data.
 func (sim *Simulation) sendSYNACK(conn *connection) {
 	if sim.Clock.Random.Float64() < sim.settings.Network.SYNACKLoss {
 		return
@@ -200,7 +204,8 @@
 	})
 }
 
-// schedulePacket plans the next packet of a flow: data, or its end.
+// schedulePacket schedules the next packet of a flow, which carries data or closes
+// the flow.
 func (sim *Simulation) schedulePacket(conn *connection) {
 	interval := sim.Clock.Exponential(conn.service.settings.MeanPacketInterval)
 	sim.Clock.After(interval, func() {
@@ -245,7 +250,8 @@
 	}
 }
 
-// refuseFlow is a RST to a SYN that was forwarded to nobody.
+// refuseFlow handles the RST that a client receives when no back end was selected
+// for its SYN.
 func (sim *Simulation) refuseFlow(pkt packet) {
 	conn := pkt.flow
 	if conn.acceptedBy != nil {
