--- a/internal/lab/guard_test.go
+++ b/internal/lab/guard_test.go
@@ -89,7 +89,8 @@
 }
 
 // TestRemovingGuardBreaksFlows checks that a run has no broken flow and no
-// violation with all guards enabled, and has some with any one guard disabled.
+// violation with all guards enabled, and has some with any one of the guards listed
+// for it disabled.
 func TestRemovingGuardBreaksFlows(t *testing.T) {
 	runs := []struct {
 		name           string
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -173,7 +173,7 @@
 		sim.sendSYNACK(conn)
 	case conn.acceptedBy != nil:
 		sim.Result.SecondBackend++
-		sim.traceFlow(conn, "SYN at second back end %d, held by %d", target.id, conn.acceptedBy.id)
+		sim.traceFlow(conn, "SYN at second back end %d, accepted by %d", target.id, conn.acceptedBy.id)
 		sim.Result.Traces = append(sim.Result.Traces, conn.history)
 	default:
 		conn.acceptedBy = target
