--- a/cmd/balancer/entrylog.go
+++ b/cmd/balancer/entrylog.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// entryLogPause spaces the lines on entries that can't be read. A store of many such
+// entryLogInterval spaces the lines on entries that can't be read. A store of many such
 // entries is read each second or two, and would else fill the log.
-const entryLogPause = time.Second
+const entryLogInterval = time.Second
 
-// entryLog logs entries of the store that can't be read, a line in entryLogPause. It is
+// entryLogger logs entries of the store that can't be read, a line in entryLogInterval. It is
 // safe for use by many goroutines.
-type entryLog struct {
-	logger  *slog.Logger
-	mutex   sync.Mutex
-	next    time.Time
-	leftOut int
+type entryLogger struct {
+	logger     *slog.Logger
+	mutex      sync.Mutex
+	nextLine   time.Time
+	suppressed int
 }
 
-// tell logs an entry, or counts it for the next line.
-func (l *entryLog) tell(err error) {
+// warn logs an entry, or counts it for the next line.
+func (l *entryLogger) warn(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
-	if now.Before(l.next) {
-		l.leftOut++
+	if now.Before(l.nextLine) {
+		l.suppressed++
 		return
 	}
-	l.logger.Warn("Store: entry not understood, it names no back end to use.", "error", err, "left_out", l.leftOut)
-	l.next, l.leftOut = now.Add(entryLogPause), 0
+	l.logger.Warn("Store: entry not understood, it names no back end to use.", "error", err, "left_out", l.suppressed)
+	l.nextLine, l.suppressed = now.Add(entryLogInterval), 0
 }
--- a/cmd/balancer/entrylog_test.go
+++ b/cmd/balancer/entrylog_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestUnreadableEntriesAreLoggedWithABound(t *testing.T) {
+func TestEntryLoggerLimitsRate(t *testing.T) {
 	var written bytes.Buffer
-	log := &entryLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
+	log := &entryLogger{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	for range 1000 {
-		log.tell(errors.New("key servers/i-1: zone is missing"))
+		log.warn(errors.New("key servers/i-1: zone is missing"))
 	}
 	require.Equal(t, 1, strings.Count(written.String(), "\n"))
 	require.Contains(t, written.String(), "zone is missing")
-	require.Equal(t, 999, log.leftOut)
+	require.Equal(t, 999, log.suppressed)
 }
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -84,11 +84,11 @@
 		return err
 	}
 	lines := asynclog.New(os.Stdout)
-	defer lines.Close(logCloseLimit)
+	defer lines.Close(logCloseTimeout)
 	logger, level := logging.New(lines, logging.Options{
 		Level: loaded.GetLogLevel(), Format: loaded.GetLogFormat(), Node: loaded.GetName(),
 	})
-	needs := outside(loaded, logger)
+	needs := dependencies(loaded, logger)
 	needs.PeerListenAddress = peerListen
 	made, err := balancer.New(loaded, needs, logger)
 	if err != nil {
@@ -109,15 +109,15 @@
 	return group.Wait()
 }
 
-func outside(loaded *apiv1.BalancerSettings, logger *slog.Logger) balancer.Dependencies {
+func dependencies(loaded *apiv1.BalancerSettings, logger *slog.Logger) balancer.Dependencies {
 	clientPort := netip.MustParseAddrPort(loaded.GetDataAddress()).Port()
-	faulty := &entryLog{logger: logger}
+	faulty := &entryLogger{logger: logger}
 	return balancer.Dependencies{
 		Codec:               platform.Codec{ClientPort: clientPort},
-		Store:               platform.NewStore(loaded.GetStoreAddress(), faulty.tell),
+		Store:               platform.NewStore(loaded.GetStoreAddress(), faulty.warn),
 		NewReadinessHandler: platform.ReadinessHandler,
 	}
 }
 
-// logCloseLimit is how long the last lines may take.
-const logCloseLimit = time.Second
+// logCloseTimeout is how long the last lines may take.
+const logCloseTimeout = time.Second
--- a/cmd/indigobarrow/change.go
+++ b/cmd/indigobarrow/change.go
@@ -19,14 +19,14 @@
 	"github.com/indigobarrow/indigobarrow/internal/change"
 )
 
-// apply sends a change and prints the answer.
-func apply(ctx context.Context, command *cli.Command, request *apiv1.ChangeRequest) error {
+// applyChange sends a change and prints the answer.
+func applyChange(ctx context.Context, command *cli.Command, request *apiv1.ChangeRequest) error {
 	request.BaseRevision = command.Uint64("base-revision")
 	request.OperationId = command.String("operation-id")
 	if request.GetOperationId() == "" {
 		request.OperationId = rand.Text()
 	}
-	asked, err := client(command)
+	asked, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 					if err := readFile(path, service); err != nil {
 						return err
 					}
-					return apply(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutService{PutService: service}})
+					return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutService{PutService: service}})
 				}},
 			{Name: "delete", Usage: "delete a drained service", ArgsUsage: "NAME", Flags: changeFlags(),
 				Action: func(ctx context.Context, command *cli.Command) error {
@@ -88,7 +88,7 @@
 					if err != nil {
 						return err
 					}
-					return apply(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_DeleteService{DeleteService: name}})
+					return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_DeleteService{DeleteService: name}})
 				}},
 		},
 	}
@@ -110,7 +110,7 @@
 				leaving++
 			}
 		}
-		rows.row(service.GetName(), fmt.Sprintf("%s:%d", service.GetAddress(), service.GetPort()), service.GetTeam(),
+		rows.addRow(service.GetName(), fmt.Sprintf("%s:%d", service.GetAddress(), service.GetPort()), service.GetTeam(),
 			service.GetPolicy(), strconv.Itoa(len(service.GetBackends())), strconv.Itoa(leaving))
 	}
 	return rows.flush()
@@ -133,7 +133,7 @@
 	if asJSON(command) {
 		return printJSON(service)
 	}
-	asked, err := client(command)
+	asked, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	}
 	rows := newTable("BACK END", "NUMBER", "ZONE", "TUNNEL", "LEAVING", "FLOWS AT "+status.GetId())
 	for _, backend := range service.GetBackends() {
-		rows.row(backend.GetName(), strconv.Itoa(int(backend.GetId())), backend.GetZone(), backend.GetTunnelAddress(),
+		rows.addRow(backend.GetName(), strconv.Itoa(int(backend.GetId())), backend.GetZone(), backend.GetTunnelAddress(),
 			strconv.FormatBool(backend.GetLeaving()), strconv.FormatUint(status.GetFlowsByBackend()[backend.GetId()], 10))
 	}
 	return rows.flush()
@@ -167,7 +167,7 @@
 				return change.NewProblem(change.CodeInvalid, "SERVICE/BACKEND", place, "has no slash", "write it like lending/lending-3")
 			}
 			request := &apiv1.DrainRequest{Service: service, Backend: backend, Leaving: leaving}
-			return apply(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_Drain{Drain: request}})
+			return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_Drain{Drain: request}})
 		},
 	}
 }
@@ -198,7 +198,7 @@
 	secret := rand.Text()
 	sum := sha256.Sum256([]byte(secret))
 	token := &apiv1.Token{Name: name, Sha256: sum[:], Role: apiv1.Role(role), Team: command.String("team")}
-	if err := apply(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutToken{PutToken: token}}); err != nil {
+	if err := applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutToken{PutToken: token}}); err != nil {
 		return err
 	}
 	fmt.Printf("token %s (only its hash %s is kept)\n", secret, hex.EncodeToString(sum[:4]))
--- a/cmd/indigobarrow/lab.go
+++ b/cmd/indigobarrow/lab.go
@@ -55,13 +55,13 @@
 	}
 	printed := newTable("REPORTS", "TRUST", "CV", "MAX/MEAN", "WEIGHT CHANGES", "B/S MEAN", "BROKEN")
 	for _, row := range rows {
-		printed.row(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.MaximumOverMean),
+		printed.addRow(row.Reports, fmt.Sprintf("%.1f", row.Trust), fmt.Sprintf("%.3f", row.Variation), fmt.Sprintf("%.3f", row.MaximumOverMean),
 			fmt.Sprint(row.WeightChanges), fmt.Sprintf("%.0f", row.ControlMean), fmt.Sprint(row.Broken))
 	}
 	return printed.flush()
 }
 
-var errBrokenPromise = errors.New("a planned change broke flows, or a promise did not hold")
+var errGuaranteeViolated = errors.New("a planned change broke flows, or a promise did not hold")
 
 func runLab(_ context.Context, command *cli.Command) error {
 	plans, err := labPlans(command)
@@ -97,7 +97,7 @@
 			return err
 		}
 	}
-	return verdict(rows)
+	return checkRows(rows)
 }
 
 func labPlans(command *cli.Command) ([]lab.Plan, error) {
@@ -109,7 +109,7 @@
 	if users == nil {
 		return nil, errors.Newf("user = %q: is not known; use dar, kayal or both", command.String("user"))
 	}
-	scenarios, err := chosenScenarios(command.String("scenario"))
+	scenarios, err := selectScenarios(command.String("scenario"))
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 	return plans, nil
 }
 
-func chosenScenarios(names string) ([]lab.Scenario, error) {
+func selectScenarios(names string) ([]lab.Scenario, error) {
 	all := lab.Scenarios()
 	if names == "" {
 		return all, nil
@@ -161,7 +161,7 @@
 			causes = append(causes, fmt.Sprintf("%s %d", cause, count))
 		}
 		sort.Strings(causes)
-		printed.row(row.Scenario, row.User, string(row.Algorithm), fmt.Sprint(row.Seed), fmt.Sprint(row.Flows),
+		printed.addRow(row.Scenario, row.User, string(row.Algorithm), fmt.Sprint(row.Seed), fmt.Sprint(row.Flows),
 			fmt.Sprint(row.TotalBroken), strings.Join(causes, " "), fmt.Sprint(row.SecondBackend), fmt.Sprint(row.Refused),
 			fmt.Sprintf("%.3f", row.MaximumOverMean), fmt.Sprintf("%.3f", row.Variation),
 			row.LeavingP99.Round(time.Millisecond).String(), row.InForceP99.Round(time.Millisecond).String(),
@@ -184,13 +184,13 @@
 	return errors.Wrap(file.Close(), "lines")
 }
 
-func verdict(rows []lab.Row) error {
+func checkRows(rows []lab.Row) error {
 	for _, row := range rows {
 		if row.Algorithm != lab.AlgorithmEpochs {
 			continue
 		}
 		if row.Violation != "" || row.Planned && row.TotalBroken > 0 {
-			return errors.Wrapf(errBrokenPromise, "scenario %s, user %s, seed %d", row.Scenario, row.User, row.Seed)
+			return errors.Wrapf(errGuaranteeViolated, "scenario %s, user %s, seed %d", row.Scenario, row.User, row.Seed)
 		}
 	}
 	return nil
--- a/cmd/indigobarrow/main.go
+++ b/cmd/indigobarrow/main.go
@@ -86,12 +86,12 @@
 	}, more...)...)
 }
 
-func client(command *cli.Command) (*admin.Client, error) {
-	return clientOf(command, command.String("node"))
+func nodeClient(command *cli.Command) (*admin.Client, error) {
+	return newClient(command, command.String("node"))
 }
 
-// clientOf makes a client for one of the group's nodes.
-func clientOf(command *cli.Command, address string) (*admin.Client, error) {
+// newClient makes a client for one of the group's nodes.
+func newClient(command *cli.Command, address string) (*admin.Client, error) {
 	file := command.String("authority")
 	if file == "" {
 		return admin.NewClient(address, command.String("token")), nil
@@ -105,7 +105,7 @@
 
 // groupClients makes clients for the node and its live peers, the node first.
 func groupClients(ctx context.Context, command *cli.Command) ([]*admin.Client, error) {
-	first, err := client(command)
+	first, err := nodeClient(command)
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 		if !peer.GetAlive() || peer.GetAdminAddress() == "" {
 			continue
 		}
-		other, err := clientOf(command, peer.GetAdminAddress())
+		other, err := newClient(command, peer.GetAdminAddress())
 		if err != nil {
 			return nil, err
 		}
@@ -129,7 +129,7 @@
 
 // readConfiguration reads the configuration from the node.
 func readConfiguration(ctx context.Context, command *cli.Command) (*apiv1.Configuration, error) {
-	asked, err := client(command)
+	asked, err := nodeClient(command)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/indigobarrow/node.go
+++ b/cmd/indigobarrow/node.go
@@ -92,9 +92,9 @@
 	return made.Run(running)
 }
 
-// takeSettingsArgument takes the settings file from the arguments, where one is
+// applySettingsArgument takes the settings file from the arguments, where one is
 // given there, and refuses any other argument.
-func takeSettingsArgument(command *cli.Command) error {
+func applySettingsArgument(command *cli.Command) error {
 	switch arguments := command.Args(); {
 	case arguments.Len() == 0:
 		return nil
@@ -118,7 +118,7 @@
 			ArgsUsage: "[FILE]",
 			Flags:     nodeFlags(),
 			Action: func(_ context.Context, command *cli.Command) error {
-				if err := takeSettingsArgument(command); err != nil {
+				if err := applySettingsArgument(command); err != nil {
 					return err
 				}
 				loaded, err := loadSettings(command)
--- a/cmd/indigobarrow/output.go
+++ b/cmd/indigobarrow/output.go
@@ -27,11 +27,11 @@
 
 func newTable(heading ...string) *table {
 	made := &table{writer: tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)}
-	made.row(heading...)
+	made.addRow(heading...)
 	return made
 }
 
-func (table *table) row(cells ...string) {
+func (table *table) addRow(cells ...string) {
 	fmt.Fprintln(table.writer, strings.Join(cells, "\t"))
 }
 
--- a/cmd/indigobarrow/policy.go
+++ b/cmd/indigobarrow/policy.go
@@ -34,7 +34,7 @@
 					if err != nil {
 						return err
 					}
-					return apply(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_RollbackPolicy{RollbackPolicy: name}})
+					return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_RollbackPolicy{RollbackPolicy: name}})
 				}},
 			{Name: "apply", Usage: "create or replace a policy from a JSON file", ArgsUsage: "FILE", Flags: changeFlags(),
 				Action: func(ctx context.Context, command *cli.Command) error {
@@ -42,7 +42,7 @@
 					if err != nil {
 						return err
 					}
-					return apply(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: wanted}})
+					return applyChange(ctx, command, &apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_PutPolicy{PutPolicy: wanted}})
 				}},
 		},
 	}
@@ -57,8 +57,8 @@
 	return wanted, readFile(path, wanted)
 }
 
-// tryPolicy checks a policy and shows what it says of the samples.
-func tryPolicy(wanted *apiv1.Policy) error {
+// evaluateSamples checks a policy and shows what it says of the samples.
+func evaluateSamples(wanted *apiv1.Policy) error {
 	if err := policy.Check(wanted); err != nil {
 		return change.NewProblem(change.CodeInvalid, "policy", wanted.GetName(), err.Error(), "mend the expression")
 	}
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		rows.row(names[index], fmt.Sprintf("%.2f", outcome.Weight), strconv.FormatBool(outcome.Leaving),
+		rows.addRow(names[index], fmt.Sprintf("%.2f", outcome.Weight), strconv.FormatBool(outcome.Leaving),
 			fmt.Sprintf("%.2f", outcome.LoadTrust))
 	}
 	return rows.flush()
@@ -91,13 +91,13 @@
 	sort.Slice(policies, func(i, j int) bool { return policies[i].GetName() < policies[j].GetName() })
 	rows := newTable("POLICY", "WEIGHT", "LEAVING", "LOAD TRUST")
 	for _, known := range append([]*apiv1.Policy{policy.Default()}, policies...) {
-		rows.row(known.GetName(), known.GetWeight(), known.GetLeaving(), known.GetLoadTrust())
+		rows.addRow(known.GetName(), known.GetWeight(), known.GetLeaving(), known.GetLoadTrust())
 	}
 	return rows.flush()
 }
 
-// inForce reads a policy by name; the default one needs no entry.
-func inForce(ctx context.Context, command *cli.Command, name string) (*apiv1.Policy, error) {
+// policyInForce reads a policy by name; the default one needs no entry.
+func policyInForce(ctx context.Context, command *cli.Command, name string) (*apiv1.Policy, error) {
 	configuration, err := readConfiguration(ctx, command)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	found, err := inForce(ctx, command, name)
+	found, err := policyInForce(ctx, command, name)
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	old, err := inForce(ctx, command, wanted.GetName())
+	old, err := policyInForce(ctx, command, wanted.GetName())
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 		{"load_trust", old.GetLoadTrust(), wanted.GetLoadTrust()},
 	} {
 		if field.old != field.wanted {
-			rows.row(field.name, field.old, field.wanted)
+			rows.addRow(field.name, field.old, field.wanted)
 		}
 	}
 	return rows.flush()
@@ -153,21 +153,21 @@
 	}
 	switch against := command.String("against"); against {
 	case "":
-		return tryPolicy(wanted)
+		return evaluateSamples(wanted)
 	case "live":
-		return tryLive(ctx, command, wanted)
+		return compareLive(ctx, command, wanted)
 	default:
 		return change.NewProblem(change.CodeInvalid, "against", against, "is not known", "use live, or leave it out")
 	}
 }
 
-// tryLive shows what a policy would change now, for the services that use it.
-func tryLive(ctx context.Context, command *cli.Command, wanted *apiv1.Policy) error {
+// compareLive shows what a policy would change now, for the services that use it.
+func compareLive(ctx context.Context, command *cli.Command, wanted *apiv1.Policy) error {
 	program, err := policy.Compile(wanted)
 	if err != nil {
 		return change.NewProblem(change.CodeInvalid, "policy", wanted.GetName(), err.Error(), "mend the expression")
 	}
-	report, err := liveFacts(ctx, command)
+	report, err := readFacts(ctx, command)
 	if err != nil {
 		return err
 	}
@@ -183,14 +183,14 @@
 		if err != nil {
 			return err
 		}
-		rows.row(known.GetService(), known.GetBackend(), strconv.Itoa(int(known.GetWeight())),
+		rows.addRow(known.GetService(), known.GetBackend(), strconv.Itoa(int(known.GetWeight())),
 			strconv.Itoa(int(math.Round(outcome.Weight*10))*10), strconv.FormatBool(outcome.Leaving), fmt.Sprintf("%.2f", outcome.LoadTrust))
 	}
 	return rows.flush()
 }
 
-// liveFacts finds the node that reads the reports.
-func liveFacts(ctx context.Context, command *cli.Command) (*apiv1.FactsReport, error) {
+// readFacts finds the node that reads the reports.
+func readFacts(ctx context.Context, command *cli.Command) (*apiv1.FactsReport, error) {
 	clients, err := groupClients(ctx, command)
 	if err != nil {
 		return nil, err
--- a/cmd/indigobarrow/status.go
+++ b/cmd/indigobarrow/status.go
@@ -14,7 +14,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/admin"
 )
 
-const statusPoll = 100 * time.Millisecond
+const statusPollInterval = 100 * time.Millisecond
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
@@ -28,7 +28,7 @@
 
 func showStatus(ctx context.Context, command *cli.Command) error {
 	deadline := time.Now().Add(command.Duration("timeout"))
-	asked, err := client(command)
+	asked, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 		}
 		missing := admin.NotInForce(status)
 		if command.Bool("wait") && len(missing) > 0 && time.Now().Before(deadline) {
-			time.Sleep(statusPoll)
+			time.Sleep(statusPollInterval)
 			continue
 		}
 		if err := printStatus(command, status); err != nil {
@@ -70,7 +70,7 @@
 	}
 	rows := newTable("PEER", "ZONE", "ALIVE", "IN FORCE", "ADMIN")
 	for _, peer := range status.GetPeers() {
-		rows.row(peer.GetId(), peer.GetZone(), strconv.FormatBool(peer.GetAlive()),
+		rows.addRow(peer.GetId(), peer.GetZone(), strconv.FormatBool(peer.GetAlive()),
 			strconv.FormatUint(peer.GetInForceRevision(), 10), peer.GetAdminAddress())
 	}
 	return rows.flush()
@@ -87,7 +87,7 @@
 // explainFlow asks the node and all its live peers.
 func explainFlow(ctx context.Context, command *cli.Command) error {
 	if command.Bool("recent") {
-		return listRecent(ctx, command)
+		return listRecentFlows(ctx, command)
 	}
 	flow, err := argument(command, 0, "FLOW")
 	if err != nil {
@@ -113,12 +113,12 @@
 	return nil
 }
 
-func listRecent(ctx context.Context, command *cli.Command) error {
-	asked, err := client(command)
+func listRecentFlows(ctx context.Context, command *cli.Command) error {
+	asked, err := nodeClient(command)
 	if err != nil {
 		return err
 	}
-	recent, err := asked.Recent(ctx)
+	recent, err := asked.RecentFlows(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -39,15 +39,15 @@
 	}
 }
 
-func text(name, value, usage string) cli.Flag {
+func stringFlag(name, value, usage string) cli.Flag {
 	return &cli.StringFlag{Name: name, Value: value, Usage: usage}
 }
 
-func number(name string, value int, usage string) cli.Flag {
+func intFlag(name string, value int, usage string) cli.Flag {
 	return &cli.IntFlag{Name: name, Value: value, Usage: usage}
 }
 
-func duration(name string, value time.Duration, usage string) cli.Flag {
+func durationFlag(name string, value time.Duration, usage string) cli.Flag {
 	return &cli.DurationFlag{Name: name, Value: value, Usage: usage}
 }
 
@@ -67,8 +67,8 @@
 		Name:  "store",
 		Usage: "key-value service",
 		Flags: []cli.Flag{
-			text("listen", "127.0.0.1:7000", "HTTP address"),
-			number("rate", 500, "requests a second"),
+			stringFlag("listen", "127.0.0.1:7000", "HTTP address"),
+			intFlag("rate", 500, "requests a second"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			return serve(ctx, command.String("listen"), store.New(float64(command.Int("rate"))).Handler())
@@ -81,8 +81,8 @@
 		Name:  "machines",
 		Usage: "lagging list of machines",
 		Flags: []cli.Flag{
-			text("listen", "127.0.0.1:7001", "HTTP address"),
-			duration("lag", 3*time.Second, "how far the list lags"),
+			stringFlag("listen", "127.0.0.1:7001", "HTTP address"),
+			durationFlag("lag", 3*time.Second, "how far the list lags"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			return serve(ctx, command.String("listen"), machines.New(command.Duration("lag")).Handler())
@@ -95,9 +95,9 @@
 		Name:  "fabric",
 		Usage: "sprays packets over the balancers",
 		Flags: []cli.Flag{
-			text("listen", "127.0.0.1:7002", "UDP address"),
-			text("control", "127.0.0.1:7003", "HTTP address; PUT /nodes sets the list"),
-			text("nodes", "", "data addresses of the balancers, separated by commas"),
+			stringFlag("listen", "127.0.0.1:7002", "UDP address"),
+			stringFlag("control", "127.0.0.1:7003", "HTTP address; PUT /nodes sets the list"),
+			stringFlag("nodes", "", "data addresses of the balancers, separated by commas"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			made, err := fabric.New(command.String("listen"))
@@ -120,16 +120,16 @@
 		Name:  "backend",
 		Usage: "a back end",
 		Flags: []cli.Flag{
-			text("name", "backend-0", "name"),
-			text("service", "lending", "service"),
-			text("address", "10.200.0.1:80", "the service's inner address"),
-			text("tunnel", "127.1.0.1:6080", "UDP address for its packets"),
-			text("control", "127.0.0.1:7100", "HTTP address for reports, counts and faults"),
-			number("slots", 2, "requests at a time"),
-			number("queue", 64, "requests that may wait"),
-			number("connections", 2000, "open connections"),
-			duration("work", 2*time.Millisecond, "time of a request"),
-			duration("cold", 0, "time for which requests take longer after the start"),
+			stringFlag("name", "backend-0", "name"),
+			stringFlag("service", "lending", "service"),
+			stringFlag("address", "10.200.0.1:80", "the service's inner address"),
+			stringFlag("tunnel", "127.1.0.1:6080", "UDP address for its packets"),
+			stringFlag("control", "127.0.0.1:7100", "HTTP address for reports, counts and faults"),
+			intFlag("slots", 2, "requests at a time"),
+			intFlag("queue", 64, "requests that may wait"),
+			intFlag("connections", 2000, "open connections"),
+			durationFlag("work", 2*time.Millisecond, "time of a request"),
+			durationFlag("cold", 0, "time for which requests take longer after the start"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			address, err := netip.ParseAddrPort(command.String("address"))
@@ -137,15 +137,15 @@
 				return errors.Wrap(err, "address")
 			}
 			made, err := backend.New(backend.Settings{
-				Name:        command.String("name"),
-				Service:     command.String("service"),
-				Address:     address,
-				Tunnel:      command.String("tunnel"),
-				Slots:       command.Int("slots"),
-				Queue:       command.Int("queue"),
-				Connections: command.Int("connections"),
-				WorkTime:    command.Duration("work"),
-				ColdTime:    command.Duration("cold"),
+				Name:               command.String("name"),
+				Service:            command.String("service"),
+				Address:            address,
+				TunnelAddress:      command.String("tunnel"),
+				Slots:              command.Int("slots"),
+				QueueLength:        command.Int("queue"),
+				MaximumConnections: command.Int("connections"),
+				ServiceTime:        command.Duration("work"),
+				ColdStartTime:      command.Duration("cold"),
 			})
 			if err != nil {
 				return err
@@ -161,16 +161,16 @@
 		Name:  "caller",
 		Usage: "callers of a service",
 		Flags: []cli.Flag{
-			text("name", "caller", "name"),
-			text("inner", "10.64.0.1", "inner address, within "+fabric.CallerPrefix),
-			text("fabric", "127.0.0.1:7002", "UDP address of the fabric"),
-			text("service", "lending", "service that must answer"),
-			text("target", "10.200.0.1:80", "the service's inner address"),
-			text("control", "127.0.0.1:7200", "HTTP address for counts"),
-			number("connections", 50, "connections held open"),
-			number("requests", 20, "requests on a connection"),
-			duration("interval", 200*time.Millisecond, "time between requests of a connection"),
-			number("once-share", 5, "one in how many requests may not be repeated"),
+			stringFlag("name", "caller", "name"),
+			stringFlag("inner", "10.64.0.1", "inner address, within "+fabric.CallerPrefix),
+			stringFlag("fabric", "127.0.0.1:7002", "UDP address of the fabric"),
+			stringFlag("service", "lending", "service that must answer"),
+			stringFlag("target", "10.200.0.1:80", "the service's inner address"),
+			stringFlag("control", "127.0.0.1:7200", "HTTP address for counts"),
+			intFlag("connections", 50, "connections held open"),
+			intFlag("requests", 20, "requests on a connection"),
+			durationFlag("interval", 200*time.Millisecond, "time between requests of a connection"),
+			intFlag("once-share", 5, "one in how many requests may not be repeated"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			inner, err := netip.ParseAddr(command.String("inner"))
@@ -182,10 +182,10 @@
 				return errors.Wrap(err, "target")
 			}
 			made, err := caller.New(caller.Settings{
-				Name: command.String("name"), Inner: inner, Fabric: command.String("fabric"),
+				Name: command.String("name"), InnerAddress: inner, FabricAddress: command.String("fabric"),
 				Service: command.String("service"), Target: target,
 				Connections: command.Int("connections"), Requests: command.Int("requests"),
-				Interval: command.Duration("interval"), OnceShare: command.Int("once-share"),
+				Interval: command.Duration("interval"), NonRetryableEvery: command.Int("once-share"),
 			})
 			if err != nil {
 				return err
--- a/cmd/standin/tokens.go
+++ b/cmd/standin/tokens.go
@@ -22,12 +22,12 @@
 // The stand-ins of a network whose packets carry tokens.
 
 const (
-	// sumKey is the key of the packets' sums; all stand-ins of a network share it.
-	sumKey = 4711
-	// beatPause is how often a back end writes its entry.
-	beatPause = 500 * time.Millisecond
-	// servesOn is how long a back end serves on after it has said that it leaves.
-	servesOn = 4 * time.Second
+	// checksumKey is the key of the packets' sums; all stand-ins of a network share it.
+	checksumKey = 4711
+	// refreshInterval is how often a back end writes its entry.
+	refreshInterval = 500 * time.Millisecond
+	// drainTime is how long a back end serves on after it has said that it leaves.
+	drainTime = 4 * time.Second
 	// pageSize is how many entries the store gives at once.
 	pageSize = 500
 )
@@ -36,7 +36,7 @@
 	return &cli.Command{
 		Name:  "metadata",
 		Usage: "metadata store; PUT and DELETE /operator/KEY write as operators and back ends do, POST /copy and /restore play a drill",
-		Flags: []cli.Flag{text("listen", "127.0.0.1:8169", "HTTP address")},
+		Flags: []cli.Flag{stringFlag("listen", "127.0.0.1:8169", "HTTP address")},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			store := metadata.New(pageSize)
 			mux := http.NewServeMux()
@@ -52,21 +52,21 @@
 			mux.HandleFunc("DELETE /operator/{key...}", func(_ http.ResponseWriter, request *http.Request) {
 				store.Remove(request.PathValue("key"))
 			})
-			addDrill(mux, store)
+			handleBackups(mux, store)
 			return serve(ctx, command.String("listen"), mux)
 		},
 	}
 }
 
-// addDrill lets callers take a copy of the store and put the store back to it. Back ends
+// handleBackups lets callers take a copy of the store and put the store back to it. Back ends
 // write again by themselves, and operators have to.
-func addDrill(mux *http.ServeMux, store *metadata.Server) {
+func handleBackups(mux *http.ServeMux, store *metadata.Server) {
 	var mutex sync.Mutex
-	copied := store.Copy()
+	copied := store.Backup()
 	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		copied = store.Copy()
+		copied = store.Backup()
 	})
 	mux.HandleFunc("POST /restore", func(response http.ResponseWriter, _ *http.Request) {
 		mutex.Lock()
@@ -81,15 +81,15 @@
 		Name:  "token-backend",
 		Usage: "a back end that returns tokens; it leaves as planned on SIGTERM",
 		Flags: []cli.Flag{
-			text("id", "i-a1", "id, ending in hexadecimal digits"),
-			text("pool", "lending", "pool"),
-			text("zone", "zone-1", "zone"),
-			text("address", "127.1.0.1:8080", "UDP address"),
-			text("store", "127.0.0.1:8169", "HTTP address of the metadata store"),
-			number("client-port", clientPort, "port at which clients take packets"),
-			number("slots", 2, "requests at a time"),
-			number("queue", 64, "requests that may wait"),
-			duration("work", 2*time.Millisecond, "time of a request"),
+			stringFlag("id", "i-a1", "id, ending in hexadecimal digits"),
+			stringFlag("pool", "lending", "pool"),
+			stringFlag("zone", "zone-1", "zone"),
+			stringFlag("address", "127.1.0.1:8080", "UDP address"),
+			stringFlag("store", "127.0.0.1:8169", "HTTP address of the metadata store"),
+			intFlag("client-port", clientPort, "port at which clients take packets"),
+			intFlag("slots", 2, "requests at a time"),
+			intFlag("queue", 64, "requests that may wait"),
+			durationFlag("work", 2*time.Millisecond, "time of a request"),
 		},
 		Action: runTokenBackend,
 	}
@@ -103,30 +103,30 @@
 	if err != nil {
 		return errors.Wrap(err, "address")
 	}
-	made, err := echonet.StartBackend(command.String("id"), command.String("pool"), address, uint16(command.Int("client-port")), sumKey)
+	made, err := echonet.StartBackend(command.String("id"), command.String("pool"), address, uint16(command.Int("client-port")), checksumKey)
 	if err != nil {
 		return err
 	}
 	defer made.Stop()
-	made.SetLoad(echonet.Load{Slots: command.Int("slots"), Queue: command.Int("queue"), Work: command.Duration("work")})
+	made.SetLoadModel(echonet.LoadModel{Slots: command.Int("slots"), QueueLength: command.Int("queue"), ServiceTime: command.Duration("work")})
 	key := "http://" + command.String("store") + "/operator/" + metadata.BackendKey(made.ID)
 	entry := metadata.BackendEntry{Pool: made.Pool, Address: address.String(), Zone: command.String("zone"),
-		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, Born: time.Now().UnixMilli()}
-	beat(ctx, key, entry)
+		Version: "v1", Slots: command.Int("slots"), State: metadata.StateReady, StartedMilliseconds: time.Now().UnixMilli()}
+	refreshEntry(ctx, key, entry)
 	entry.State = metadata.StateDraining
-	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), servesOn)
+	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTime)
 	defer cancel()
-	beat(leaving, key, entry)
-	return write(http.MethodDelete, key, nil)
+	refreshEntry(leaving, key, entry)
+	return sendEntry(http.MethodDelete, key, nil)
 }
 
-// beat writes a back end's entry until the context ends.
-func beat(ctx context.Context, key string, entry metadata.BackendEntry) {
-	ticker := time.NewTicker(beatPause)
+// refreshEntry writes a back end's entry until the context ends.
+func refreshEntry(ctx context.Context, key string, entry metadata.BackendEntry) {
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for seq := 0; ; seq++ {
 		entry.Sequence = seq
-		if err := write(http.MethodPut, key, entry); err != nil {
+		if err := sendEntry(http.MethodPut, key, entry); err != nil {
 			fmt.Println("store:", err)
 		}
 		select {
@@ -137,7 +137,7 @@
 	}
 }
 
-func write(method, url string, body any) error {
+func sendEntry(method, url string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "entry")
@@ -158,13 +158,13 @@
 		Name:  "token-client",
 		Usage: "clients and their router: opens flows, asks on them, and tells what came of it",
 		Flags: []cli.Flag{
-			text("address", fmt.Sprintf("127.3.0.1:%d", clientPort), "UDP address"),
-			text("balancers", "", "balancers as DATA@READINESS addresses, separated by commas"),
-			text("target", "198.18.0.1:443", "the route's address"),
-			number("flows", 20, "flows at a time"),
-			number("requests", 20, "requests on a flow"),
-			duration("interval", 100*time.Millisecond, "time between requests of a flow"),
-			duration("length", 10*time.Second, "how long to go on"),
+			stringFlag("address", fmt.Sprintf("127.3.0.1:%d", clientPort), "UDP address"),
+			stringFlag("balancers", "", "balancers as DATA@READINESS addresses, separated by commas"),
+			stringFlag("target", "198.18.0.1:443", "the route's address"),
+			intFlag("flows", 20, "flows at a time"),
+			intFlag("requests", 20, "requests on a flow"),
+			durationFlag("interval", 100*time.Millisecond, "time between requests of a flow"),
+			durationFlag("length", 10*time.Second, "how long to go on"),
 		},
 		Action: runTokenClient,
 	}
@@ -191,26 +191,26 @@
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("length"))
 	defer cancel()
 	go router.Run(ctx)
-	client, err := echonet.StartClient(address, router, sumKey)
+	client, err := echonet.StartClient(address, router, checksumKey)
 	if err != nil {
 		return err
 	}
 	defer client.Stop()
-	for router.In() == 0 && ctx.Err() == nil {
-		time.Sleep(beatPause / 10)
+	for router.InService() == 0 && ctx.Err() == nil {
+		time.Sleep(refreshInterval / 10)
 	}
-	asked := &asking{client: client, target: target, requests: command.Int("requests"), interval: command.Duration("interval"),
+	asked := &loadGenerator{client: client, target: target, requests: command.Int("requests"), interval: command.Duration("interval"),
 		counts: make(map[string]int)}
 	var flows sync.WaitGroup
 	for number := range command.Int("flows") {
-		flows.Go(func() { asked.run(ctx, number) })
+		flows.Go(func() { asked.runFlows(ctx, number) })
 	}
 	flows.Wait()
 	return json.NewEncoder(command.Root().Writer).Encode(asked.counts)
 }
 
-// asking is what the clients do, and what came of it.
-type asking struct {
+// loadGenerator is what the clients do, and what came of it.
+type loadGenerator struct {
 	client   *echonet.Client
 	target   netip.AddrPort
 	requests int
@@ -219,23 +219,23 @@
 	counts   map[string]int
 }
 
-// run opens one flow after the other, with an id in each request, which balancers
+// runFlows opens one flow after the other, with an id in each request, which balancers
 // log.
-func (a *asking) run(ctx context.Context, number int) {
+func (a *loadGenerator) runFlows(ctx context.Context, number int) {
 	for turn := 0; ctx.Err() == nil; turn++ {
 		flow, err := a.client.Open(a.target)
-		a.note("flows opened", "flows not opened", err)
+		a.count("flows opened", "flows not opened", err)
 		for request := 0; err == nil && request < a.requests && ctx.Err() == nil; request++ {
 			var server string
 			server, err = flow.Request(fmt.Sprintf("GET / HTTP/1.1\r\nX-Attempt-Id: %d-%d-%d\r\n\r\n", number, turn, request))
-			a.note("answered by "+server, "requests failed", err)
+			a.count("answered by "+server, "requests failed", err)
 			time.Sleep(a.interval)
 		}
 		flow.Close()
 	}
 }
 
-func (a *asking) note(good, bad string, err error) {
+func (a *loadGenerator) count(good, bad string, err error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,8 +23,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 )
 
-// Backend is what the API needs of the node.
-type Backend interface {
+// Node is what the API needs of the node.
+type Node interface {
 	// Configuration reads the newest configuration; it may be nil.
 	Configuration(ctx context.Context) (*apiv1.Configuration, error)
 	// Change applies a change through the store.
@@ -35,8 +35,8 @@
 	Explain(ctx context.Context, key flow.Key) (*apiv1.Explanation, error)
 	// Facts tells what the node knows of the back ends.
 	Facts(ctx context.Context) (*apiv1.FactsReport, error)
-	// Recent lists the flows of the node's newest decisions.
-	Recent(count int) *apiv1.RecentFlows
+	// RecentFlows lists the flows of the node's newest decisions.
+	RecentFlows(count int) *apiv1.RecentFlows
 	// Ready reports whether the node can serve.
 	Ready() bool
 	// SetLogLevel changes the level of the logs.
@@ -45,33 +45,33 @@
 
 // API serves the administration API.
 type API struct {
-	backend Backend
-	logger  *slog.Logger
-	// adminHash is the hash of the first administrator token, nil for none.
-	adminHash []byte
+	node   Node
+	logger *slog.Logger
+	// administratorHash is the hash of the first administrator token, nil for none.
+	administratorHash []byte
 }
 
 // New makes the API. adminTokenHash is in hex and may be empty.
-func New(backend Backend, logger *slog.Logger, adminTokenHash string) *API {
+func New(backend Node, logger *slog.Logger, adminTokenHash string) *API {
 	hash, err := hex.DecodeString(adminTokenHash)
 	if err != nil || len(hash) == 0 {
 		hash = nil
 	}
-	return &API{backend: backend, logger: logger, adminHash: hash}
+	return &API{node: backend, logger: logger, administratorHash: hash}
 }
 
-const maximumBody = 1 << 20
+const maximumBodySize = 1 << 20
 
 // Handler returns the HTTP handler; metrics is mounted beside the API.
 func (api *API) Handler(metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/configuration", api.guard(apiv1.Role_ROLE_VIEWER, api.configuration))
-	mux.HandleFunc("GET /v1/status", api.guard(apiv1.Role_ROLE_VIEWER, api.status))
-	mux.HandleFunc("GET /v1/decisions", api.guard(apiv1.Role_ROLE_VIEWER, api.decisions))
-	mux.HandleFunc("GET /v1/recent-flows", api.guard(apiv1.Role_ROLE_VIEWER, api.recent))
-	mux.HandleFunc("GET /v1/facts", api.guard(apiv1.Role_ROLE_VIEWER, api.facts))
-	mux.HandleFunc("POST /v1/changes", api.guard(apiv1.Role_ROLE_EDITOR, api.change))
-	mux.HandleFunc("PUT /v1/log-level", api.guard(apiv1.Role_ROLE_ADMINISTRATOR, api.logLevel))
+	mux.HandleFunc("GET /v1/configuration", api.authorize(apiv1.Role_ROLE_VIEWER, api.configuration))
+	mux.HandleFunc("GET /v1/status", api.authorize(apiv1.Role_ROLE_VIEWER, api.status))
+	mux.HandleFunc("GET /v1/decisions", api.authorize(apiv1.Role_ROLE_VIEWER, api.decisions))
+	mux.HandleFunc("GET /v1/recent-flows", api.authorize(apiv1.Role_ROLE_VIEWER, api.recentFlows))
+	mux.HandleFunc("GET /v1/facts", api.authorize(apiv1.Role_ROLE_VIEWER, api.facts))
+	mux.HandleFunc("POST /v1/changes", api.authorize(apiv1.Role_ROLE_EDITOR, api.change))
+	mux.HandleFunc("PUT /v1/log-level", api.authorize(apiv1.Role_ROLE_ADMINISTRATOR, api.setLogLevel))
 	mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, "ok\n")
 	})
@@ -81,69 +81,69 @@
 }
 
 func (api *API) ready(writer http.ResponseWriter, _ *http.Request) {
-	if !api.backend.Ready() {
+	if !api.node.Ready() {
 		http.Error(writer, "out of contact with the group, or no state yet", http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// caller is who makes a request.
-type caller struct {
+// principal is who makes a request.
+type principal struct {
 	name string
 	role apiv1.Role
 	team string
 }
 
-type handler func(writer http.ResponseWriter, request *http.Request, caller caller)
+type authorizedHandler func(writer http.ResponseWriter, request *http.Request, caller principal)
 
-// guard checks the bearer token. Without any token configured, everyone is an
+// authorize checks the bearer token. Without any token configured, everyone is an
 // administrator: the first thing to do is to set one.
-func (api *API) guard(least apiv1.Role, next handler) http.HandlerFunc {
+func (api *API) authorize(least apiv1.Role, next authorizedHandler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		caller, problem := api.identify(request)
+		caller, problem := api.authenticate(request)
 		if problem == nil && caller.role < least {
 			problem = change.NewProblem(change.CodeForbidden, "token", caller.name,
 				fmt.Sprintf("has the role %s", caller.role), fmt.Sprintf("use a token with the role %s", least))
 		}
 		if problem != nil {
-			api.fail(writer, problem)
+			api.writeProblem(writer, problem)
 			return
 		}
 		next(writer, request, caller)
 	}
 }
 
-func (api *API) identify(request *http.Request) (caller, *change.Problem) {
-	configuration, err := api.backend.Configuration(request.Context())
+func (api *API) authenticate(request *http.Request) (principal, *change.Problem) {
+	configuration, err := api.node.Configuration(request.Context())
 	if err != nil {
-		return caller{}, asProblem(err)
+		return principal{}, toProblem(err)
 	}
-	if api.adminHash == nil && len(configuration.GetTokens()) == 0 {
-		return caller{name: "anyone", role: apiv1.Role_ROLE_ADMINISTRATOR}, nil
+	if api.administratorHash == nil && len(configuration.GetTokens()) == 0 {
+		return principal{name: "anyone", role: apiv1.Role_ROLE_ADMINISTRATOR}, nil
 	}
 	token, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	if !found {
-		return caller{}, change.NewProblem(change.CodeUnauthorized, "Authorization", "",
+		return principal{}, change.NewProblem(change.CodeUnauthorized, "Authorization", "",
 			"the request carries no bearer token", "set INDIGOBARROW_TOKEN or --token")
 	}
 	sum := sha256.Sum256([]byte(token))
-	if api.adminHash != nil && subtle.ConstantTimeCompare(sum[:], api.adminHash) == 1 {
-		return caller{name: "administrator", role: apiv1.Role_ROLE_ADMINISTRATOR}, nil
+	if api.administratorHash != nil && subtle.ConstantTimeCompare(sum[:], api.administratorHash) == 1 {
+		return principal{name: "administrator", role: apiv1.Role_ROLE_ADMINISTRATOR}, nil
 	}
 	for _, known := range configuration.GetTokens() {
 		if subtle.ConstantTimeCompare(sum[:], known.GetSha256()) == 1 {
-			return caller{name: known.GetName(), role: known.GetRole(), team: known.GetTeam()}, nil
+			return principal{name: known.GetName(), role: known.GetRole(), team: known.GetTeam()}, nil
 		}
 	}
-	return caller{}, change.NewProblem(change.CodeUnauthorized, "Authorization", "(hidden)",
+	return principal{}, change.NewProblem(change.CodeUnauthorized, "Authorization", "(hidden)",
 		"the token is not known", "ask an administrator for a token")
 }
 
-func (api *API) configuration(writer http.ResponseWriter, request *http.Request, _ caller) {
-	configuration, err := api.backend.Configuration(request.Context())
+func (api *API) configuration(writer http.ResponseWriter, request *http.Request, _ principal) {
+	configuration, err := api.node.Configuration(request.Context())
 	if err != nil {
-		api.fail(writer, asProblem(err))
+		api.writeProblem(writer, toProblem(err))
 		return
 	}
 	if configuration == nil {
@@ -153,69 +153,69 @@
 	for _, token := range shown.GetTokens() {
 		token.Sha256 = nil
 	}
-	api.answer(writer, http.StatusOK, shown)
+	api.writeMessage(writer, http.StatusOK, shown)
 }
 
-func (api *API) status(writer http.ResponseWriter, request *http.Request, _ caller) {
-	status, err := api.backend.Status(request.Context())
+func (api *API) status(writer http.ResponseWriter, request *http.Request, _ principal) {
+	status, err := api.node.Status(request.Context())
 	if err != nil {
-		api.fail(writer, asProblem(err))
+		api.writeProblem(writer, toProblem(err))
 		return
 	}
-	api.answer(writer, http.StatusOK, status)
+	api.writeMessage(writer, http.StatusOK, status)
 }
 
-func (api *API) facts(writer http.ResponseWriter, request *http.Request, _ caller) {
-	report, err := api.backend.Facts(request.Context())
+func (api *API) facts(writer http.ResponseWriter, request *http.Request, _ principal) {
+	report, err := api.node.Facts(request.Context())
 	if err != nil {
-		api.fail(writer, asProblem(err))
+		api.writeProblem(writer, toProblem(err))
 		return
 	}
-	api.answer(writer, http.StatusOK, report)
+	api.writeMessage(writer, http.StatusOK, report)
 }
 
-// recentCount bounds the flows listed.
-const recentCount = 20
+// maximumRecentFlows bounds the flows listed.
+const maximumRecentFlows = 20
 
-func (api *API) recent(writer http.ResponseWriter, _ *http.Request, _ caller) {
-	api.answer(writer, http.StatusOK, api.backend.Recent(recentCount))
+func (api *API) recentFlows(writer http.ResponseWriter, _ *http.Request, _ principal) {
+	api.writeMessage(writer, http.StatusOK, api.node.RecentFlows(maximumRecentFlows))
 }
 
-func (api *API) decisions(writer http.ResponseWriter, request *http.Request, _ caller) {
+func (api *API) decisions(writer http.ResponseWriter, request *http.Request, _ principal) {
 	text := request.URL.Query().Get("flow")
 	key, err := flow.Parse(text)
 	if err != nil {
-		api.fail(writer, change.NewProblem(change.CodeInvalid, "flow", text, err.Error(),
+		api.writeProblem(writer, change.NewProblem(change.CodeInvalid, "flow", text, err.Error(),
 			"write it like 10.64.0.5:40000-10.200.0.1:80"))
 		return
 	}
-	explanation, err := api.backend.Explain(request.Context(), key)
+	explanation, err := api.node.Explain(request.Context(), key)
 	if err != nil {
-		api.fail(writer, asProblem(err))
+		api.writeProblem(writer, toProblem(err))
 		return
 	}
-	api.answer(writer, http.StatusOK, explanation)
+	api.writeMessage(writer, http.StatusOK, explanation)
 }
 
-func (api *API) change(writer http.ResponseWriter, request *http.Request, caller caller) {
-	body, err := io.ReadAll(io.LimitReader(request.Body, maximumBody))
+func (api *API) change(writer http.ResponseWriter, request *http.Request, caller principal) {
+	body, err := io.ReadAll(io.LimitReader(request.Body, maximumBodySize))
 	if err != nil {
-		api.fail(writer, asProblem(err))
+		api.writeProblem(writer, toProblem(err))
 		return
 	}
 	wanted := &apiv1.ChangeRequest{}
 	if err := protojson.Unmarshal(body, wanted); err != nil {
-		api.fail(writer, change.NewProblem(change.CodeInvalid, "body", "", err.Error(), "send a ChangeRequest as in admin.proto"))
+		api.writeProblem(writer, change.NewProblem(change.CodeInvalid, "body", "", err.Error(), "send a ChangeRequest as in admin.proto"))
 		return
 	}
 	wanted.Author = caller.name
-	if problem := api.allowed(request.Context(), wanted, caller); problem != nil {
-		api.fail(writer, problem)
+	if problem := api.authorizeChange(request.Context(), wanted, caller); problem != nil {
+		api.writeProblem(writer, problem)
 		return
 	}
-	answer, err := api.backend.Change(request.Context(), wanted)
+	answer, err := api.node.Change(request.Context(), wanted)
 	if err != nil {
-		api.fail(writer, asProblem(err))
+		api.writeProblem(writer, toProblem(err))
 		return
 	}
 	status := http.StatusOK
@@ -223,17 +223,17 @@
 		status = http.StatusAccepted
 	}
 	api.logger.Info("Change accepted.", "author", caller.name, "revision", answer.GetRevision(), "marked_only", answer.GetMarkedOnly())
-	api.answer(writer, status, answer)
+	api.writeMessage(writer, status, answer)
 }
 
-// allowed checks that an editor changes only services of its own team.
-func (api *API) allowed(ctx context.Context, wanted *apiv1.ChangeRequest, caller caller) *change.Problem {
+// authorizeChange checks that an editor changes only services of its own team.
+func (api *API) authorizeChange(ctx context.Context, wanted *apiv1.ChangeRequest, caller principal) *change.Problem {
 	if caller.role >= apiv1.Role_ROLE_ADMINISTRATOR {
 		return nil
 	}
-	configuration, err := api.backend.Configuration(ctx)
+	configuration, err := api.node.Configuration(ctx)
 	if err != nil {
-		return asProblem(err)
+		return toProblem(err)
 	}
 	name, team := "", ""
 	switch body := wanted.GetChange().(type) {
@@ -254,16 +254,16 @@
 	return nil
 }
 
-func (api *API) logLevel(writer http.ResponseWriter, request *http.Request, _ caller) {
+func (api *API) setLogLevel(writer http.ResponseWriter, request *http.Request, _ principal) {
 	level := request.URL.Query().Get("level")
-	if err := api.backend.SetLogLevel(level); err != nil {
-		api.fail(writer, change.NewProblem(change.CodeInvalid, "level", level, "is not known", "use debug, info, warn or error"))
+	if err := api.node.SetLogLevel(level); err != nil {
+		api.writeProblem(writer, change.NewProblem(change.CodeInvalid, "level", level, "is not known", "use debug, info, warn or error"))
 		return
 	}
 	_, _ = io.WriteString(writer, "ok\n")
 }
 
-func (api *API) answer(writer http.ResponseWriter, status int, message proto.Message) {
+func (api *API) writeMessage(writer http.ResponseWriter, status int, message proto.Message) {
 	body, err := protojson.MarshalOptions{EmitUnpopulated: true, UseProtoNames: true}.Marshal(message)
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusInternalServerError)
@@ -274,7 +274,7 @@
 	_, _ = writer.Write(body)
 }
 
-var statusOf = map[string]int{
+var statusByCode = map[string]int{
 	change.CodeInvalid:      http.StatusUnprocessableEntity,
 	change.CodeConflict:     http.StatusConflict,
 	change.CodeNotFound:     http.StatusNotFound,
@@ -285,22 +285,22 @@
 	change.CodeUnknown:      http.StatusGatewayTimeout,
 }
 
-// comeBack is when a caller should try again after a limit or an outage.
-const comeBack = 2 * time.Second
+// retryAfter is when a caller should try again after a limit or an outage.
+const retryAfter = 2 * time.Second
 
-func (api *API) fail(writer http.ResponseWriter, problem *change.Problem) {
-	status, known := statusOf[problem.GetCode()]
+func (api *API) writeProblem(writer http.ResponseWriter, problem *change.Problem) {
+	status, known := statusByCode[problem.GetCode()]
 	if !known {
 		status = http.StatusInternalServerError
 	}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		writer.Header().Set("Retry-After", fmt.Sprint(int(comeBack.Seconds())))
+		writer.Header().Set("Retry-After", fmt.Sprint(int(retryAfter.Seconds())))
 	}
 	api.logger.Info("Request refused.", "code", problem.GetCode(), "field", problem.GetField(), "message", problem.GetMessage())
-	api.answer(writer, status, problem.Problem)
+	api.writeMessage(writer, status, problem.Problem)
 }
 
-func asProblem(err error) *change.Problem {
+func toProblem(err error) *change.Problem {
 	if problem, isProblem := err.(*change.Problem); isProblem {
 		return problem
 	}
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -20,22 +20,22 @@
 
 // Client speaks to the administration API of one node.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL string
+	token   string
+	http    *http.Client
 }
 
 const clientTimeout = 15 * time.Second
 
 // NewClient makes a client for a node's admin address; token may be empty.
 func NewClient(address, token string) *Client {
-	return &Client{base: "http://" + address, token: token, http: &http.Client{Timeout: clientTimeout}}
+	return &Client{baseURL: "http://" + address, token: token, http: &http.Client{Timeout: clientTimeout}}
 }
 
 // NewSecureClient makes a client that speaks TLS and trusts the authorities.
 func NewSecureClient(address, token string, authorities *x509.CertPool) *Client {
 	transport := &http.Transport{TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authorities}}
-	return &Client{base: "https://" + address, token: token, http: &http.Client{Timeout: clientTimeout, Transport: transport}}
+	return &Client{baseURL: "https://" + address, token: token, http: &http.Client{Timeout: clientTimeout, Transport: transport}}
 }
 
 // Configuration reads the configuration.
@@ -71,8 +71,8 @@
 	return answer, client.do(ctx, http.MethodGet, "/v1/facts", nil, answer)
 }
 
-// Recent lists the flows of a node's newest decisions.
-func (client *Client) Recent(ctx context.Context) (*apiv1.RecentFlows, error) {
+// RecentFlows lists the flows of a node's newest decisions.
+func (client *Client) RecentFlows(ctx context.Context) (*apiv1.RecentFlows, error) {
 	answer := &apiv1.RecentFlows{}
 	return answer, client.do(ctx, http.MethodGet, "/v1/recent-flows", nil, answer)
 }
@@ -94,32 +94,32 @@
 	if body != nil {
 		encoded, err := protojson.Marshal(body)
 		if err != nil {
-			return errors.Wrapf(err, "node %s: encode", client.base)
+			return errors.Wrapf(err, "node %s: encode", client.baseURL)
 		}
 		content = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, client.base+path, content)
+	request, err := http.NewRequestWithContext(ctx, method, client.baseURL+path, content)
 	if err != nil {
-		return errors.Wrapf(err, "node %s", client.base)
+		return errors.Wrapf(err, "node %s", client.baseURL)
 	}
 	if client.token != "" {
 		request.Header.Set("Authorization", "Bearer "+client.token)
 	}
 	response, err := client.http.Do(request)
 	if err != nil {
-		return errors.Wrapf(err, "node %s: no answer; is the address the node's admin_address?", client.base)
+		return errors.Wrapf(err, "node %s: no answer; is the address the node's admin_address?", client.baseURL)
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Wrapf(err, "node %s: read", client.base)
+		return errors.Wrapf(err, "node %s: read", client.baseURL)
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		problem := &change.Problem{Problem: &apiv1.Problem{}}
 		if protojson.Unmarshal(data, problem.Problem) != nil {
-			return errors.Newf("node %s: status %d: %s", client.base, response.StatusCode, data)
+			return errors.Newf("node %s: status %d: %s", client.baseURL, response.StatusCode, data)
 		}
 		return problem
 	}
-	return errors.Wrapf(protojson.Unmarshal(data, answer), "node %s: decode", client.base)
+	return errors.Wrapf(protojson.Unmarshal(data, answer), "node %s: decode", client.baseURL)
 }
--- a/internal/balancer/silent_test.go
+++ b/internal/balancer/silent_test.go
@@ -96,14 +96,14 @@
 func TestNewsWithinTwoSecondsAfterAllConnectionsGoSilent(t *testing.T) {
 	for name, silence := range map[string]func(reader, follower *member){
 		"all": func(reader, follower *member) {
-			reader.store.Silence(swallow.There, swallow.Back)
-			reader.peer.Silence(swallow.There, swallow.Back)
-			follower.store.Silence(swallow.There, swallow.Back)
-			follower.peer.Silence(swallow.There, swallow.Back)
+			reader.store.Blackhole(swallow.ToTarget, swallow.ToClient)
+			reader.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
+			follower.store.Blackhole(swallow.ToTarget, swallow.ToClient)
+			follower.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
 		},
 		"follower": func(reader, follower *member) {
-			follower.store.Silence(swallow.There, swallow.Back)
-			reader.peer.Silence(swallow.There, swallow.Back)
+			follower.store.Blackhole(swallow.ToTarget, swallow.ToClient)
+			reader.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
 		},
 	} {
 		for _, rest := range []time.Duration{0, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond} {
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -54,7 +54,7 @@
 		request.WaitMilliseconds = uint32(replication.FollowWait.Milliseconds())
 		go child.callPeer(ctx, child.client, peer, request)
 		child.handle(<-messages)
-		proxy.Silence(swallow.There, swallow.Back)
+		proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
 	}
 	require.Equal(t, 2, proxy.Accepted())
 	require.False(t, child.core.Stale(time.Now()))
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -21,8 +21,8 @@
 	certificateFile, keyFile string
 	mutex                    sync.Mutex
 	loaded                   *tls.Certificate
-	modified                 time.Time
-	checked                  time.Time
+	modTime                  time.Time
+	lastCheck                time.Time
 }
 
 // LoadPair loads a pair; it fails when the files do not fit.
@@ -37,35 +37,35 @@
 func (pair *Pair) current() (*tls.Certificate, error) {
 	pair.mutex.Lock()
 	defer pair.mutex.Unlock()
-	if pair.loaded != nil && time.Since(pair.checked) < checkInterval {
+	if pair.loaded != nil && time.Since(pair.lastCheck) < checkInterval {
 		return pair.loaded, nil
 	}
-	pair.checked = time.Now()
+	pair.lastCheck = time.Now()
 	information, err := os.Stat(pair.certificateFile)
 	if err != nil {
-		return pair.keep(err)
+		return pair.fallback(err)
 	}
-	if pair.loaded != nil && information.ModTime().Equal(pair.modified) {
+	if pair.loaded != nil && information.ModTime().Equal(pair.modTime) {
 		return pair.loaded, nil
 	}
 	loaded, err := tls.LoadX509KeyPair(pair.certificateFile, pair.keyFile)
 	if err != nil {
-		return pair.keep(err)
+		return pair.fallback(err)
 	}
-	pair.loaded, pair.modified = &loaded, information.ModTime()
+	pair.loaded, pair.modTime = &loaded, information.ModTime()
 	return pair.loaded, nil
 }
 
-func (pair *Pair) keep(err error) (*tls.Certificate, error) {
+func (pair *Pair) fallback(err error) (*tls.Certificate, error) {
 	if pair.loaded != nil {
 		return pair.loaded, nil
 	}
 	return nil, errors.Wrapf(err, "certificate %s", pair.certificateFile)
 }
 
-// Server is the TLS configuration of a listener. With authorities, clients must
+// ServerConfig is the TLS configuration of a listener. With authorities, clients must
 // show a certificate that one of them has signed.
-func (pair *Pair) Server(authorities *x509.CertPool) *tls.Config {
+func (pair *Pair) ServerConfig(authorities *x509.CertPool) *tls.Config {
 	config := &tls.Config{
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.current() },
@@ -77,9 +77,9 @@
 	return config
 }
 
-// Client is the TLS configuration of a connection to a host, with this pair as
+// ClientConfig is the TLS configuration of a connection to a host, with this pair as
 // the client's.
-func (pair *Pair) Client(authorities *x509.CertPool, host string) *tls.Config {
+func (pair *Pair) ClientConfig(authorities *x509.CertPool, host string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		RootCAs:    authorities,
--- a/internal/change/writer_test.go
+++ b/internal/change/writer_test.go
@@ -59,7 +59,7 @@
 
 func runHistory(t *testing.T, wrap func(Store) Store) []porcupine.Operation {
 	server := standin.New(10_000)
-	server.SetFaults(standin.Faults{LostAnswers: 0.3})
+	server.SetFaults(standin.Faults{LostResponses: 0.3})
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
 	client := wrap(store.NewClient(listener.Listener.Addr().String()))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -293,15 +293,15 @@
 		return
 	}
 	view := &router.View{
-		Settled:     core.settled,
-		Pending:     core.pending,
-		Phase:       core.phase,
-		HoldUnknown: core.dropsUnknownFlows(),
-		ActiveMarks: core.activeMarks(),
-		KnownMarks:  core.knownMarks(),
-		Leaving:     core.leavingBackends(),
-		Keepers:     core.settledKeeper,
-		Filters:     core.viewFilters(),
+		Settled:          core.settled,
+		Pending:          core.pending,
+		Phase:            core.phase,
+		DropUnknownFlows: core.dropsUnknownFlows(),
+		ActiveMarks:      core.activeMarks(),
+		KnownMarks:       core.knownMarks(),
+		Leaving:          core.leavingBackends(),
+		Keepers:          core.settledKeeper,
+		Filters:          core.viewFilters(),
 	}
 	core.view = view.Compile()
 	core.viewVersion++
--- a/internal/core/rejoin.go
+++ b/internal/core/rejoin.go
@@ -61,7 +61,7 @@
 	case core.peerRejoiningSince == 0:
 		core.peerRejoiningSince = max(core.now, 1)
 	}
-	if held := core.view != nil && core.view.HoldUnknown; held != core.dropsUnknownFlows() {
+	if held := core.view != nil && core.view.DropUnknownFlows; held != core.dropsUnknownFlows() {
 		core.viewChanged = true
 	}
 }
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	batchSize     = 64
-	socketBuffer  = 4 << 20
-	parkedLimit   = 2048
-	questionLimit = 4096
-	answerLimit   = 4096
+	batchSize           = 64
+	socketBuffer        = 4 << 20
+	bufferedPacketLimit = 2048
+	lookupQueueLimit    = 4096
+	resultQueueLimit    = 4096
 	// idleVersion marks a worker that processes no batch.
 	idleVersion = ^uint64(0)
 	// RetryAfter is when a refused caller is told to come back.
 	RetryAfter = 2 * time.Second
 )
 
-// Question asks the control goroutine about a flow.
-type Question struct {
+// Lookup asks the control goroutine about a flow.
+type Lookup struct {
 	Key      flow.Key
 	Proposal uint32
 	Bind     bool
 	Opens    bool
 }
 
-// Answer is the control goroutine's answer.
-type Answer struct {
+// LookupResult is the control goroutine's answer.
+type LookupResult struct {
 	Key      flow.Key
 	Backend  uint32
 	Recorded bool
@@ -59,24 +59,24 @@
 
 // Plane is the data path of one node.
 type Plane struct {
-	router    *router.Router
-	targets   atomic.Pointer[Targets]
-	version   atomic.Uint64
-	socket    net.PacketConn
-	batch     *ipv4.PacketConn
-	clock     func() uint32
-	logger    *slog.Logger
-	observer  Observer
-	parking   *parking
-	questions chan Question
-	answers   chan Answer
-	workers   []*worker
+	router   *router.Router
+	targets  atomic.Pointer[Targets]
+	version  atomic.Uint64
+	socket   net.PacketConn
+	batch    *ipv4.PacketConn
+	clock    func() uint32
+	logger   *slog.Logger
+	observer Observer
+	buffer   *packetBuffer
+	lookups  chan Lookup
+	results  chan LookupResult
+	workers  []*worker
 	// Counts are packets by path and by cause of an early drop.
-	paths  [router.PathCount]atomic.Uint64
-	causes [frame.CauseCount]atomic.Uint64
+	pathCounts [router.PathCount]atomic.Uint64
+	dropCounts [frame.CauseCount]atomic.Uint64
 	// overflow counts packets dropped because a bound was reached.
-	overflow atomic.Uint64
-	failed   atomic.Uint64
+	overflow    atomic.Uint64
+	failedSends atomic.Uint64
 }
 
 // Settings are what a Plane needs.
@@ -100,15 +100,15 @@
 		_ = udp.SetWriteBuffer(socketBuffer)
 	}
 	plane := &Plane{
-		router:    settings.Router,
-		socket:    socket,
-		batch:     ipv4.NewPacketConn(socket),
-		clock:     settings.Clock,
-		logger:    settings.Logger,
-		observer:  settings.Observer,
-		parking:   newParking(parkedLimit),
-		questions: make(chan Question, questionLimit),
-		answers:   make(chan Answer, answerLimit),
+		router:   settings.Router,
+		socket:   socket,
+		batch:    ipv4.NewPacketConn(socket),
+		clock:    settings.Clock,
+		logger:   settings.Logger,
+		observer: settings.Observer,
+		buffer:   newPacketBuffer(bufferedPacketLimit),
+		lookups:  make(chan Lookup, lookupQueueLimit),
+		results:  make(chan LookupResult, resultQueueLimit),
 	}
 	empty := Targets{}
 	plane.targets.Store(&empty)
@@ -130,21 +130,21 @@
 			worker.run(ctx)
 		}()
 	}
-	plane.release(ctx)
+	plane.forwardResults(ctx)
 	group.Wait()
 	return nil
 }
 
-// Questions is the channel of questions for the control goroutine.
-func (plane *Plane) Questions() <-chan Question { return plane.questions }
+// Lookups is the channel of questions for the control goroutine.
+func (plane *Plane) Lookups() <-chan Lookup { return plane.lookups }
 
-// Answer hands in an answer of the control goroutine. It does not block: with
+// CompleteLookup hands in an answer of the control goroutine. It does not block: with
 // the channel full, the parked packets are dropped and TCP sends them again.
-func (plane *Plane) Answer(answer Answer) {
+func (plane *Plane) CompleteLookup(answer LookupResult) {
 	select {
-	case plane.answers <- answer:
+	case plane.results <- answer:
 	default:
-		plane.overflow.Add(uint64(len(plane.parking.take(answer.Key))))
+		plane.overflow.Add(uint64(len(plane.buffer.take(answer.Key))))
 	}
 }
 
@@ -173,49 +173,49 @@
 func (plane *Plane) Paths() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for path := range router.PathCount {
-		counts[path.String()] = plane.paths[path].Load()
+		counts[path.String()] = plane.pathCounts[path].Load()
 	}
 	for cause := frame.CauseTruncated; cause < frame.CauseCount; cause++ {
-		counts["bad_"+cause.String()] = plane.causes[cause].Load()
+		counts["bad_"+cause.String()] = plane.dropCounts[cause].Load()
 	}
 	counts["dropped_overflow"] = plane.overflow.Load()
-	counts["failed_send"] = plane.failed.Load()
+	counts["failed_send"] = plane.failedSends.Load()
 	return counts
 }
 
-func (plane *Plane) note(now uint32, key flow.Key, path router.Path, backend uint32) {
-	plane.paths[path].Add(1)
+func (plane *Plane) recordDecision(now uint32, key flow.Key, path router.Path, backend uint32) {
+	plane.pathCounts[path].Add(1)
 	if path != router.PathLocal && plane.observer != nil {
 		plane.observer.Decided(now, key, path, backend)
 	}
 }
 
-// release forwards parked packets when their answers come.
-func (plane *Plane) release(ctx context.Context) {
+// forwardResults forwards parked packets when their answers come.
+func (plane *Plane) forwardResults(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case answer := <-plane.answers:
-			plane.releaseFlow(answer)
+		case answer := <-plane.results:
+			plane.forwardBuffered(answer)
 		}
 	}
 }
 
-func (plane *Plane) releaseFlow(answer Answer) {
+func (plane *Plane) forwardBuffered(answer LookupResult) {
 	now := plane.clock()
-	for _, parked := range plane.parking.take(answer.Key) {
+	for _, parked := range plane.buffer.take(answer.Key) {
 		target := (*plane.targets.Load())[answer.Backend]
 		if answer.Backend == rule.NoBackend || target == nil {
-			plane.note(now, answer.Key, router.PathDroppedKeepers, rule.NoBackend)
+			plane.recordDecision(now, answer.Key, router.PathDroppedKeepers, rule.NoBackend)
 			continue
 		}
 		if _, found := plane.router.Table().Get(answer.Key, parked.packet.Hash); !found {
-			plane.router.Learn(now, answer.Key, parked.packet.Hash, answer.Backend, parked.packet.Flags)
+			plane.router.InsertFlow(now, answer.Key, parked.packet.Hash, answer.Backend, parked.packet.Flags)
 		}
-		plane.note(now, answer.Key, router.PathKeeper, answer.Backend)
+		plane.recordDecision(now, answer.Key, router.PathKeeper, answer.Backend)
 		if _, err := plane.socket.WriteTo(parked.datagram, target); err != nil {
-			plane.failed.Add(1)
+			plane.failedSends.Add(1)
 		}
 	}
 }
@@ -224,10 +224,10 @@
 func (plane *Plane) refuse(packet frame.Packet, path router.Path, from net.Addr) {
 	datagram, err := frame.Refusal(packet, path.String(), RetryAfter)
 	if err != nil {
-		plane.failed.Add(1)
+		plane.failedSends.Add(1)
 		return
 	}
 	if _, err := plane.socket.WriteTo(datagram, from); err != nil {
-		plane.failed.Add(1)
+		plane.failedSends.Add(1)
 	}
 }
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -105,7 +105,7 @@
 }
 
 func TestParkingHasABound(t *testing.T) {
-	parked := newParking(2)
+	parked := newPacketBuffer(2)
 	first := frame.Packet{}
 	second := frame.Packet{}
 	second.Key.SourcePort = 2
@@ -180,7 +180,7 @@
 			output.Buffers[0] = worker.input[index].Buffers[0][:worker.input[index].N]
 			output.Addr = target
 		}
-		worker.pending = count
+		worker.queued = count
 		worker.flush()
 	})
 }
--- a/internal/dataplane/parking.go
+++ b/internal/dataplane/parking.go
@@ -8,42 +8,42 @@
 	"github.com/indigobarrow/indigobarrow/internal/frame"
 )
 
-// parkedPacket waits for an answer of the keepers.
-type parkedPacket struct {
+// bufferedPacket waits for an answer of the keepers.
+type bufferedPacket struct {
 	packet   frame.Packet
 	datagram []byte
 	from     net.Addr
 }
 
-// parking holds packets while their flow is being asked about, within a bound.
-type parking struct {
+// packetBuffer holds packets while their flow is being asked about, within a bound.
+type packetBuffer struct {
 	mutex   sync.Mutex
-	packets map[flow.Key][]parkedPacket
+	packets map[flow.Key][]bufferedPacket
 	count   int
 	limit   int
 }
 
-func newParking(limit int) *parking {
-	return &parking{packets: make(map[flow.Key][]parkedPacket), limit: limit}
+func newPacketBuffer(limit int) *packetBuffer {
+	return &packetBuffer{packets: make(map[flow.Key][]bufferedPacket), limit: limit}
 }
 
 // add parks a copy of a datagram. It reports whether there was room, and
 // whether the flow is new here, so that a question must be asked.
-func (parking *parking) add(packet frame.Packet, datagram []byte, from net.Addr) (stored, first bool) {
+func (parking *packetBuffer) add(packet frame.Packet, datagram []byte, from net.Addr) (stored, first bool) {
 	parking.mutex.Lock()
 	defer parking.mutex.Unlock()
 	if parking.count >= parking.limit {
 		return false, false
 	}
 	waiting := parking.packets[packet.Key]
-	copied := parkedPacket{packet: packet, datagram: append([]byte(nil), datagram...), from: from}
+	copied := bufferedPacket{packet: packet, datagram: append([]byte(nil), datagram...), from: from}
 	parking.packets[packet.Key] = append(waiting, copied)
 	parking.count++
 	return true, len(waiting) == 0
 }
 
 // take removes and returns the packets of a flow.
-func (parking *parking) take(key flow.Key) []parkedPacket {
+func (parking *packetBuffer) take(key flow.Key) []bufferedPacket {
 	parking.mutex.Lock()
 	defer parking.mutex.Unlock()
 	waiting := parking.packets[key]
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -17,7 +17,7 @@
 	decoder *frame.Decoder
 	input   []ipv4.Message
 	output  []ipv4.Message
-	pending int
+	queued  int
 	// version is the oldest view version that the worker may be using.
 	version atomic.Uint64
 }
@@ -33,7 +33,7 @@
 	return made
 }
 
-const readRetry = 10 * time.Millisecond
+const readRetryDelay = 10 * time.Millisecond
 
 func (worker *worker) run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -41,7 +41,7 @@
 		if err != nil {
 			if ctx.Err() == nil {
 				worker.plane.logger.Warn("Read failed.", "error", err)
-				time.Sleep(readRetry)
+				time.Sleep(readRetryDelay)
 			}
 			continue
 		}
@@ -67,34 +67,34 @@
 	plane := worker.plane
 	packet, cause := worker.decoder.Decode(datagram)
 	if cause != frame.CauseNone {
-		plane.causes[cause].Add(1)
+		plane.dropCounts[cause].Add(1)
 		return
 	}
 	verdict := plane.router.Decide(now, packet.Key, packet.Hash, packet.Flags)
-	if verdict.Action != router.ActionAsk {
-		plane.note(now, packet.Key, verdict.Path, verdict.Backend)
+	if verdict.Action != router.ActionLookup {
+		plane.recordDecision(now, packet.Key, verdict.Path, verdict.Backend)
 	}
 	switch verdict.Action {
 	case router.ActionForward:
 		worker.forward(verdict.Backend, datagram)
 	case router.ActionRefuse:
 		plane.refuse(packet, verdict.Path, message.Addr)
-	case router.ActionAsk:
-		worker.park(packet, datagram, message, verdict)
+	case router.ActionLookup:
+		worker.bufferPacket(packet, datagram, message, verdict)
 	}
 }
 
 func (worker *worker) forward(backend uint32, datagram []byte) {
 	target := (*worker.plane.targets.Load())[backend]
 	if target == nil {
-		worker.plane.failed.Add(1)
+		worker.plane.failedSends.Add(1)
 		return
 	}
-	output := &worker.output[worker.pending]
+	output := &worker.output[worker.queued]
 	output.Buffers[0] = datagram
 	output.Addr = target
-	worker.pending++
-	if worker.pending == batchSize {
+	worker.queued++
+	if worker.queued == batchSize {
 		worker.flush()
 	}
 }
@@ -102,21 +102,21 @@
 // flush writes the waiting datagrams. A datagram that cannot be written is
 // passed over, so that one bad back end does not hold up the others.
 func (worker *worker) flush() {
-	waiting := worker.output[:worker.pending]
-	worker.pending = 0
+	waiting := worker.output[:worker.queued]
+	worker.queued = 0
 	for len(waiting) > 0 {
 		written, err := worker.plane.batch.WriteBatch(waiting, 0)
 		if err != nil || written <= 0 {
-			worker.plane.failed.Add(1)
+			worker.plane.failedSends.Add(1)
 			written = max(written, 0) + 1
 		}
 		waiting = waiting[min(written, len(waiting)):]
 	}
 }
 
-func (worker *worker) park(packet frame.Packet, datagram []byte, message *ipv4.Message, verdict router.Verdict) {
+func (worker *worker) bufferPacket(packet frame.Packet, datagram []byte, message *ipv4.Message, verdict router.Decision) {
 	plane := worker.plane
-	stored, first := plane.parking.add(packet, datagram, message.Addr)
+	stored, first := plane.buffer.add(packet, datagram, message.Addr)
 	if !stored {
 		plane.overflow.Add(1)
 		return
@@ -124,10 +124,10 @@
 	if !first {
 		return
 	}
-	question := Question{Key: packet.Key, Proposal: verdict.Proposal, Bind: verdict.Bind, Opens: verdict.Opens}
+	question := Lookup{Key: packet.Key, Proposal: verdict.Proposal, Bind: verdict.Bind, Opens: verdict.Opens}
 	select {
-	case plane.questions <- question:
+	case plane.lookups <- question:
 	default:
-		plane.overflow.Add(uint64(len(plane.parking.take(packet.Key))))
+		plane.overflow.Add(uint64(len(plane.buffer.take(packet.Key))))
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -31,35 +31,35 @@
 var zones = []string{"maadi", "nasr", "giza"}
 
 const (
-	nodesPerZone   = 2
-	lendingCount   = 6
-	coversCount    = 3
-	lendingAddress = "10.200.0.1"
-	coversAddress  = "10.200.0.2"
-	storeRate      = 500
-	machinesLag    = 2 * time.Second
-	stopLimit      = 15 * time.Second
+	nodesPerZone     = 2
+	lendingCount     = 6
+	coversCount      = 3
+	lendingAddress   = "10.200.0.1"
+	coversAddress    = "10.200.0.2"
+	storeRequestRate = 500
+	machinesLag      = 2 * time.Second
+	waitLimit        = 15 * time.Second
 )
 
 type runningNode struct {
-	node   *node.Node
-	cancel context.CancelFunc
-	data   string
-	admin  string
+	node         *node.Node
+	cancel       context.CancelFunc
+	dataAddress  string
+	adminAddress string
 }
 
 type demo struct {
-	ctx      context.Context
-	out      io.Writer
-	store    string
-	machines string
-	list     *machines.List
-	fabric   *fabric.Fabric
-	nodes    map[string]*runningNode
-	order    []string
-	backends []*backend.Backend
-	callers  []*caller.Caller
-	numbers  int
+	ctx             context.Context
+	out             io.Writer
+	storeAddress    string
+	machinesAddress string
+	machineList     *machines.List
+	fabric          *fabric.Fabric
+	nodes           map[string]*runningNode
+	nodeOrder       []string
+	backends        []*backend.Backend
+	callers         []*caller.Caller
+	startedNodes    int
 	// network is the second number of the loopback addresses.
 	network int
 }
@@ -77,17 +77,17 @@
 			return err
 		}
 	}
-	demo.say("6 nodes started in 3 zones")
+	demo.logf("6 nodes started in 3 zones")
 	if err := demo.createServices(); err != nil {
 		return err
 	}
 	if err := demo.startCallers(); err != nil {
 		return err
 	}
-	return demo.play()
+	return demo.runEvents()
 }
 
-func (demo *demo) say(format string, values ...any) {
+func (demo *demo) logf(format string, values ...any) {
 	fmt.Fprintf(demo.out, "%s  %s\n", time.Now().Format("15:04:05"), fmt.Sprintf(format, values...))
 }
 
@@ -108,14 +108,14 @@
 const (
 	firstNetwork = 90
 	lastNetwork  = 117
-	// networksOfOne are for balancers, back ends and callers.
-	networksOfOne = 3
+	// networksPerDemo are for balancers, back ends and callers.
+	networksPerDemo = 3
 )
 
-// takeNetwork starts the fabric on the first free network.
-func (demo *demo) takeNetwork() error {
+// startFabric starts the fabric on the first free network.
+func (demo *demo) startFabric() error {
 	var err error
-	for demo.network = firstNetwork; demo.network <= lastNetwork; demo.network += networksOfOne {
+	for demo.network = firstNetwork; demo.network <= lastNetwork; demo.network += networksPerDemo {
 		if demo.fabric, err = fabric.New(demo.fabricAddress()); err == nil {
 			return nil
 		}
@@ -135,14 +135,14 @@
 
 func (demo *demo) startPlatform() error {
 	var err error
-	if demo.store, err = demo.serve(store.New(storeRate).Handler()); err != nil {
+	if demo.storeAddress, err = demo.serve(store.New(storeRequestRate).Handler()); err != nil {
 		return err
 	}
-	demo.list = machines.New(machinesLag)
-	if demo.machines, err = demo.serve(demo.list.Handler()); err != nil {
+	demo.machineList = machines.New(machinesLag)
+	if demo.machinesAddress, err = demo.serve(demo.machineList.Handler()); err != nil {
 		return err
 	}
-	if err := demo.takeNetwork(); err != nil {
+	if err := demo.startFabric(); err != nil {
 		return err
 	}
 	go demo.fabric.Run(demo.ctx)
@@ -150,16 +150,16 @@
 }
 
 func (demo *demo) startNode(zone string) error {
-	demo.numbers++
-	id := fmt.Sprintf("%s-%d", zone, demo.numbers)
+	demo.startedNodes++
+	id := fmt.Sprintf("%s-%d", zone, demo.startedNodes)
 	chosen := settings.Defaults()
 	chosen.Id, chosen.Zone, chosen.Group = id, zone, "demo"
-	chosen.DataAddress = demo.nodeAddress(demo.numbers, 6080)
-	chosen.PeerAddress = demo.nodeAddress(demo.numbers, 6090)
-	chosen.AdminAddress = demo.nodeAddress(demo.numbers, 6070)
-	chosen.StoreAddress, chosen.MachinesAddress = demo.store, demo.machines
+	chosen.DataAddress = demo.nodeAddress(demo.startedNodes, 6080)
+	chosen.PeerAddress = demo.nodeAddress(demo.startedNodes, 6090)
+	chosen.AdminAddress = demo.nodeAddress(demo.startedNodes, 6070)
+	chosen.StoreAddress, chosen.MachinesAddress = demo.storeAddress, demo.machinesAddress
 	for other, running := range demo.nodes {
-		chosen.Seeds = append(chosen.Seeds, other+"@"+peerOf(running.data))
+		chosen.Seeds = append(chosen.Seeds, other+"@"+peerAddress(running.dataAddress))
 	}
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	made, err := node.New(chosen, logger, new(slog.LevelVar))
@@ -169,30 +169,30 @@
 	ctx, cancel := context.WithCancel(demo.ctx)
 	go func() {
 		if err := made.Run(ctx); err != nil {
-			demo.say("node %s failed: %v", id, err)
+			demo.logf("node %s failed: %v", id, err)
 		}
 	}()
-	demo.nodes[id] = &runningNode{node: made, cancel: cancel, data: chosen.GetDataAddress(), admin: chosen.GetAdminAddress()}
-	demo.order = append(demo.order, id)
-	demo.list.Put(node.Machine{ID: id, Zone: zone, PeerAddress: chosen.GetPeerAddress(), State: "live", Group: "demo"})
-	return demo.setFabric()
+	demo.nodes[id] = &runningNode{node: made, cancel: cancel, dataAddress: chosen.GetDataAddress(), adminAddress: chosen.GetAdminAddress()}
+	demo.nodeOrder = append(demo.nodeOrder, id)
+	demo.machineList.Put(node.Machine{ID: id, Zone: zone, PeerAddress: chosen.GetPeerAddress(), State: "live", Group: "demo"})
+	return demo.updateFabric()
 }
 
-func peerOf(data string) string {
+func peerAddress(data string) string {
 	host, _, _ := net.SplitHostPort(data)
 	return net.JoinHostPort(host, "6090")
 }
 
-func (demo *demo) setFabric() error {
+func (demo *demo) updateFabric() error {
 	var addresses []string
-	for _, id := range demo.order {
-		addresses = append(addresses, demo.nodes[id].data)
+	for _, id := range demo.nodeOrder {
+		addresses = append(addresses, demo.nodes[id].dataAddress)
 	}
 	return demo.fabric.SetNodes(addresses)
 }
 
 func (demo *demo) client() *admin.Client {
-	return admin.NewClient(demo.nodes[demo.order[0]].admin, "")
+	return admin.NewClient(demo.nodes[demo.nodeOrder[0]].adminAddress, "")
 }
 
 func (demo *demo) createServices() error {
@@ -218,9 +218,9 @@
 	for number := range count {
 		made, err := backend.New(backend.Settings{
 			Name: fmt.Sprintf("%s-%d", name, number), Service: name,
-			Address: netip.MustParseAddrPort(address + ":80"),
-			Tunnel:  demo.tunnelAddress(net, number+1),
-			Slots:   2, Queue: 64, Connections: 2000, WorkTime: time.Millisecond,
+			Address:       netip.MustParseAddrPort(address + ":80"),
+			TunnelAddress: demo.tunnelAddress(net, number+1),
+			Slots:         2, QueueLength: 64, MaximumConnections: 2000, ServiceTime: time.Millisecond,
 		})
 		if err != nil {
 			return nil, err
@@ -252,15 +252,15 @@
 
 func (demo *demo) waitInForce(what string) error {
 	start := time.Now()
-	for time.Since(start) < stopLimit {
+	for time.Since(start) < waitLimit {
 		status, err := demo.client().Status(demo.ctx)
 		if err == nil && status.GetAcceptedRevision() > 0 && len(admin.NotInForce(status)) == 0 {
-			demo.say("%s in force on every node after %d ms", what, time.Since(start).Milliseconds())
+			demo.logf("%s in force on every node after %d ms", what, time.Since(start).Milliseconds())
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return errors.Newf("%s: not in force after %s", what, stopLimit)
+	return errors.Newf("%s: not in force after %s", what, waitLimit)
 }
 
 func (demo *demo) startCallers() error {
@@ -268,11 +268,11 @@
 	for number := range zones {
 		for index, service := range services {
 			made, err := caller.New(caller.Settings{
-				Name:   fmt.Sprintf("%s-%s", zones[number], service.name),
-				Inner:  netip.AddrFrom4([4]byte{10, byte(demo.network + 2), byte(number), byte(index + 1)}),
-				Fabric: demo.fabricAddress(), Service: service.name,
+				Name:          fmt.Sprintf("%s-%s", zones[number], service.name),
+				InnerAddress:  netip.AddrFrom4([4]byte{10, byte(demo.network + 2), byte(number), byte(index + 1)}),
+				FabricAddress: demo.fabricAddress(), Service: service.name,
 				Target:      netip.MustParseAddrPort(service.address + ":80"),
-				Connections: 60, Requests: 40, Interval: 200 * time.Millisecond, OnceShare: 5,
+				Connections: 60, Requests: 40, Interval: 200 * time.Millisecond, NonRetryableEvery: 5,
 			})
 			if err != nil {
 				return err
@@ -281,13 +281,13 @@
 			go made.Run(demo.ctx)
 		}
 	}
-	demo.say("6 callers hold 360 connections")
+	demo.logf("6 callers hold 360 connections")
 	return nil
 }
 
-// play drives the events and reports.
-func (demo *demo) play() error {
-	demo.watch(5 * time.Second)
+// runEvents drives the events and reports.
+func (demo *demo) runEvents() error {
+	demo.printProgress(5 * time.Second)
 	request := &apiv1.DrainRequest{Service: "lending", Backend: "lending-2", Leaving: true}
 	if err := demo.change(&apiv1.ChangeRequest{Change: &apiv1.ChangeRequest_Drain{Drain: request}}); err != nil {
 		return err
@@ -295,13 +295,13 @@
 	if err := demo.waitInForce("drain of lending-2"); err != nil {
 		return err
 	}
-	demo.watch(4 * time.Second)
+	demo.printProgress(4 * time.Second)
 	if err := demo.replaceNode(); err != nil {
 		return err
 	}
-	demo.watch(4 * time.Second)
+	demo.printProgress(4 * time.Second)
 	demo.killNode()
-	demo.watch(6 * time.Second)
+	demo.printProgress(6 * time.Second)
 	return demo.report()
 }
 
@@ -310,43 +310,43 @@
 	if err := demo.startNode(zones[0]); err != nil {
 		return err
 	}
-	id := demo.order[0]
+	id := demo.nodeOrder[0]
 	old := demo.nodes[id]
-	demo.order = demo.order[1:]
-	if err := demo.setFabric(); err != nil {
+	demo.nodeOrder = demo.nodeOrder[1:]
+	if err := demo.updateFabric(); err != nil {
 		return err
 	}
-	limit, cancel := context.WithTimeout(demo.ctx, stopLimit)
+	limit, cancel := context.WithTimeout(demo.ctx, waitLimit)
 	defer cancel()
 	start := time.Now()
 	old.node.Stop(limit)
 	old.cancel()
 	delete(demo.nodes, id)
-	demo.say("node %s replaced as planned, handed over after %d ms", id, time.Since(start).Milliseconds())
+	demo.logf("node %s replaced as planned, handed over after %d ms", id, time.Since(start).Milliseconds())
 	return nil
 }
 
 // killNode ends a node without notice; the fabric notices a second later.
 func (demo *demo) killNode() {
-	id := demo.order[0]
+	id := demo.nodeOrder[0]
 	demo.nodes[id].cancel()
 	delete(demo.nodes, id)
-	demo.order = demo.order[1:]
-	demo.say("node %s killed", id)
+	demo.nodeOrder = demo.nodeOrder[1:]
+	demo.logf("node %s killed", id)
 	time.Sleep(time.Second)
-	_ = demo.setFabric()
+	_ = demo.updateFabric()
 }
 
-func (demo *demo) watch(duration time.Duration) {
+func (demo *demo) printProgress(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(min(2*time.Second, time.Until(end)))
-		total := demo.total()
-		demo.say("flows %d, open %d, answers %d, broken %d, refused %d, not run %d",
-			total.Flows, total.Open, total.Answers, total.Broken, total.Refused, total.NotRun)
+		total := demo.totalCounts()
+		demo.logf("flows %d, open %d, answers %d, broken %d, refused %d, not run %d",
+			total.Flows, total.Open, total.Responses, total.Broken, total.Refused, total.NotRun)
 	}
 }
 
-func (demo *demo) total() caller.Counts {
+func (demo *demo) totalCounts() caller.Counts {
 	var total caller.Counts
 	for _, made := range demo.callers {
 		total.Add(made.Counts())
@@ -356,7 +356,7 @@
 
 // report prints the outcome; it fails when a flow broke.
 func (demo *demo) report() error {
-	total := demo.total()
+	total := demo.totalCounts()
 	var most, sum uint64
 	for _, made := range demo.backends[:lendingCount] {
 		counts := made.Counts()
@@ -366,16 +366,16 @@
 	twice, foreign := 0, uint64(0)
 	for _, made := range demo.backends {
 		counts := made.Counts()
-		foreign += counts.Foreign
-		for _, runs := range counts.Runs {
+		foreign += counts.MisroutedPackets
+		for _, runs := range counts.Executions {
 			if runs > 1 {
 				twice++
 			}
 		}
 	}
 	paths := make(map[string]uint64)
-	for _, id := range demo.order {
-		status, err := admin.NewClient(demo.nodes[id].admin, "").Status(demo.ctx)
+	for _, id := range demo.nodeOrder {
+		status, err := admin.NewClient(demo.nodes[id].adminAddress, "").Status(demo.ctx)
 		if err != nil {
 			return err
 		}
@@ -384,13 +384,13 @@
 		}
 	}
 	fmt.Fprintf(demo.out, "\nflows opened          %d\nwhole answers         %d\nbroken flows          %d\nwrong answers         %d\nunknown fate          %d\n",
-		total.Flows, total.Answers, total.Broken, total.Wrong, total.Unknown)
+		total.Flows, total.Responses, total.Broken, total.WrongResponses, total.UnknownOutcomes)
 	fmt.Fprintf(demo.out, "run twice             %d\nin another service    %d\nimbalance (max/mean of requests over lending, one drained) %.2f\n",
 		twice, foreign, float64(most)*lendingCount/float64(max(sum, 1)))
 	fmt.Fprintf(demo.out, "packets by path       local %d, settled %d, pending %d, keeper %d, dropped without contact %d, without keepers %d\n",
 		paths["local"], paths["settled"], paths["pending"], paths["keeper"], paths["dropped_no_contact"], paths["dropped_keepers"])
-	if total.Broken+total.Wrong > 0 {
-		return errors.Newf("the demonstration broke %d flows, last error: %s", total.Broken+total.Wrong, total.LastError)
+	if total.Broken+total.WrongResponses > 0 {
+		return errors.Newf("the demonstration broke %d flows, last error: %s", total.Broken+total.WrongResponses, total.LastError)
 	}
 	return nil
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -18,8 +18,8 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// Facts are what a view rested on.
-type Facts struct {
+// ViewDetails are what a view rested on.
+type ViewDetails struct {
 	Version uint64
 	View    *router.View
 	// Backends names the back ends by number.
@@ -39,51 +39,51 @@
 	version uint64
 }
 
-const ringCount = 16
+const shardCount = 16
 
-type ring struct {
+type ringBuffer struct {
 	mutex   sync.Mutex
 	records []record
 	next    int
 	full    bool
 }
 
-// Memory keeps decisions and facts. It is safe for use by many goroutines.
-type Memory struct {
-	rings   [ringCount]ring
-	mutex   sync.RWMutex
-	facts   map[uint64]*Facts
-	newest  uint64
-	started time.Time
+// DecisionLog keeps decisions and facts. It is safe for use by many goroutines.
+type DecisionLog struct {
+	shards        [shardCount]ringBuffer
+	mutex         sync.RWMutex
+	views         map[uint64]*ViewDetails
+	newestVersion uint64
+	startTime     time.Time
 }
 
-// factsKept bounds the views kept.
-const factsKept = 128
+// maximumViews bounds the views kept.
+const maximumViews = 128
 
 // New makes a memory of about so many decisions; started is the node's start.
-func New(size int, started time.Time) *Memory {
-	memory := &Memory{facts: make(map[uint64]*Facts), started: started}
-	for index := range memory.rings {
-		memory.rings[index].records = make([]record, max(1, size/ringCount))
+func New(size int, started time.Time) *DecisionLog {
+	memory := &DecisionLog{views: make(map[uint64]*ViewDetails), startTime: started}
+	for index := range memory.shards {
+		memory.shards[index].records = make([]record, max(1, size/shardCount))
 	}
 	return memory
 }
 
-// SetFacts keeps the facts of a view that comes into use.
-func (memory *Memory) SetFacts(facts *Facts) {
+// AddView keeps the facts of a view that comes into use.
+func (memory *DecisionLog) AddView(facts *ViewDetails) {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	memory.facts[facts.Version] = facts
-	memory.newest = facts.Version
-	delete(memory.facts, facts.Version-factsKept)
+	memory.views[facts.Version] = facts
+	memory.newestVersion = facts.Version
+	delete(memory.views, facts.Version-maximumViews)
 }
 
 // Decided records a decision. It implements dataplane.Observer.
-func (memory *Memory) Decided(now uint32, key flow.Key, path router.Path, backend uint32) {
+func (memory *DecisionLog) Decided(now uint32, key flow.Key, path router.Path, backend uint32) {
 	memory.mutex.RLock()
-	version := memory.newest
+	version := memory.newestVersion
 	memory.mutex.RUnlock()
-	part := &memory.rings[key.Hash()%ringCount]
+	part := &memory.shards[key.Hash()%shardCount]
 	part.mutex.Lock()
 	part.records[part.next] = record{key: key, path: path, at: now, backend: backend, version: version}
 	part.next++
@@ -94,7 +94,7 @@
 }
 
 // Explain returns what is known of a flow, oldest decision first.
-func (memory *Memory) Explain(node string, key flow.Key) *apiv1.Explanation {
+func (memory *DecisionLog) Explain(node string, key flow.Key) *apiv1.Explanation {
 	explanation := &apiv1.Explanation{Node: node, Flow: key.String()}
 	records, oldest, full := memory.find(key)
 	for _, found := range records {
@@ -111,11 +111,11 @@
 	return explanation
 }
 
-// Recent lists the flows of the newest decisions, newest first.
-func (memory *Memory) Recent(count int) []string {
+// RecentFlows lists the flows of the newest decisions, newest first.
+func (memory *DecisionLog) RecentFlows(count int) []string {
 	var newest []record
-	for index := range memory.rings {
-		part := &memory.rings[index]
+	for index := range memory.shards {
+		part := &memory.shards[index]
 		part.mutex.Lock()
 		for back := 1; back <= min(count, len(part.records)); back++ {
 			place := (part.next - back + len(part.records)) % len(part.records)
@@ -133,12 +133,12 @@
 	return flows
 }
 
-func (memory *Memory) time(at uint32) time.Time {
-	return memory.started.Add(time.Duration(at) * time.Millisecond)
+func (memory *DecisionLog) time(at uint32) time.Time {
+	return memory.startTime.Add(time.Duration(at) * time.Millisecond)
 }
 
-func (memory *Memory) find(key flow.Key) (found []record, oldest uint32, full bool) {
-	part := &memory.rings[key.Hash()%ringCount]
+func (memory *DecisionLog) find(key flow.Key) (found []record, oldest uint32, full bool) {
+	part := &memory.shards[key.Hash()%shardCount]
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
 	start, count := 0, part.next
@@ -157,14 +157,14 @@
 	return found, oldest, part.full
 }
 
-func (memory *Memory) describe(found record) *apiv1.Decision {
+func (memory *DecisionLog) describe(found record) *apiv1.Decision {
 	decision := &apiv1.Decision{
 		UnixMilliseconds: memory.time(found.at).UnixMilli(),
 		Path:             found.path.String(),
 		Backend:          fmt.Sprintf("#%d", found.backend),
 	}
 	memory.mutex.RLock()
-	facts := memory.facts[found.version]
+	facts := memory.views[found.version]
 	memory.mutex.RUnlock()
 	if facts == nil {
 		decision.Reason = "the facts of this decision have aged out"
@@ -182,12 +182,12 @@
 	if name := facts.Backends[found.backend]; name != "" {
 		decision.Backend = name
 	}
-	decision.Reason = reasonOf(found.path)
-	decision.Candidates = candidates(facts, found)
+	decision.Reason = pathReason(found.path)
+	decision.Candidates = candidateReports(facts, found)
 	return decision
 }
 
-func reasonOf(path router.Path) string {
+func pathReason(path router.Path) string {
 	switch path {
 	case router.PathLocal:
 		return "this node had already bound the flow"
@@ -215,9 +215,9 @@
 	return ""
 }
 
-// candidates lists the back ends by their score under the rule for new flows,
+// candidateReports lists the back ends by their score under the rule for new flows,
 // with the reason for which each was or was not chosen.
-func candidates(facts *Facts, found record) []*apiv1.CandidateReport {
+func candidateReports(facts *ViewDetails, found record) []*apiv1.CandidateReport {
 	proposal := facts.View.Proposal(found.key.Address())
 	if proposal == nil {
 		return nil
@@ -228,14 +228,14 @@
 			Backend: facts.Backends[score.Backend],
 			Weight:  score.Weight,
 			Score:   score.Value >> 16,
-			Verdict: verdict(facts, found, score, place),
+			Verdict: candidateVerdict(facts, found, score, place),
 		}
 		reports = append(reports, report)
 	}
 	return reports
 }
 
-func verdict(facts *Facts, found record, score rule.Score, place int) string {
+func candidateVerdict(facts *ViewDetails, found record, score rule.Score, place int) string {
 	reason := facts.Reasons[score.Backend]
 	switch {
 	case score.Backend == found.backend:
--- a/internal/flowtable/flowtable.go
+++ b/internal/flowtable/flowtable.go
@@ -45,13 +45,13 @@
 
 // Table is safe for use by many goroutines.
 type Table struct {
-	shards   [ShardCount]shard
-	perShard int
+	shards        [ShardCount]shard
+	shardCapacity int
 }
 
 // New makes a table that holds about capacity flows.
 func New(capacity int) *Table {
-	table := &Table{perShard: max(1, (capacity+ShardCount-1)/ShardCount)}
+	table := &Table{shardCapacity: max(1, (capacity+ShardCount-1)/ShardCount)}
 	for index := range table.shards {
 		table.shards[index].entries = make(map[flow.Key]Entry)
 	}
@@ -92,7 +92,7 @@
 	part := table.shard(hash)
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	if len(part.entries) >= table.perShard {
+	if len(part.entries) >= table.shardCapacity {
 		if _, found := part.entries[key]; !found {
 			return false
 		}
@@ -115,7 +115,7 @@
 	part := table.shard(hash)
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	return len(part.entries)*100 >= table.perShard*percent
+	return len(part.entries)*100 >= table.shardCapacity*percent
 }
 
 // Visit calls visit for each entry of one shard, with the shard locked; visit
--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -66,7 +66,7 @@
 func (sim *Simulation) checkLevels() error {
 	var lowest, highest *node
 	for _, node := range sim.nodes {
-		if node.dead || node.router.View() == nil || !node.router.Fresh(node.now()) {
+		if node.dead || node.router.View() == nil || !node.router.HasContact(node.now()) {
 			continue
 		}
 		if lowest == nil || node.level() < lowest.level() {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -268,7 +268,7 @@
 	switch decision.Action {
 	case router.ActionForward:
 		node.forward(pkt, decision.Backend)
-	case router.ActionAsk:
+	case router.ActionLookup:
 		node.queueForLookup(pkt, decision)
 	case router.ActionRefuse:
 		node.sim.refuseFlow(pkt)
@@ -283,7 +283,7 @@
 	sim.Clock.After(sim.delay(node.zone, target.zone), func() { sim.receiveAtBackend(target, pkt) })
 }
 
-func (node *node) queueForLookup(pkt packet, decision router.Verdict) {
+func (node *node) queueForLookup(pkt packet, decision router.Decision) {
 	if node.queuedPacketCount >= maxQueuedPackets {
 		node.sim.Result.Dropped++
 		return
@@ -307,7 +307,7 @@
 		}
 		hash := pkt.flow.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
-			node.router.Learn(node.now(), resolution.Key, hash, resolution.Backend, pkt.flags)
+			node.router.InsertFlow(node.now(), resolution.Key, hash, resolution.Backend, pkt.flags)
 		}
 		node.sim.traceFlow(pkt.flow, "%s resolved to %d", node.id, resolution.Backend)
 		node.forward(pkt, resolution.Backend)
@@ -316,7 +316,7 @@
 
 // traceDecision adds a routing decision to the flow's history if the settings ask
 // for traces.
-func (node *node) traceDecision(pkt packet, decision router.Verdict) {
+func (node *node) traceDecision(pkt packet, decision router.Decision) {
 	if node.sim.settings.Trace {
 		view := node.router.View()
 		node.sim.traceFlow(pkt.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		listener = tls.NewListener(listener, pair.Server(nil))
+		listener = tls.NewListener(listener, pair.ServerConfig(nil))
 	}
 	api := admin.New(node, node.logger.With("part", "admin"), node.settings.GetAdminTokenSha256())
 	server := &http.Server{Handler: api.Handler(node.metricsHandler()), ReadHeaderTimeout: adminHeaderTimeout}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Configuration implements admin.Backend with the newest configuration that
+// Configuration implements admin.Node with the newest configuration that
 // this node knows.
 func (node *Node) Configuration(ctx context.Context) (*apiv1.Configuration, error) {
 	var known *apiv1.Configuration
@@ -55,10 +55,10 @@
 	return known, err
 }
 
-// Ready implements admin.Backend.
+// Ready implements admin.Node.
 func (node *Node) Ready() bool { return node.ready.Load() }
 
-// SetLogLevel implements admin.Backend.
+// SetLogLevel implements admin.Node.
 func (node *Node) SetLogLevel(level string) error {
 	var parsed slog.Level
 	if err := parsed.UnmarshalText([]byte(level)); err != nil {
@@ -68,14 +68,14 @@
 	return nil
 }
 
-// Recent implements admin.Backend.
-func (node *Node) Recent(count int) *apiv1.RecentFlows {
-	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.memory.Recent(count)}
+// RecentFlows implements admin.Node.
+func (node *Node) RecentFlows(count int) *apiv1.RecentFlows {
+	return &apiv1.RecentFlows{Node: node.self.GetId(), Flows: node.decisionLog.RecentFlows(count)}
 }
 
-// Explain implements admin.Backend.
+// Explain implements admin.Node.
 func (node *Node) Explain(_ context.Context, key flow.Key) (*apiv1.Explanation, error) {
-	explanation := node.memory.Explain(node.self.GetId(), key)
+	explanation := node.decisionLog.Explain(node.self.GetId(), key)
 	if entry, found := node.table.Get(key, key.Hash()); found {
 		silent := time.Duration(node.now()-entry.LastSeen) * time.Millisecond
 		explanation.Note += fmt.Sprintf("; this node's flow table has it at back end #%d, last seen %s ago", entry.Backend, silent)
@@ -83,14 +83,14 @@
 	return explanation, nil
 }
 
-// Change implements admin.Backend.
+// Change implements admin.Node.
 func (node *Node) Change(ctx context.Context, request *apiv1.ChangeRequest) (*apiv1.ChangeAnswer, error) {
 	writer := &change.Writer{
 		Store:  node.store,
 		Key:    ConfigurationKey(node.settings.GetGroup()),
 		Logger: node.logger.With("part", "admin"),
 	}
-	answer, written, err := writer.Apply(ctx, request, node.changeContext(ctx))
+	answer, written, err := writer.Apply(ctx, request, node.changeEnvironment(ctx))
 	if errors.Is(err, change.ErrStoreRead) {
 		return node.changeWithoutStore(ctx, request, err)
 	}
@@ -123,7 +123,7 @@
 		Message: "the store is out; the back end gets no new flows from now on, repeat the drain when the store is back"}, nil
 }
 
-func (node *Node) changeContext(ctx context.Context) change.Environment {
+func (node *Node) changeEnvironment(ctx context.Context) change.Environment {
 	made := change.Environment{
 		Now:              time.Now(),
 		MarkIncarnations: make(map[uint32]uint64),
@@ -153,7 +153,7 @@
 	return counts
 }
 
-// Status implements admin.Backend.
+// Status implements admin.Node.
 func (node *Node) Status(ctx context.Context) (*apiv1.NodeStatus, error) {
 	status := &apiv1.NodeStatus{
 		Id:             node.self.GetId(),
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -17,8 +17,8 @@
 
 const tickInterval = 25 * time.Millisecond
 
-// control is the control goroutine: the only one that touches the core.
-func (node *Node) control(ctx context.Context, messages <-chan *message.Message, failures <-chan error) error {
+// runControl is the control goroutine: the only one that touches the core.
+func (node *Node) runControl(ctx context.Context, messages <-chan *message.Message, failures <-chan error) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	state := &controlState{node: node}
@@ -33,36 +33,36 @@
 			node.core.Tick(node.now())
 		case envelope := <-node.transport.Inbox():
 			node.core.Step(node.now(), envelope)
-		case question := <-node.plane.Questions():
+		case question := <-node.plane.Lookups():
 			node.core.Lookup(node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
-			state.askMore()
+			state.handleQueuedLookups()
 		case carried, open := <-messages:
 			if open {
-				state.event(carried)
+				state.handleEvent(carried)
 			}
 		case ask := <-node.queries:
 			ask(node.core)
 		}
-		state.handle(ctx)
+		state.processOutput(ctx)
 	}
 }
 
 // controlState is what the control goroutine remembers between steps.
 type controlState struct {
-	node     *Node
-	revision uint64
-	version  uint64
-	contact  string
-	phase    string
-	weights  compile.Weights
-	released bool
+	node         *Node
+	revision     uint64
+	version      uint64
+	contact      string
+	phase        string
+	weights      compile.Weights
+	handoverDone bool
 }
 
-// askMore takes the questions that wait, so that they share messages.
-func (state *controlState) askMore() {
+// handleQueuedLookups takes the questions that wait, so that they share messages.
+func (state *controlState) handleQueuedLookups() {
 	for {
 		select {
-		case question := <-state.node.plane.Questions():
+		case question := <-state.node.plane.Lookups():
 			state.node.core.Lookup(state.node.now(), question.Key, question.Proposal, question.Bind, question.Opens)
 		default:
 			return
@@ -70,7 +70,7 @@
 	}
 }
 
-func (state *controlState) event(carried *message.Message) {
+func (state *controlState) handleEvent(carried *message.Message) {
 	node := state.node
 	event, err := events.Decode(carried)
 	if err != nil {
@@ -88,7 +88,7 @@
 		node.core.AddPeer(body)
 	case *apiv1.Epoch:
 		state.weights = compile.EpochWeights(body)
-		state.desire()
+		state.updateDesired()
 	}
 	switch event.Kind {
 	case events.KindWritten:
@@ -100,8 +100,8 @@
 	}
 }
 
-// desire tells the core what the configuration and the policies ask for.
-func (state *controlState) desire() {
+// updateDesired tells the core what the configuration and the policies ask for.
+func (state *controlState) updateDesired() {
 	node := state.node
 	configuration := node.core.Configuration()
 	if configuration == nil {
@@ -125,23 +125,23 @@
 	}
 }
 
-// handle carries out what the core wants done.
-func (state *controlState) handle(ctx context.Context) {
+// processOutput carries out what the core wants done.
+func (state *controlState) processOutput(ctx context.Context) {
 	node := state.node
 	if revision := node.core.Configuration().GetRevision(); revision > state.revision {
 		state.revision = revision
 		node.logger.Info("Configuration learned.", "revision", revision)
 		node.facts.setConfiguration(node.core.Configuration())
-		state.desire()
+		state.updateDesired()
 	}
 	if version := node.core.Document().GetVersion(); version > state.version {
 		state.version = version
-		state.desire()
+		state.updateDesired()
 	}
 	out := node.core.Ready()
 	if out.View != nil {
-		node.plane.SetView(out.View, out.ViewVersion, targets(node.core))
-		node.memory.SetFacts(node.factsOf(out))
+		node.plane.SetView(out.View, out.ViewVersion, backendTargets(node.core))
+		node.decisionLog.AddView(node.viewDetails(out))
 	}
 	node.plane.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
 	for _, envelope := range out.Messages {
@@ -150,20 +150,20 @@
 		}
 	}
 	for _, resolution := range out.Resolutions {
-		node.plane.Answer(dataplane.Answer{
+		node.plane.CompleteLookup(dataplane.LookupResult{
 			Key: resolution.Key, Backend: resolution.Backend, Recorded: resolution.Recorded})
 	}
 	if out.RefreshGroupLiveness {
-		go node.touchGroup(ctx)
+		go node.refreshGroupLiveness(ctx)
 	}
 	if out.Write != nil {
 		go node.writeDocument(ctx, out.Write.Document)
 	}
-	state.note()
+	state.publishState()
 }
 
-// note logs changes and updates what other goroutines read.
-func (state *controlState) note() {
+// publishState logs changes and updates what other goroutines read.
+func (state *controlState) publishState() {
 	node := state.node
 	node.watchRank.Store(int32(node.core.WatchRank()))
 	contact := node.core.Contact()
@@ -178,15 +178,15 @@
 			"settled", node.core.Document().GetSettled().GetNumber())
 		state.phase = phase
 	}
-	if node.core.CanStop() && !state.released {
-		state.released = true
-		close(node.released)
+	if node.core.CanStop() && !state.handoverDone {
+		state.handoverDone = true
+		close(node.handoverDone)
 	}
 }
 
-// targets lists the tunnel addresses of all back ends that flows may be bound
+// backendTargets lists the tunnel addresses of all back ends that flows may be bound
 // to.
-func targets(control *core.Core) dataplane.Targets {
+func backendTargets(control *core.Core) dataplane.Targets {
 	targets := make(dataplane.Targets)
 	document := control.Document()
 	for _, epoch := range []*apiv1.Epoch{document.GetSettled(), document.GetPending()} {
@@ -202,14 +202,14 @@
 	return targets
 }
 
-// factsOf gathers what the explanations of a view's decisions need.
-func (node *Node) factsOf(out core.Output) *explain.Facts {
-	gathered := &explain.Facts{
+// viewDetails gathers what the explanations of a view's decisions need.
+func (node *Node) viewDetails(out core.Output) *explain.ViewDetails {
+	gathered := &explain.ViewDetails{
 		Version:  out.ViewVersion,
 		View:     out.View,
 		Backends: make(map[uint32]string),
 		Policies: make(map[string]string),
-		Reasons:  node.facts.reasons(),
+		Reasons:  node.facts.copyReasons(),
 	}
 	for _, service := range node.core.Configuration().GetServices() {
 		gathered.Policies[service.GetName()] = service.GetPolicy()
--- a/internal/node/facts.go
+++ b/internal/node/facts.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	reportPeriod = 2 * time.Second
+	minimumPollInterval = 2 * time.Second
 	// reportSpacing bounds the rate of reports: 20 a second.
 	reportSpacing     = 50 * time.Millisecond
 	reportTimeout     = 500 * time.Millisecond
@@ -60,7 +60,7 @@
 	facts.configuration = configuration
 }
 
-func (facts *facts) reasons() map[uint32]string {
+func (facts *facts) copyReasons() map[uint32]string {
 	facts.mutex.Lock()
 	defer facts.mutex.Unlock()
 	copied := make(map[uint32]string, len(facts.why))
@@ -76,7 +76,7 @@
 func (node *Node) pollReports(ctx context.Context) error {
 	var damper *policy.Damper
 	for ctx.Err() == nil {
-		pause(ctx, jitter(node.facts.period()))
+		sleep(ctx, jitter(node.facts.pollInterval()))
 		first, inForce := false, map[uint32]uint32(nil)
 		if err := node.query(ctx, func(control *core.Core) {
 			first = control.GroupRank() == 0
@@ -99,15 +99,15 @@
 	return nil
 }
 
-// period is the time between two rounds of reports.
-func (facts *facts) period() time.Duration {
+// pollInterval is the time between two rounds of reports.
+func (facts *facts) pollInterval() time.Duration {
 	facts.mutex.Lock()
 	defer facts.mutex.Unlock()
 	count := 0
 	for _, service := range facts.configuration.GetServices() {
 		count += len(service.GetBackends())
 	}
-	return max(reportPeriod, time.Duration(count)*reportSpacing)
+	return max(minimumPollInterval, time.Duration(count)*reportSpacing)
 }
 
 // readReports asks all back ends that have a report address.
@@ -128,7 +128,7 @@
 				defer group.Done()
 				defer func() { <-slots }()
 				report, err := readReport(ctx, backend.GetReportAddress())
-				node.facts.note(backend.GetId(), report, err)
+				node.facts.recordReport(backend.GetId(), report, err)
 			}()
 		}
 	}
@@ -152,7 +152,7 @@
 	return report, errors.Wrapf(err, "report %s: decode", address)
 }
 
-func (facts *facts) note(backend uint32, report Report, err error) {
+func (facts *facts) recordReport(backend uint32, report Report, err error) {
 	facts.mutex.Lock()
 	defer facts.mutex.Unlock()
 	known := facts.reports[backend]
@@ -179,13 +179,13 @@
 // runPolicies evaluates the policies on the newest facts. Leaving becomes a
 // mark; weights go to the control goroutine when they have changed.
 func (node *Node) runPolicies(damper *policy.Damper) error {
-	period := node.facts.period()
+	period := node.facts.pollInterval()
 	node.facts.mutex.Lock()
 	defer node.facts.mutex.Unlock()
 	configuration := node.facts.configuration
 	outcomes := make(map[uint32]policy.Outcome)
 	for _, service := range configuration.GetServices() {
-		program, err := programOf(configuration, service)
+		program, err := compilePolicy(configuration, service)
 		if err != nil {
 			return err
 		}
@@ -197,10 +197,10 @@
 	if !changed {
 		return nil
 	}
-	return node.bus.Publish(events.Event{Kind: events.KindRules, Body: epochOf(weights)})
+	return node.bus.Publish(events.Event{Kind: events.KindRules, Body: epochFromWeights(weights)})
 }
 
-func programOf(configuration *apiv1.Configuration, service *apiv1.Service) (*policy.Program, error) {
+func compilePolicy(configuration *apiv1.Configuration, service *apiv1.Service) (*policy.Program, error) {
 	wanted := change.FindPolicy(configuration, service.GetPolicy())
 	if wanted == nil {
 		wanted = policy.Default()
@@ -215,12 +215,12 @@
 			outcomes[backend.GetId()] = policy.Outcome{Weight: 1}
 			continue
 		}
-		outcome, err := program.Evaluate(node.facts.of(backend, mean, period))
+		outcome, err := program.Evaluate(node.facts.policyFacts(backend, mean, period))
 		if err != nil {
 			return errors.Wrapf(err, "service %s, back end %s", service.GetName(), backend.GetName())
 		}
 		outcomes[backend.GetId()] = outcome
-		node.facts.explain(backend.GetId(), outcome)
+		node.facts.setReason(backend.GetId(), outcome)
 		if outcome.Leaving {
 			mark := &apiv1.LeavingMark{Backend: backend.GetId(), Reason: "the policy counts it as leaving"}
 			if err := node.bus.Publish(events.Event{Kind: events.KindLeavingMark, Body: mark}); err != nil {
@@ -242,8 +242,8 @@
 	return total / float64(max(count, 1))
 }
 
-// of gathers the facts of one back end.
-func (facts *facts) of(backend *apiv1.Backend, mean float64, period time.Duration) policy.Facts {
+// policyFacts gathers the facts of one back end.
+func (facts *facts) policyFacts(backend *apiv1.Backend, mean float64, period time.Duration) policy.Facts {
 	gathered := policy.Facts{Name: backend.GetName(), Zone: backend.GetZone(), MachineState: "unknown", MeanLoad: mean, Load: mean}
 	known := facts.reports[backend.GetId()]
 	if known == nil {
@@ -263,21 +263,21 @@
 	return gathered
 }
 
-func (facts *facts) explain(backend uint32, outcome policy.Outcome) {
+func (facts *facts) setReason(backend uint32, outcome policy.Outcome) {
 	text, err := json.Marshal(outcome)
 	if err == nil {
 		facts.why[backend] = "policy outcome " + string(text)
 	}
 }
 
-// Facts implements admin.Backend.
+// Facts implements admin.Node.
 func (node *Node) Facts(ctx context.Context) (*apiv1.FactsReport, error) {
 	report := &apiv1.FactsReport{Node: node.self.GetId()}
 	var weights map[uint32]uint32
 	if err := node.query(ctx, func(control *core.Core) { weights = compile.NewestWeights(control.Document()) }); err != nil {
 		return nil, err
 	}
-	period := node.facts.period()
+	period := node.facts.pollInterval()
 	node.facts.mutex.Lock()
 	defer node.facts.mutex.Unlock()
 	for _, service := range node.facts.configuration.GetServices() {
@@ -286,7 +286,7 @@
 			if node.facts.reports[backend.GetId()] == nil {
 				continue
 			}
-			known := node.facts.of(backend, mean, period)
+			known := node.facts.policyFacts(backend, mean, period)
 			report.Backends = append(report.Backends, &apiv1.BackendFacts{
 				Service: service.GetName(), Backend: known.Name, Zone: known.Zone, MachineState: known.MachineState,
 				Healthy: known.Healthy, BadSeconds: known.BadSeconds, Load: known.Load, MeanLoad: known.MeanLoad,
@@ -296,8 +296,8 @@
 	return report, nil
 }
 
-// epochOf carries weights in an event.
-func epochOf(weights map[uint32]uint32) *apiv1.Epoch {
+// epochFromWeights carries weights in an event.
+func epochFromWeights(weights map[uint32]uint32) *apiv1.Epoch {
 	service := &apiv1.ServiceRule{}
 	for backend, weight := range weights {
 		service.Candidates = append(service.Candidates, &apiv1.Candidate{Backend: backend, Weight: weight})
--- a/internal/node/facts_test.go
+++ b/internal/node/facts_test.go
@@ -32,23 +32,23 @@
 // TestReportsAreSpaced keeps the deciding node at 20 reports a second.
 func TestReportsAreSpaced(t *testing.T) {
 	known := newFacts()
-	require.Equal(t, reportPeriod, known.period())
+	require.Equal(t, minimumPollInterval, known.pollInterval())
 	service := &apiv1.Service{Backends: make([]*apiv1.Backend, 140)}
 	known.setConfiguration(&apiv1.Configuration{Services: []*apiv1.Service{service}})
-	require.Equal(t, 7*time.Second, known.period())
+	require.Equal(t, 7*time.Second, known.pollInterval())
 }
 
 func TestFactsOfSilentBackend(t *testing.T) {
 	known := newFacts()
 	backend := &apiv1.Backend{Id: 1, Name: "lending-0"}
-	require.Equal(t, "unknown", known.of(backend, 0.5, reportPeriod).MachineState)
-	known.note(1, Report{Healthy: true, Load: 7, State: "live"}, nil)
-	facts := known.of(backend, 0.5, reportPeriod)
+	require.Equal(t, "unknown", known.policyFacts(backend, 0.5, minimumPollInterval).MachineState)
+	known.recordReport(1, Report{Healthy: true, Load: 7, State: "live"}, nil)
+	facts := known.policyFacts(backend, 0.5, minimumPollInterval)
 	require.True(t, facts.Healthy)
 	require.Equal(t, 1.0, facts.Load, "a load above 1 counts as 1")
 	known.reports[1].lastGood = time.Now().Add(-time.Minute)
-	known.note(1, Report{}, errors.New("no answer"))
-	require.False(t, known.of(backend, 0.5, reportPeriod).Healthy)
+	known.recordReport(1, Report{}, errors.New("no answer"))
+	require.False(t, known.policyFacts(backend, 0.5, minimumPollInterval).Healthy)
 }
 
 // BenchmarkReadReport includes the answering server, so it is an upper bound.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -60,7 +60,7 @@
 	for kind, bytes := range status.GetControlBytes() {
 		counter(controlDescription, bytes, kind)
 	}
-	counter(lostDescription, collector.node.transport.Lost())
+	counter(lostDescription, collector.node.transport.Dropped())
 	gauge(flowsDescription, status.GetFlows())
 	gauge(recordsDescription, status.GetKeptRecords())
 	gauge(revisionDescription, status.GetAcceptedRevision(), "accepted")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,43 +25,43 @@
 
 // Node is one balancer.
 type Node struct {
-	settings  *apiv1.NodeSettings
-	logger    *slog.Logger
-	level     *slog.LevelVar
-	started   time.Time
-	self      *apiv1.Member
-	table     *flowtable.Table
-	plane     *dataplane.Plane
-	transport *transport.Transport
-	core      *core.Core
-	bus       *events.Bus
-	store     *store.Client
-	memory    *explain.Memory
-	queries   chan func(*core.Core)
-	facts     *facts
+	settings    *apiv1.NodeSettings
+	logger      *slog.Logger
+	level       *slog.LevelVar
+	started     time.Time
+	self        *apiv1.Member
+	table       *flowtable.Table
+	plane       *dataplane.Plane
+	transport   *transport.Transport
+	core        *core.Core
+	bus         *events.Bus
+	store       *store.Client
+	decisionLog *explain.DecisionLog
+	queries     chan func(*core.Core)
+	facts       *facts
 
 	// storeReachable, watchRank and loadTrust are read by other goroutines.
 	storeReachable atomic.Bool
 	watchRank      atomic.Int32
 	ready          atomic.Bool
-	released       chan struct{}
+	handoverDone   chan struct{}
 }
 
 // New opens the node's sockets.
 func New(settings *apiv1.NodeSettings, logger *slog.Logger, level *slog.LevelVar) (*Node, error) {
 	started := time.Now()
 	made := &Node{
-		settings: settings,
-		logger:   logger,
-		level:    level,
-		started:  started,
-		table:    flowtable.New(int(settings.GetFlowCapacity())),
-		bus:      events.NewBus(),
-		store:    store.NewClient(settings.GetStoreAddress()),
-		memory:   explain.New(int(settings.GetExplainRecords()), started),
-		queries:  make(chan func(*core.Core)),
-		released: make(chan struct{}),
-		facts:    newFacts(),
+		settings:     settings,
+		logger:       logger,
+		level:        level,
+		started:      started,
+		table:        flowtable.New(int(settings.GetFlowCapacity())),
+		bus:          events.NewBus(),
+		store:        store.NewClient(settings.GetStoreAddress()),
+		decisionLog:  explain.New(int(settings.GetExplainRecords()), started),
+		queries:      make(chan func(*core.Core)),
+		handoverDone: make(chan struct{}),
+		facts:        newFacts(),
 	}
 	made.self = &apiv1.Member{
 		Id:           settings.GetId(),
@@ -80,12 +80,12 @@
 		Router:   router.New(node.table),
 		Clock:    node.now,
 		Logger:   node.logger.With("part", "dataplane"),
-		Observer: node.memory,
+		Observer: node.decisionLog,
 	})
 	if err != nil {
 		return err
 	}
-	security, err := peerSecurity(node.settings)
+	security, err := peerTLS(node.settings)
 	if err != nil {
 		return err
 	}
@@ -97,8 +97,8 @@
 	return errors.Wrap(err, "settings")
 }
 
-// peerSecurity loads what mutual TLS between nodes needs; nil without it.
-func peerSecurity(settings *apiv1.NodeSettings) (*transport.Security, error) {
+// peerTLS loads what mutual TLS between nodes needs; nil without it.
+func peerTLS(settings *apiv1.NodeSettings) (*transport.MutualTLS, error) {
 	if settings.GetPeerCertificate() == "" {
 		return nil, nil
 	}
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	authorities, err := certificate.LoadAuthorities(settings.GetPeerAuthority())
-	return &transport.Security{Pair: pair, Authorities: authorities}, err
+	return &transport.MutualTLS{Pair: pair, Authorities: authorities}, err
 }
 
 // CoreConfig derives the control state's configuration from the settings.
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	node.meetSeeds()
+	node.addSeedPeers()
 	failures := make(chan error, 8)
 	start := func(step string, run func(context.Context) error) {
 		go func() {
@@ -145,13 +145,13 @@
 	start("admin", node.serveAdmin)
 	start("watch document", node.watchDocument)
 	start("watch configuration", node.watchConfiguration)
-	start("watch alive", node.watchAlive)
+	start("watch alive", node.watchGroupLiveness)
 	start("machines", node.pollMachines)
 	start("reports", node.pollReports)
 	start("expiry", node.expireFlows)
 	node.logger.Info("Node started.", "id", node.self.GetId(), "zone", node.self.GetZone(),
 		"data", node.settings.GetDataAddress(), "admin", node.settings.GetAdminAddress())
-	return node.control(ctx, messages, failures)
+	return node.runControl(ctx, messages, failures)
 }
 
 // Stop announces the planned stop of the node and waits until its flows are
@@ -163,14 +163,14 @@
 		return
 	}
 	select {
-	case <-node.released:
+	case <-node.handoverDone:
 		node.logger.Info("Flows handed over.")
 	case <-ctx.Done():
 		node.logger.Warn("Stop without hand-over.")
 	}
 }
 
-func (node *Node) meetSeeds() {
+func (node *Node) addSeedPeers() {
 	for _, seed := range node.settings.GetSeeds() {
 		id, address, _ := strings.Cut(seed, "@")
 		node.core.AddPeer(&apiv1.Member{Id: id, PeerAddress: address})
@@ -179,8 +179,8 @@
 
 const expiryInterval = 10 * time.Second
 
-// closedTime is how long a closed flow is still known, for late packets.
-const closedTime = 60 * time.Second
+// closedRetention is how long a closed flow is still known, for late packets.
+const closedRetention = 60 * time.Second
 
 func (node *Node) expireFlows(ctx context.Context) error {
 	ticker := time.NewTicker(expiryInterval)
@@ -193,7 +193,7 @@
 		}
 		idle := uint32(node.settings.GetFlowIdleSeconds()) * 1000
 		now := node.now()
-		closed := uint32(closedTime / time.Millisecond)
+		closed := uint32(closedRetention / time.Millisecond)
 		node.table.Expire(now-min(now, idle), now-min(now, closed))
 	}
 }
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -18,13 +18,13 @@
 const (
 	// watchersPerGroup nodes watch the store; the others hear the news from them
 	// and read for themselves only now and then, or when out of contact.
-	watchersPerGroup = 3
-	readInterval     = 5 * time.Minute
-	rankInterval     = time.Second
-	retryMinimum     = 300 * time.Millisecond
-	retryMaximum     = 5 * time.Second
-	machinesPeriod   = 2 * time.Second
-	alivePeriod      = 5 * time.Second
+	watchersPerGroup       = 3
+	nonWatcherReadInterval = 5 * time.Minute
+	rankCheckInterval      = time.Second
+	retryMinimum           = 300 * time.Millisecond
+	retryMaximum           = 5 * time.Second
+	machinesPollInterval   = 2 * time.Second
+	livenessPollInterval   = 5 * time.Second
 )
 
 // DocumentKey is the store's key of a group's document.
@@ -53,12 +53,12 @@
 		case errors.Is(err, store.ErrNotFound):
 			node.storeReachable.Store(true)
 			backoff = retryMinimum
-			pause(ctx, retryMinimum)
+			sleep(ctx, retryMinimum)
 			continue
 		case err != nil:
 			node.storeReachable.Store(false)
 			node.logger.Warn("Store not read.", "part", "store", "error", err)
-			pause(ctx, jitter(backoff))
+			sleep(ctx, jitter(backoff))
 			backoff = min(2*backoff, retryMaximum)
 			continue
 		}
@@ -89,9 +89,9 @@
 	if node.watchRank.Load() < watchersPerGroup {
 		return node.store.Watch(ctx, key, version)
 	}
-	deadline := time.Now().Add(jitter(readInterval))
+	deadline := time.Now().Add(jitter(nonWatcherReadInterval))
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		pause(ctx, rankInterval)
+		sleep(ctx, rankCheckInterval)
 		if node.watchRank.Load() < watchersPerGroup || !node.ready.Load() {
 			break
 		}
@@ -99,12 +99,12 @@
 	return node.store.Get(ctx, key)
 }
 
-// AliveKey is the store's key of a group's sign of life.
-func AliveKey(group string) string { return "indigobarrow." + group + ".alive" }
+// GroupLivenessKey is the store's key of a group's sign of life.
+func GroupLivenessKey(group string) string { return "indigobarrow." + group + ".alive" }
 
-// touchGroup changes the group's sign of life.
-func (node *Node) touchGroup(ctx context.Context) {
-	key := AliveKey(node.settings.GetGroup())
+// refreshGroupLiveness changes the group's sign of life.
+func (node *Node) refreshGroupLiveness(ctx context.Context) {
+	key := GroupLivenessKey(node.settings.GetGroup())
 	value, err := node.store.Get(ctx, key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
@@ -112,15 +112,15 @@
 	_ = node.store.CompareAndSwap(ctx, key, value.Version, []byte(node.self.GetId()))
 }
 
-// watchAlive reads the sign of life while the node is out of contact.
-func (node *Node) watchAlive(ctx context.Context) error {
+// watchGroupLiveness reads the sign of life while the node is out of contact.
+func (node *Node) watchGroupLiveness(ctx context.Context) error {
 	var seen uint64
 	for ctx.Err() == nil {
-		pause(ctx, jitter(alivePeriod))
+		sleep(ctx, jitter(livenessPollInterval))
 		if node.ready.Load() {
 			continue
 		}
-		value, err := node.store.Get(ctx, AliveKey(node.settings.GetGroup()))
+		value, err := node.store.Get(ctx, GroupLivenessKey(node.settings.GetGroup()))
 		if err == nil && value.Version != seen {
 			seen = value.Version
 			if err := node.bus.Publish(events.Event{Kind: events.KindAlive}); err != nil {
@@ -181,7 +181,7 @@
 				return err
 			}
 		}
-		pause(ctx, jitter(machinesPeriod))
+		sleep(ctx, jitter(machinesPollInterval))
 	}
 	return nil
 }
@@ -203,7 +203,7 @@
 	return machines, errors.Wrapf(err, "machines %s: decode", address)
 }
 
-func pause(ctx context.Context, duration time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/replication/silent_test.go
+++ b/internal/replication/silent_test.go
@@ -93,7 +93,7 @@
 	client := newTestClient(t)
 	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
-	time.AfterFunc(50*time.Millisecond, func() { proxy.Silence(swallow.There, swallow.Back) })
+	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(swallow.ToTarget, swallow.ToClient) })
 	began := time.Now()
 	reply, sentAt, err := client.Follow(context.Background(), proxy.Address(), followRequest(FollowWait))
 	require.NoError(t, err)
@@ -114,7 +114,7 @@
 	client := newTestClient(t)
 	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
-	proxy.Silence(swallow.There, swallow.Back)
+	proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
 	request := followRequest(100 * time.Millisecond)
 	_, _, err = client.Follow(context.Background(), proxy.Address(), request)
 	require.NoError(t, err)
@@ -196,7 +196,7 @@
 	_, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
 	require.NoError(t, client.Testify(context.Background(), proxy.Address(), &apiv1.TestifyRequest{}))
-	proxy.Silence(swallow.There, swallow.Back)
+	proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
 	require.NoError(t, client.Testify(context.Background(), proxy.Address(), &apiv1.TestifyRequest{}))
 	require.Equal(t, 2, proxy.Accepted())
 }
@@ -206,7 +206,7 @@
 func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
-	time.AfterFunc(50*time.Millisecond, func() { proxy.Silence(swallow.There, swallow.Back) })
+	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(swallow.ToTarget, swallow.ToClient) })
 	_, err := followFor(client, proxy.Address(), 200*time.Millisecond)
 	require.Error(t, err)
 	calls, _ := handler.counts()
@@ -218,7 +218,7 @@
 func TestSilentFollowerIsDisconnected(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
-	time.AfterFunc(50*time.Millisecond, func() { proxy.Silence(swallow.There, swallow.Back) })
+	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(swallow.ToTarget, swallow.ToClient) })
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -236,7 +236,7 @@
 	client := newTestClient(t)
 	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
-	proxy.End()
+	proxy.CloseConnections()
 	select {
 	case <-client.connection.Closed():
 	case <-time.After(2 * time.Second):
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,8 +21,8 @@
 const (
 	// ActionForward sends the packet to the verdict's back end.
 	ActionForward Action = iota
-	// ActionAsk parks the packet and asks the keepers.
-	ActionAsk
+	// ActionLookup parks the packet and asks the keepers.
+	ActionLookup
 	// ActionRefuse answers a SYN with a RST: the flow was not opened.
 	ActionRefuse
 	// ActionDrop drops the packet.
@@ -84,12 +84,12 @@
 	PacketCloses
 )
 
-// Verdict is the outcome of a decision.
-type Verdict struct {
+// Decision is the outcome of a decision.
+type Decision struct {
 	Action  Action
 	Path    Path
 	Backend uint32
-	// Proposal and Bind are the question to the keepers for ActionAsk: bind
+	// Proposal and Bind are the question to the keepers for ActionLookup: bind
 	// the proposal if there is no record, or only look.
 	Proposal uint32
 	Bind     bool
@@ -98,22 +98,22 @@
 }
 
 const (
-	// refusePercent is the fill of the table at which SYNs are refused, so
+	// refuseFillPercent is the fill of the table at which SYNs are refused, so
 	// that open flows always find room.
-	refusePercent = 95
-	// reuseAfter is how long, in milliseconds, a closed or leaving flow must
+	refuseFillPercent = 95
+	// portReuseTime is how long, in milliseconds, a closed or leaving flow must
 	// have been silent before a SYN counts as a new flow on the same ports.
-	reuseAfter = 30_000
+	portReuseTime = 30_000
 )
 
 // Router is safe for use by many goroutines.
 type Router struct {
 	table *flowtable.Table
 	view  atomic.Pointer[View]
-	// freshUntil is the time in milliseconds since the node's start until
+	// contactLeaseEnd is the time in milliseconds since the node's start until
 	// which the view may be trusted; see core's contact lease.
-	freshUntil atomic.Uint32
-	// serveIsolated lets the node decide by its rule after freshUntil.
+	contactLeaseEnd atomic.Uint32
+	// serveIsolated lets the node decide by its rule after contactLeaseEnd.
 	serveIsolated atomic.Bool
 }
 
@@ -131,40 +131,40 @@
 // SetContact sets until when the view may be trusted, in milliseconds since
 // the node's start, and whether the node serves by its rule after that.
 func (router *Router) SetContact(freshUntil uint32, serveIsolated bool) {
-	router.freshUntil.Store(freshUntil)
+	router.contactLeaseEnd.Store(freshUntil)
 	router.serveIsolated.Store(serveIsolated)
 }
 
-// Fresh reports whether the view may be trusted at now.
-func (router *Router) Fresh(now uint32) bool { return now <= router.freshUntil.Load() }
+// HasContact reports whether the view may be trusted at now.
+func (router *Router) HasContact(now uint32) bool { return now <= router.contactLeaseEnd.Load() }
 
 // Table returns the flow table.
 func (router *Router) Table() *flowtable.Table { return router.table }
 
 // Decide decides one packet at now, in milliseconds since the node's start. It
 // does not allocate.
-func (router *Router) Decide(now uint32, key flow.Key, hash uint64, flags PacketFlags) Verdict {
+func (router *Router) Decide(now uint32, key flow.Key, hash uint64, flags PacketFlags) Decision {
 	view := router.view.Load()
 	if view == nil {
-		return Verdict{Action: ActionDrop, Path: PathDroppedNotReady}
+		return Decision{Action: ActionDrop, Path: PathDroppedNotReady}
 	}
-	mark := flagsOf(flags)
+	mark := entryFlags(flags)
 	if flags&PacketOpens != 0 {
-		if !router.Fresh(now) && !router.serveIsolated.Load() {
-			return Verdict{Action: ActionDrop, Path: PathDroppedNoContact}
+		if !router.HasContact(now) && !router.serveIsolated.Load() {
+			return Decision{Action: ActionDrop, Path: PathDroppedNoContact}
 		}
-		if entry, found := router.table.Get(key, hash); found && reusable(view, entry, now) {
+		if entry, found := router.table.Get(key, hash); found && reusesPorts(view, entry, now) {
 			router.table.Delete(key, hash)
 		}
 	}
 	if entry, found := router.table.Touch(key, hash, now, mark); found {
-		return Verdict{Action: ActionForward, Path: PathLocal, Backend: entry.Backend}
+		return Decision{Action: ActionForward, Path: PathLocal, Backend: entry.Backend}
 	}
-	return router.decideUnknown(view, now, key, hash, flags)
+	return router.decideUnknownFlow(view, now, key, hash, flags)
 }
 
-// flagsOf gives what a packet shows of its flow.
-func flagsOf(flags PacketFlags) flowtable.Flags {
+// entryFlags gives what a packet shows of its flow.
+func entryFlags(flags PacketFlags) flowtable.Flags {
 	var mark flowtable.Flags
 	if flags&PacketCloses != 0 {
 		mark |= flowtable.FlagClosed
@@ -175,64 +175,64 @@
 	return mark
 }
 
-// reusable reports whether a SYN on an existing entry opens a new flow.
-func reusable(view *View, entry flowtable.Entry, now uint32) bool {
-	if now-entry.LastSeen < reuseAfter {
+// reusesPorts reports whether a SYN on an existing entry opens a new flow.
+func reusesPorts(view *View, entry flowtable.Entry, now uint32) bool {
+	if now-entry.LastSeen < portReuseTime {
 		return false
 	}
 	return entry.Flags&flowtable.FlagClosed != 0 || view.Leaving[entry.Backend]
 }
 
-func (router *Router) decideUnknown(view *View, now uint32, key flow.Key, hash uint64, flags PacketFlags) Verdict {
+func (router *Router) decideUnknownFlow(view *View, now uint32, key flow.Key, hash uint64, flags PacketFlags) Decision {
 	service := view.services[key.Address()]
 	opens := flags&PacketOpens != 0
 	if service == nil || service.fallback == nil {
 		if opens {
-			return Verdict{Action: ActionRefuse, Path: PathRefusedNoService}
+			return Decision{Action: ActionRefuse, Path: PathRefusedNoService}
 		}
-		return Verdict{Action: ActionDrop, Path: PathRefusedNoService}
+		return Decision{Action: ActionDrop, Path: PathRefusedNoService}
 	}
-	if !router.Fresh(now) && !router.serveIsolated.Load() {
-		return Verdict{Action: ActionDrop, Path: PathDroppedNoContact}
+	if !router.HasContact(now) && !router.serveIsolated.Load() {
+		return Decision{Action: ActionDrop, Path: PathDroppedNoContact}
 	}
-	if opens && service.unopened {
-		return Verdict{Action: ActionDrop, Path: PathDroppedNotReady}
+	if opens && service.notInForce {
+		return Decision{Action: ActionDrop, Path: PathDroppedNotReady}
 	}
-	if opens && router.table.Full(hash, refusePercent) {
-		return Verdict{Action: ActionRefuse, Path: PathRefusedOverload}
+	if opens && router.table.Full(hash, refuseFillPercent) {
+		return Decision{Action: ActionRefuse, Path: PathRefusedOverload}
 	}
-	if !opens && view.HoldUnknown {
-		return Verdict{Action: ActionDrop, Path: PathDroppedRejoin}
+	if !opens && view.DropUnknownFlows {
+		return Decision{Action: ActionDrop, Path: PathDroppedRejoin}
 	}
 	result := service.choose(hash)
 	if opens && result.proposal == rule.NoBackend {
-		return Verdict{Action: ActionRefuse, Path: PathRefusedNoBackend}
+		return Decision{Action: ActionRefuse, Path: PathRefusedNoBackend}
 	}
 	if result.ambiguous {
 		proposal := result.fallback
 		if opens {
 			proposal = result.proposal
 		}
-		return Verdict{Action: ActionAsk, Path: PathKeeper, Proposal: proposal, Bind: true, Opens: opens}
+		return Decision{Action: ActionLookup, Path: PathKeeper, Proposal: proposal, Bind: true, Opens: opens}
 	}
-	if view.maybeDisplaced(key, hash) {
-		return Verdict{Action: ActionAsk, Path: PathKeeper, Proposal: result.fallback, Opens: opens}
+	if view.mayHaveRecord(key, hash) {
+		return Decision{Action: ActionLookup, Path: PathKeeper, Proposal: result.fallback, Opens: opens}
 	}
 	if result.fallback == rule.NoBackend {
-		return Verdict{Action: ActionDrop, Path: PathRefusedNoBackend}
+		return Decision{Action: ActionDrop, Path: PathRefusedNoBackend}
 	}
-	router.Learn(now, key, hash, result.fallback, flags)
+	router.InsertFlow(now, key, hash, result.fallback, flags)
 	path := PathSettled
 	if view.Phase == PhaseFlipped {
 		path = PathPending
 	}
-	return Verdict{Action: ActionForward, Path: path, Backend: result.fallback}
+	return Decision{Action: ActionForward, Path: path, Backend: result.fallback}
 }
 
-// Learn enters a flow in the table after a decision. A full table leaves the
+// InsertFlow enters a flow in the table after a decision. A full table leaves the
 // flow out; its next packet is decided anew, with the same outcome.
-func (router *Router) Learn(now uint32, key flow.Key, hash uint64, backend uint32, flags PacketFlags) {
-	entry := flowtable.Entry{Backend: backend, Opened: now, LastSeen: now, Flags: flagsOf(flags)}
+func (router *Router) InsertFlow(now uint32, key flow.Key, hash uint64, backend uint32, flags PacketFlags) {
+	entry := flowtable.Entry{Backend: backend, Opened: now, LastSeen: now, Flags: entryFlags(flags)}
 	if flags&PacketOpens != 0 {
 		entry.Flags |= flowtable.FlagOpenedHere
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -88,7 +88,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			router := testRouter(t, testView(t, pending, test.phase))
 			verdict := router.Decide(10, differs, differs.Hash(), test.flags)
-			require.Equal(t, Verdict{Action: ActionAsk, Path: PathKeeper, Proposal: test.proposal, Bind: true,
+			require.Equal(t, Decision{Action: ActionLookup, Path: PathKeeper, Proposal: test.proposal, Bind: true,
 				Opens: test.flags&PacketOpens != 0}, verdict)
 			require.Equal(t, ActionForward, router.Decide(10, same, same.Hash(), test.flags).Action)
 		})
@@ -102,12 +102,12 @@
 	bytes := key.Bytes()
 	view.Filters[first].Add(bytes[:])
 	verdict := testRouter(t, view).Decide(10, key, key.Hash(), 0)
-	require.Equal(t, ActionAsk, verdict.Action)
+	require.Equal(t, ActionLookup, verdict.Action)
 	require.False(t, verdict.Bind)
 	delete(view.Filters, first)
 	require.Equal(t, ActionForward, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "the other keeper's filter serves")
 	view.Filters = nil
-	require.Equal(t, ActionAsk, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "without a filter the node asks")
+	require.Equal(t, ActionLookup, testRouter(t, view).Decide(10, key, key.Hash(), 0).Action, "without a filter the node asks")
 }
 
 func TestWithoutContact(t *testing.T) {
@@ -141,7 +141,7 @@
 	full.SetContact(1000, false)
 	for number := range 4096 {
 		other := testKey(number)
-		full.Learn(10, other, other.Hash(), 1, 0)
+		full.InsertFlow(10, other, other.Hash(), 1, 0)
 	}
 	fresh := testKey(9999)
 	require.Equal(t, PathRefusedOverload, full.Decide(10, fresh, fresh.Hash(), PacketOpens).Path)
@@ -194,7 +194,7 @@
 	for number := range keys {
 		keys[number] = testKey(number)
 		hashes[number] = keys[number].Hash()
-		router.Learn(10, keys[number], hashes[number], 1, 0)
+		router.InsertFlow(10, keys[number], hashes[number], 1, 0)
 	}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
@@ -212,7 +212,7 @@
 	for number := range 1 << 14 {
 		key := testKey(number)
 		key.Source[0] = 11
-		router.Learn(10, key, key.Hash(), 1, 0)
+		router.InsertFlow(10, key, key.Hash(), 1, 0)
 	}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -44,9 +44,9 @@
 	Settled *rule.Set
 	Pending *rule.Set
 	Phase   Phase
-	// HoldUnknown drops packets of unknown flows that are open already: a node
+	// DropUnknownFlows drops packets of unknown flows that are open already: a node
 	// that was cut off is about to record such flows.
-	HoldUnknown bool
+	DropUnknownFlows bool
 	// ActiveMarks are the back ends that new flows avoid already.
 	ActiveMarks map[uint32]bool
 	// KnownMarks are all marked back ends.
@@ -66,11 +66,11 @@
 	fallback *rule.Rule
 	// proposal is the rule for a new flow; nil refuses new flows.
 	proposal *rule.Rule
-	// others are the further rules that nodes at hand may follow. A flow on
+	// alternatives are the further rules that nodes at hand may follow. A flow on
 	// which any of them differs from the fallback is ambiguous.
-	others []*rule.Rule
-	// unopened is set while a new service is not in force yet.
-	unopened bool
+	alternatives []*rule.Rule
+	// notInForce is set while a new service is not in force yet.
+	notInForce bool
 }
 
 // Compile prepares the view for use; it is called once, before publication.
@@ -93,7 +93,7 @@
 	service := &serviceView{fallback: settled, proposal: settled}
 	if settled == nil {
 		service.fallback, service.proposal = pending, pending
-		service.unopened = view.Phase < PhaseActive
+		service.notInForce = view.Phase < PhaseActive
 	}
 	if view.Phase >= PhaseActive {
 		service.proposal = pending
@@ -106,24 +106,24 @@
 	}
 	for _, candidate := range []*rule.Rule{settled, pending} {
 		if candidate != nil {
-			service.addOther(candidate)
-			service.addOther(candidate.Without(view.KnownMarks))
+			service.addAlternative(candidate)
+			service.addAlternative(candidate.Without(view.KnownMarks))
 		}
 	}
-	service.addOther(service.proposal)
+	service.addAlternative(service.proposal)
 	return service
 }
 
-func (service *serviceView) addOther(candidate *rule.Rule) {
+func (service *serviceView) addAlternative(candidate *rule.Rule) {
 	if candidate == nil || candidate == service.fallback {
 		return
 	}
-	for _, other := range service.others {
+	for _, other := range service.alternatives {
 		if other == candidate {
 			return
 		}
 	}
-	service.others = append(service.others, candidate)
+	service.alternatives = append(service.alternatives, candidate)
 }
 
 // choice is what the rules of a view say about one flow.
@@ -135,7 +135,7 @@
 
 func (service *serviceView) choose(hash uint64) choice {
 	result := choice{fallback: service.fallback.Pick(hash)}
-	for _, other := range service.others {
+	for _, other := range service.alternatives {
 		if other.Pick(hash) != result.fallback {
 			result.ambiguous = true
 			break
@@ -156,9 +156,9 @@
 	return service != nil && service.choose(hash).ambiguous
 }
 
-// maybeDisplaced reports whether a flow may have a record although the rules
+// mayHaveRecord reports whether a flow may have a record although the rules
 // agree on it. Without the filter of either keeper the answer is yes.
-func (view *View) maybeDisplaced(key flow.Key, hash uint64) bool {
+func (view *View) mayHaveRecord(key flow.Key, hash uint64) bool {
 	if view.Keepers == nil || view.Keepers.Len() == 0 {
 		return false
 	}
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -24,94 +24,94 @@
 
 // The headers of requests and answers.
 const (
-	HeaderRequest  = "X-Request"
-	HeaderOnce     = "Idempotency-Key"
-	HeaderDeadline = "X-Deadline-Milliseconds"
-	HeaderService  = "X-Service"
-	HeaderBackend  = "X-Backend"
-	HeaderNotRun   = "X-Not-Run"
+	HeaderRequest        = "X-Request"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderDeadline       = "X-Deadline-Milliseconds"
+	HeaderService        = "X-Service"
+	HeaderBackend        = "X-Backend"
+	HeaderNotRun         = "X-Not-Run"
 )
 
 // Settings describe one back end.
 type Settings struct {
 	Name, Service string
 	// Address is the service's inner address; Tunnel takes its packets.
-	Address netip.AddrPort
-	Tunnel  string
-	// Control serves reports, counts and faults.
-	Control string
+	Address       netip.AddrPort
+	TunnelAddress string
+	// ControlAddress serves reports, counts and faults.
+	ControlAddress string
 	// Slots is how many requests run at a time; Queue how many may wait.
-	Slots, Queue int
-	// Connections is the bound on open connections.
-	Connections int
-	// WorkTime is how long a request runs; ColdTime for how long after the
+	Slots, QueueLength int
+	// MaximumConnections is the bound on open connections.
+	MaximumConnections int
+	// ServiceTime is how long a request runs; ColdStartTime for how long after the
 	// start it takes ColdFactor times as long.
-	WorkTime, ColdTime time.Duration
+	ServiceTime, ColdStartTime time.Duration
 }
 
-const coldFactor = 4
+const coldStartFactor = 4
 
 // Faults are what can be switched on.
 type Faults struct {
-	// LagMilliseconds makes the reports show the past.
-	LagMilliseconds int `json:"lag_milliseconds"`
-	// Lie replaces the reported load when it is 0 or more.
-	Lie *float64 `json:"lie"`
+	// ReportLagMilliseconds makes the reports show the past.
+	ReportLagMilliseconds int `json:"lag_milliseconds"`
+	// FalseLoad replaces the reported load when it is 0 or more.
+	FalseLoad *float64 `json:"lie"`
 	// Leaving is reported as the machine's state.
 	Leaving bool `json:"leaving"`
 }
 
 // Counts are what the back end has seen.
 type Counts struct {
-	// Runs counts the executions by idempotency key.
-	Runs map[string]int `json:"runs"`
+	// Executions counts the executions by idempotency key.
+	Executions map[string]int `json:"runs"`
 	// Served and Shed count requests; Opened counts connections.
-	Served uint64 `json:"served"`
-	Shed   uint64 `json:"shed"`
-	Opened uint64 `json:"opened"`
-	Open   int64  `json:"open"`
+	Served            uint64 `json:"served"`
+	Shed              uint64 `json:"shed"`
+	OpenedConnections uint64 `json:"opened"`
+	OpenConnections   int64  `json:"open"`
 	// LastOpened is when the newest connection came, in Unix milliseconds.
 	LastOpened int64 `json:"last_opened"`
-	// Foreign counts packets for other services.
-	Foreign uint64 `json:"foreign"`
+	// MisroutedPackets counts packets for other services.
+	MisroutedPackets uint64 `json:"foreign"`
 }
 
 // Backend is one back end.
 type Backend struct {
-	settings   Settings
-	stack      *tunnel.Stack
-	started    time.Time
-	slots      chan struct{}
-	waiting    atomic.Int64
-	busy       atomic.Int64
-	open       atomic.Int64
-	opened     atomic.Uint64
-	lastOpened atomic.Int64
-	served     atomic.Uint64
-	shed       atomic.Uint64
-	mutex      sync.Mutex
-	runs       map[string]int
-	faults     Faults
-	history    []sample
+	settings          Settings
+	stack             *tunnel.Stack
+	started           time.Time
+	slots             chan struct{}
+	waiting           atomic.Int64
+	busy              atomic.Int64
+	openConnections   atomic.Int64
+	openedConnections atomic.Uint64
+	lastOpened        atomic.Int64
+	served            atomic.Uint64
+	shed              atomic.Uint64
+	mutex             sync.Mutex
+	executions        map[string]int
+	faults            Faults
+	loadSamples       []loadSample
 }
 
-type sample struct {
+type loadSample struct {
 	at   time.Time
 	load float64
 }
 
 // New opens the back end's tunnel.
 func New(settings Settings) (*Backend, error) {
-	stack, err := tunnel.New(settings.Tunnel, []string{settings.Address.Addr().String()}, tunnel.CallerAddress)
+	stack, err := tunnel.New(settings.TunnelAddress, []string{settings.Address.Addr().String()}, tunnel.CallerAddress)
 	if err != nil {
 		return nil, errors.Wrapf(err, "back end %s", settings.Name)
 	}
 	return &Backend{
-		settings: settings,
-		stack:    stack,
-		started:  time.Now(),
-		slots:    make(chan struct{}, max(1, settings.Slots)),
-		runs:     make(map[string]int),
+		settings:   settings,
+		stack:      stack,
+		started:    time.Now(),
+		slots:      make(chan struct{}, max(1, settings.Slots)),
+		executions: make(map[string]int),
 	}, nil
 }
 
@@ -123,7 +123,7 @@
 	}
 	go backend.stack.Run(ctx)
 	go backend.sampleLoad(ctx)
-	server := &http.Server{Handler: http.HandlerFunc(backend.serve), ConnState: backend.noteConnection}
+	server := &http.Server{Handler: http.HandlerFunc(backend.serve), ConnState: backend.trackConnection}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); ctx.Err() == nil {
@@ -132,16 +132,16 @@
 	return nil
 }
 
-func (backend *Backend) noteConnection(connection net.Conn, state http.ConnState) {
+func (backend *Backend) trackConnection(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		backend.opened.Add(1)
+		backend.openedConnections.Add(1)
 		backend.lastOpened.Store(time.Now().UnixMilli())
-		if backend.open.Add(1) > int64(backend.settings.Connections) {
+		if backend.openConnections.Add(1) > int64(backend.settings.MaximumConnections) {
 			_ = connection.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
-		backend.open.Add(-1)
+		backend.openConnections.Add(-1)
 	}
 }
 
@@ -160,16 +160,16 @@
 			defer cancel()
 		}
 	}
-	if !backend.enter(ctx) {
+	if !backend.acquireSlot(ctx) {
 		backend.shed.Add(1)
 		writer.Header().Set(HeaderNotRun, "true")
 		writer.Header().Set("Retry-After", "1")
 		http.Error(writer, "not run: busy", http.StatusServiceUnavailable)
 		return
 	}
-	defer backend.leave()
-	backend.note(request.Header.Get(HeaderOnce))
-	backend.work()
+	defer backend.releaseSlot()
+	backend.countExecution(request.Header.Get(HeaderIdempotencyKey))
+	backend.simulateWork()
 	backend.served.Add(1)
 	writer.Header().Set(HeaderRequest, request.Header.Get(HeaderRequest))
 	writer.Header().Set(HeaderService, backend.settings.Service)
@@ -177,8 +177,8 @@
 	_, _ = fmt.Fprintf(writer, "%s %s", request.Header.Get(HeaderRequest), body)
 }
 
-func (backend *Backend) enter(ctx context.Context) bool {
-	if backend.waiting.Add(1) > int64(backend.settings.Queue+backend.settings.Slots) {
+func (backend *Backend) acquireSlot(ctx context.Context) bool {
+	if backend.waiting.Add(1) > int64(backend.settings.QueueLength+backend.settings.Slots) {
 		backend.waiting.Add(-1)
 		return false
 	}
@@ -192,25 +192,25 @@
 	}
 }
 
-func (backend *Backend) leave() {
+func (backend *Backend) releaseSlot() {
 	backend.busy.Add(-1)
 	<-backend.slots
 }
 
-func (backend *Backend) work() {
-	duration := backend.settings.WorkTime
-	if time.Since(backend.started) < backend.settings.ColdTime {
-		duration *= coldFactor
+func (backend *Backend) simulateWork() {
+	duration := backend.settings.ServiceTime
+	if time.Since(backend.started) < backend.settings.ColdStartTime {
+		duration *= coldStartFactor
 	}
 	time.Sleep(duration)
 }
 
-func (backend *Backend) note(once string) {
+func (backend *Backend) countExecution(once string) {
 	if once == "" {
 		return
 	}
 	backend.mutex.Lock()
-	backend.runs[once]++
+	backend.executions[once]++
 	backend.mutex.Unlock()
 }
 
@@ -225,24 +225,24 @@
 func (backend *Backend) Counts() Counts {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	runs := make(map[string]int, len(backend.runs))
-	for key, count := range backend.runs {
+	runs := make(map[string]int, len(backend.executions))
+	for key, count := range backend.executions {
 		runs[key] = count
 	}
 	return Counts{
-		Runs:       runs,
-		Served:     backend.served.Load(),
-		Shed:       backend.shed.Load(),
-		Opened:     backend.opened.Load(),
-		Open:       backend.open.Load(),
-		LastOpened: backend.lastOpened.Load(),
-		Foreign:    backend.stack.Foreign(),
+		Executions:        runs,
+		Served:            backend.served.Load(),
+		Shed:              backend.shed.Load(),
+		OpenedConnections: backend.openedConnections.Load(),
+		OpenConnections:   backend.openConnections.Load(),
+		LastOpened:        backend.lastOpened.Load(),
+		MisroutedPackets:  backend.stack.MisroutedPackets(),
 	}
 }
 
 const (
 	sampleInterval = 100 * time.Millisecond
-	samplesKept    = 200
+	maximumSamples = 200
 )
 
 func (backend *Backend) sampleLoad(ctx context.Context) {
@@ -257,9 +257,9 @@
 			present := float64(backend.busy.Load()) / float64(max(1, backend.settings.Slots))
 			smoothed += (present - smoothed) / 10
 			backend.mutex.Lock()
-			backend.history = append(backend.history, sample{at: now, load: smoothed})
-			if len(backend.history) > samplesKept {
-				backend.history = backend.history[1:]
+			backend.loadSamples = append(backend.loadSamples, loadSample{at: now, load: smoothed})
+			if len(backend.loadSamples) > maximumSamples {
+				backend.loadSamples = backend.loadSamples[1:]
 			}
 			backend.mutex.Unlock()
 		}
@@ -271,14 +271,14 @@
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	load := 0.0
-	until := time.Now().Add(-time.Duration(backend.faults.LagMilliseconds) * time.Millisecond)
-	for _, past := range backend.history {
+	until := time.Now().Add(-time.Duration(backend.faults.ReportLagMilliseconds) * time.Millisecond)
+	for _, past := range backend.loadSamples {
 		if past.at.Before(until) {
 			load = past.load
 		}
 	}
-	if backend.faults.Lie != nil {
-		load = *backend.faults.Lie
+	if backend.faults.FalseLoad != nil {
+		load = *backend.faults.FalseLoad
 	}
 	state := "live"
 	if backend.faults.Leaving {
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -25,10 +25,10 @@
 // Settings describe one caller machine.
 type Settings struct {
 	Name string
-	// Inner is the caller's inner address, within fabric.CallerPrefix.
-	Inner netip.Addr
-	// Fabric is the fabric's UDP address.
-	Fabric string
+	// InnerAddress is the caller's inner address, within fabric.CallerPrefix.
+	InnerAddress netip.Addr
+	// FabricAddress is the fabric's UDP address.
+	FabricAddress string
 	// Service is the name that every answer must carry, Target its address.
 	Service string
 	Target  netip.AddrPort
@@ -37,42 +37,42 @@
 	Connections int
 	Requests    int
 	Interval    time.Duration
-	// OnceShare is one in how many requests may not be repeated.
-	OnceShare int
+	// NonRetryableEvery is one in how many requests may not be repeated.
+	NonRetryableEvery int
 }
 
 // Counts are what the caller has seen.
 type Counts struct {
-	Flows    uint64 `json:"flows"`
-	Answers  uint64 `json:"answers"`
-	Broken   uint64 `json:"broken"`
-	Refused  uint64 `json:"refused"`
-	NotRun   uint64 `json:"not_run"`
-	Unknown  uint64 `json:"unknown"`
-	Wrong    uint64 `json:"wrong"`
-	Unopened uint64 `json:"unopened"`
-	Open     int64  `json:"open"`
-	// NotRunKeys and AnsweredKeys list requests that may not be repeated.
-	NotRunKeys   []string `json:"not_run_keys"`
-	AnsweredKeys []string `json:"answered_keys"`
-	UnknownKeys  []string `json:"unknown_keys"`
-	LastError    string   `json:"last_error"`
+	Flows           uint64 `json:"flows"`
+	Responses       uint64 `json:"answers"`
+	Broken          uint64 `json:"broken"`
+	Refused         uint64 `json:"refused"`
+	NotRun          uint64 `json:"not_run"`
+	UnknownOutcomes uint64 `json:"unknown"`
+	WrongResponses  uint64 `json:"wrong"`
+	FailedOpens     uint64 `json:"unopened"`
+	Open            int64  `json:"open"`
+	// NotRunKeys and CompletedKeys list requests that may not be repeated.
+	NotRunKeys         []string `json:"not_run_keys"`
+	CompletedKeys      []string `json:"answered_keys"`
+	UnknownOutcomeKeys []string `json:"unknown_keys"`
+	LastError          string   `json:"last_error"`
 }
 
 // Add adds the counts of another caller.
 func (counts *Counts) Add(other Counts) {
 	counts.Flows += other.Flows
-	counts.Answers += other.Answers
+	counts.Responses += other.Responses
 	counts.Broken += other.Broken
 	counts.Refused += other.Refused
 	counts.NotRun += other.NotRun
-	counts.Unknown += other.Unknown
-	counts.Wrong += other.Wrong
-	counts.Unopened += other.Unopened
+	counts.UnknownOutcomes += other.UnknownOutcomes
+	counts.WrongResponses += other.WrongResponses
+	counts.FailedOpens += other.FailedOpens
 	counts.Open += other.Open
 	counts.NotRunKeys = append(counts.NotRunKeys, other.NotRunKeys...)
-	counts.AnsweredKeys = append(counts.AnsweredKeys, other.AnsweredKeys...)
-	counts.UnknownKeys = append(counts.UnknownKeys, other.UnknownKeys...)
+	counts.CompletedKeys = append(counts.CompletedKeys, other.CompletedKeys...)
+	counts.UnknownOutcomeKeys = append(counts.UnknownOutcomeKeys, other.UnknownOutcomeKeys...)
 	if other.LastError != "" {
 		counts.LastError = other.LastError
 	}
@@ -80,33 +80,33 @@
 
 // Caller is one caller machine.
 type Caller struct {
-	settings Settings
-	stack    *tunnel.Stack
-	mutex    sync.Mutex
-	counts   Counts
-	next     atomic.Uint64
-	// closing makes connections end after their present request.
-	closing atomic.Bool
+	settings     Settings
+	stack        *tunnel.Stack
+	mutex        sync.Mutex
+	counts       Counts
+	requestCount atomic.Uint64
+	// finishing makes connections end after their present request.
+	finishing atomic.Bool
 }
 
 const (
 	dialTimeout    = 20 * time.Second
 	requestTimeout = 30 * time.Second
-	reopenPause    = 200 * time.Millisecond
-	keysKept       = 100_000
+	reopenDelay    = 200 * time.Millisecond
+	maximumKeys    = 100_000
 )
 
 // New opens the caller's tunnel.
 func New(settings Settings) (*Caller, error) {
-	fabric, err := net.ResolveUDPAddr("udp4", settings.Fabric)
+	fabric, err := net.ResolveUDPAddr("udp4", settings.FabricAddress)
 	if err != nil {
 		return nil, errors.Wrapf(err, "caller %s: fabric", settings.Name)
 	}
-	listen := tunnel.CallerAddress(settings.Inner)
+	listen := tunnel.CallerAddress(settings.InnerAddress)
 	if listen == nil {
-		return nil, errors.Newf("caller %s: inner address %s does not start with 10", settings.Name, settings.Inner)
+		return nil, errors.Newf("caller %s: inner address %s does not start with 10", settings.Name, settings.InnerAddress)
 	}
-	stack, err := tunnel.New(listen.String(), []string{settings.Inner.String()},
+	stack, err := tunnel.New(listen.String(), []string{settings.InnerAddress.String()},
 		func(netip.Addr) *net.UDPAddr { return fabric })
 	if err != nil {
 		return nil, errors.Wrapf(err, "caller %s", settings.Name)
@@ -123,10 +123,10 @@
 		go func() {
 			defer group.Done()
 			spread := caller.settings.Interval * time.Duration(number) / time.Duration(caller.settings.Connections)
-			wait(ctx, spread)
-			for ctx.Err() == nil && !caller.closing.Load() {
-				caller.hold(ctx)
-				wait(ctx, reopenPause)
+			sleep(ctx, spread)
+			for ctx.Err() == nil && !caller.finishing.Load() {
+				caller.runConnection(ctx)
+				sleep(ctx, reopenDelay)
 			}
 		}()
 	}
@@ -134,39 +134,39 @@
 }
 
 // Finish lets the connections end after their present request.
-func (caller *Caller) Finish() { caller.closing.Store(true) }
+func (caller *Caller) Finish() { caller.finishing.Store(true) }
 
-// hold opens one connection, sends its requests and closes it.
-func (caller *Caller) hold(ctx context.Context) {
+// runConnection opens one connection, sends its requests and closes it.
+func (caller *Caller) runConnection(ctx context.Context) {
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	connection, err := caller.stack.Dial(dialing, caller.settings.Target)
 	cancel()
 	if err != nil {
-		caller.noteDial(ctx, err)
+		caller.countDialFailure(ctx, err)
 		return
 	}
 	defer func() { _ = connection.Close() }()
-	caller.note(func(counts *Counts) { counts.Flows++; counts.Open++ })
-	defer caller.note(func(counts *Counts) { counts.Open-- })
+	caller.updateCounts(func(counts *Counts) { counts.Flows++; counts.Open++ })
+	defer caller.updateCounts(func(counts *Counts) { counts.Open-- })
 	reader := bufio.NewReader(connection)
 	for range caller.settings.Requests {
-		if !caller.request(ctx, connection, reader) || ctx.Err() != nil || caller.closing.Load() {
+		if !caller.request(ctx, connection, reader) || ctx.Err() != nil || caller.finishing.Load() {
 			return
 		}
-		wait(ctx, caller.settings.Interval)
+		sleep(ctx, caller.settings.Interval)
 	}
 }
 
-func (caller *Caller) noteDial(ctx context.Context, err error) {
+func (caller *Caller) countDialFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	caller.note(func(counts *Counts) {
+	caller.updateCounts(func(counts *Counts) {
 		if strings.Contains(err.Error(), "refused") {
 			counts.Refused++
 			return
 		}
-		counts.Unopened++
+		counts.FailedOpens++
 		counts.LastError = err.Error()
 	})
 }
@@ -175,10 +175,10 @@
 // connection can go on. A request without a whole answer is of unknown fate:
 // it is never sent again.
 func (caller *Caller) request(ctx context.Context, connection net.Conn, reader *bufio.Reader) bool {
-	number := caller.next.Add(1)
+	number := caller.requestCount.Add(1)
 	id := fmt.Sprintf("%s-%d", caller.settings.Name, number)
 	once := ""
-	if caller.settings.OnceShare > 0 && number%uint64(caller.settings.OnceShare) == 0 {
+	if caller.settings.NonRetryableEvery > 0 && number%uint64(caller.settings.NonRetryableEvery) == 0 {
 		once = id
 	}
 	_ = connection.SetDeadline(time.Now().Add(requestTimeout))
@@ -189,65 +189,65 @@
 	}
 	request.Header.Set(backend.HeaderRequest, id)
 	if once != "" {
-		request.Header.Set(backend.HeaderOnce, once)
+		request.Header.Set(backend.HeaderIdempotencyKey, once)
 	}
 	if err := request.Write(connection); err != nil {
-		return caller.lost(ctx, once, err)
+		return caller.countLostConnection(ctx, once, err)
 	}
 	response, err := http.ReadResponse(reader, request)
 	if err != nil {
-		return caller.lost(ctx, once, err)
+		return caller.countLostConnection(ctx, once, err)
 	}
 	body, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	if err != nil {
-		return caller.lost(ctx, once, err)
+		return caller.countLostConnection(ctx, once, err)
 	}
-	caller.judge(id, once, response, string(body))
+	caller.countResponse(id, once, response, string(body))
 	return true
 }
 
-func (caller *Caller) judge(id, once string, response *http.Response, body string) {
-	caller.note(func(counts *Counts) {
+func (caller *Caller) countResponse(id, once string, response *http.Response, body string) {
+	caller.updateCounts(func(counts *Counts) {
 		switch {
 		case response.Header.Get(backend.HeaderNotRun) != "":
 			counts.NotRun++
-			counts.NotRunKeys = keep(counts.NotRunKeys, once)
+			counts.NotRunKeys = appendKey(counts.NotRunKeys, once)
 		case response.StatusCode == http.StatusOK && body == id+" body of "+id &&
 			response.Header.Get(backend.HeaderService) == caller.settings.Service:
-			counts.Answers++
-			counts.AnsweredKeys = keep(counts.AnsweredKeys, once)
+			counts.Responses++
+			counts.CompletedKeys = appendKey(counts.CompletedKeys, once)
 		default:
-			counts.Wrong++
+			counts.WrongResponses++
 			counts.LastError = fmt.Sprintf("request %s: status %d, service %s, body %q", id,
 				response.StatusCode, response.Header.Get(backend.HeaderService), body)
 		}
 	})
 }
 
-func (caller *Caller) lost(ctx context.Context, once string, err error) bool {
+func (caller *Caller) countLostConnection(ctx context.Context, once string, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	caller.note(func(counts *Counts) {
+	caller.updateCounts(func(counts *Counts) {
 		counts.Broken++
 		counts.LastError = err.Error()
 		if once != "" {
-			counts.Unknown++
-			counts.UnknownKeys = keep(counts.UnknownKeys, once)
+			counts.UnknownOutcomes++
+			counts.UnknownOutcomeKeys = appendKey(counts.UnknownOutcomeKeys, once)
 		}
 	})
 	return false
 }
 
-func keep(keys []string, key string) []string {
-	if key == "" || len(keys) >= keysKept {
+func appendKey(keys []string, key string) []string {
+	if key == "" || len(keys) >= maximumKeys {
 		return keys
 	}
 	return append(keys, key)
 }
 
-func (caller *Caller) note(change func(*Counts)) {
+func (caller *Caller) updateCounts(change func(*Counts)) {
 	caller.mutex.Lock()
 	change(&caller.counts)
 	caller.mutex.Unlock()
@@ -259,8 +259,8 @@
 	defer caller.mutex.Unlock()
 	copied := caller.counts
 	copied.NotRunKeys = append([]string(nil), copied.NotRunKeys...)
-	copied.AnsweredKeys = append([]string(nil), copied.AnsweredKeys...)
-	copied.UnknownKeys = append([]string(nil), copied.UnknownKeys...)
+	copied.CompletedKeys = append([]string(nil), copied.CompletedKeys...)
+	copied.UnknownOutcomeKeys = append([]string(nil), copied.UnknownOutcomeKeys...)
 	return copied
 }
 
@@ -274,7 +274,7 @@
 	return mux
 }
 
-func wait(ctx context.Context, duration time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/standin/echonet/backend_test.go
+++ b/internal/standin/echonet/backend_test.go
@@ -11,7 +11,7 @@
 
 // An address is free once the back end there has stopped, also while other tests
 // start processes. TestBalancerAddressReuse failed once, beside a busy machine.
-func TestAddressIsFreeAfterAStop(t *testing.T) {
+func TestAddressIsReusableAfterStop(t *testing.T) {
 	address := netip.MustParseAddrPort("127.105.9.1:8080")
 	var starting sync.WaitGroup
 	done := make(chan struct{})
--- a/internal/standin/echonet/client.go
+++ b/internal/standin/echonet/client.go
@@ -25,13 +25,13 @@
 
 // Client opens flows from one address.
 type Client struct {
-	address netip.AddrPort
-	key     uint64
-	router  *Router
-	socket  *net.UDPConn
-	mutex   sync.Mutex
-	flows   map[uint16]chan Packet
-	next    uint16
+	address     netip.AddrPort
+	checksumKey uint64
+	router      *Router
+	socket      *net.UDPConn
+	mutex       sync.Mutex
+	flows       map[uint16]chan Packet
+	nextPort    uint16
 }
 
 // StartClient opens a client at an address.
@@ -40,24 +40,24 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "client: listen on %s", address)
 	}
-	made := &Client{address: address, key: key, router: router, socket: socket, flows: make(map[uint16]chan Packet), next: 40000}
-	go made.run()
+	made := &Client{address: address, checksumKey: key, router: router, socket: socket, flows: make(map[uint16]chan Packet), nextPort: 40000}
+	go made.receiveLoop()
 	return made, nil
 }
 
 // Stop closes the client.
 func (client *Client) Stop() { _ = client.socket.Close() }
 
-func (client *Client) run() {
+func (client *Client) receiveLoop() {
 	buffer := make([]byte, datagramSize)
 	for {
 		size, _, err := client.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		packet, err := Decode(buffer[:size], client.key)
-		ownReset := err == nil && packet.Flags == FlagRST && packet.Sum == 0
-		if err != nil || !packet.Valid && !ownReset {
+		packet, err := Decode(buffer[:size], client.checksumKey)
+		ownReset := err == nil && packet.Flags == FlagRST && packet.Checksum == 0
+		if err != nil || !packet.ChecksumValid && !ownReset {
 			continue
 		}
 		client.mutex.Lock()
@@ -72,42 +72,42 @@
 
 // Flow is one open flow.
 type Flow struct {
-	client *Client
-	inbox  chan Packet
-	last   Packet
-	seq    uint32
-	target netip.AddrPort
-	port   uint16
-	via    []netip.AddrPort
+	client       *Client
+	inbox        chan Packet
+	lastReceived Packet
+	seq          uint32
+	target       netip.AddrPort
+	port         uint16
+	balancers    []netip.AddrPort
 }
 
 // The pauses before a packet is sent again.
 var (
-	openingPauses = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond}
-	dataPauses    = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond}
+	openRetryIntervals    = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond}
+	requestRetryIntervals = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond}
 )
 
-// answerWait is how long a request is waited for once its back end has it.
-const answerWait = 3 * time.Second
+// responseTimeout is how long a request is waited for once its back end has it.
+const responseTimeout = 3 * time.Second
 
 // Open opens a flow to a route's address. With an error comes the flow that was
 // tried.
 func (client *Client) Open(target netip.AddrPort) (*Flow, error) {
 	client.mutex.Lock()
-	client.next++
-	flow := &Flow{client: client, inbox: make(chan Packet, 16), target: target, port: client.next, seq: rand.Uint32()}
+	client.nextPort++
+	flow := &Flow{client: client, inbox: make(chan Packet, 16), target: target, port: client.nextPort, seq: rand.Uint32()}
 	client.flows[flow.port] = flow.inbox
 	client.mutex.Unlock()
-	for copies, pause := range openingPauses {
+	for copies, pause := range openRetryIntervals {
 		flow.send(FlagSYN, uint32(copies), nil)
 		answer, err := flow.await(pause, func(packet Packet) bool { return packet.Flags&FlagSYN != 0 })
 		if errors.Is(err, ErrBroken) {
 			return flow, ErrRefused
 		}
 		if err == nil {
-			flow.last = answer
+			flow.lastReceived = answer
 			flow.seq++
-			flow.send(FlagACK, answer.end(), nil)
+			flow.send(FlagACK, answer.nextSeq(), nil)
 			return flow, nil
 		}
 	}
@@ -117,10 +117,10 @@
 // Port is the client's port.
 func (flow *Flow) Port() uint16 { return flow.port }
 
-// Via returns the balancers that packets were sent to since it was last asked.
-func (flow *Flow) Via() []netip.AddrPort {
-	via := flow.via
-	flow.via = nil
+// TakeBalancers returns the balancers that packets were sent to since it was last asked.
+func (flow *Flow) TakeBalancers() []netip.AddrPort {
+	via := flow.balancers
+	flow.balancers = nil
 	return via
 }
 
@@ -129,32 +129,32 @@
 	taken := func(packet Packet) bool { return packet.Ack == flow.seq+uint32(len(body)) }
 	answered := func(packet Packet) bool {
 		_, echoed, _ := strings.Cut(string(packet.Data), " ")
-		return strings.TrimRight(echoed, filling) == body
+		return strings.TrimRight(echoed, padding) == body
 	}
-	for _, pause := range dataPauses {
-		flow.send(FlagACK, flow.last.end(), []byte(body))
+	for _, pause := range requestRetryIntervals {
+		flow.send(FlagACK, flow.lastReceived.nextSeq(), []byte(body))
 		answer, err := flow.await(pause, func(packet Packet) bool { return taken(packet) || answered(packet) })
 		if err == nil && !answered(answer) {
-			answer, err = flow.await(answerWait, answered)
+			answer, err = flow.await(responseTimeout, answered)
 		}
 		switch {
 		case errors.Is(err, ErrBroken):
 			return "", err
 		case err == nil:
-			return flow.end(answer, body)
+			return flow.completeRequest(answer, body)
 		}
 	}
 	return "", ErrDeadline
 }
 
-// end takes the answer of a request, and acknowledges it as clients do at once: a flow whose
+// completeRequest takes the answer of a request, and acknowledges it as clients do at once: a flow whose
 // answer is not acknowledged still waits, for all that a balancer can see.
-func (flow *Flow) end(answer Packet, body string) (string, error) {
-	flow.last = answer
+func (flow *Flow) completeRequest(answer Packet, body string) (string, error) {
+	flow.lastReceived = answer
 	flow.seq += uint32(len(body))
-	flow.send(FlagACK, answer.end(), nil)
+	flow.send(FlagACK, answer.nextSeq(), nil)
 	server, _, _ := strings.Cut(string(answer.Data), " ")
-	if server, shed := strings.CutPrefix(server, shedMark); shed {
+	if server, shed := strings.CutPrefix(server, shedPrefix); shed {
 		return server, ErrShed
 	}
 	return server, nil
@@ -168,7 +168,7 @@
 }
 
 // Close ends the flow.
-func (flow *Flow) Close() { flow.send(FlagFIN|FlagACK, flow.last.end(), nil) }
+func (flow *Flow) Close() { flow.send(FlagFIN|FlagACK, flow.lastReceived.nextSeq(), nil) }
 
 func (flow *Flow) await(pause time.Duration, wanted func(Packet) bool) (Packet, error) {
 	timeout := time.After(pause)
@@ -178,7 +178,7 @@
 			if packet.Flags&FlagRST != 0 {
 				return packet, ErrBroken
 			}
-			flow.last.Echo = packet.Echo
+			flow.lastReceived.Token = packet.Token
 			if wanted(packet) {
 				return packet, nil
 			}
@@ -190,14 +190,14 @@
 
 func (flow *Flow) send(flags byte, ack uint32, data []byte) {
 	packet := Packet{
-		Echo: flow.last.Echo, Flags: flags, Seq: flow.seq, Ack: ack, Data: data,
+		Token: flow.lastReceived.Token, Flags: flags, Seq: flow.seq, Ack: ack, Data: data,
 		Source: flow.client.address.Addr().As4(), SourcePort: flow.port,
 		Destination: flow.target.Addr().As4(), DestinationPort: flow.target.Port(),
 	}
 	if node, found := flow.client.router.Pick(packet); found {
-		if !slices.Contains(flow.via, node) {
-			flow.via = append(flow.via, node)
+		if !slices.Contains(flow.balancers, node) {
+			flow.balancers = append(flow.balancers, node)
 		}
-		_, _ = flow.client.socket.WriteToUDPAddrPort(packet.Encode(flow.client.key), node)
+		_, _ = flow.client.socket.WriteToUDPAddrPort(packet.Encode(flow.client.checksumKey), node)
 	}
 }
--- a/internal/standin/echonet/router.go
+++ b/internal/standin/echonet/router.go
@@ -10,32 +10,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a balancer as the routers see it.
-type Node struct {
-	Data      netip.AddrPort
-	Readiness string
-	misses    int
-	in        bool
+// Balancer is a balancer as the routers see it.
+type Balancer struct {
+	DataAddress      netip.AddrPort
+	ReadinessAddress string
+	failures         int
+	inService        bool
 }
 
 // Router picks the balancer of each packet by a hash of its flow over the
 // balancers that are in, the one of the highest score, so that few flows move
 // when one comes or goes.
 type Router struct {
-	mutex sync.Mutex
-	nodes []*Node
+	mutex     sync.Mutex
+	balancers []*Balancer
 }
 
 const (
 	readinessInterval = 500 * time.Millisecond
-	missesAllowed     = 2
+	maximumFailures   = 2
 )
 
 // Add puts a balancer on the list; it is in once it is ready.
 func (router *Router) Add(data netip.AddrPort, readiness string) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	router.nodes = append(router.nodes, &Node{Data: data, Readiness: readiness})
+	router.balancers = append(router.balancers, &Balancer{DataAddress: data, ReadinessAddress: readiness})
 }
 
 // Run asks the balancers whether they are ready until the context ends.
@@ -45,10 +45,10 @@
 	defer ticker.Stop()
 	for rounds := 0; ; rounds++ {
 		router.mutex.Lock()
-		nodes := append([]*Node(nil), router.nodes...)
+		nodes := append([]*Balancer(nil), router.balancers...)
 		router.mutex.Unlock()
 		for _, node := range nodes {
-			router.note(node, isReady(client, node.Readiness), rounds%5 == 0)
+			router.recordProbe(node, isReady(client, node.ReadinessAddress), rounds%5 == 0)
 		}
 		select {
 		case <-ctx.Done():
@@ -67,29 +67,29 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// note takes one answer; misses count only at the routers' pace.
-func (router *Router) note(node *Node, ready, counts bool) {
+// recordProbe takes one answer; misses count only at the routers' pace.
+func (router *Router) recordProbe(node *Balancer, ready, counts bool) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	if ready {
-		node.in, node.misses = true, 0
+		node.inService, node.failures = true, 0
 		return
 	}
 	if counts {
-		node.misses++
+		node.failures++
 	}
-	if node.misses >= missesAllowed {
-		node.in = false
+	if node.failures >= maximumFailures {
+		node.inService = false
 	}
 }
 
-// In is the number of balancers that are in.
-func (router *Router) In() int {
+// InService is the number of balancers that are in.
+func (router *Router) InService() int {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	count := 0
-	for _, node := range router.nodes {
-		if node.in {
+	for _, node := range router.balancers {
+		if node.inService {
 			count++
 		}
 	}
@@ -102,14 +102,14 @@
 	defer router.mutex.Unlock()
 	var best netip.AddrPort
 	var bestScore uint64
-	for _, node := range router.nodes {
-		if !node.in {
+	for _, node := range router.balancers {
+		if !node.inService {
 			continue
 		}
 		name := append(packet.Source[:], byte(packet.SourcePort>>8), byte(packet.SourcePort))
-		name = append(name, node.Data.String()...)
+		name = append(name, node.DataAddress.String()...)
 		if score := xxhash.Sum64(name); !best.IsValid() || score > bestScore {
-			best, bestScore = node.Data, score
+			best, bestScore = node.DataAddress, score
 		}
 	}
 	return best, best.IsValid()
--- a/internal/standin/echonet/work_test.go
+++ b/internal/standin/echonet/work_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pass hands the packets of clients to a back end, as a balancer does.
-func pass(t *testing.T, from, backend string) {
-	socket, err := listen(netip.MustParseAddrPort(from))
+// forwardPackets hands the packets of clients to a back end, as a balancer does.
+func forwardPackets(t *testing.T, from, backend string) {
+	socket, err := listenWithRetry(netip.MustParseAddrPort(from))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = socket.Close() })
 	target := netip.MustParseAddrPort(backend)
@@ -25,7 +25,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = socket.WriteToUDPAddrPort(append(make([]byte, numberSize), buffer[:size]...), target)
+			_, _ = socket.WriteToUDPAddrPort(append(make([]byte, numericIDSize), buffer[:size]...), target)
 		}
 	}()
 }
@@ -33,12 +33,12 @@
 // Of twelve requests at once a back end with two slots and a queue of four runs six,
 // one after the other in each slot, and tells the others at once that it has not
 // run them. No request is run twice, however long it waits.
-func TestBackendSheds(t *testing.T) {
+func TestBackendShedsExcessRequests(t *testing.T) {
 	made, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.9.2:8080"), 8173, 1)
 	require.NoError(t, err)
 	t.Cleanup(made.Stop)
-	made.SetLoad(Load{Slots: 2, Queue: 4, Work: 250 * time.Millisecond})
-	pass(t, "127.105.9.3:8173", "127.105.9.2:8080")
+	made.SetLoadModel(LoadModel{Slots: 2, QueueLength: 4, ServiceTime: 250 * time.Millisecond})
+	forwardPackets(t, "127.105.9.3:8173", "127.105.9.2:8080")
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	ready := &http.Server{Addr: "127.105.9.3:8174", ReadHeaderTimeout: time.Second,
@@ -48,7 +48,7 @@
 	router := &Router{}
 	router.Add(netip.MustParseAddrPort("127.105.9.3:8173"), "127.105.9.3:8174")
 	go router.Run(ctx)
-	require.Eventually(t, func() bool { return router.In() == 1 }, 5*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return router.InService() == 1 }, 5*time.Second, 10*time.Millisecond)
 	client, err := StartClient(netip.MustParseAddrPort("127.105.9.4:8173"), router, 1)
 	require.NoError(t, err)
 	t.Cleanup(client.Stop)
@@ -68,7 +68,7 @@
 	}
 	asking.Wait()
 	require.Greater(t, time.Since(began), 700*time.Millisecond)
-	runs, _ := made.Record()
+	runs, _ := made.Executions()
 	require.Len(t, runs, 6)
 	for index, body := range bodies {
 		if outcomes[index] == nil {
@@ -81,14 +81,14 @@
 }
 
 // A copy of an older request that arrives after a newer one doesn't run again.
-func TestBackendPassesOverOlderCopies(t *testing.T) {
+func TestBackendIgnoresRetransmittedOlderRequests(t *testing.T) {
 	t.Parallel()
 	made, err := StartBackend("i-a1", "lending", netip.MustParseAddrPort("127.105.10.2:8080"), 8173, 1)
 	require.NoError(t, err)
 	t.Cleanup(made.Stop)
 	take := func(flags byte, seq uint32, body string) {
 		packet := Packet{Flags: flags, Seq: seq, Source: [4]byte{127, 105, 10, 4}, SourcePort: 40001, Data: []byte(body)}
-		made.take(append(make([]byte, numberSize), packet.Encode(1)...))
+		made.handlePacket(append(make([]byte, numericIDSize), packet.Encode(1)...))
 	}
 	first := uint32(math.MaxUint32 - 1)
 	take(FlagSYN, first-1, "")
@@ -98,12 +98,12 @@
 	take(FlagACK, first, "page")
 	take(FlagACK, first+8, "last")
 	take(FlagACK, first+4, "next")
-	runs, _ := made.Record()
+	runs, _ := made.Executions()
 	require.Equal(t, map[string]int{"page": 1, "next": 1, "last": 1}, runs)
 }
 
 // An answer with bytes before its request's body isn't taken.
-func TestClientTakesWholeAnswersOnly(t *testing.T) {
+func TestClientAcceptsOnlyExactResponses(t *testing.T) {
 	t.Parallel()
 	from, to := netip.MustParseAddrPort("127.105.10.4:8173"), netip.MustParseAddrPort("198.18.0.1:443")
 	flow := &Flow{client: &Client{address: from, router: &Router{}}, target: to, inbox: make(chan Packet, 4)}
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -20,15 +20,15 @@
 type Fabric struct {
 	socket *net.UDPConn
 	nodes  atomic.Pointer[[]*net.UDPAddr]
-	// callers is the prefix of the callers' inner addresses.
-	callers netip.Prefix
-	sprayed atomic.Uint64
+	// callerPrefix is the prefix of the callers' inner addresses.
+	callerPrefix     netip.Prefix
+	forwardedPackets atomic.Uint64
 }
 
 const (
-	socketBuffer  = 8 << 20
-	readSize      = 2048
-	minimumPacket = 20
+	socketBuffer      = 8 << 20
+	readSize          = 2048
+	minimumPacketSize = 20
 )
 
 // CallerPrefix holds the inner addresses of all callers.
@@ -45,7 +45,7 @@
 		return nil, errors.Wrapf(err, "fabric %s", listen)
 	}
 	_ = socket.SetReadBuffer(socketBuffer)
-	made := &Fabric{socket: socket, callers: netip.MustParsePrefix(CallerPrefix)}
+	made := &Fabric{socket: socket, callerPrefix: netip.MustParsePrefix(CallerPrefix)}
 	made.nodes.Store(&[]*net.UDPAddr{})
 	return made, nil
 }
@@ -71,7 +71,7 @@
 	datagram := make([]byte, readSize)
 	for ctx.Err() == nil {
 		count, err := fabric.socket.Read(datagram)
-		if err != nil || count < minimumPacket {
+		if err != nil || count < minimumPacketSize {
 			continue
 		}
 		if target := fabric.target(datagram[:count]); target != nil {
@@ -83,14 +83,14 @@
 // target is the caller for packets from a balancer, else any balancer.
 func (fabric *Fabric) target(datagram []byte) *net.UDPAddr {
 	destination := netip.AddrFrom4([4]byte(datagram[16:20]))
-	if fabric.callers.Contains(destination) {
+	if fabric.callerPrefix.Contains(destination) {
 		return tunnel.CallerAddress(destination)
 	}
 	nodes := *fabric.nodes.Load()
 	if len(nodes) == 0 {
 		return nil
 	}
-	fabric.sprayed.Add(1)
+	fabric.forwardedPackets.Add(1)
 	return nodes[rand.IntN(len(nodes))]
 }
 
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -44,7 +44,7 @@
 	list.history = append(list.history, snapshot{at: time.Now(), machines: next})
 }
 
-func (list *List) seen() []node.Machine {
+func (list *List) lagged() []node.Machine {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	since := time.Now().Add(-list.lag)
@@ -63,7 +63,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/machines", func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(writer).Encode(list.seen())
+		_ = json.NewEncoder(writer).Encode(list.lagged())
 	})
 	mux.HandleFunc("PUT /v1/machines", func(writer http.ResponseWriter, request *http.Request) {
 		var machine node.Machine
--- a/internal/standin/metadata/drill.go
+++ b/internal/standin/metadata/drill.go
@@ -9,30 +9,30 @@
 // eraHeader is the header that tells the store's era, in all answers.
 const eraHeader = "Store-Era"
 
-// Copy is what the store held at a moment.
-type Copy struct {
+// Backup is what the store held at a moment.
+type Backup struct {
 	revision uint64
 	items    map[string]Item
 }
 
-// Copy takes a copy of what the store holds.
-func (server *Server) Copy() Copy {
+// Backup takes a copy of what the store holds.
+func (server *Server) Backup() Backup {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	return Copy{revision: server.revision, items: maps.Clone(server.items)}
+	return Backup{revision: server.revision, items: maps.Clone(server.items)}
 }
 
 // Restore puts the store back to a copy. What was written since is gone, and so are the
 // leases; revisions go back and are given out again, in another era.
-func (server *Server) Restore(copied Copy) {
+func (server *Server) Restore(copied Backup) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.era.Add(1)
 	server.revision, server.items = copied.revision, maps.Clone(copied.items)
-	server.compacted, server.history = copied.revision, nil
-	clear(server.leases)
-	clear(server.lengths)
-	server.wake()
+	server.compactRevision, server.history = copied.revision, nil
+	clear(server.leaseDeadlines)
+	clear(server.leaseTTLs)
+	server.notifyWatchers()
 }
 
 // Era returns the store's era.
--- a/internal/standin/metadata/entries.go
+++ b/internal/standin/metadata/entries.go
@@ -13,8 +13,8 @@
 	WarmupMilliseconds int `json:"warmup_left_ms"`
 	// Sequence rises with each writing.
 	Sequence int `json:"seq"`
-	// Born is the Unix time of its start in milliseconds.
-	Born int64 `json:"born,omitempty"`
+	// StartedMilliseconds is the Unix time of its start in milliseconds.
+	StartedMilliseconds int64 `json:"born,omitempty"`
 }
 
 // The states of a back end.
--- a/internal/standin/metadata/metadata.go
+++ b/internal/standin/metadata/metadata.go
@@ -20,27 +20,27 @@
 
 // Faults are what can be switched on.
 type Faults struct {
-	// Busy answers every call with 503.
-	Busy bool
-	// Silent never answers.
-	Silent bool
+	// Unavailable answers every call with 503.
+	Unavailable bool
+	// Unresponsive never answers.
+	Unresponsive bool
 	// Throttled answers every call with 429.
 	Throttled bool
 	// Delay holds back every answer.
 	Delay time.Duration
-	// LateWrites holds back calls that write. They are done all the same, whether
+	// WriteDelay holds back calls that write. They are done all the same, whether
 	// their caller waits or not.
-	LateWrites time.Duration
+	WriteDelay time.Duration
 }
 
 // Item is one key, or one event on it.
 type Item struct {
-	Key     string `json:"key"`
-	Value   []byte `json:"value,omitempty"`
-	Rev     uint64 `json:"rev"`
-	Created uint64 `json:"created,omitempty"`
-	Lease   uint64 `json:"lease"`
-	Gone    bool   `json:"gone,omitempty"`
+	Key            string `json:"key"`
+	Value          []byte `json:"value,omitempty"`
+	Revision       uint64 `json:"rev"`
+	CreateRevision uint64 `json:"created,omitempty"`
+	Lease          uint64 `json:"lease"`
+	Deleted        bool   `json:"gone,omitempty"`
 }
 
 // Server is the store. Its zero value is not usable; see New.
@@ -48,31 +48,31 @@
 	mutex    sync.Mutex
 	pageSize int
 	revision uint64
-	// compacted is the revision up to which history was dropped.
-	compacted uint64
-	items     map[string]Item
-	history   []Item
-	leases    map[uint64]time.Time
-	lengths   map[uint64]time.Duration
-	changed   chan struct{}
-	faults    Faults
+	// compactRevision is the revision up to which history was dropped.
+	compactRevision uint64
+	items           map[string]Item
+	history         []Item
+	leaseDeadlines  map[uint64]time.Time
+	leaseTTLs       map[uint64]time.Duration
+	changed         chan struct{}
+	faults          Faults
 	// era is how often the store came back from a copy.
 	era atomic.Uint64
-	// callers are the faults for callers from one IP.
-	callers map[string]Faults
-	calls   map[string]int
+	// callerFaults are the faults for callers from one IP.
+	callerFaults map[string]Faults
+	callCounts   map[string]int
 }
 
 // New makes an empty store whose ranges come in pages of a size.
 func New(pageSize int) *Server {
 	return &Server{
-		pageSize: pageSize,
-		items:    make(map[string]Item),
-		leases:   make(map[uint64]time.Time),
-		lengths:  make(map[uint64]time.Duration),
-		changed:  make(chan struct{}),
-		callers:  make(map[string]Faults),
-		calls:    make(map[string]int),
+		pageSize:       pageSize,
+		items:          make(map[string]Item),
+		leaseDeadlines: make(map[uint64]time.Time),
+		leaseTTLs:      make(map[uint64]time.Duration),
+		changed:        make(chan struct{}),
+		callerFaults:   make(map[string]Faults),
+		callCounts:     make(map[string]int),
 	}
 }
 
@@ -81,28 +81,28 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.faults = faults
-	server.wake()
+	server.notifyWatchers()
 }
 
-// SetFaultsFor switches faults on and off for the callers from an IP.
-func (server *Server) SetFaultsFor(caller string, faults Faults) {
+// SetCallerFaults switches faults on and off for the callers from an IP.
+func (server *Server) SetCallerFaults(caller string, faults Faults) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.callers[caller] = faults
+	server.callerFaults[caller] = faults
 }
 
-// faultsOf returns the faults of a call: those for its caller before those for all.
-func (server *Server) faultsOf(request *http.Request) Faults {
+// requestFaults returns the faults of a call: those for its caller before those for all.
+func (server *Server) requestFaults(request *http.Request) Faults {
 	caller, _, _ := net.SplitHostPort(request.RemoteAddr)
-	return cmp.Or(server.callers[caller], server.faults)
+	return cmp.Or(server.callerFaults[caller], server.faults)
 }
 
 // Calls returns the number of calls by path.
 func (server *Server) Calls() map[string]int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	copied := make(map[string]int, len(server.calls))
-	for path, count := range server.calls {
+	copied := make(map[string]int, len(server.callCounts))
+	for path, count := range server.callCounts {
 		copied[path] = count
 	}
 	return copied
@@ -116,8 +116,8 @@
 	return server.revision
 }
 
-// Holds tells whether a key has a value.
-func (server *Server) Holds(key string, value []byte) bool {
+// HasValue tells whether a key has a value.
+func (server *Server) HasValue(key string, value []byte) bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	held, found := server.items[key]
@@ -135,19 +135,19 @@
 func (server *Server) Compact() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.compacted, server.history = server.revision, nil
-	server.wake()
+	server.compactRevision, server.history = server.revision, nil
+	server.notifyWatchers()
 }
 
 func (server *Server) put(item Item) {
 	server.revision++
-	item.Rev, item.Created = server.revision, server.revision
+	item.Revision, item.CreateRevision = server.revision, server.revision
 	if known, found := server.items[item.Key]; found {
-		item.Created = known.Created
+		item.CreateRevision = known.CreateRevision
 	}
 	server.items[item.Key] = item
 	server.history = append(server.history, item)
-	server.wake()
+	server.notifyWatchers()
 }
 
 func (server *Server) remove(key string) {
@@ -156,11 +156,11 @@
 	}
 	server.revision++
 	delete(server.items, key)
-	server.history = append(server.history, Item{Key: key, Rev: server.revision, Gone: true})
-	server.wake()
+	server.history = append(server.history, Item{Key: key, Revision: server.revision, Deleted: true})
+	server.notifyWatchers()
 }
 
-func (server *Server) wake() {
+func (server *Server) notifyWatchers() {
 	close(server.changed)
 	server.changed = make(chan struct{})
 }
@@ -168,32 +168,32 @@
 // Handler returns the HTTP handler.
 func (server *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/kv-key", server.guard(server.key))
-	mux.HandleFunc("GET /api/kv-range", server.guard(server.scan))
-	mux.HandleFunc("GET /api/kv-watch", server.guard(server.watch))
-	mux.HandleFunc("POST /api/kv-txn", server.guard(server.transact))
-	mux.HandleFunc("POST /api/kv-lease", server.guard(server.lease))
-	mux.HandleFunc("POST /api/kv-keep/{lease}", server.guard(server.keep))
-	mux.HandleFunc("DELETE /api/kv-lease-end/{lease}", server.guard(server.endLease))
+	mux.HandleFunc("GET /api/kv-key", server.withFaults(server.getKey))
+	mux.HandleFunc("GET /api/kv-range", server.withFaults(server.listRange))
+	mux.HandleFunc("GET /api/kv-watch", server.withFaults(server.watch))
+	mux.HandleFunc("POST /api/kv-txn", server.withFaults(server.transact))
+	mux.HandleFunc("POST /api/kv-lease", server.withFaults(server.grantLease))
+	mux.HandleFunc("POST /api/kv-keep/{lease}", server.withFaults(server.renewLease))
+	mux.HandleFunc("DELETE /api/kv-lease-end/{lease}", server.withFaults(server.endLease))
 	return mux
 }
 
-// guard counts a call and applies the faults.
-func (server *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call and applies the faults.
+func (server *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(plain http.ResponseWriter, request *http.Request) {
 		response := eraWriter{plain, server}
 		server.mutex.Lock()
-		faults := server.faultsOf(request)
+		faults := server.requestFaults(request)
 		path := strings.TrimPrefix(request.URL.Path, "/api/")
 		name, _, _ := strings.Cut(path, "/")
-		server.calls[name]++
+		server.callCounts[name]++
 		server.expireLeases(time.Now())
 		server.mutex.Unlock()
 		switch {
-		case faults.Silent:
+		case faults.Unresponsive:
 			<-request.Context().Done()
 			return
-		case faults.Busy:
+		case faults.Unavailable:
 			response.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case faults.Throttled:
@@ -202,22 +202,22 @@
 		}
 		time.Sleep(faults.Delay)
 		if request.Method != http.MethodGet {
-			time.Sleep(faults.LateWrites)
+			time.Sleep(faults.WriteDelay)
 		}
 		next(response, request)
 	}
 }
 
 func (server *Server) expireLeases(now time.Time) {
-	for lease, ends := range server.leases {
+	for lease, ends := range server.leaseDeadlines {
 		if now.After(ends) {
-			server.endLocked(lease)
+			server.endLeaseLocked(lease)
 		}
 	}
 }
 
-func (server *Server) endLocked(lease uint64) {
-	delete(server.leases, lease)
+func (server *Server) endLeaseLocked(lease uint64) {
+	delete(server.leaseDeadlines, lease)
 	for key, item := range server.items {
 		if item.Lease == lease {
 			server.remove(key)
@@ -225,13 +225,13 @@
 	}
 }
 
-func answer(response http.ResponseWriter, status int, body any) {
+func writeJSON(response http.ResponseWriter, status int, body any) {
 	response.Header().Set("Content-Type", "application/json")
 	response.WriteHeader(status)
 	_ = json.NewEncoder(response).Encode(body)
 }
 
-func (server *Server) key(response http.ResponseWriter, request *http.Request) {
+func (server *Server) getKey(response http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	item, found := server.items[request.URL.Query().Get("key")]
@@ -239,13 +239,13 @@
 		response.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(response, http.StatusOK, struct {
+	writeJSON(response, http.StatusOK, struct {
 		Item
 		At uint64 `json:"at"`
 	}{item, server.revision})
 }
 
-func (server *Server) scan(response http.ResponseWriter, request *http.Request) {
+func (server *Server) listRange(response http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	query := request.URL.Query()
@@ -258,7 +258,7 @@
 	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
 	more := len(found) > server.pageSize
 	found = found[:min(len(found), server.pageSize)]
-	answer(response, http.StatusOK, map[string]any{"items": found, "more": more, "at": server.revision})
+	writeJSON(response, http.StatusOK, map[string]any{"items": found, "more": more, "at": server.revision})
 }
 
 func (server *Server) watch(response http.ResponseWriter, request *http.Request) {
@@ -268,8 +268,8 @@
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		server.mutex.Lock()
-		found, changed, at := server.since(query.Get("prefix"), after), server.changed, server.revision
-		lost := after < server.compacted || after > server.revision
+		found, changed, at := server.eventsAfter(query.Get("prefix"), after), server.changed, server.revision
+		lost := after < server.compactRevision || after > server.revision
 		era := server.Era()
 		server.mutex.Unlock()
 		response.Header().Set(eraHeader, strconv.FormatUint(era, 10))
@@ -278,13 +278,13 @@
 			return
 		}
 		if len(found) > 0 {
-			answer(response, http.StatusOK, map[string]any{"events": found, "at": at})
+			writeJSON(response, http.StatusOK, map[string]any{"events": found, "at": at})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			answer(response, http.StatusOK, map[string]any{"events": found, "at": at})
+			writeJSON(response, http.StatusOK, map[string]any{"events": found, "at": at})
 			return
 		case <-request.Context().Done():
 			return
@@ -292,10 +292,10 @@
 	}
 }
 
-func (server *Server) since(prefix string, after uint64) []Item {
+func (server *Server) eventsAfter(prefix string, after uint64) []Item {
 	found := []Item{}
 	for _, event := range server.history {
-		if event.Rev > after && strings.HasPrefix(event.Key, prefix) {
+		if event.Revision > after && strings.HasPrefix(event.Key, prefix) {
 			found = append(found, event)
 		}
 	}
@@ -315,8 +315,8 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	for _, expected := range body.Expected {
-		if server.items[expected.Key].Rev != expected.Rev {
-			answer(response, http.StatusPreconditionFailed, map[string]any{"items": []Item{server.items[expected.Key]}})
+		if server.items[expected.Key].Revision != expected.Revision {
+			writeJSON(response, http.StatusPreconditionFailed, map[string]any{"items": []Item{server.items[expected.Key]}})
 			return
 		}
 	}
@@ -325,7 +325,7 @@
 			response.WriteHeader(http.StatusForbidden)
 			return
 		}
-		if _, alive := server.leases[item.Lease]; item.Lease != 0 && !alive {
+		if _, alive := server.leaseDeadlines[item.Lease]; item.Lease != 0 && !alive {
 			response.WriteHeader(http.StatusNotFound)
 			return
 		}
@@ -336,10 +336,10 @@
 	for _, key := range body.Remove {
 		server.remove(key)
 	}
-	answer(response, http.StatusOK, map[string]any{"rev": server.revision})
+	writeJSON(response, http.StatusOK, map[string]any{"rev": server.revision})
 }
 
-func (server *Server) lease(response http.ResponseWriter, request *http.Request) {
+func (server *Server) grantLease(response http.ResponseWriter, request *http.Request) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -351,27 +351,27 @@
 	defer server.mutex.Unlock()
 	server.revision++
 	length := time.Duration(body.TTL) * time.Millisecond
-	server.leases[server.revision] = time.Now().Add(length)
-	server.lengths[server.revision] = length
-	answer(response, http.StatusOK, map[string]any{"lease": server.revision, "ttl_ms": body.TTL})
+	server.leaseDeadlines[server.revision] = time.Now().Add(length)
+	server.leaseTTLs[server.revision] = length
+	writeJSON(response, http.StatusOK, map[string]any{"lease": server.revision, "ttl_ms": body.TTL})
 }
 
-func (server *Server) keep(response http.ResponseWriter, request *http.Request) {
+func (server *Server) renewLease(response http.ResponseWriter, request *http.Request) {
 	lease, _ := strconv.ParseUint(request.PathValue("lease"), 10, 64)
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	if _, alive := server.leases[lease]; !alive {
+	if _, alive := server.leaseDeadlines[lease]; !alive {
 		response.WriteHeader(http.StatusNotFound)
 		return
 	}
-	server.leases[lease] = time.Now().Add(server.lengths[lease])
-	answer(response, http.StatusOK, map[string]any{"ttl_ms": server.lengths[lease].Milliseconds()})
+	server.leaseDeadlines[lease] = time.Now().Add(server.leaseTTLs[lease])
+	writeJSON(response, http.StatusOK, map[string]any{"ttl_ms": server.leaseTTLs[lease].Milliseconds()})
 }
 
 func (server *Server) endLease(response http.ResponseWriter, request *http.Request) {
 	lease, _ := strconv.ParseUint(request.PathValue("lease"), 10, 64)
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.endLocked(lease)
+	server.endLeaseLocked(lease)
 	response.WriteHeader(http.StatusOK)
 }
