--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -22,10 +22,10 @@
 type Faults struct {
 	// Outage answers everything with 503.
 	Outage bool `json:"outage"`
-	// SlowMilliseconds delays every answer.
-	SlowMilliseconds int `json:"slow_milliseconds"`
-	// LostAnswers is the share of writes that take effect but answer 504.
-	LostAnswers float64 `json:"lost_answers"`
+	// DelayMilliseconds delays every answer.
+	DelayMilliseconds int `json:"slow_milliseconds"`
+	// LostResponses is the share of writes that take effect but answer 504.
+	LostResponses float64 `json:"lost_answers"`
 }
 
 type value struct {
@@ -71,9 +71,9 @@
 // Handler returns the HTTP handler. Faults are set with PUT /faults.
 func (server *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/keys/{key}", server.guard(server.get))
-	mux.HandleFunc("PUT /v1/keys/{key}", server.guard(server.put))
-	mux.HandleFunc("POST /v1/leases/{lease}", server.guard(server.renew))
+	mux.HandleFunc("GET /v1/keys/{key}", server.withFaults(server.get))
+	mux.HandleFunc("PUT /v1/keys/{key}", server.withFaults(server.put))
+	mux.HandleFunc("POST /v1/leases/{lease}", server.withFaults(server.renewLease))
 	mux.HandleFunc("PUT /faults", func(writer http.ResponseWriter, request *http.Request) {
 		var faults Faults
 		if err := json.NewDecoder(request.Body).Decode(&faults); err != nil {
@@ -90,13 +90,13 @@
 	return mux
 }
 
-func (server *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+func (server *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		server.mutex.Lock()
 		faults := server.faults
 		server.requests++
 		server.mutex.Unlock()
-		time.Sleep(time.Duration(faults.SlowMilliseconds) * time.Millisecond)
+		time.Sleep(time.Duration(faults.DelayMilliseconds) * time.Millisecond)
 		if faults.Outage {
 			http.Error(writer, "outage", http.StatusServiceUnavailable)
 			return
@@ -118,7 +118,7 @@
 	defer deadline.Stop()
 	for {
 		server.mutex.Lock()
-		server.expire()
+		server.removeExpired()
 		found := server.values[request.PathValue("key")]
 		changed, outage := server.changed, server.faults.Outage
 		server.mutex.Unlock()
@@ -155,21 +155,21 @@
 	}
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.expire()
+	server.removeExpired()
 	key := request.PathValue("key")
 	if server.values[key].version != expected {
 		http.Error(writer, "version conflict", http.StatusConflict)
 		return
 	}
 	server.values[key] = value{data: data, version: expected + 1, lease: request.URL.Query().Get("lease")}
-	server.wake()
-	if rand.Float64() < server.faults.LostAnswers {
+	server.notifyWatchers()
+	if rand.Float64() < server.faults.LostResponses {
 		http.Error(writer, "answer lost", http.StatusGatewayTimeout)
 	}
 }
 
-// renew grants or renews a lease for ttl_ms.
-func (server *Server) renew(writer http.ResponseWriter, request *http.Request) {
+// renewLease grants or renews a lease for ttl_ms.
+func (server *Server) renewLease(writer http.ResponseWriter, request *http.Request) {
 	ttl, err := strconv.Atoi(request.URL.Query().Get("ttl_ms"))
 	if err != nil {
 		http.Error(writer, "ttl_ms is missing", http.StatusBadRequest)
@@ -181,8 +181,8 @@
 	server.leases[request.PathValue("lease")] = &lease{ttl: duration, expires: time.Now().Add(duration)}
 }
 
-// expire removes values whose lease has lapsed. The mutex is held.
-func (server *Server) expire() {
+// removeExpired removes values whose lease has lapsed. The mutex is held.
+func (server *Server) removeExpired() {
 	now := time.Now()
 	for key, found := range server.values {
 		if found.lease == "" {
@@ -190,12 +190,12 @@
 		}
 		if held := server.leases[found.lease]; held == nil || now.After(held.expires) {
 			delete(server.values, key)
-			server.wake()
+			server.notifyWatchers()
 		}
 	}
 }
 
-func (server *Server) wake() {
+func (server *Server) notifyWatchers() {
 	close(server.changed)
 	server.changed = make(chan struct{})
 }
--- a/internal/standin/swallow/swallow.go
+++ b/internal/standin/swallow/swallow.go
@@ -8,7 +8,7 @@
 //	proxy, err := swallow.Start("127.0.0.1:8169")
 //	defer proxy.Close()
 //	dial(proxy.Address())
-//	proxy.Silence(swallow.There, swallow.Back)
+//	proxy.Silence(swallow.ToTarget, swallow.ToClient)
 package swallow
 
 import (
@@ -18,14 +18,14 @@
 	"time"
 )
 
-// Way is a direction of a connection.
-type Way int
+// Direction is a direction of a connection.
+type Direction int
 
 // The ways.
 const (
-	// There is from the caller to the target, Back to the caller.
-	There Way = iota
-	Back
+	// ToTarget is from the caller to the target, Back to the caller.
+	ToTarget Direction = iota
+	ToClient
 )
 
 // Proxy forwards TCP connections to one address.
@@ -34,17 +34,17 @@
 	target   string
 	dialer   net.Dialer
 	mutex    sync.Mutex
-	// open are the connections ever taken.
-	open   []*link
-	closed bool
+	// connections are the connections ever taken.
+	connections []*connection
+	closed      bool
 	// delay holds back what passes, in nanoseconds.
 	delay atomic.Int64
 }
 
-// link is a forwarded connection: that of the caller and that to the target.
-type link struct {
-	ends   [2]net.Conn
-	silent [2]atomic.Bool
+// connection is a forwarded connection: that of the caller and that to the target.
+type connection struct {
+	ends       [2]net.Conn
+	blackholed [2]atomic.Bool
 }
 
 // Start forwards from a free port of 127.0.0.1 to a target.
@@ -72,27 +72,27 @@
 func (p *Proxy) Accepted() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return len(p.open)
+	return len(p.connections)
 }
 
 // Delay holds back what passes from now on.
 func (p *Proxy) Delay(delay time.Duration) { p.delay.Store(int64(delay)) }
 
-// Silence makes the connections silent that are open now, in some directions.
-func (p *Proxy) Silence(ways ...Way) {
-	p.each(func(open *link) {
+// Blackhole makes the connections silent that are open now, in some directions.
+func (p *Proxy) Blackhole(ways ...Direction) {
+	p.forEach(func(open *connection) {
 		for _, way := range ways {
-			open.silent[way].Store(true)
+			open.blackholed[way].Store(true)
 		}
 	})
 }
 
-// End ends the connections that are open now, on both sides.
-func (p *Proxy) End() { p.each((*link).close) }
+// CloseConnections ends the connections that are open now, on both sides.
+func (p *Proxy) CloseConnections() { p.forEach((*connection).close) }
 
-// Reset resets the connections that are open now, on both sides.
-func (p *Proxy) Reset() {
-	p.each(func(open *link) {
+// ResetConnections resets the connections that are open now, on both sides.
+func (p *Proxy) ResetConnections() {
+	p.forEach(func(open *connection) {
 		for _, end := range open.ends {
 			_ = end.(*net.TCPConn).SetLinger(0)
 		}
@@ -106,32 +106,32 @@
 	p.mutex.Lock()
 	p.closed = true
 	p.mutex.Unlock()
-	p.Reset()
+	p.ResetConnections()
 }
 
-func (p *Proxy) each(do func(*link)) {
+func (p *Proxy) forEach(do func(*connection)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, open := range p.open {
+	for _, open := range p.connections {
 		do(open)
 	}
 }
 
-func (l *link) close() {
+func (l *connection) close() {
 	for _, end := range l.ends {
 		_ = end.Close()
 	}
 }
 
 // add takes a connection, unless the proxy was closed meanwhile.
-func (p *Proxy) add(made *link) {
+func (p *Proxy) add(made *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		made.close()
 		return
 	}
-	p.open = append(p.open, made)
+	p.connections = append(p.connections, made)
 }
 
 func (p *Proxy) accept() {
@@ -152,21 +152,21 @@
 		_ = caller.Close()
 		return
 	}
-	made := &link{ends: [2]net.Conn{caller, target}}
+	made := &connection{ends: [2]net.Conn{caller, target}}
 	p.add(made)
-	go p.carry(made, There)
-	go p.carry(made, Back)
+	go p.copyDirection(made, ToTarget)
+	go p.copyDirection(made, ToClient)
 }
 
-// carry copies one direction until an end closes, and then closes both. What a silent
+// copyDirection copies one direction until an end closes, and then closes both. What a silent
 // connection brings is read and dropped, and its end is not passed on.
-func (p *Proxy) carry(carried *link, way Way) {
+func (p *Proxy) copyDirection(carried *connection, way Direction) {
 	from, to := carried.ends[way], carried.ends[1-way]
 	buffer := make([]byte, 64<<10)
 	for {
 		size, err := from.Read(buffer)
 		time.Sleep(time.Duration(p.delay.Load()))
-		if carried.silent[way].Load() {
+		if carried.blackholed[way].Load() {
 			if err != nil {
 				return
 			}
--- a/internal/standin/tunnel/tunnel.go
+++ b/internal/standin/tunnel/tunnel.go
@@ -23,27 +23,27 @@
 const (
 	interfaceID  = 1
 	queueLength  = 4096
-	packetSize   = 1400
+	linkMTU      = 1400
 	socketBuffer = 4 << 20
 	readSize     = 2048
 )
 
-// Route gives the UDP address for a packet to an inner address, or nil.
-type Route func(destination netip.Addr) *net.UDPAddr
+// RouteFunc gives the UDP address for a packet to an inner address, or nil.
+type RouteFunc func(destination netip.Addr) *net.UDPAddr
 
 // Stack is one host with inner addresses and a UDP socket.
 type Stack struct {
-	stack  *stack.Stack
-	link   *channel.Endpoint
-	socket *net.UDPConn
-	route  Route
-	own    map[netip.Addr]bool
-	// foreign counts packets to an inner address that is not the host's.
-	foreign atomic.Uint64
+	stack          *stack.Stack
+	link           *channel.Endpoint
+	socket         *net.UDPConn
+	route          RouteFunc
+	localAddresses map[netip.Addr]bool
+	// misrouted counts packets to an inner address that is not the host's.
+	misrouted atomic.Uint64
 }
 
 // New makes a host with inner addresses behind a UDP listen address.
-func New(listen string, addresses []string, route Route) (*Stack, error) {
+func New(listen string, addresses []string, route RouteFunc) (*Stack, error) {
 	local, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
 		return nil, errors.Wrapf(err, "tunnel %s", listen)
@@ -58,10 +58,10 @@
 			NetworkProtocols:   []stack.NetworkProtocolFactory{ipv4.NewProtocol},
 			TransportProtocols: []stack.TransportProtocolFactory{tcp.NewProtocol},
 		}),
-		link:   channel.New(queueLength, packetSize, ""),
-		socket: socket,
-		route:  route,
-		own:    make(map[netip.Addr]bool),
+		link:           channel.New(queueLength, linkMTU, ""),
+		socket:         socket,
+		route:          route,
+		localAddresses: make(map[netip.Addr]bool),
 	}
 	if err := made.configure(addresses); err != nil {
 		_ = socket.Close()
@@ -79,7 +79,7 @@
 		if err != nil {
 			return errors.Wrapf(err, "tunnel: address %q", address)
 		}
-		tunnel.own[parsed] = true
+		tunnel.localAddresses[parsed] = true
 		protocolAddress := tcpip.ProtocolAddress{
 			Protocol:          ipv4.ProtocolNumber,
 			AddressWithPrefix: tcpip.AddrFrom4(parsed.As4()).WithPrefix(),
@@ -96,7 +96,7 @@
 func (tunnel *Stack) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = tunnel.socket.Close() })
 	defer stop()
-	go tunnel.sendAll(ctx)
+	go tunnel.sendLoop(ctx)
 	datagram := make([]byte, readSize)
 	for ctx.Err() == nil {
 		count, err := tunnel.socket.Read(datagram)
@@ -113,8 +113,8 @@
 		return
 	}
 	destination := netip.AddrFrom4([4]byte(datagram[16:20]))
-	if !tunnel.own[destination] {
-		tunnel.foreign.Add(1)
+	if !tunnel.localAddresses[destination] {
+		tunnel.misrouted.Add(1)
 		return
 	}
 	packet := stack.NewPacketBuffer(stack.PacketBufferOptions{Payload: buffer.MakeWithData(datagram)})
@@ -122,7 +122,7 @@
 	packet.DecRef()
 }
 
-func (tunnel *Stack) sendAll(ctx context.Context) {
+func (tunnel *Stack) sendLoop(ctx context.Context) {
 	for {
 		packet := tunnel.link.ReadContext(ctx)
 		if packet == nil {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Foreign returns the number of packets for inner addresses of others.
-func (tunnel *Stack) Foreign() uint64 { return tunnel.foreign.Load() }
+// MisroutedPackets returns the number of packets for inner addresses of others.
+func (tunnel *Stack) MisroutedPackets() uint64 { return tunnel.misrouted.Load() }
 
 func fullAddress(address netip.AddrPort) tcpip.FullAddress {
 	return tcpip.FullAddress{NIC: interfaceID, Addr: tcpip.AddrFrom4(address.Addr().As4()), Port: address.Port()}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -25,10 +25,10 @@
 	ErrNotFound = errors.New("the key has no value")
 	// ErrConflict: the key's version is not the expected one.
 	ErrConflict = errors.New("the key was written by someone else")
-	// ErrLimited: the service's rate limit was reached.
-	ErrLimited = errors.New("the store limits the rate of requests")
-	// ErrUnknown: the write may or may not have taken effect.
-	ErrUnknown = errors.New("the fate of the write is unknown")
+	// ErrRateLimited: the service's rate limit was reached.
+	ErrRateLimited = errors.New("the store limits the rate of requests")
+	// ErrUnknownOutcome: the write may or may not have taken effect.
+	ErrUnknownOutcome = errors.New("the fate of the write is unknown")
 )
 
 // Value is a key's value and version.
@@ -40,23 +40,23 @@
 // Client reaches the service at one address. It is safe for use by many
 // goroutines.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 const (
-	requestTimeout = 2 * time.Second
-	watchTimeout   = 60 * time.Second
-	maximumValue   = 8 << 20
+	requestTimeout   = 2 * time.Second
+	watchTimeout     = 60 * time.Second
+	maximumValueSize = 8 << 20
 )
 
 // NewClient makes a client for an IP:port.
 func NewClient(address string) *Client {
-	return &Client{base: "http://" + address, client: &http.Client{}}
+	return &Client{baseURL: "http://" + address, httpClient: &http.Client{}}
 }
 
 func (client *Client) keyURL(key string) string {
-	return client.base + "/v1/keys/" + url.PathEscape(key)
+	return client.baseURL + "/v1/keys/" + url.PathEscape(key)
 }
 
 // Get reads a key.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return Value{}, client.wrap(err, step)
 	}
-	response, err := client.client.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
 		return Value{}, client.wrap(err, step)
 	}
@@ -88,7 +88,7 @@
 	if err := statusError(response.StatusCode); err != nil {
 		return Value{}, client.wrap(err, step)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maximumValue))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maximumValueSize))
 	if err != nil {
 		return Value{}, client.wrap(err, step)
 	}
@@ -97,7 +97,7 @@
 }
 
 // CompareAndSwap writes a key if its version is the expected one; 0 expects no
-// value. ErrUnknown means that the write may have taken effect.
+// value. ErrUnknownOutcome means that the write may have taken effect.
 func (client *Client) CompareAndSwap(ctx context.Context, key string, expected uint64, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -106,9 +106,9 @@
 	if err != nil {
 		return client.wrap(err, "write")
 	}
-	response, err := client.client.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
-		return client.wrap(errors.Mark(err, ErrUnknown), "write")
+		return client.wrap(errors.Mark(err, ErrUnknownOutcome), "write")
 	}
 	_ = response.Body.Close()
 	return client.wrap(statusError(response.StatusCode), "write")
@@ -123,11 +123,11 @@
 	case http.StatusConflict:
 		return ErrConflict
 	case http.StatusTooManyRequests:
-		return ErrLimited
+		return ErrRateLimited
 	}
-	return errors.Mark(errors.Newf("status %d", status), ErrUnknown)
+	return errors.Mark(errors.Newf("status %d", status), ErrUnknownOutcome)
 }
 
 func (client *Client) wrap(err error, step string) error {
-	return errors.Wrapf(err, "store %s: %s", client.base, step)
+	return errors.Wrapf(err, "store %s: %s", client.baseURL, step)
 }
--- a/internal/tools/losses/main.go
+++ b/internal/tools/losses/main.go
@@ -67,12 +67,12 @@
 // windowSeconds is the length of a window of a report.
 const windowSeconds = 2
 
-// startSeconds is how long machines that were dark take until they answer: the
+// restartSeconds is how long machines that were dark take until they answer: the
 // restart that the bench leaves to them and the start of the program.
-const startSeconds = 0.12
+const restartSeconds = 0.12
 
-// recoverySeconds is how long after the final fault its windows go on.
-const recoverySeconds = 4
+// finalFaultSeconds is how long after the final fault its windows go on.
+const finalFaultSeconds = 4
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -112,14 +112,14 @@
 // printRow prints where a day lost worth. All figures are parts of the credit owed
 // over the whole day.
 func printRow(read site, day string, parsed report) {
-	closingAt, closed := closing(parsed)
+	closingAt, closed := finalFault(parsed)
 	owed := float64(parsed.All.Number - parsed.All.NotOwed)
 	final, other := 0.0, 0.0
 	rate := 0.0
 	for index, window := range parsed.Windows {
 		lost := (1 - window.Worth) * float64(window.Number-window.NotOwed) / owed
 		from := float64(index * windowSeconds)
-		if closed && from+windowSeconds > closingAt && from < closingAt+recoverySeconds {
+		if closed && from+windowSeconds > closingAt && from < closingAt+finalFaultSeconds {
 			final += lost
 			rate = max(rate, float64(window.Number)/windowSeconds)
 			continue
@@ -128,15 +128,15 @@
 	}
 	dark := 0.0
 	if closed {
-		dark = min(final, rate*(downOf(read, day)+startSeconds)*(1-lateWorth(read))/owed)
+		dark = min(final, rate*(downtime(read, day)+restartSeconds)*(1-lateWorthRatio(read))/owed)
 	}
-	machines, prices := pricesOf(parsed)
+	machines, prices := sumPrices(parsed)
 	fmt.Printf("| %s | %.3f | %.3f | %.4f | %.4f | %.4f | %.4f | %.4f |\n", day, parsed.Worth, 1-parsed.Worth,
 		dark, final-dark, other, machines, prices)
 }
 
-// closing returns when the final fault came, if there was one.
-func closing(parsed report) (at float64, found bool) {
+// finalFault returns when the final fault came, if there was one.
+func finalFault(parsed report) (at float64, found bool) {
 	for _, each := range parsed.Events {
 		if strings.HasPrefix(each.Kind, "closing") {
 			return each.At, true
@@ -145,9 +145,9 @@
 	return 0, false
 }
 
-// downOf is how long all machines are dark after the final fault of a day, in
+// downtime is how long all machines are dark after the final fault of a day, in
 // seconds.
-func downOf(read site, day string) float64 {
+func downtime(read site, day string) float64 {
 	for _, each := range read.Days {
 		if each.Name == day {
 			return each.Closing.Down
@@ -156,9 +156,9 @@
 	return 0
 }
 
-// lateWorth is the credit of a late answer over that of one in time, the mean of
+// lateWorthRatio is the credit of a late answer over that of one in time, the mean of
 // the classes.
-func lateWorth(read site) float64 {
+func lateWorthRatio(read site) float64 {
 	late, worth := 0.0, 0.0
 	for _, class := range read.Classes {
 		late += class.LateWorth
@@ -170,8 +170,8 @@
 	return late / worth
 }
 
-// pricesOf returns the price of the machines and the sum of the others.
-func pricesOf(parsed report) (machines, others float64) {
+// sumPrices returns the price of the machines and the sum of the others.
+func sumPrices(parsed report) (machines, others float64) {
 	for _, price := range parsed.Prices {
 		name, _ := price[0].(string)
 		value, _ := price[2].(float64)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -26,49 +26,49 @@
 )
 
 const (
-	queueLimit    = 512
-	inboxLimit    = 4096
-	dialTimeout   = time.Second
-	redialMinimum = 100 * time.Millisecond
-	idleLimit     = time.Minute
+	queueLimit  = 512
+	inboxLimit  = 4096
+	dialTimeout = time.Second
+	redialDelay = 100 * time.Millisecond
+	idleTimeout = time.Minute
 	// frameOverhead approximates the bytes that drpc and TCP add to a message.
 	frameOverhead = 24
 )
 
 // Transport is the peer listener and the streams to the peers of one node.
 type Transport struct {
-	listener net.Listener
-	security *Security
-	logger   *slog.Logger
-	inbox    chan *apiv1.Envelope
-	mutex    sync.Mutex
-	links    map[string]*link
-	// lost counts messages dropped because a queue was full.
-	lost  atomic.Uint64
-	bytes sync.Map
+	listener  net.Listener
+	mutualTLS *MutualTLS
+	logger    *slog.Logger
+	inbox     chan *apiv1.Envelope
+	mutex     sync.Mutex
+	links     map[string]*link
+	// dropped counts messages dropped because a queue was full.
+	dropped   atomic.Uint64
+	sentBytes sync.Map
 }
 
-// Security is mutual TLS between nodes; nil is none.
-type Security struct {
+// MutualTLS is mutual TLS between nodes; nil is none.
+type MutualTLS struct {
 	Pair        *certificate.Pair
 	Authorities *x509.CertPool
 }
 
 // Listen opens the peer listener.
-func Listen(address string, logger *slog.Logger, security *Security) (*Transport, error) {
+func Listen(address string, logger *slog.Logger, security *MutualTLS) (*Transport, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "peers: listen on %s", address)
 	}
 	if security != nil {
-		listener = tls.NewListener(listener, security.Pair.Server(security.Authorities))
+		listener = tls.NewListener(listener, security.Pair.ServerConfig(security.Authorities))
 	}
 	return &Transport{
-		listener: listener,
-		security: security,
-		logger:   logger,
-		inbox:    make(chan *apiv1.Envelope, inboxLimit),
-		links:    make(map[string]*link),
+		listener:  listener,
+		mutualTLS: security,
+		logger:    logger,
+		inbox:     make(chan *apiv1.Envelope, inboxLimit),
+		links:     make(map[string]*link),
 	}, nil
 }
 
@@ -103,14 +103,14 @@
 		select {
 		case receiver.transport.inbox <- envelope:
 		default:
-			receiver.transport.lost.Add(1)
+			receiver.transport.dropped.Add(1)
 		}
 	}
 }
 
 // Send queues a message for the peer at an address. It does not block.
 func (transport *Transport) Send(ctx context.Context, address string, envelope *apiv1.Envelope) {
-	transport.count(envelope)
+	transport.countSent(envelope)
 	transport.mutex.Lock()
 	found := transport.links[address]
 	if found == nil {
@@ -127,34 +127,34 @@
 		}
 		select {
 		case <-found.queue:
-			transport.lost.Add(1)
+			transport.dropped.Add(1)
 		default:
 		}
 	}
 }
 
-func (transport *Transport) count(envelope *apiv1.Envelope) {
+func (transport *Transport) countSent(envelope *apiv1.Envelope) {
 	kind := "none"
 	reflected := envelope.ProtoReflect()
 	if field := reflected.WhichOneof(reflected.Descriptor().Oneofs().Get(0)); field != nil {
 		kind = string(field.Name())
 	}
-	counter, _ := transport.bytes.LoadOrStore(kind, new(atomic.Uint64))
+	counter, _ := transport.sentBytes.LoadOrStore(kind, new(atomic.Uint64))
 	counter.(*atomic.Uint64).Add(uint64(proto.Size(envelope) + frameOverhead))
 }
 
 // SentBytes returns the bytes sent by message kind.
 func (transport *Transport) SentBytes() map[string]uint64 {
 	counts := make(map[string]uint64)
-	transport.bytes.Range(func(kind, counter any) bool {
+	transport.sentBytes.Range(func(kind, counter any) bool {
 		counts[kind.(string)] = counter.(*atomic.Uint64).Load()
 		return true
 	})
 	return counts
 }
 
-// Lost returns the number of messages dropped at full queues.
-func (transport *Transport) Lost() uint64 { return transport.lost.Load() }
+// Dropped returns the number of messages dropped at full queues.
+func (transport *Transport) Dropped() uint64 { return transport.dropped.Load() }
 
 // link is the outgoing stream to one peer.
 type link struct {
@@ -165,34 +165,34 @@
 // runLink sends a link's messages. It ends when the link has been idle.
 func (transport *Transport) runLink(ctx context.Context, link *link) {
 	for ctx.Err() == nil {
-		err := transport.sendAll(ctx, link)
+		err := transport.sendQueued(ctx, link)
 		if err == nil {
 			return
 		}
 		transport.logger.Debug("Stream ended.", "peer", link.address, "error", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialMinimum):
+		case <-time.After(redialDelay):
 		}
-		transport.drain(link)
+		transport.dropQueued(link)
 	}
 }
 
-// drain drops what waited for a peer that could not be reached: by the time it
+// dropQueued drops what waited for a peer that could not be reached: by the time it
 // is reached, newer messages say more.
-func (transport *Transport) drain(link *link) {
+func (transport *Transport) dropQueued(link *link) {
 	for {
 		select {
 		case <-link.queue:
-			transport.lost.Add(1)
+			transport.dropped.Add(1)
 		default:
 			return
 		}
 	}
 }
 
-func (transport *Transport) sendAll(ctx context.Context, link *link) error {
-	first, open := transport.next(ctx, link)
+func (transport *Transport) sendQueued(ctx context.Context, link *link) error {
+	first, open := transport.nextMessage(ctx, link)
 	if !open {
 		return nil
 	}
@@ -210,7 +210,7 @@
 		if err := stream.Send(envelope); err != nil {
 			return errors.Wrapf(err, "peer %s: send", link.address)
 		}
-		if envelope, open = transport.next(ctx, link); !open {
+		if envelope, open = transport.nextMessage(ctx, link); !open {
 			return nil
 		}
 	}
@@ -218,21 +218,21 @@
 
 func (transport *Transport) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	if transport.security == nil {
+	if transport.mutualTLS == nil {
 		return dialer.DialContext(ctx, "tcp4", address)
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	secure := tls.Dialer{NetDialer: dialer, Config: transport.security.Pair.Client(transport.security.Authorities, host)}
+	secure := tls.Dialer{NetDialer: dialer, Config: transport.mutualTLS.Pair.ClientConfig(transport.mutualTLS.Authorities, host)}
 	return secure.DialContext(ctx, "tcp4", address)
 }
 
-// next waits for a message. It returns false when the context ends, or when
+// nextMessage waits for a message. It returns false when the context ends, or when
 // the link has been idle and is removed.
-func (transport *Transport) next(ctx context.Context, link *link) (*apiv1.Envelope, bool) {
-	idle := time.NewTimer(idleLimit)
+func (transport *Transport) nextMessage(ctx context.Context, link *link) (*apiv1.Envelope, bool) {
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	select {
 	case envelope := <-link.queue:
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,15 +40,15 @@
 	return certificateFile, keyFile
 }
 
-func security(t *testing.T, certificateFile, keyFile, authority string) *Security {
+func security(t *testing.T, certificateFile, keyFile, authority string) *MutualTLS {
 	pair, err := certificate.LoadPair(certificateFile, keyFile)
 	require.NoError(t, err)
 	authorities, err := certificate.LoadAuthorities(authority)
 	require.NoError(t, err)
-	return &Security{Pair: pair, Authorities: authorities}
+	return &MutualTLS{Pair: pair, Authorities: authorities}
 }
 
-func listen(t *testing.T, security *Security) *Transport {
+func listen(t *testing.T, security *MutualTLS) *Transport {
 	made, err := Listen("127.0.0.1:0", slog.New(slog.DiscardHandler), security)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -93,7 +93,7 @@
 	oldFile, oldKey := writePair(t, directory, "node")
 	pair, err := certificate.LoadPair(oldFile, oldKey)
 	require.NoError(t, err)
-	server := pair.Server(nil)
+	server := pair.ServerConfig(nil)
 	before, err := server.GetCertificate(nil)
 	require.NoError(t, err)
 	time.Sleep(10 * time.Millisecond)
--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	sumKey     = 4711
-	clientPort = 8172
-	beatPause  = 200 * time.Millisecond
+	checksumKey   = 4711
+	clientPort    = 8172
+	entryInterval = 200 * time.Millisecond
 )
 
 // site is a small deployment of the users' platform: balancers as processes,
@@ -41,22 +41,22 @@
 	backends map[string]*siteBackend
 	version  int
 	seeds    []string
-	// quiet is set where a back end that writes its entry as it was changes nothing in the
+	// skipUnchanged is set where a back end that writes its entry as it was changes nothing in the
 	// store, so that revisions rise by what changes alone.
-	quiet bool
+	skipUnchanged bool
 	// configuration is the one that operators wrote last, and copies are those of the store.
 	configuration []byte
-	copies        copies
+	backups       backups
 }
 
 // siteBackend is a back end and its entry in the store.
 type siteBackend struct {
 	*echonet.Backend
-	address netip.AddrPort
-	state   string
-	zone    string
-	silent  bool
-	born    int64
+	address           netip.AddrPort
+	state             string
+	zone              string
+	withoutEntry      bool
+	startMilliseconds int64
 }
 
 func newSite(t *testing.T, number int) *site {
@@ -72,39 +72,39 @@
 	go func() { _ = server.ListenAndServe() }()
 	t.Cleanup(func() { _ = server.Close() })
 	go made.router.Run(ctx)
-	go made.beat()
-	go made.keepCopies()
+	go made.writeEntries()
+	go made.takeBackups()
 	var err error
-	made.client, err = echonet.StartClient(netip.MustParseAddrPort(base.ip(3, 1)+fmt.Sprintf(":%d", clientPort)), made.router, sumKey)
+	made.client, err = echonet.StartClient(netip.MustParseAddrPort(base.ip(3, 1)+fmt.Sprintf(":%d", clientPort)), made.router, checksumKey)
 	require.NoError(t, err)
 	t.Cleanup(made.client.Stop)
 	return made
 }
 
-// beat writes the entries of the back ends, as they do themselves.
-func (site *site) beat() {
+// writeEntries writes the entries of the back ends, as they do themselves.
+func (site *site) writeEntries() {
 	for seq := 0; site.ctx.Err() == nil; seq++ {
 		site.mutex.Lock()
 		for id := range site.backends {
-			site.announce(id, seq)
+			site.writeEntry(id, seq)
 		}
 		site.mutex.Unlock()
-		time.Sleep(beatPause)
+		time.Sleep(entryInterval)
 	}
 }
 
-func (site *site) announce(id string, seq int) {
+func (site *site) writeEntry(id string, seq int) {
 	backend := site.backends[id]
-	if backend.silent {
+	if backend.withoutEntry {
 		return
 	}
-	if site.quiet {
+	if site.skipUnchanged {
 		seq = 0
 	}
 	value, _ := json.Marshal(map[string]any{"backend_pool": backend.Pool, "addr": backend.address.String(),
 		"zone": backend.zone, "version": "v1", "capacity": 2, "state": backend.state, "warmup_left_ms": 0, "seq": seq,
-		"born": backend.born})
-	if site.quiet && site.store.Holds("servers/"+id, value) {
+		"born": backend.startMilliseconds})
+	if site.skipUnchanged && site.store.HasValue("servers/"+id, value) {
 		return
 	}
 	site.store.Put("servers/"+id, value)
@@ -112,26 +112,26 @@
 
 func (site *site) startBackend(id, pool, zone string, host int) {
 	address := netip.MustParseAddrPort(site.ip(2, host) + ":8080")
-	started, err := echonet.StartBackend(id, pool, address, clientPort, sumKey)
+	started, err := echonet.StartBackend(id, pool, address, clientPort, checksumKey)
 	require.NoError(site.t, err)
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
-	site.backends[id] = &siteBackend{Backend: started, address: address, state: "ready", zone: zone, born: time.Now().UnixMilli()}
-	site.announce(id, 0)
+	site.backends[id] = &siteBackend{Backend: started, address: address, state: "ready", zone: zone, startMilliseconds: time.Now().UnixMilli()}
+	site.writeEntry(id, 0)
 }
 
 func (site *site) setState(id, state string) {
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
 	site.backends[id].state = state
-	site.announce(id, 1)
+	site.writeEntry(id, 1)
 }
 
 // removeEntry takes a back end's entry away; the back end serves on.
 func (site *site) removeEntry(id string) {
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
-	site.backends[id].silent = true
+	site.backends[id].withoutEntry = true
 	site.store.Remove("servers/" + id)
 }
 
@@ -188,8 +188,8 @@
 	return site.start(killed.name, "balancer", killed.command.Args[1:]...)
 }
 
-func (site *site) waitIn(count int) {
-	require.Eventually(site.t, func() bool { return site.router.In() == count }, 20*time.Second, 20*time.Millisecond,
+func (site *site) waitReady(count int) {
+	require.Eventually(site.t, func() bool { return site.router.InService() == count }, 20*time.Second, 20*time.Millisecond,
 		"balancers in")
 }
 
@@ -197,8 +197,8 @@
 	return netip.AddrPortFrom(netip.MustParseAddr(host), port)
 }
 
-// open opens flows and returns them with the back end of each.
-func (site *site) open(target netip.AddrPort, count int) ([]*echonet.Flow, []string) {
+// openFlows opens flows and returns them with the back end of each.
+func (site *site) openFlows(target netip.AddrPort, count int) ([]*echonet.Flow, []string) {
 	var flows []*echonet.Flow
 	var servers []string
 	for index := range count {
@@ -211,8 +211,8 @@
 	return flows, servers
 }
 
-// requireKept asks on each flow and requires the back end that it had.
-func (site *site) requireKept(flows []*echonet.Flow, servers []string) {
+// requireSameBackend asks on each flow and requires the back end that it had.
+func (site *site) requireSameBackend(flows []*echonet.Flow, servers []string) {
 	for index, flow := range flows {
 		server, err := flow.Request(fmt.Sprintf("again-%d-%d", index, time.Now().UnixNano()))
 		require.NoError(site.t, err)
@@ -238,13 +238,13 @@
 	for index := range 3 {
 		started = append(started, site.startBalancer(zones[index%3]))
 	}
-	site.waitIn(3)
+	site.waitReady(3)
 	return site, started
 }
 
-// requireNothingStray requires that no back end saw a packet for another one
+// requireNoMisrouted requires that no back end saw a packet for another one
 // or a forged one.
-func (site *site) requireNothingStray() {
+func (site *site) requireNoMisrouted() {
 	for id, backend := range site.backends {
 		_, foreign, _, forged := backend.Counts()
 		require.Zero(site.t, foreign, "%s: packets for another back end", id)
@@ -252,43 +252,43 @@
 	}
 }
 
-func TestBalancerCalmDay(t *testing.T) {
+func TestBalancerRoutesFlows(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 1)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 30)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
 	for _, server := range servers {
 		require.True(t, strings.HasPrefix(server, "lending/"), server)
 	}
-	_, covers := site.open(site.target("198.18.0.2", 443), 10)
+	_, covers := site.openFlows(site.target("198.18.0.2", 443), 10)
 	for _, server := range covers {
 		require.True(t, strings.HasPrefix(server, "covers/"), server)
 	}
-	site.requireKept(flows, servers)
+	site.requireSameBackend(flows, servers)
 	_, err := site.client.Open(site.target("198.18.0.9", 443))
 	require.ErrorIs(t, err, echonet.ErrRefused, "an address without a route")
-	site.requireNothingStray()
+	site.requireNoMisrouted()
 }
 
-func TestBalancerDrainAndVanishing(t *testing.T) {
+func TestBalancerDrainAndRemovedEntry(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 2)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 30)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
 	site.setState("i-a0", "draining")
 	site.removeEntry("i-a1")
 	time.Sleep(3 * time.Second)
-	_, later := site.open(site.target("198.18.0.1", 443), 20)
+	_, later := site.openFlows(site.target("198.18.0.1", 443), 20)
 	require.NotContains(t, later, "lending/i-a0")
 	require.NotContains(t, later, "lending/i-a1")
-	site.requireKept(flows, servers)
-	site.requireNothingStray()
+	site.requireSameBackend(flows, servers)
+	site.requireNoMisrouted()
 }
 
 // A back end falls silent; its entry stays. The clients that wait for it are
 // told well before they give up, and nobody else's flow is touched.
-func TestBalancerTellsTheClientsOfASilentBackend(t *testing.T) {
+func TestBalancerResetsFlowsOfSilentBackend(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 9)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 60)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 60)
 	site.backends["i-a0"].Stop()
 	var waiting, others sync.WaitGroup
 	told := make(chan error, len(flows))
@@ -302,7 +302,7 @@
 			})
 			continue
 		}
-		others.Go(func() { site.keepAsking(flow, servers[index], done) })
+		others.Go(func() { site.requestUntil(flow, servers[index], done) })
 	}
 	waiting.Wait()
 	close(done)
@@ -313,12 +313,12 @@
 		require.ErrorIs(t, err, echonet.ErrBroken)
 	}
 	require.Less(t, time.Since(began), 2500*time.Millisecond)
-	site.requireNothingStray()
+	site.requireNoMisrouted()
 }
 
-// keepAsking sends requests on a flow and requires that its own back end
+// requestUntil sends requests on a flow and requires that its own back end
 // answers all of them.
-func (site *site) keepAsking(flow *echonet.Flow, server string, done <-chan struct{}) {
+func (site *site) requestUntil(flow *echonet.Flow, server string, done <-chan struct{}) {
 	for number := 0; ; number++ {
 		select {
 		case <-done:
@@ -334,40 +334,40 @@
 func TestBalancerKilledStoppedAndReplaced(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 3)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 30)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
 	require.NoError(t, started[0].command.Process.Kill())
-	site.waitIn(2)
-	site.requireKept(flows, servers)
+	site.waitReady(2)
+	site.requireSameBackend(flows, servers)
 	site.startBalancer(zones[0])
-	site.waitIn(3)
-	site.requireKept(flows, servers)
+	site.waitReady(3)
+	site.requireSameBackend(flows, servers)
 	require.NoError(t, started[1].command.Process.Signal(syscall.SIGTERM))
 	for started[1].command.ProcessState == nil {
-		site.requireKept(flows, servers)
-		if site.router.In() == 2 {
+		site.requireSameBackend(flows, servers)
+		if site.router.InService() == 2 {
 			_ = started[1].command.Wait()
 		}
 	}
 	require.Equal(t, 0, started[1].command.ProcessState.ExitCode())
-	site.requireKept(flows, servers)
-	site.requireNothingStray()
+	site.requireSameBackend(flows, servers)
+	site.requireNoMisrouted()
 }
 
 // A back end that starts again under its id holds none of its flows: their clients are told at
 // once, also where they rest, since their next request would be lost to find out. All others,
 // and those of the new start, go on.
-func TestBackendThatStartsAgainUnderItsID(t *testing.T) {
+func TestBackendRestartedUnderSameID(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 12)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 30)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
 	time.Sleep(5500 * time.Millisecond) // older than clocks may differ by
 	site.mutex.Lock()
 	ended := site.backends["i-a0"]
-	ended.silent = true
+	ended.withoutEntry = true
 	ended.Stop()
 	site.mutex.Unlock()
 	site.startBackend("i-a0", "lending", zones[0], 1)
-	later, ours := site.open(site.target("198.18.0.1", 443), 20)
+	later, ours := site.openFlows(site.target("198.18.0.1", 443), 20)
 	var kept []*echonet.Flow
 	var holders []string
 	for index, flow := range flows {
@@ -379,9 +379,9 @@
 	}
 	require.Less(t, len(kept), len(flows))
 	require.Contains(t, ours, "lending/i-a0", "the new start takes flows")
-	site.requireKept(kept, holders)
-	site.requireKept(later, ours)
-	site.requireNothingStray()
+	site.requireSameBackend(kept, holders)
+	site.requireSameBackend(later, ours)
+	site.requireNoMisrouted()
 }
 
 func TestBalancerAddressReuse(t *testing.T) {
@@ -389,7 +389,7 @@
 	site, _ := newLendingSite(t, 4)
 	site.mutex.Lock()
 	ended := site.backends["i-a0"]
-	ended.silent = true
+	ended.withoutEntry = true
 	ended.Stop()
 	site.mutex.Unlock()
 	site.startBackend("i-cc", "covers", zones[0], 1)
@@ -409,17 +409,17 @@
 func TestBalancerConfigurationInForce(t *testing.T) {
 	t.Parallel()
 	site, _ := newLendingSite(t, 5)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 10)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 10)
 	site.configure("r-lending 198.18.0.1 443 covers", "r-new 198.18.0.3 80 lending")
 	time.Sleep(3 * time.Second)
-	_, moved := site.open(site.target("198.18.0.1", 443), 10)
+	_, moved := site.openFlows(site.target("198.18.0.1", 443), 10)
 	for _, server := range moved {
 		require.True(t, strings.HasPrefix(server, "covers/"), server)
 	}
-	site.open(site.target("198.18.0.3", 80), 5)
+	site.openFlows(site.target("198.18.0.3", 80), 5)
 	_, err := site.client.Open(site.target("198.18.0.2", 443))
 	require.ErrorIs(t, err, echonet.ErrRefused, "a route that was dropped")
-	site.requireKept(flows, servers)
+	site.requireSameBackend(flows, servers)
 }
 
 // A balancer that starts while the store is silent learns everything from the
@@ -427,52 +427,52 @@
 func TestBalancerStartsWhileTheStoreIsSilent(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 6)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 20)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 20)
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	for _, place := range []int{1, 2} {
 		require.NoError(t, started[place].command.Process.Kill())
 		_ = started[place].command.Wait()
 	}
-	site.waitIn(1)
+	site.waitReady(1)
 	site.restart(started[1])
 	site.restart(started[2])
-	site.waitIn(3)
+	site.waitReady(3)
 	require.NoError(t, started[0].command.Process.Kill())
-	site.waitIn(2)
-	site.requireKept(flows, servers)
-	site.open(site.target("198.18.0.1", 443), 10)
+	site.waitReady(2)
+	site.requireSameBackend(flows, servers)
+	site.openFlows(site.target("198.18.0.1", 443), 10)
 }
 
 // The store is silent. All seeds are killed and start again, so that they know
 // nobody but each other; then those are killed that had lived on. No balancer
 // lives through both, and what is known outlives them all the same.
-func TestKnowledgeOutlivesItsKnowers(t *testing.T) {
+func TestReplicaSurvivesRestartsOfAllBalancers(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 10)
 	for index := range 2 {
 		started = append(started, site.startBalancer(zones[index]))
 	}
-	site.waitIn(5)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 20)
+	site.waitReady(5)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 20)
 	site.removeEntry("i-a0")
 	time.Sleep(3 * time.Second)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	seeds, others := started[:3], started[3:]
 	for _, part := range [][]*process{seeds, others} {
 		kill(t, part)
-		site.waitIn(5 - len(part))
+		site.waitReady(5 - len(part))
 		for _, each := range part {
 			site.restart(each)
 		}
 		began := time.Now()
-		site.waitIn(5)
+		site.waitReady(5)
 		require.Less(t, time.Since(began), 2*time.Second, "the routers ask twice a second")
 	}
-	site.requireKept(flows, servers)
-	site.open(site.target("198.18.0.1", 443), 10)
-	site.requireNothingStray()
+	site.requireSameBackend(flows, servers)
+	site.openFlows(site.target("198.18.0.1", 443), 10)
+	site.requireNoMisrouted()
 }
 
 // kill ends balancers without a notice and waits for their ends.
@@ -484,25 +484,25 @@
 }
 
 // All balancers start anew with the store up.
-func TestBalancerAllRestart(t *testing.T) {
+func TestAllBalancersRestart(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 7)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 20)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 20)
 	for _, each := range started {
 		require.NoError(t, each.command.Process.Kill())
 		_ = each.command.Wait()
 	}
-	site.waitIn(0)
+	site.waitReady(0)
 	for _, each := range started {
 		site.restart(each)
 	}
-	site.waitIn(3)
-	site.requireKept(flows, servers)
+	site.waitReady(3)
+	site.requireSameBackend(flows, servers)
 }
 
 // The store refuses, throttles or never answers some balancers while it serves
 // another one: those learn from it, whoever should have read for all.
-func TestBalancersThatTheStoreRefuses(t *testing.T) {
+func TestBalancersRefusedByStore(t *testing.T) {
 	t.Parallel()
 	site := newSite(t, 8)
 	refusals := []http.HandlerFunc{
@@ -523,11 +523,11 @@
 		t.Cleanup(func() { _ = server.Close() })
 		site.startBalancerAt(zones[place], address)
 	}
-	site.waitIn(4)
-	site.open(site.target("198.18.0.1", 443), 20)
+	site.waitReady(4)
+	site.openFlows(site.target("198.18.0.1", 443), 20)
 	site.configure("r-lending 198.18.0.1 443 covers", coversRoute)
 	time.Sleep(3 * time.Second)
-	_, moved := site.open(site.target("198.18.0.1", 443), 40)
+	_, moved := site.openFlows(site.target("198.18.0.1", 443), 40)
 	for _, server := range moved {
 		require.True(t, strings.HasPrefix(server, "covers/"), server)
 	}
@@ -536,14 +536,14 @@
 // A zone that the operator evacuates gets no new flows from any balancer, open ones
 // stay, and a balancer that starts while the store is silent learns the order, and
 // its end, from the others.
-func TestBalancersEvacuateAZone(t *testing.T) {
+func TestBalancersEvacuateZone(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 11)
 	target := site.target("198.18.0.1", 443)
-	flows, servers := site.open(target, 30)
+	flows, servers := site.openFlows(target, 30)
 	evacuated := zones[0]
 	opensThere := func() bool {
-		_, found := site.open(target, 20)
+		_, found := site.openFlows(target, 20)
 		return slices.ContainsFunc(found, func(server string) bool {
 			return site.backends[strings.TrimPrefix(server, "lending/")].zone == evacuated
 		})
@@ -557,17 +557,17 @@
 	require.True(t, opensThere())
 	site.store.Put("op/evacuate/"+evacuated, []byte("{}"))
 	requireSoon(false, "evacuated")
-	site.requireKept(flows, servers)
-	site.store.SetFaults(metadata.Faults{Silent: true})
+	site.requireSameBackend(flows, servers)
+	site.store.SetFaults(metadata.Faults{Unresponsive: true})
 	kill(t, started[1:])
-	site.waitIn(1)
+	site.waitReady(1)
 	restarted := []*process{site.restart(started[1]), site.restart(started[2])}
-	site.waitIn(3)
+	site.waitReady(3)
 	kill(t, started[:1])
-	site.waitIn(2)
+	site.waitReady(2)
 	require.False(t, opensThere(), "%s and %s have learned of the order from a peer", restarted[0].name, restarted[1].name)
 	site.store.SetFaults(metadata.Faults{})
 	site.store.Remove("op/evacuate/" + evacuated)
 	requireSoon(true, "taken back")
-	site.requireNothingStray()
+	site.requireNoMisrouted()
 }
--- a/test/e2e/callers_test.go
+++ b/test/e2e/callers_test.go
@@ -12,37 +12,37 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/echonet"
 )
 
-// call opens flows and sends requests on them until the context ends.
-func (soak *soak) call(ctx context.Context, number int) {
+// runCaller opens flows and sends requests on them until the context ends.
+func (soak *soak) runCaller(ctx context.Context, number int) {
 	for turn := 0; ctx.Err() == nil; turn++ {
 		name := soakRoutes[(number+turn)%len(soakRoutes)]
 		flow, server, err := soak.openFlow(name, fmt.Sprintf("%d-%d", number, turn))
 		if err == nil {
-			soak.askOn(ctx, flow, name, server, fmt.Sprintf("%d-%d", number, turn))
+			soak.sendRequests(ctx, flow, name, server, fmt.Sprintf("%d-%d", number, turn))
 		} else {
-			time.Sleep(burstPause)
+			time.Sleep(retryPause)
 		}
 	}
 }
 
 // openFlow opens a flow with its first request.
 func (soak *soak) openFlow(name, body string) (*echonet.Flow, string, error) {
-	seen := attempt{route: name, opens: true, at: time.Now(), body: body}
+	seen := attempt{route: name, isOpening: true, at: time.Now(), body: body}
 	flow, err := soak.client.Open(soak.target(soakTargets[name], 443))
 	if err == nil {
 		seen.server, err = flow.Request(body)
 	}
-	soak.noteFlow(seen, flow, err)
+	soak.recordAttempt(seen, flow, err)
 	return flow, seen.server, err
 }
 
-func (soak *soak) askOn(ctx context.Context, flow *echonet.Flow, name, server, body string) {
-	for request := range soakRequests {
-		time.Sleep(soakPause)
-		seen := attempt{route: name, at: time.Now(), earlier: server, body: fmt.Sprintf("%s-%d", body, request)}
+func (soak *soak) sendRequests(ctx context.Context, flow *echonet.Flow, name, server, body string) {
+	for request := range requestsPerFlow {
+		time.Sleep(requestInterval)
+		seen := attempt{route: name, at: time.Now(), previousServer: server, body: fmt.Sprintf("%s-%d", body, request)}
 		var err error
 		seen.server, err = flow.Request(seen.body)
-		soak.noteFlow(seen, flow, err)
+		soak.recordAttempt(seen, flow, err)
 		if err != nil || ctx.Err() != nil {
 			break
 		}
@@ -54,15 +54,15 @@
 // patient route, one request a flow.
 func (soak *soak) burst(length time.Duration) {
 	if !soak.bursting.CompareAndSwap(false, true) {
-		soak.skip()
+		soak.markSkipped()
 		return
 	}
 	now := time.Now()
-	soak.record.Lock()
+	soak.historyMutex.Lock()
 	soak.history.bursts = append(soak.history.bursts, span{from: now, until: now.Add(length)})
 	number := len(soak.history.bursts)
-	soak.record.Unlock()
-	soak.faults.Go(func() {
+	soak.historyMutex.Unlock()
+	soak.activeFaults.Go(func() {
 		var callers sync.WaitGroup
 		for caller := range burstCallers {
 			name := "patient"
@@ -73,7 +73,7 @@
 				for turn := 0; time.Since(now) < length; turn++ {
 					flow, _, err := soak.openFlow(name, fmt.Sprintf("burst-%d-%d-%d", number, caller, turn))
 					if err != nil {
-						time.Sleep(burstPause)
+						time.Sleep(retryPause)
 					}
 					flow.Close()
 				}
@@ -98,20 +98,20 @@
 	return outcomeDeadline
 }
 
-// noteFlow notes the end of an attempt.
-func (soak *soak) noteFlow(seen attempt, flow *echonet.Flow, err error) {
+// recordAttempt notes the end of an attempt.
+func (soak *soak) recordAttempt(seen attempt, flow *echonet.Flow, err error) {
 	seen.ended, seen.result, seen.port = time.Now(), outcomeOf(err), flow.Port()
 	seen.flow = fmt.Sprintf("%s:%d-%s:443", soak.ip(3, 1), seen.port, soakTargets[seen.route])
-	for _, node := range flow.Via() {
-		seen.via = append(seen.via, placeOf(node))
+	for _, node := range flow.TakeBalancers() {
+		seen.via = append(seen.via, balancerAt(node))
 	}
-	soak.record.Lock()
-	defer soak.record.Unlock()
+	soak.historyMutex.Lock()
+	defer soak.historyMutex.Unlock()
 	soak.history.attempts = append(soak.history.attempts, seen)
 }
 
-// placeOf is the place of the balancer at an address.
-func placeOf(node netip.AddrPort) int {
+// balancerAt is the place of the balancer at an address.
+func balancerAt(node netip.AddrPort) int {
 	address := node.Addr().As4()
 	return int(address[3]) - 1
 }
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -41,15 +41,15 @@
 
 // cluster is the processes of one test, on loopback addresses of its own.
 type cluster struct {
-	t       *testing.T
-	number  int
-	dir     string
-	all     []*process
-	nodes   map[string]*process
-	order   []string
-	started int
-	// stopped are the last counts of back ends that were stopped, by address.
-	stopped map[string]backend.Counts
+	t            *testing.T
+	number       int
+	dir          string
+	allProcesses []*process
+	nodes        map[string]*process
+	nodeIDs      []string
+	started      int
+	// stoppedCounts are the last counts of back ends that were stopped, by address.
+	stoppedCounts map[string]backend.Counts
 }
 
 func binary(t *testing.T, name string) string {
@@ -67,7 +67,7 @@
 // their back ends. The number keeps the addresses of tests apart.
 func newCluster(t *testing.T, number int) *cluster {
 	cluster := &cluster{t: t, number: number, dir: t.TempDir(),
-		nodes: make(map[string]*process), stopped: make(map[string]backend.Counts)}
+		nodes: make(map[string]*process), stoppedCounts: make(map[string]backend.Counts)}
 	t.Cleanup(cluster.stop)
 	cluster.start("store", "standin", "store", "--listen", cluster.ip(0, 1)+":7000")
 	cluster.start("machines", "standin", "machines", "--listen", cluster.ip(0, 1)+":7001", "--lag", "2s")
@@ -75,8 +75,8 @@
 	for place := range nodeCount {
 		cluster.startNode(zones[place%len(zones)])
 	}
-	cluster.put("lending", lendingAddress, lendingCount, 2)
-	cluster.put("covers", coversAddress, coversCount, 3)
+	cluster.createService("lending", lendingAddress, lendingCount, 2)
+	cluster.createService("covers", coversAddress, coversCount, 3)
 	cluster.waitInForce(20 * time.Second)
 	return cluster
 }
@@ -93,13 +93,13 @@
 	command.Stdout, command.Stderr = log, log
 	require.NoError(cluster.t, command.Start())
 	started := &process{name: name, command: command, log: log}
-	cluster.all = append(cluster.all, started)
+	cluster.allProcesses = append(cluster.allProcesses, started)
 	return started
 }
 
 // stop ends the processes that this test started, by their IDs.
 func (cluster *cluster) stop() {
-	for _, process := range cluster.all {
+	for _, process := range cluster.allProcesses {
 		_ = process.command.Process.Signal(syscall.SIGCONT)
 		_ = process.command.Process.Kill()
 		_ = process.command.Wait()
@@ -118,7 +118,7 @@
 	id := fmt.Sprintf("%s-%d", zone, cluster.started)
 	host := cluster.ip(1, cluster.started)
 	var seeds []string
-	for place, other := range cluster.order {
+	for place, other := range cluster.nodeIDs {
 		if place < 3 {
 			seeds = append(seeds, other+"@"+cluster.host(other)+":6090")
 		}
@@ -129,9 +129,9 @@
 	path := filepath.Join(cluster.dir, id+".yaml")
 	require.NoError(cluster.t, os.WriteFile(path, []byte(content), 0o600))
 	cluster.nodes[id] = cluster.start(id, "indigobarrow", "node", "--settings", path)
-	cluster.order = append(cluster.order, id)
+	cluster.nodeIDs = append(cluster.nodeIDs, id)
 	machine := map[string]string{"id": id, "zone": zone, "peer_address": host + ":6090", "state": "live", "group": "e2e"}
-	cluster.control("http://"+cluster.ip(0, 1)+":7001/v1/machines", machine)
+	cluster.putJSON("http://"+cluster.ip(0, 1)+":7001/v1/machines", machine)
 	cluster.setFabric()
 	return id
 }
@@ -149,14 +149,14 @@
 
 func (cluster *cluster) setFabric() {
 	var addresses []string
-	for _, id := range cluster.order {
+	for _, id := range cluster.nodeIDs {
 		addresses = append(addresses, cluster.host(id)+":6080")
 	}
-	cluster.control("http://"+cluster.ip(0, 2)+":7003/nodes", addresses)
+	cluster.putJSON("http://"+cluster.ip(0, 2)+":7003/nodes", addresses)
 }
 
-// control sends a PUT to a stand-in, which may still be starting.
-func (cluster *cluster) control(url string, body any) {
+// putJSON sends a PUT to a stand-in, which may still be starting.
+func (cluster *cluster) putJSON(url string, body any) {
 	encoded, err := json.Marshal(body)
 	require.NoError(cluster.t, err)
 	require.Eventually(cluster.t, func() bool {
@@ -171,7 +171,7 @@
 	}, 10*time.Second, 50*time.Millisecond, url)
 }
 
-func (cluster *cluster) get(url string, answer any) {
+func (cluster *cluster) getJSON(url string, answer any) {
 	response, err := http.Get(url)
 	require.NoError(cluster.t, err)
 	defer func() { _ = response.Body.Close() }()
@@ -179,11 +179,11 @@
 }
 
 func (cluster *cluster) client() *admin.Client {
-	return admin.NewClient(cluster.host(cluster.order[0])+":6070", "")
+	return admin.NewClient(cluster.host(cluster.nodeIDs[0])+":6070", "")
 }
 
-// put starts a service's back ends and creates the service.
-func (cluster *cluster) put(name, address string, count, net int) {
+// createService starts a service's back ends and creates the service.
+func (cluster *cluster) createService(name, address string, count, net int) {
 	service := &apiv1.Service{Name: name, Address: address, Port: 80}
 	for place := range count {
 		host := cluster.ip(net, place+1)
@@ -228,13 +228,13 @@
 				alive++
 			}
 		}
-		return alive >= min(len(cluster.order), nodeCount-1)
+		return alive >= min(len(cluster.nodeIDs), nodeCount-1)
 	}, limit, 50*time.Millisecond)
 	return time.Since(start)
 }
 
-// call starts one caller of each service in each zone.
-func (cluster *cluster) call(connections, requests int) {
+// startCallers starts one caller of each service in each zone.
+func (cluster *cluster) startCallers(connections, requests int) {
 	for place, zone := range zones {
 		for index, service := range []string{"lending", "covers"} {
 			address := []string{lendingAddress, coversAddress}[index]
@@ -251,11 +251,11 @@
 	return fmt.Sprintf("%s:%d", cluster.ip(4, place+1), 7200+index)
 }
 
-// finish lets the callers end their connections and sums up what they saw.
-func (cluster *cluster) finish() caller.Counts {
+// finishCallers lets the callers end their connections and sums up what they saw.
+func (cluster *cluster) finishCallers() caller.Counts {
 	for place := range zones {
 		for index := range 2 {
-			cluster.control("http://"+cluster.callerControl(place, index)+"/finish", nil)
+			cluster.putJSON("http://"+cluster.callerControl(place, index)+"/finish", nil)
 		}
 	}
 	require.Eventually(cluster.t, func() bool { return cluster.counts().Open == 0 }, 40*time.Second, 200*time.Millisecond)
@@ -267,7 +267,7 @@
 	for place := range zones {
 		for index := range 2 {
 			var counts caller.Counts
-			cluster.get("http://"+cluster.callerControl(place, index)+"/counts", &counts)
+			cluster.getJSON("http://"+cluster.callerControl(place, index)+"/counts", &counts)
 			total.Add(counts)
 		}
 	}
@@ -275,52 +275,52 @@
 }
 
 func (cluster *cluster) backend(net, place int) backend.Counts {
-	if counts, isStopped := cluster.stopped[cluster.ip(net, place+1)]; isStopped {
+	if counts, isStopped := cluster.stoppedCounts[cluster.ip(net, place+1)]; isStopped {
 		return counts
 	}
 	var counts backend.Counts
-	cluster.get(fmt.Sprintf("http://%s:7100/counts", cluster.ip(net, place+1)), &counts)
+	cluster.getJSON(fmt.Sprintf("http://%s:7100/counts", cluster.ip(net, place+1)), &counts)
 	return counts
 }
 
-// judge checks the promises from both ends: every answer whole and its own, no
+// verify checks the promises from both ends: every answer whole and its own, no
 // request of unknown fate, nothing run twice, nothing "not run" that ran, and no
 // packet at another service.
-func (cluster *cluster) judge(total caller.Counts) {
+func (cluster *cluster) verify(total caller.Counts) {
 	runs := make(map[string]int)
 	foreign := uint64(0)
 	for net, count := range map[int]int{2: lendingCount, 3: coversCount} {
 		for place := range count {
 			counts := cluster.backend(net, place)
-			foreign += counts.Foreign
-			for key, times := range counts.Runs {
+			foreign += counts.MisroutedPackets
+			for key, times := range counts.Executions {
 				runs[key] += times
 			}
 		}
 	}
 	t := cluster.t
 	t.Logf("flows %d, answers %d, broken %d, refused %d, not run %d, unknown %d, wrong %d, unopened %d, keys run %d",
-		total.Flows, total.Answers, total.Broken, total.Refused, total.NotRun, total.Unknown, total.Wrong, total.Unopened, len(runs))
+		total.Flows, total.Responses, total.Broken, total.Refused, total.NotRun, total.UnknownOutcomes, total.WrongResponses, total.FailedOpens, len(runs))
 	require.Zero(t, total.Broken, total.LastError)
-	require.Zero(t, total.Wrong, total.LastError)
-	require.Zero(t, total.Unknown)
+	require.Zero(t, total.WrongResponses, total.LastError)
+	require.Zero(t, total.UnknownOutcomes)
 	require.Zero(t, foreign, "packets at a back end of another service")
-	require.Positive(t, total.Answers)
+	require.Positive(t, total.Responses)
 	for key, times := range runs {
 		require.Equal(t, 1, times, "request %s ran more than once", key)
 	}
 	for _, key := range total.NotRunKeys {
 		require.Zero(t, runs[key], "request %s ran although refused as not run", key)
 	}
-	for _, key := range total.AnsweredKeys {
+	for _, key := range total.CompletedKeys {
 		require.Equal(t, 1, runs[key], "request %s was answered", key)
 	}
 }
 
 // stopBackend ends a drained back end's process.
 func (cluster *cluster) stopBackend(name string, net, place int) {
-	cluster.stopped[cluster.ip(net, place+1)] = cluster.backend(net, place)
-	for _, process := range cluster.all {
+	cluster.stoppedCounts[cluster.ip(net, place+1)] = cluster.backend(net, place)
+	for _, process := range cluster.allProcesses {
 		if process.name == name {
 			require.NoError(cluster.t, process.command.Process.Signal(syscall.SIGTERM))
 		}
@@ -330,19 +330,19 @@
 // kill ends a node without notice; the fabric notices a second later.
 func (cluster *cluster) kill(id string) {
 	require.NoError(cluster.t, cluster.nodes[id].command.Process.Kill())
-	cluster.forget(id)
+	cluster.removeNode(id)
 	time.Sleep(time.Second)
 	cluster.setFabric()
 }
 
-func (cluster *cluster) forget(id string) {
-	kept := cluster.order[:0:0]
-	for _, other := range cluster.order {
+func (cluster *cluster) removeNode(id string) {
+	kept := cluster.nodeIDs[:0:0]
+	for _, other := range cluster.nodeIDs {
 		if other != id {
 			kept = append(kept, other)
 		}
 	}
-	cluster.order = kept
+	cluster.nodeIDs = kept
 }
 
 func (cluster *cluster) signal(id string, signal syscall.Signal) {
@@ -350,5 +350,5 @@
 }
 
 func (cluster *cluster) storeFaults(faults map[string]any) {
-	cluster.control("http://"+cluster.ip(0, 1)+":7000/faults", faults)
+	cluster.putJSON("http://"+cluster.ip(0, 1)+":7000/faults", faults)
 }
--- a/test/e2e/drill_test.go
+++ b/test/e2e/drill_test.go
@@ -14,93 +14,93 @@
 )
 
 const (
-	// copyPause is how often the store's copies are taken, and copiesKept how many there are.
-	copyPause  = 250 * time.Millisecond
-	copiesKept = 24
-	// writeAgainTime is within which operators and back ends write again what the store lost.
-	writeAgainTime = 1500 * time.Millisecond
+	// backupInterval is how often the store's copies are taken, and maximumBackups how many there are.
+	backupInterval = 250 * time.Millisecond
+	maximumBackups = 24
+	// rewriteTime is within which operators and back ends write again what the store lost.
+	rewriteTime = 1500 * time.Millisecond
 )
 
-// copies are those of a store, the oldest first.
-type copies struct {
-	mutex sync.Mutex
-	kept  []metadata.Copy
+// backups are those of a store, the oldest first.
+type backups struct {
+	mutex  sync.Mutex
+	recent []metadata.Backup
 }
 
-// keepCopies takes copies of the store until the site ends.
-func (site *site) keepCopies() {
+// takeBackups takes copies of the store until the site ends.
+func (site *site) takeBackups() {
 	for site.ctx.Err() == nil {
-		taken := site.store.Copy()
-		site.copies.mutex.Lock()
-		site.copies.kept = append(site.copies.kept, taken)
-		if len(site.copies.kept) > copiesKept {
-			site.copies.kept = site.copies.kept[1:]
+		taken := site.store.Backup()
+		site.backups.mutex.Lock()
+		site.backups.recent = append(site.backups.recent, taken)
+		if len(site.backups.recent) > maximumBackups {
+			site.backups.recent = site.backups.recent[1:]
 		}
-		site.copies.mutex.Unlock()
-		time.Sleep(copyPause)
+		site.backups.mutex.Unlock()
+		time.Sleep(backupInterval)
 	}
 }
 
-// of returns the copy that was taken about so long ago, or the oldest.
-func (c *copies) of(age time.Duration) metadata.Copy {
+// ofAge returns the copy that was taken about so long ago, or the oldest.
+func (c *backups) ofAge(age time.Duration) metadata.Backup {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.kept[max(0, len(c.kept)-1-int(age/copyPause))]
+	return c.recent[max(0, len(c.recent)-1-int(age/backupInterval))]
 }
 
-// comeBack puts the store back to a copy. Operators and back ends write again what they had
+// restoreStore puts the store back to a copy. Operators and back ends write again what they had
 // written since, the ends of back ends too.
-func (site *site) comeBack(copied metadata.Copy) {
+func (site *site) restoreStore(copied metadata.Backup) {
 	site.store.Restore(copied)
 	site.store.SetFaults(metadata.Faults{})
-	time.Sleep(writeAgainTime)
+	time.Sleep(rewriteTime)
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
 	site.store.Put("op/config", site.configuration)
 	for id, backend := range site.backends {
-		if backend.silent {
+		if backend.withoutEntry {
 			site.store.Remove("servers/" + id)
 		}
 	}
 }
 
-// drill lets the store be away for a time, and come back from a copy some seconds old.
-func (soak *soak) drill(away time.Duration) {
-	copied := soak.copies.of(away + time.Second)
-	soak.store.SetFaults(metadata.Faults{Silent: true})
-	soak.trouble(nil, away+writeAgainTime, nil)
-	soak.faults.Go(func() {
+// restoreAfterOutage lets the store be away for a time, and come back from a copy some seconds old.
+func (soak *soak) restoreAfterOutage(away time.Duration) {
+	copied := soak.backups.ofAge(away + time.Second)
+	soak.store.SetFaults(metadata.Faults{Unresponsive: true})
+	soak.recordDisturbance(nil, away+rewriteTime, nil)
+	soak.activeFaults.Go(func() {
 		time.Sleep(away)
-		soak.comeBack(copied)
+		soak.restoreStore(copied)
 	})
 }
 
 // Callers keep their flows through drills in a row, between which balancers are stopped, killed
 // and started: what was said before a drill holds during it, what is said after it holds in time,
 // and nobody goes back to what a copy shows.
-func TestBalancersComeThroughDrills(t *testing.T) {
+func TestFlowsSurviveStoreRestores(t *testing.T) {
 	t.Parallel()
 	site, started := newLendingSite(t, 13)
-	flows, servers := site.open(site.target("198.18.0.1", 443), 30)
+	flows, servers := site.openFlows(site.target("198.18.0.1", 443), 30)
 	done := make(chan struct{})
 	var callers sync.WaitGroup
 	for index, flow := range flows {
-		callers.Go(func() { site.keepAsking(flow, servers[index], done) })
+		callers.Go(func() { site.requestUntil(flow, servers[index], done) })
 	}
-	old := site.store.Copy()
+	old := site.store.Backup()
 	site.configure("r-lending 198.18.0.1 443 covers", "r-new 198.18.0.3 80 lending")
 	site.setState("i-a0", "draining")
 	time.Sleep(drainBound)
 	for round, restart := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL, 0} {
-		site.store.SetFaults(metadata.Faults{Silent: true})
+		site.store.SetFaults(metadata.Faults{Unresponsive: true})
 		time.Sleep(time.Second)
-		site.comeBackAndRequire(old)
+		site.restoreAndRequireNoRollback(old)
 		if restart != 0 {
 			started[round] = site.replace(started[round], restart)
 		}
 		site.configure("r-lending 198.18.0.1 443 lending")
 		time.Sleep(configBound)
-		_, after := site.open(site.target("198.18.0.1", 443), 10)
+		_, after := site.openFlows(site.target("198.18.0.1", 443), 10)
 		require.NotContains(t, after, "lending/i-a0", "it leaves")
 		_, err := site.client.Open(site.target("198.18.0.3", 80))
 		require.ErrorIs(t, err, echonet.ErrRefused, "a route that was dropped after the drill")
@@ -109,20 +109,20 @@
 	}
 	close(done)
 	callers.Wait()
-	site.requireNothingStray()
+	site.requireNoMisrouted()
 }
 
-// comeBackAndRequire has the store come back from a copy, and requires that meanwhile nobody
+// restoreAndRequireNoRollback has the store come back from a copy, and requires that meanwhile nobody
 // goes back to what it shows.
-func (site *site) comeBackAndRequire(copied metadata.Copy) {
+func (site *site) restoreAndRequireNoRollback(copied metadata.Backup) {
 	var writing sync.WaitGroup
-	writing.Go(func() { site.comeBack(copied) })
-	for end := time.Now().Add(writeAgainTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		_, moved := site.open(site.target("198.18.0.1", 443), 2)
+	writing.Go(func() { site.restoreStore(copied) })
+	for end := time.Now().Add(rewriteTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		_, moved := site.openFlows(site.target("198.18.0.1", 443), 2)
 		for _, server := range moved {
 			require.True(site.t, strings.HasPrefix(server, "covers/"), server)
 		}
-		_, kept := site.open(site.target("198.18.0.3", 80), 2)
+		_, kept := site.openFlows(site.target("198.18.0.3", 80), 2)
 		require.NotContains(site.t, kept, "lending/i-a0")
 	}
 	writing.Wait()
@@ -133,6 +133,6 @@
 	require.NoError(site.t, ended.command.Process.Signal(signal))
 	_ = ended.command.Wait()
 	started := site.restart(ended)
-	site.waitIn(3)
+	site.waitReady(3)
 	return started
 }
--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -18,17 +18,17 @@
 func TestDrainKillStart(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 1)
-	cluster.call(12, 60)
+	cluster.startCallers(12, 60)
 	time.Sleep(3 * time.Second)
 	cluster.drain("lending", "lending-2", true)
 	t.Logf("drain in force after %s", cluster.waitInForce(10*time.Second))
 	drained := time.Now().UnixMilli()
 	time.Sleep(2 * time.Second)
-	cluster.kill(cluster.order[1])
+	cluster.kill(cluster.nodeIDs[1])
 	cluster.startNode("nasr")
 	time.Sleep(6 * time.Second)
-	total := cluster.finish()
-	cluster.judge(total)
+	total := cluster.finishCallers()
+	cluster.verify(total)
 	require.Less(t, cluster.backend(2, 2).LastOpened, drained+3000, "the drained back end got a new flow")
 }
 
@@ -36,12 +36,12 @@
 func TestPlannedStops(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 2)
-	cluster.call(10, 1000)
+	cluster.startCallers(10, 1000)
 	time.Sleep(3 * time.Second)
-	for _, id := range append([]string(nil), cluster.order[:3]...) {
+	for _, id := range append([]string(nil), cluster.nodeIDs[:3]...) {
 		cluster.startNode(id[:len(id)-2])
 		time.Sleep(2 * time.Second)
-		cluster.forget(id)
+		cluster.removeNode(id)
 		cluster.setFabric()
 		cluster.signal(id, syscall.SIGTERM)
 		ended := make(chan error, 1)
@@ -54,7 +54,7 @@
 		}
 	}
 	time.Sleep(2 * time.Second)
-	cluster.judge(cluster.finish())
+	cluster.verify(cluster.finishCallers())
 }
 
 // TestBackendPlannedStop drains a back end, waits until its flows have ended,
@@ -62,15 +62,15 @@
 func TestBackendPlannedStop(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 7)
-	cluster.call(12, 20)
+	cluster.startCallers(12, 20)
 	time.Sleep(3 * time.Second)
 	cluster.drain("lending", "lending-3", true)
 	cluster.waitInForce(10 * time.Second)
-	require.Eventually(t, func() bool { return cluster.backend(2, 3).Open == 0 }, 30*time.Second, 100*time.Millisecond)
-	require.Positive(t, cluster.backend(2, 3).Opened, "the back end must have had flows")
+	require.Eventually(t, func() bool { return cluster.backend(2, 3).OpenConnections == 0 }, 30*time.Second, 100*time.Millisecond)
+	require.Positive(t, cluster.backend(2, 3).OpenedConnections, "the back end must have had flows")
 	cluster.stopBackend("lending-3", 2, 3)
 	time.Sleep(3 * time.Second)
-	cluster.judge(cluster.finish())
+	cluster.verify(cluster.finishCallers())
 }
 
 // TestPauseDuringDrain stops a node's processor past its contact lease while a
@@ -78,16 +78,16 @@
 func TestPauseDuringDrain(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 3)
-	cluster.call(10, 60)
+	cluster.startCallers(10, 60)
 	time.Sleep(3 * time.Second)
-	paused := cluster.order[3]
+	paused := cluster.nodeIDs[3]
 	cluster.signal(paused, syscall.SIGSTOP)
 	cluster.drain("lending", "lending-1", true)
 	time.Sleep(6 * time.Second)
 	cluster.signal(paused, syscall.SIGCONT)
 	time.Sleep(4 * time.Second)
-	total := cluster.finish()
-	cluster.judge(total)
+	total := cluster.finishCallers()
+	cluster.verify(total)
 }
 
 // TestStoreOutage lets a back end leave and a node be replaced while the store
@@ -95,7 +95,7 @@
 func TestStoreOutage(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 4)
-	cluster.call(10, 60)
+	cluster.startCallers(10, 60)
 	time.Sleep(3 * time.Second)
 	cluster.storeFaults(map[string]any{"outage": true})
 	answer := cluster.drain("lending", "lending-0", true)
@@ -104,14 +104,14 @@
 	time.Sleep(2 * time.Second)
 	cluster.startNode("giza")
 	time.Sleep(3 * time.Second)
-	cluster.kill(cluster.order[2])
+	cluster.kill(cluster.nodeIDs[2])
 	time.Sleep(4 * time.Second)
 	require.Less(t, cluster.backend(2, 0).LastOpened, drained+3000, "the leaving back end got a new flow")
 	cluster.storeFaults(map[string]any{"outage": false})
 	require.Eventually(t, func() bool { return cluster.status().GetStoreReachable() }, 15*time.Second, 100*time.Millisecond)
 	require.False(t, cluster.drain("lending", "lending-0", true).GetMarkedOnly())
 	cluster.waitInForce(20 * time.Second)
-	cluster.judge(cluster.finish())
+	cluster.verify(cluster.finishCallers())
 }
 
 // TestRacingOperators lets two operators change one policy through two nodes
@@ -120,7 +120,7 @@
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 5)
-	cluster.call(6, 60)
+	cluster.startCallers(6, 60)
 	cluster.storeFaults(map[string]any{"lost_answers": 0.5})
 	var group sync.WaitGroup
 	var mutex sync.Mutex
@@ -166,5 +166,5 @@
 		require.True(t, revisions[revision])
 	}
 	cluster.waitInForce(20 * time.Second)
-	cluster.judge(cluster.finish())
+	cluster.verify(cluster.finishCallers())
 }
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// killTime is for how long routers and balancers may miss a killed one.
-	killTime = time.Second
-	// slowTime is how long a slow store holds back its answers, and a slow
+	// failoverTime is for how long routers and balancers may miss a killed one.
+	failoverTime = time.Second
+	// slowDelay is how long a slow store holds back its answers, and a slow
 	// connection what it carries.
-	slowTime = 250 * time.Millisecond
-	// lateTime is how long a store holds back a write; nobody waits for it so long.
-	lateTime = 1500 * time.Millisecond
+	slowDelay = 250 * time.Millisecond
+	// lateWriteDelay is how long a store holds back a write; nobody waits for it so long.
+	lateWriteDelay = 1500 * time.Millisecond
 	// refusalTime is for how long the store refuses some balancers.
 	refusalTime = 10 * time.Second
-	// turnPause is how often a planned stop asks whether it's its turn.
-	turnPause = 50 * time.Millisecond
-	// startTime is how long a start is waited for.
-	startTime = 5 * time.Second
-	// lookTime is within which a balancer takes a changed settings file.
-	lookTime = 3500 * time.Millisecond
+	// pollInterval is how often a planned stop asks whether it's its turn.
+	pollInterval = 50 * time.Millisecond
+	// startTimeout is how long a start is waited for.
+	startTimeout = 5 * time.Second
+	// settingsTimeout is within which a balancer takes a changed settings file.
+	settingsTimeout = 3500 * time.Millisecond
 )
 
 // plannedSteps are planned work: no caller may notice any of it. Stops come more
 // often, since one in a few only shows a balancer that ends too early.
 var plannedSteps = []string{"stop", "stop", "leave", "vanish", "move", "burst", "settings", "settings-faulty"}
 
-// stormSteps are faults. Those of links harm what is open and let new connections pass.
+// faultSteps are faults. Those of links harm what is open and let new connections pass.
 // A mute link carries no calls, a deaf one no answers.
-var stormSteps = []string{"kill", "lose", "pause", "kill-zone", "pause-zone", "kill-all", "pause-all",
+var faultSteps = []string{"kill", "lose", "pause", "kill-zone", "pause-zone", "kill-all", "pause-all",
 	"store-busy", "store-silent", "store-throttles", "store-slow", "store-late", "store-compacts",
 	"store-refuses-some", "store-throttles-some", "store-drill",
 	"store-link-silent", "store-link-deaf", "store-link-mute", "store-link-reset",
 	"peer-link-silent", "peer-link-deaf", "peer-link-mute", "peer-link-reset", "peer-link-slow",
 	"crash", "crash-zone"}
 
-// waitedFor are the steps after whose length the next one begins.
-var waitedFor = map[string]bool{"pause": true, "pause-zone": true, "pause-all": true, "store-busy": true, "store-silent": true,
+// blockingSteps are the steps after whose length the next one begins.
+var blockingSteps = map[string]bool{"pause": true, "pause-zone": true, "pause-all": true, "store-busy": true, "store-silent": true,
 	"store-throttles": true, "store-slow": true, "store-late": true, "store-drill": true,
 	"peer-link-slow": true, "settings-faulty": true}
 
@@ -54,52 +54,58 @@
 
 func init() {
 	soakSteps = map[string]func(*soak, event){
-		"stop":   func(soak *soak, next event) { soak.stopSoon(next.place, next.length) },
+		"stop":   func(soak *soak, next event) { soak.stopWhenPossible(next.balancer, next.duration) },
 		"leave":  func(soak *soak, _ event) { soak.leave("draining") },
 		"vanish": func(soak *soak, _ event) { soak.leave("vanishing") },
 		"move":   func(soak *soak, _ event) { soak.moveRoute() },
-		"burst":  func(soak *soak, next event) { soak.burst(next.length) },
+		"burst":  func(soak *soak, next event) { soak.burst(next.duration) },
 
-		"settings":        func(soak *soak, next event) { soak.changeSettings(next.place, next.length) },
-		"settings-faulty": func(soak *soak, next event) { soak.breakSettings(next.place, next.length) },
+		"settings":        func(soak *soak, next event) { soak.changeSettings(next.balancer, next.duration) },
+		"settings-faulty": func(soak *soak, next event) { soak.breakSettings(next.balancer, next.duration) },
 
-		"kill":       func(soak *soak, next event) { soak.kill([]int{next.place}, next.length/4) },
-		"lose":       func(soak *soak, next event) { soak.kill([]int{next.place}, longAway) },
-		"kill-zone":  func(soak *soak, next event) { soak.kill(zoneOf(next.place), next.length/4) },
-		"kill-all":   func(soak *soak, next event) { soak.kill(everywhere(), next.length/4) },
-		"pause":      func(soak *soak, next event) { soak.pause([]int{next.place}, next.length) },
-		"pause-zone": func(soak *soak, next event) { soak.pause(zoneOf(next.place), next.length) },
-		"pause-all":  func(soak *soak, next event) { soak.pause(everywhere(), next.length) },
+		"kill":       func(soak *soak, next event) { soak.kill([]int{next.balancer}, next.duration/4) },
+		"lose":       func(soak *soak, next event) { soak.kill([]int{next.balancer}, longDowntime) },
+		"kill-zone":  func(soak *soak, next event) { soak.kill(balancersInZoneOf(next.balancer), next.duration/4) },
+		"kill-all":   func(soak *soak, next event) { soak.kill(allBalancers(), next.duration/4) },
+		"pause":      func(soak *soak, next event) { soak.pause([]int{next.balancer}, next.duration) },
+		"pause-zone": func(soak *soak, next event) { soak.pause(balancersInZoneOf(next.balancer), next.duration) },
+		"pause-all":  func(soak *soak, next event) { soak.pause(allBalancers(), next.duration) },
 
-		"store-busy":      storeStep(metadata.Faults{Busy: true}),
-		"store-silent":    storeStep(metadata.Faults{Silent: true}),
-		"store-throttles": storeStep(metadata.Faults{Throttled: true}),
-		"store-slow":      storeStep(metadata.Faults{Delay: slowTime}),
-		"store-late":      storeStep(metadata.Faults{LateWrites: lateTime}),
+		"store-busy":      storeFaultStep(metadata.Faults{Unavailable: true}),
+		"store-silent":    storeFaultStep(metadata.Faults{Unresponsive: true}),
+		"store-throttles": storeFaultStep(metadata.Faults{Throttled: true}),
+		"store-slow":      storeFaultStep(metadata.Faults{Delay: slowDelay}),
+		"store-late":      storeFaultStep(metadata.Faults{WriteDelay: lateWriteDelay}),
 		"store-compacts":  func(soak *soak, _ event) { soak.store.Compact() },
 
-		"store-drill": func(soak *soak, next event) { soak.drill(next.length) },
+		"store-drill": func(soak *soak, next event) { soak.restoreAfterOutage(next.duration) },
 
-		"store-refuses-some":   someStep(metadata.Faults{Busy: true}),
-		"store-throttles-some": someStep(metadata.Faults{Throttled: true}),
+		"store-refuses-some":   zoneStoreFaultStep(metadata.Faults{Unavailable: true}),
+		"store-throttles-some": zoneStoreFaultStep(metadata.Faults{Throttled: true}),
 
-		"store-link-silent": func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.There, swallow.Back) },
-		"store-link-deaf":   func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.Back) },
-		"store-link-mute":   func(soak *soak, next event) { soak.silence(soak.stores, next.place, swallow.There) },
-		"store-link-reset":  func(soak *soak, next event) { soak.reset(soak.stores, next.place) },
-		"peer-link-silent":  func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.There, swallow.Back) },
-		"peer-link-deaf":    func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.Back) },
-		"peer-link-mute":    func(soak *soak, next event) { soak.silence(soak.peers, next.place, swallow.There) },
-		"peer-link-reset":   func(soak *soak, next event) { soak.reset(soak.peers, next.place) },
-		"peer-link-slow":    func(soak *soak, next event) { soak.slow(next.place, next.length) },
+		"store-link-silent": func(soak *soak, next event) {
+			soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
+		},
+		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToClient) },
+		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget) },
+		"store-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.storeProxies, next.balancer) },
+		"peer-link-silent": func(soak *soak, next event) {
+			soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
+		},
+		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToClient) },
+		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget) },
+		"peer-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.peerProxies, next.balancer) },
+		"peer-link-slow":  func(soak *soak, next event) { soak.delayLinks(next.balancer, next.duration) },
 
-		"crash":      func(soak *soak, _ event) { soak.crash(soak.oldest("lending")) },
-		"crash-zone": func(soak *soak, next event) { soak.crash(soak.ofZone("lending", zones[next.place%len(zones)])...) },
+		"crash": func(soak *soak, _ event) { soak.crash(soak.oldestReady("lending")) },
+		"crash-zone": func(soak *soak, next event) {
+			soak.crash(soak.readyInZone("lending", zones[next.balancer%len(zones)])...)
+		},
 	}
 }
 
-// everywhere are the places of all balancers.
-func everywhere() []int {
+// allBalancers are the places of all balancers.
+func allBalancers() []int {
 	places := make([]int, soakBalancers)
 	for place := range places {
 		places[place] = place
@@ -107,8 +113,8 @@
 	return places
 }
 
-// zoneOf are the places of the balancers in the zone of one.
-func zoneOf(place int) []int {
+// balancersInZoneOf are the places of the balancers in the zone of one.
+func balancersInZoneOf(place int) []int {
 	var places []int
 	for other := range soakBalancers {
 		if other%len(zones) == place%len(zones) {
@@ -118,17 +124,17 @@
 	return places
 }
 
-// trouble notes that balancers, or the store if none are named, are disturbed for a
+// recordDisturbance notes that balancers, or the store if none are named, are disturbed for a
 // time, and runs the end of that.
-func (soak *soak) trouble(places []int, length time.Duration, end func()) {
+func (soak *soak) recordDisturbance(places []int, length time.Duration, end func()) {
 	now := time.Now()
-	soak.record.Lock()
-	soak.history.troubles = append(soak.history.troubles, trouble{span: span{from: now, until: now.Add(length)}, places: places})
-	soak.record.Unlock()
+	soak.historyMutex.Lock()
+	soak.history.disturbances = append(soak.history.disturbances, disturbance{span: span{from: now, until: now.Add(length)}, balancers: places})
+	soak.historyMutex.Unlock()
 	if end == nil {
 		return
 	}
-	soak.faults.Go(func() {
+	soak.activeFaults.Go(func() {
 		time.Sleep(length)
 		end()
 	})
@@ -137,65 +143,65 @@
 // kill kills balancers, which start again after a time. Those that live must manage
 // without them soon.
 func (soak *soak) kill(places []int, away time.Duration) {
-	if !soak.end(places, syscall.SIGKILL, away) {
-		soak.skip()
+	if !soak.terminate(places, syscall.SIGKILL, away) {
+		soak.markSkipped()
 		return
 	}
-	soak.trouble(places, killTime, nil)
+	soak.recordDisturbance(places, failoverTime, nil)
 }
 
-// stopSoon stops a balancer as planned. If others are away, or its settings file is
+// stopWhenPossible stops a balancer as planned. If others are away, or its settings file is
 // changed, it waits for its turn, unless one waits already.
-func (soak *soak) stopSoon(place int, away time.Duration) {
-	if !soak.stopping.CompareAndSwap(false, true) {
-		soak.skip()
+func (soak *soak) stopWhenPossible(place int, away time.Duration) {
+	if !soak.stopPending.CompareAndSwap(false, true) {
+		soak.markSkipped()
 		return
 	}
-	soak.faults.Go(func() {
-		for !soak.end([]int{place}, syscall.SIGTERM, away) {
-			time.Sleep(turnPause)
+	soak.activeFaults.Go(func() {
+		for !soak.terminate([]int{place}, syscall.SIGTERM, away) {
+			time.Sleep(pollInterval)
 		}
-		soak.stops.Add(1)
-		soak.stopping.Store(false)
+		soak.stopCount.Add(1)
+		soak.stopPending.Store(false)
 	})
 }
 
-// skip notes that the step of now isn't done.
-func (soak *soak) skip() { soak.plan[soak.step].skipped = true }
+// markSkipped notes that the step of now isn't done.
+func (soak *soak) markSkipped() { soak.plan[soak.eventIndex].skipped = true }
 
-// end ends balancers unless some are away already, and starts them again.
-func (soak *soak) end(places []int, signal syscall.Signal, away time.Duration) bool {
-	if !soak.holds.takeAway(places) {
+// terminate ends balancers unless some are away already, and starts them again.
+func (soak *soak) terminate(places []int, signal syscall.Signal, away time.Duration) bool {
+	if !soak.reservations.reserve(places) {
 		return false
 	}
 	for _, place := range places {
 		require.NoError(soak.t, soak.process(place).command.Process.Signal(signal))
 	}
-	soak.faults.Go(func() {
+	soak.activeFaults.Go(func() {
 		for _, place := range places {
 			_ = soak.process(place).command.Wait()
 		}
 		time.Sleep(away)
 		if signal == syscall.SIGKILL {
-			soak.trouble(places, 0, nil)
+			soak.recordDisturbance(places, 0, nil)
 		}
 		for _, place := range places {
-			soak.startAgain(place)
+			soak.restartBalancer(place)
 		}
-		soak.holds.back(places)
+		soak.reservations.release(places)
 	})
 	return true
 }
 
-// startAgain starts a balancer and waits until it has read its settings file: one that starts
+// restartBalancer starts a balancer and waits until it has read its settings file: one that starts
 // with a faulty file ends, as it must.
-func (soak *soak) startAgain(place int) {
+func (soak *soak) restartBalancer(place int) {
 	skipped := soak.logSize(place)
 	restarted := soak.restart(soak.process(place))
-	soak.record.Lock()
+	soak.historyMutex.Lock()
 	soak.processes[place] = restarted
-	soak.record.Unlock()
-	for until := time.Now().Add(startTime); time.Now().Before(until); time.Sleep(turnPause) {
+	soak.historyMutex.Unlock()
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(pollInterval) {
 		content, err := os.ReadFile(restarted.log.Name())
 		require.NoError(soak.t, err)
 		if strings.Contains(string(content[skipped:]), "msg=Started.") {
@@ -205,57 +211,57 @@
 }
 
 func (soak *soak) pause(places []int, length time.Duration) {
-	if !soak.holds.takeAway(places) {
-		soak.skip()
+	if !soak.reservations.reserve(places) {
+		soak.markSkipped()
 		return
 	}
 	for _, place := range places {
 		require.NoError(soak.t, soak.processes[place].command.Process.Signal(syscall.SIGSTOP))
 	}
-	soak.trouble(places, length, func() {
+	soak.recordDisturbance(places, length, func() {
 		for _, place := range places {
 			_ = soak.processes[place].command.Process.Signal(syscall.SIGCONT)
 		}
-		soak.holds.back(places)
+		soak.reservations.release(places)
 	})
 }
 
-func storeStep(faults metadata.Faults) func(*soak, event) {
+func storeFaultStep(faults metadata.Faults) func(*soak, event) {
 	return func(soak *soak, next event) {
 		soak.store.SetFaults(faults)
-		soak.trouble(nil, next.length, func() { soak.store.SetFaults(metadata.Faults{}) })
+		soak.recordDisturbance(nil, next.duration, func() { soak.store.SetFaults(metadata.Faults{}) })
 	}
 }
 
-// someStep has the store refuse the balancers of a zone, for so long that those who
+// zoneStoreFaultStep has the store refuse the balancers of a zone, for so long that those who
 // rely on them would miss something.
-func someStep(faults metadata.Faults) func(*soak, event) {
+func zoneStoreFaultStep(faults metadata.Faults) func(*soak, event) {
 	return func(soak *soak, next event) {
-		places := zoneOf(next.place)
+		places := balancersInZoneOf(next.balancer)
 		for _, place := range places {
-			soak.store.SetFaultsFor(soak.storeCaller(place), faults)
+			soak.store.SetCallerFaults(soak.storeCaller(place), faults)
 		}
-		soak.trouble(places, refusalTime, func() {
+		soak.recordDisturbance(places, refusalTime, func() {
 			for _, place := range places {
-				soak.store.SetFaultsFor(soak.storeCaller(place), metadata.Faults{})
+				soak.store.SetCallerFaults(soak.storeCaller(place), metadata.Faults{})
 			}
 		})
 	}
 }
 
 func (soak *soak) moveRoute() {
-	soak.moved = map[string]string{"lending": "covers", "covers": "lending"}[soak.moved]
+	soak.movingPool = map[string]string{"lending": "covers", "covers": "lending"}[soak.movingPool]
 	soak.configureRoutes()
 	now := time.Now()
-	soak.record.Lock()
-	defer soak.record.Unlock()
+	soak.historyMutex.Lock()
+	defer soak.historyMutex.Unlock()
 	spans := soak.history.pools["moving"]
 	spans[len(spans)-1].until = now
-	soak.history.pools["moving"] = append(spans, poolSpan{pool: soak.moved, span: span{from: now}})
+	soak.history.pools["moving"] = append(spans, poolSpan{pool: soak.movingPool, span: span{from: now}})
 }
 
 func (soak *soak) process(place int) *process {
-	soak.record.Lock()
-	defer soak.record.Unlock()
+	soak.historyMutex.Lock()
+	defer soak.historyMutex.Unlock()
 	return soak.processes[place]
 }
--- a/test/e2e/history_test.go
+++ b/test/e2e/history_test.go
@@ -20,13 +20,13 @@
 
 // attempt is one opening with its first request, or a later request.
 type attempt struct {
-	route  string
-	opens  bool
-	at     time.Time
-	ended  time.Time
-	result outcome
+	route     string
+	isOpening bool
+	at        time.Time
+	ended     time.Time
+	result    outcome
 	// server is "pool/id" of who answered, earlier that of the flow before.
-	server, earlier string
+	server, previousServer string
 	// port is the client's port of the flow, flow its name in the logs, body the
 	// request's bytes.
 	port uint16
@@ -47,34 +47,34 @@
 	leaving, dead map[string]time.Time
 	// crashed are the back ends that ended without having left.
 	crashed map[string]bool
-	// troubles are the spans of faults of the store or of balancers.
-	troubles []trouble
-	// silences are when open connections of balancers went silent.
-	silences []silence
+	// disturbances are the spans of faults of the store or of balancers.
+	disturbances []disturbance
+	// blackholes are when open connections of balancers went silent.
+	blackholes []blackhole
 	// bursts are when more was asked of some routes than their back ends can do.
-	bursts  []span
-	crowded map[string]bool
+	bursts           []span
+	overloadedRoutes map[string]bool
 	// runs tells how often each request has run, took of which clients' ports a
 	// back end took first packets.
-	runs map[string]int
-	took map[uint16]bool
-	// began is what times are told from.
-	began time.Time
-	// complaints are what was found broken while the soak ran.
-	complaints []string
+	runs        map[string]int
+	openedPorts map[uint16]bool
+	// startedAt is what times are told from.
+	startedAt time.Time
+	// violations are what was found broken while the soak ran.
+	violations []string
 }
 
-// trouble is a fault of balancers, or of the store if none are named.
-type trouble struct {
+// disturbance is a fault of balancers, or of the store if none are named.
+type disturbance struct {
 	span
-	places []int
+	balancers []int
 }
 
-// silence is when the open connections to the store of a balancer, or to it of the
+// blackhole is when the open connections to the store of a balancer, or to it of the
 // others, went silent.
-type silence struct {
-	at    time.Time
-	place int
+type blackhole struct {
+	at       time.Time
+	balancer int
 }
 
 type span struct {
@@ -86,57 +86,57 @@
 	span
 }
 
-// concerns tells whether a trouble struck the store or one of some balancers.
-func (struck trouble) concerns(places []int) bool {
-	return len(struck.places) == 0 || slices.ContainsFunc(struck.places, func(place int) bool { return slices.Contains(places, place) })
+// affects tells whether a trouble struck the store or one of some balancers.
+func (struck disturbance) affects(places []int) bool {
+	return len(struck.balancers) == 0 || slices.ContainsFunc(struck.balancers, func(place int) bool { return slices.Contains(places, place) })
 }
 
-// calm tells whether the store and some balancers were in touch from one time
-// until another: nothing disturbed them then or in calmTime before.
-func (history *history) calm(from, until time.Time, places []int) bool {
-	for _, trouble := range history.troubles {
-		if trouble.concerns(places) && trouble.from.Before(until) && trouble.until.Add(calmTime).After(from) {
+// undisturbed tells whether the store and some balancers were in touch from one time
+// until another: nothing disturbed them then or in settleTime before.
+func (history *history) undisturbed(from, until time.Time, places []int) bool {
+	for _, trouble := range history.disturbances {
+		if trouble.affects(places) && trouble.from.Before(until) && trouble.until.Add(settleTime).After(from) {
 			return false
 		}
 	}
 	return true
 }
 
-// slack is how much later news may come at an attempt: that via the balancer whose
+// allowedDelay is how much later news may come at an attempt: that via the balancer whose
 // connections have gone silent.
-func (history *history) slack(attempt attempt) time.Duration {
-	silent := func(silence silence) bool {
-		return slices.Contains(attempt.via, silence.place) && silence.at.Before(attempt.at) && attempt.at.Sub(silence.at) < calmTime+silenceSlack
+func (history *history) allowedDelay(attempt attempt) time.Duration {
+	silent := func(silence blackhole) bool {
+		return slices.Contains(attempt.via, silence.balancer) && silence.at.Before(attempt.at) && attempt.at.Sub(silence.at) < settleTime+blackholeSlack
 	}
-	if slices.ContainsFunc(history.silences, silent) {
-		return silenceSlack
+	if slices.ContainsFunc(history.blackholes, silent) {
+		return blackholeSlack
 	}
 	return 0
 }
 
-// crowd tells whether an attempt falls into a burst on its route, or into what a
+// duringBurst tells whether an attempt falls into a burst on its route, or into what a
 // burst may cost after it.
-func (history *history) crowd(attempt attempt) bool {
-	return history.crowded[attempt.route] && slices.ContainsFunc(history.bursts, func(burst span) bool {
-		return attempt.ended.After(burst.from) && attempt.at.Before(burst.until.Add(burstBound))
+func (history *history) duringBurst(attempt attempt) bool {
+	return history.overloadedRoutes[attempt.route] && slices.ContainsFunc(history.bursts, func(burst span) bool {
+		return attempt.ended.After(burst.from) && attempt.at.Before(burst.until.Add(burstRecoveryBound))
 	})
 }
 
-// bereft tells whether a back end crashed a little before an attempt or during it.
+// nearCrash tells whether a back end crashed a little before an attempt or during it.
 // The planned end of one that had left excuses nothing.
-func (history *history) bereft(attempt attempt) bool {
+func (history *history) nearCrash(attempt attempt) bool {
 	for server, died := range history.dead {
-		if history.crashed[server] && died.Before(attempt.ended) && died.Add(deathBound).After(attempt.at) {
+		if history.crashed[server] && died.Before(attempt.ended) && died.Add(crashRecoveryBound).After(attempt.at) {
 			return true
 		}
 	}
 	return false
 }
 
-// tell tells an attempt for a reader, with the time since its back end began to leave.
-func (history *history) tell(told attempt) string {
-	text := fmt.Sprintf("route %s, opens %t, at %.2f s, took %s, %s, by %q after %q, flow %s, via balancers %v", told.route, told.opens,
-		told.at.Sub(history.began).Seconds(), told.ended.Sub(told.at), outcomeNames[told.result], told.server, told.earlier, told.flow, told.via)
+// describe tells an attempt for a reader, with the time since its back end began to leave.
+func (history *history) describe(told attempt) string {
+	text := fmt.Sprintf("route %s, opens %t, at %.2f s, took %s, %s, by %q after %q, flow %s, via balancers %v", told.route, told.isOpening,
+		told.at.Sub(history.startedAt).Seconds(), told.ended.Sub(told.at), outcomeNames[told.result], told.server, told.previousServer, told.flow, told.via)
 	if left, leaving := history.leaving[told.server]; leaving {
 		text += fmt.Sprintf(", %.2f s after it began to leave", told.at.Sub(left).Seconds())
 	}
--- a/test/e2e/leaving_test.go
+++ b/test/e2e/leaving_test.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// oldest returns the back end of a pool that has been ready for longest, if
+// oldestReady returns the back end of a pool that has been ready for longest, if
 // there are more than two.
-func (soak *soak) oldest(pool string) string {
+func (soak *soak) oldestReady(pool string) string {
 	oldest, count := "", 0
-	for _, id := range soak.ready(pool) {
+	for _, id := range soak.readyBackends(pool) {
 		count++
 		if oldest == "" || len(id) < len(oldest) || len(id) == len(oldest) && id < oldest {
 			oldest = id
@@ -20,31 +20,31 @@
 	return oldest
 }
 
-// ready are the back ends of a pool that take flows.
-func (soak *soak) ready(pool string) []string {
+// readyBackends are the back ends of a pool that take flows.
+func (soak *soak) readyBackends(pool string) []string {
 	soak.mutex.Lock()
 	defer soak.mutex.Unlock()
 	var found []string
 	for id, backend := range soak.backends {
-		if backend.Pool == pool && backend.state == "ready" && !backend.silent {
+		if backend.Pool == pool && backend.state == "ready" && !backend.withoutEntry {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// ofZone are the back ends of a pool in a zone that take flows.
-func (soak *soak) ofZone(pool, zone string) []string {
+// readyInZone are the back ends of a pool in a zone that take flows.
+func (soak *soak) readyInZone(pool, zone string) []string {
 	var found []string
-	for _, id := range soak.ready(pool) {
-		if soak.zoneOfBackend(id) == zone {
+	for _, id := range soak.readyBackends(pool) {
+		if soak.backendZone(id) == zone {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-func (soak *soak) zoneOfBackend(id string) string {
+func (soak *soak) backendZone(id string) string {
 	soak.mutex.Lock()
 	defer soak.mutex.Unlock()
 	return soak.backends[id].zone
@@ -52,21 +52,21 @@
 
 // leave lets a back end leave with or without a notice; another takes its part.
 func (soak *soak) leave(how string) {
-	id := soak.oldest("lending")
+	id := soak.oldestReady("lending")
 	if id == "" {
-		soak.skip()
+		soak.markSkipped()
 		return
 	}
-	soak.newBackend("lending")
+	soak.addBackend("lending")
 	if how == "draining" {
 		soak.setState(id, "draining")
 	} else {
 		soak.removeEntry(id)
 	}
-	soak.mark(soak.history.leaving, id)
-	soak.faults.Go(func() {
-		time.Sleep(drainBound + calmTime)
-		soak.endBackend(id)
+	soak.recordTime(soak.history.leaving, id)
+	soak.activeFaults.Go(func() {
+		time.Sleep(drainBound + settleTime)
+		soak.terminateBackend(id)
 	})
 }
 
@@ -74,32 +74,32 @@
 func (soak *soak) crash(ids ...string) {
 	for _, id := range ids {
 		if id == "" {
-			soak.skip()
+			soak.markSkipped()
 			return
 		}
-		soak.newBackend("lending")
-		soak.record.Lock()
+		soak.addBackend("lending")
+		soak.historyMutex.Lock()
 		soak.history.crashed["lending/"+id] = true
-		soak.record.Unlock()
-		soak.endBackend(id)
+		soak.historyMutex.Unlock()
+		soak.terminateBackend(id)
 	}
 }
 
-func (soak *soak) endBackend(id string) {
-	soak.mark(soak.history.dead, id)
+func (soak *soak) terminateBackend(id string) {
+	soak.recordTime(soak.history.dead, id)
 	soak.mutex.Lock()
 	ended := soak.backends[id]
-	ended.silent = true
+	ended.withoutEntry = true
 	soak.mutex.Unlock()
 	ended.Stop()
-	soak.faults.Go(func() {
-		time.Sleep(3 * beatPause)
+	soak.activeFaults.Go(func() {
+		time.Sleep(3 * entryInterval)
 		soak.store.Remove("servers/" + id)
 	})
 }
 
-func (soak *soak) mark(marks map[string]time.Time, id string) {
-	soak.record.Lock()
-	defer soak.record.Unlock()
+func (soak *soak) recordTime(marks map[string]time.Time, id string) {
+	soak.historyMutex.Lock()
+	defer soak.historyMutex.Unlock()
 	marks["lending/"+id] = time.Now()
 }
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -6,30 +6,30 @@
 	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
-// silence lets the open connections to the store of a balancer, or to it of the
+// blackhole lets the open connections to the store of a balancer, or to it of the
 // others, carry nothing more.
-func (soak *soak) silence(proxies []*swallow.Proxy, place int, ways ...swallow.Way) {
-	proxies[place].Silence(ways...)
-	soak.record.Lock()
-	defer soak.record.Unlock()
-	soak.history.silences = append(soak.history.silences, silence{at: time.Now(), place: place})
+func (soak *soak) blackhole(proxies []*swallow.Proxy, place int, ways ...swallow.Direction) {
+	proxies[place].Blackhole(ways...)
+	soak.historyMutex.Lock()
+	defer soak.historyMutex.Unlock()
+	soak.history.blackholes = append(soak.history.blackholes, blackhole{at: time.Now(), balancer: place})
 }
 
-func (soak *soak) reset(proxies []*swallow.Proxy, place int) {
-	proxies[place].Reset()
-	soak.trouble(soak.linked(proxies, place), 0, nil)
+func (soak *soak) resetLinks(proxies []*swallow.Proxy, place int) {
+	proxies[place].ResetConnections()
+	soak.recordDisturbance(soak.balancersBehind(proxies, place), 0, nil)
 }
 
-// linked are the balancers whose connections end at a proxy.
-func (soak *soak) linked(proxies []*swallow.Proxy, place int) []int {
-	if proxies[place] == soak.stores[place] {
+// balancersBehind are the balancers whose connections end at a proxy.
+func (soak *soak) balancersBehind(proxies []*swallow.Proxy, place int) []int {
+	if proxies[place] == soak.storeProxies[place] {
 		return []int{place}
 	}
-	return everywhere()
+	return allBalancers()
 }
 
-// slow holds back what passes to a balancer and back.
-func (soak *soak) slow(place int, length time.Duration) {
-	soak.peers[place].Delay(slowTime)
-	soak.trouble(everywhere(), length, func() { soak.peers[place].Delay(0) })
+// delayLinks holds back what passes to a balancer and back.
+func (soak *soak) delayLinks(place int, length time.Duration) {
+	soak.peerProxies[place].Delay(slowDelay)
+	soak.recordDisturbance(allBalancers(), length, func() { soak.peerProxies[place].Delay(0) })
 }
--- a/test/e2e/plan_test.go
+++ b/test/e2e/plan_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// longAway is how long a lost balancer stays away.
-	longAway = 14 * time.Second
+	// longDowntime is how long a lost balancer stays away.
+	longDowntime = 14 * time.Second
 	// A soak goes through cycles: faults of all kinds, then planned work only,
 	// long enough to judge it by its bounds in time.
-	cycleTime = 22 * time.Second
-	stormTime = 6 * time.Second
+	cycleTime      = 22 * time.Second
+	faultPhaseTime = 6 * time.Second
 )
 
 // event is one fault or piece of planned work.
 type event struct {
 	at   time.Duration
 	step string
-	// place is the balancer that it strikes, or the first of them.
-	place  int
-	length time.Duration
+	// balancer is the balancer that it strikes, or the first of them.
+	balancer int
+	duration time.Duration
 	// skipped is set when it was not done, since another step held its balancer.
 	skipped bool
 }
@@ -46,57 +46,57 @@
 			return made
 		}
 		steps := plannedSteps
-		if at%cycleTime < stormTime {
-			steps = append(append([]string(nil), stormSteps...), plannedSteps...)
+		if at%cycleTime < faultPhaseTime {
+			steps = append(append([]string(nil), faultSteps...), plannedSteps...)
 		}
 		next := event{
-			at:     at,
-			step:   steps[chance.IntN(len(steps))],
-			place:  chance.IntN(soakBalancers),
-			length: time.Duration(300+chance.IntN(2500)) * time.Millisecond,
+			at:       at,
+			step:     steps[chance.IntN(len(steps))],
+			balancer: chance.IntN(soakBalancers),
+			duration: time.Duration(300+chance.IntN(2500)) * time.Millisecond,
 		}
 		made = append(made, next)
-		if waitedFor[next.step] {
-			at += next.length
+		if blockingSteps[next.step] {
+			at += next.duration
 		}
 	}
 }
 
 const (
-	// Drills come in series for stormTime, then planned work only for drillCalm, in which
+	// Drills come in series for faultPhaseTime, then planned work only for restoreQuietTime, in which
 	// bounds in time are judged.
-	drillCalm = 9 * time.Second
+	restoreQuietTime = 9 * time.Second
 )
 
-// drillSteps overlap a drill: faults, and planned work, which meanwhile may be noticed.
-var drillSteps = []string{"kill", "kill-zone", "kill-all", "pause-zone", "store-compacts", "store-refuses-some", "store-link-silent",
+// restoreSteps overlap a drill: faults, and planned work, which meanwhile may be noticed.
+var restoreSteps = []string{"kill", "kill-zone", "kill-all", "pause-zone", "store-compacts", "store-refuses-some", "store-link-silent",
 	"peer-link-silent", "crash", "stop", "leave", "vanish", "move", "settings"}
 
-// calmSteps are planned work that leaves the back ends room: what is refused or held up by it
+// quietSteps are planned work that leaves the back ends room: what is refused or held up by it
 // is no burst's.
-var calmSteps = []string{"stop", "leave", "vanish", "move", "settings"}
+var quietSteps = []string{"stop", "leave", "vanish", "move", "settings"}
 
-// makeDrillPlan makes the plan of a seed in which the store comes back from copies again and
+// makeRestorePlan makes the plan of a seed in which the store comes back from copies again and
 // again, while balancers and back ends come and go.
-func makeDrillPlan(seed int, length time.Duration) plan {
+func makeRestorePlan(seed int, length time.Duration) plan {
 	chance := rand.New(rand.NewPCG(uint64(seed), 3))
 	var made plan
 	add := func(at time.Duration, steps ...string) time.Duration {
-		next := event{at: at, step: steps[chance.IntN(len(steps))], place: chance.IntN(soakBalancers),
-			length: time.Duration(300+chance.IntN(2000)) * time.Millisecond}
+		next := event{at: at, step: steps[chance.IntN(len(steps))], balancer: chance.IntN(soakBalancers),
+			duration: time.Duration(300+chance.IntN(2000)) * time.Millisecond}
 		made = append(made, next)
-		return next.length
+		return next.duration
 	}
 	pause := func() time.Duration { return time.Duration(150+chance.IntN(800)) * time.Millisecond }
 	for at := pause(); at < length; {
-		for storm := at + stormTime; at < storm; at += pause() {
+		for storm := at + faultPhaseTime; at < storm; at += pause() {
 			away := add(at, "store-drill")
-			add(at+away/3, drillSteps...)
-			add(at+away/2, drillSteps...)
+			add(at+away/3, restoreSteps...)
+			add(at+away/2, restoreSteps...)
 			at += away
 		}
-		for calm := at + drillCalm; at < calm; at += 2 * pause() {
-			add(at, calmSteps...)
+		for calm := at + restoreQuietTime; at < calm; at += 2 * pause() {
+			add(at, quietSteps...)
 		}
 	}
 	return made
@@ -107,7 +107,7 @@
 func (plan plan) String() string {
 	var text strings.Builder
 	for _, next := range plan {
-		fmt.Fprint(&text, next.at, " ", next.step, " ", next.place, " ", next.length)
+		fmt.Fprint(&text, next.at, " ", next.step, " ", next.balancer, " ", next.duration)
 		if next.skipped {
 			fmt.Fprint(&text, " # skipped")
 		}
@@ -125,16 +125,16 @@
 		}
 		var next event
 		var at, length string
-		if _, err := fmt.Sscan(line, &at, &next.step, &next.place, &length); err != nil {
+		if _, err := fmt.Sscan(line, &at, &next.step, &next.balancer, &length); err != nil {
 			return nil, errors.Wrapf(err, "plan: %q", line)
 		}
 		var first, second error
 		next.at, first = time.ParseDuration(at)
-		next.length, second = time.ParseDuration(length)
+		next.duration, second = time.ParseDuration(length)
 		if err := errors.CombineErrors(first, second); err != nil {
 			return nil, errors.Wrapf(err, "plan: %q", line)
 		}
-		if next.place < 0 || next.place >= soakBalancers || soakSteps[next.step] == nil {
+		if next.balancer < 0 || next.balancer >= soakBalancers || soakSteps[next.step] == nil {
 			return nil, errors.Newf("plan: %q: no such balancer or step", line)
 		}
 		read = append(read, next)
@@ -156,8 +156,8 @@
 		seen[next.step] = true
 	}
 	require.Len(t, seen, len(soakSteps))
-	drills := makeDrillPlan(7, 10*time.Minute)
-	require.Equal(t, drills, makeDrillPlan(7, 10*time.Minute))
+	drills := makeRestorePlan(7, 10*time.Minute)
+	require.Equal(t, drills, makeRestorePlan(7, 10*time.Minute))
 	require.True(t, slices.IsSortedFunc(drills, func(a, b event) int { return cmp.Compare(a.at, b.at) }))
 	for _, faulty := range []string{"1s kill", "1s nothing 0 1s", "1s kill 5 1s", "1 kill 0 1s"} {
 		_, err := parsePlan(faulty)
--- a/test/e2e/proxy_test.go
+++ b/test/e2e/proxy_test.go
@@ -33,7 +33,7 @@
 				return
 			}
 			go func() {
-				_, _ = io.Copy(accepted, io.TeeReader(accepted, teller(heard)))
+				_, _ = io.Copy(accepted, io.TeeReader(accepted, byteWriter(heard)))
 			}()
 		}
 	}()
@@ -57,12 +57,12 @@
 	first := dial()
 	require.NoError(t, echo(first))
 	<-heard
-	made.Silence(swallow.Back)
+	made.Blackhole(swallow.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Equal(t, byte('x'), <-heard, "the other direction works")
 	require.NoError(t, echo(dial()))
 	<-heard
-	made.Silence(swallow.There, swallow.Back)
+	made.Blackhole(swallow.ToTarget, swallow.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Empty(t, heard)
 	second := dial()
@@ -70,14 +70,14 @@
 	began := time.Now()
 	require.NoError(t, echo(second))
 	require.GreaterOrEqual(t, time.Since(began), 100*time.Millisecond)
-	made.Reset()
+	made.ResetConnections()
 	require.ErrorContains(t, echo(second), "reset")
 }
 
-// teller passes on each byte that is written to it.
-type teller chan<- byte
+// byteWriter passes on each byte that is written to it.
+type byteWriter chan<- byte
 
-func (told teller) Write(content []byte) (int, error) {
+func (told byteWriter) Write(content []byte) (int, error) {
 	for _, one := range content {
 		told <- one
 	}
--- a/test/e2e/report_test.go
+++ b/test/e2e/report_test.go
@@ -22,24 +22,24 @@
 	outcomeColours = []string{"#4a8", "#e8a33d", "#d33", "#84c", "#8ab4d8"}
 )
 
-// counts tells the outcomes of all attempts, and of each route's in bursts.
-func (soak *soak) counts() string {
+// outcomeSummary tells the outcomes of all attempts, and of each route's in bursts.
+func (soak *soak) outcomeSummary() string {
 	all := make([]int, len(outcomeNames))
 	crowded := map[string][]int{"urgent": make([]int, len(outcomeNames)), "patient": make([]int, len(outcomeNames))}
 	for _, seen := range soak.history.attempts {
 		all[seen.result]++
-		if soak.history.crowd(seen) {
+		if soak.history.duringBurst(seen) {
 			crowded[seen.route][seen.result]++
 		}
 	}
-	told := sayCounts(all)
+	told := formatCounts(all)
 	for _, route := range []string{"urgent", "patient"} {
-		told += fmt.Sprintf("; %s in bursts: %s", route, sayCounts(crowded[route]))
+		told += fmt.Sprintf("; %s in bursts: %s", route, formatCounts(crowded[route]))
 	}
 	return told
 }
 
-func sayCounts(counts []int) string {
+func formatCounts(counts []int) string {
 	var said []string
 	for result, count := range counts {
 		said = append(said, fmt.Sprintf("%d %s", count, outcomeNames[result]))
@@ -47,8 +47,8 @@
 	return strings.Join(said, ", ")
 }
 
-// keep writes what is kept of a soak, if a directory for it is set.
-func (soak *soak) keep(seed int, broken []string) {
+// saveArtifacts writes what is kept of a soak, if a directory for it is set.
+func (soak *soak) saveArtifacts(seed int, broken []string) {
 	directory := os.Getenv(soakKeepVariable)
 	if directory == "" {
 		return
@@ -70,7 +70,7 @@
 		logs = append(logs, kept)
 	}
 	for _, seen := range soak.history.attempts {
-		if len(soak.history.judge(seen)) > 0 {
+		if len(soak.history.violationsOf(seen)) > 0 {
 			story, _ := exec.Command(binary(soak.t, "balancer"), append([]string{"explain", seen.flow}, logs...)...).CombinedOutput()
 			soak.write(filepath.Join(directory, "story"), string(story))
 			return
@@ -103,7 +103,7 @@
 	require.NoError(soak.t, err)
 	defer func() { _ = file.Close() }()
 	require.NoError(soak.t, reportPage.Execute(file, map[string]any{
-		"Seed": seed, "Counts": soak.counts(), "Broken": broken, "Plan": soak.plan.String(),
+		"Seed": seed, "Counts": soak.outcomeSummary(), "Broken": broken, "Plan": soak.plan.String(),
 		"Time": soak.timeChart(), "Latency": soak.latencyChart(),
 		"Buckets": "each bar twice as long as the one before it, the first to 1 ms",
 	}))
@@ -111,19 +111,19 @@
 
 // timeChart stacks the outcomes of each second before the plan's events.
 func (soak *soak) timeChart() []box {
-	seconds := int(time.Since(soak.began).Seconds()) + 1
+	seconds := int(time.Since(soak.startedAt).Seconds()) + 1
 	counts := make([][5]int, seconds)
 	most := 1
 	for _, seen := range soak.history.attempts {
-		second := int(seen.at.Sub(soak.began).Seconds())
+		second := int(seen.at.Sub(soak.startedAt).Seconds())
 		counts[second][seen.result]++
 		most = max(most, sum(counts[second][:]))
 	}
 	wide := chartWidth / float64(seconds)
 	var boxes []box
 	for _, next := range soak.plan {
-		boxes = append(boxes, box{X: next.at.Seconds() * wide, Width: max(next.length.Seconds()*wide, 1), Height: chartHeight, Colour: "#0002",
-			Title: fmt.Sprintf("%s %s, balancer %d, %s", next.at, next.step, next.place, next.length)})
+		boxes = append(boxes, box{X: next.at.Seconds() * wide, Width: max(next.duration.Seconds()*wide, 1), Height: chartHeight, Colour: "#0002",
+			Title: fmt.Sprintf("%s %s, balancer %d, %s", next.at, next.step, next.balancer, next.duration)})
 	}
 	for second, each := range counts {
 		base := float64(chartHeight)
--- a/test/e2e/restarts_test.go
+++ b/test/e2e/restarts_test.go
@@ -10,12 +10,12 @@
 const (
 	// restartsNetworks are the loopback networks that soaks of restarts run in, by their seeds:
 	// those that are left above the others.
-	restartsFirstNetwork = drillFirstNetwork + soakNetworks
+	restartsFirstNetwork = restoreFirstNetwork + soakNetworks
 	restartsNetworks     = 35
 	// restartsDefaultSeconds is a cycle and its calm part once more.
 	restartsDefaultSeconds = 24
-	// restartsAwayShare is one part in so many of the balancers that may be away at once.
-	restartsAwayShare = 3
+	// restartsDownDivisor is one part in so many of the balancers that may be away at once.
+	restartsDownDivisor = 3
 )
 
 // restartSteps are planned work that comes in series, each step before the one before has ended.
@@ -31,11 +31,11 @@
 	var made plan
 	for at := time.Duration(0); at < length; at += time.Duration(100+chance.IntN(500)) * time.Millisecond {
 		steps := restartSteps
-		if at%cycleTime < stormTime {
+		if at%cycleTime < faultPhaseTime {
 			steps = slices.Concat(restartFaults, restartSteps)
 		}
-		made = append(made, event{at: at, step: steps[chance.IntN(len(steps))], place: chance.IntN(soakBalancers),
-			length: time.Duration(300+chance.IntN(1500)) * time.Millisecond})
+		made = append(made, event{at: at, step: steps[chance.IntN(len(steps))], balancer: chance.IntN(soakBalancers),
+			duration: time.Duration(300+chance.IntN(1500)) * time.Millisecond})
 	}
 	return made
 }
@@ -46,6 +46,6 @@
 	seed := soakNumber(soakSeedVariable, soakDefaultSeed)
 	length := time.Duration(soakNumber(soakSecondsVariable, restartsDefaultSeconds)) * time.Second
 	soak := newSoak(t, restartsFirstNetwork+seed%restartsNetworks, makeRestartPlan(seed, length))
-	soak.holds.limit = max(1, soakBalancers/restartsAwayShare)
-	playSoak(t, soak, seed)
+	soak.reservations.limit = max(1, soakBalancers/restartsDownDivisor)
+	runSoak(t, soak, seed)
 }
--- a/test/e2e/settings_test.go
+++ b/test/e2e/settings_test.go
@@ -22,8 +22,8 @@
 // changeSettings changes what a running balancer takes: the level of its log and
 // the order of its seeds. Every other time it is told so.
 func (soak *soak) changeSettings(place int, length time.Duration) {
-	if !soak.holds.change(place) {
-		soak.skip()
+	if !soak.reservations.reserveSettings(place) {
+		soak.markSkipped()
 		return
 	}
 	path, content := soak.settingsFile(place)
@@ -33,18 +33,18 @@
 	}
 	skipped := soak.logSize(place)
 	soak.write(path, changed)
-	soak.tell(place, length)
-	soak.faults.Go(func() {
-		soak.awaitLine(place, skipped, "Settings: in force.")
-		soak.holds.changed(place)
+	soak.signalReload(place, length)
+	soak.activeFaults.Go(func() {
+		soak.checkLogLine(place, skipped, "Settings: in force.")
+		soak.reservations.releaseSettings(place)
 	})
 }
 
 // breakSettings writes a file that a running balancer must refuse, and then the
 // good one again.
 func (soak *soak) breakSettings(place int, length time.Duration) {
-	if !soak.holds.change(place) {
-		soak.skip()
+	if !soak.reservations.reserveSettings(place) {
+		soak.markSkipped()
 		return
 	}
 	path, content := soak.settingsFile(place)
@@ -54,11 +54,11 @@
 	}
 	skipped := soak.logSize(place)
 	soak.write(path, faulty)
-	soak.tell(place, length)
-	soak.faults.Go(func() {
-		soak.awaitLine(place, skipped, "Settings: refused, the old ones stay.")
+	soak.signalReload(place, length)
+	soak.activeFaults.Go(func() {
+		soak.checkLogLine(place, skipped, "Settings: refused, the old ones stay.")
 		soak.write(path, content)
-		soak.holds.changed(place)
+		soak.reservations.releaseSettings(place)
 	})
 }
 
@@ -66,24 +66,24 @@
 	require.NoError(soak.t, os.WriteFile(path, []byte(content), 0o600))
 }
 
-func (soak *soak) tell(place int, length time.Duration) {
+func (soak *soak) signalReload(place int, length time.Duration) {
 	if length%(2*time.Millisecond) == 0 {
 		_ = soak.process(place).command.Process.Signal(syscall.SIGHUP)
 	}
 }
 
-// awaitLine requires that a balancer's log tells something soon, unless the balancer
+// checkLogLine requires that a balancer's log tells something soon, unless the balancer
 // is disturbed meanwhile. Skipped is the size of the log before.
-func (soak *soak) awaitLine(place int, skipped int64, wanted string) {
+func (soak *soak) checkLogLine(place int, skipped int64, wanted string) {
 	began := time.Now()
 	watched := soak.process(place)
-	time.Sleep(lookTime)
+	time.Sleep(settingsTimeout)
 	content, err := os.ReadFile(watched.log.Name())
 	require.NoError(soak.t, err)
-	soak.record.Lock()
-	defer soak.record.Unlock()
-	if !strings.Contains(string(content[skipped:]), wanted) && soak.history.calm(began, time.Now(), []int{place}) && watched == soak.processes[place] {
-		soak.history.complaints = append(soak.history.complaints, fmt.Sprintf("%s did not say %q from %s on", watched.name, wanted, began.Format(time.TimeOnly)))
+	soak.historyMutex.Lock()
+	defer soak.historyMutex.Unlock()
+	if !strings.Contains(string(content[skipped:]), wanted) && soak.history.undisturbed(began, time.Now(), []int{place}) && watched == soak.processes[place] {
+		soak.history.violations = append(soak.history.violations, fmt.Sprintf("%s did not say %q from %s on", watched.name, wanted, began.Format(time.TimeOnly)))
 	}
 }
 
--- a/test/e2e/shrink_test.go
+++ b/test/e2e/shrink_test.go
@@ -67,7 +67,7 @@
 	t.Parallel()
 	var begun plan
 	for place := range 10 {
-		begun = append(begun, event{step: "kill", place: place})
+		begun = append(begun, event{step: "kill", balancer: place})
 	}
 	needs := func(smaller plan) bool {
 		return slices.Contains(smaller, begun[2]) && slices.Contains(smaller, begun[7])
--- a/test/e2e/tour_test.go
+++ b/test/e2e/tour_test.go
@@ -15,7 +15,7 @@
 // printed and its exit code.
 func (cluster *cluster) command(arguments ...string) (string, int) {
 	command := exec.Command(binary(cluster.t, "indigobarrow"), arguments...)
-	command.Env = append(os.Environ(), "INDIGOBARROW_NODE="+cluster.host(cluster.order[0])+":6070")
+	command.Env = append(os.Environ(), "INDIGOBARROW_NODE="+cluster.host(cluster.nodeIDs[0])+":6070")
 	output, err := command.CombinedOutput()
 	if _, isExit := err.(*exec.ExitError); err != nil && !isExit {
 		require.NoError(cluster.t, err)
@@ -23,17 +23,17 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-func (cluster *cluster) file(name, content string) string {
+func (cluster *cluster) writeFile(name, content string) string {
 	path := filepath.Join(cluster.dir, name)
 	require.NoError(cluster.t, os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
-// TestOperatorsTour drives the commands as the README shows them to a newcomer.
-func TestOperatorsTour(t *testing.T) {
+// TestOperatorCommands drives the commands as the README shows them to a newcomer.
+func TestOperatorCommands(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t, 6)
-	cluster.call(4, 400)
+	cluster.startCallers(4, 400)
 	expect := func(code int, want string, arguments ...string) string {
 		t.Helper()
 		output, got := cluster.command(arguments...)
@@ -44,20 +44,20 @@
 	expect(0, "lending", "service", "list")
 	expect(0, "lending-3", "service", "get", "lending")
 	expect(2, "there is no such service", "service", "get", "nothing")
-	gentle := cluster.file("gentle.json", `{"name": "gentle", "weight": "1.0 - 0.3 * load"}`)
+	gentle := cluster.writeFile("gentle.json", `{"name": "gentle", "weight": "1.0 - 0.3 * load"}`)
 	expect(0, "WEIGHT", "policy", "check", gentle)
 	expect(0, "revision 3", "policy", "apply", "--operation-id", "first", gentle)
 	expect(0, "accepted before", "policy", "apply", "--operation-id", "first", gentle)
 	expect(3, "the configuration is at revision 3", "policy", "apply", "--base-revision", "2", gentle)
-	broken := cluster.file("broken.json", `{"name": "gentle", "weight": "1.0 - lod"}`)
+	broken := cluster.writeFile("broken.json", `{"name": "gentle", "weight": "1.0 - lod"}`)
 	expect(2, "undeclared reference to 'lod'", "policy", "apply", broken)
-	changed := cluster.file("changed.json", `{"name": "gentle", "weight": "1.0 - 0.4 * load"}`)
+	changed := cluster.writeFile("changed.json", `{"name": "gentle", "weight": "1.0 - 0.4 * load"}`)
 	expect(0, "0.4 * load", "policy", "diff", changed)
 	expect(0, "revision 4", "policy", "apply", changed)
 	expect(0, "revision 5", "policy", "rollback", "gentle")
 	expect(0, "1.0 - 0.3 * load", "policy", "get", "gentle")
 	time.Sleep(4 * time.Second)
-	expect(0, "WEIGHT NOW", "policy", "check", "--against", "live", cluster.file("default.json", `{"name": "default"}`))
+	expect(0, "WEIGHT NOW", "policy", "check", "--against", "live", cluster.writeFile("default.json", `{"name": "default"}`))
 	expect(0, "revision 6", "drain", "lending/lending-1")
 	expect(0, "6 in force", "status", "--wait")
 	expect(2, "has no slash", "drain", "lending")
@@ -65,7 +65,7 @@
 	expect(0, "revision 7", "undrain", "lending/lending-1")
 	expect(0, "7 in force", "status", "--wait")
 	cluster.explainSomeFlow(expect)
-	settings := cluster.file("bad.yaml", "id: maadi-9\nzone: maadi\nstore_adress: 127.0.0.1:7000\nlog_level: loud\n")
+	settings := cluster.writeFile("bad.yaml", "id: maadi-9\nzone: maadi\nstore_adress: 127.0.0.1:7000\nlog_level: loud\n")
 	output := expect(2, "did you mean store_address?", "config", "check", "--settings", settings)
 	require.Contains(t, output, "line 4: log_level")
 	expect(1, "no answer", "status", "--node", "127.0.0.1:1")
@@ -75,7 +75,7 @@
 		_, code := cluster.command("drain", "lending/lending-1")
 		return code == 2
 	}, 5*time.Second, 100*time.Millisecond, "without a token nothing may be changed any more")
-	cluster.judge(cluster.finish())
+	cluster.verify(cluster.finishCallers())
 }
 
 // explainSomeFlow explains a flow of the callers and one that nobody has seen.
