--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -15,18 +15,19 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// node is one balancer of the model: the real core and router, with modelled
+// node is one simulated balancer: it runs the real core and router, with modeled
 // sockets.
 type node struct {
-	world  *Simulation
+	sim    *Simulation
 	id     string
 	zone   string
 	core   *core.Core
 	router *router.Router
 	dead   bool
 	paused bool
-	// inbox holds what arrived while the node was paused; traffic comes first,
-	// as the traffic goroutines may run before the control goroutine.
+	// pausedPackets and pausedMessages hold what arrived while the node was
+	// paused. The packets are handled first, since in a real node the traffic
+	// goroutines may run before the control goroutine.
 	pausedPackets     []func()
 	pausedMessages    []func()
 	queuedPackets     map[flow.Key][]packet
@@ -36,42 +37,44 @@
 	bytesByKind       map[string]uint64
 	controlRates      []float64
 	groupLiveness     uint64
-	// weightsDocumentVersion is the document whose weights the node wants.
+	// weightsDocumentVersion is the version of the document whose weights the
+	// node last set as desired.
 	weightsDocumentVersion uint64
 	startedAt              time.Duration
 	acceptedAt             map[uint64]time.Duration
 }
 
-// maxQueuedPackets bounds the packets that wait for an answer of the keepers.
+// maxQueuedPackets bounds the packets of a node that wait for the keepers'
+// response to a lookup; further packets are dropped.
 const maxQueuedPackets = 2048
 
-// envelopeOverhead approximates the bytes that framing and the network add to
-// a message between nodes.
+// envelopeOverhead is the approximate number of bytes that framing and the
+// network add to a message between nodes.
 const envelopeOverhead = 24
 
-func (world *Simulation) addNode(zone string) *node {
-	world.nodeCount++
-	id := fmt.Sprintf("%s-%d", zone, world.nodeCount)
-	table := flowtable.New(world.settings.FlowCapacity)
+func (sim *Simulation) addNode(zone string) *node {
+	sim.nodeCount++
+	id := fmt.Sprintf("%s-%d", zone, sim.nodeCount)
+	table := flowtable.New(sim.settings.FlowCapacity)
 	added := &node{
-		world:         world,
+		sim:           sim,
 		id:            id,
 		zone:          zone,
 		router:        router.New(table),
 		queuedPackets: make(map[flow.Key][]packet),
 		bytesByKind:   make(map[string]uint64),
-		startedAt:     world.Clock.Now(),
+		startedAt:     sim.Clock.Now(),
 		acceptedAt:    make(map[uint64]time.Duration),
 	}
-	member := &apiv1.Member{Id: id, Zone: zone, PeerAddress: id, Incarnation: uint64(world.Clock.Milliseconds()) + 1}
-	control, err := core.New(world.settings.Core, member, table)
+	member := &apiv1.Member{Id: id, Zone: zone, PeerAddress: id, Incarnation: uint64(sim.Clock.Milliseconds()) + 1}
+	nodeCore, err := core.New(sim.settings.Core, member, table)
 	if err != nil {
 		panic(err)
 	}
-	added.core = control
-	added.baseline = newBaseline(world.settings.Algorithm, added)
-	world.nodes = append(world.nodes, added)
-	world.nodesByID[id] = added
+	added.core = nodeCore
+	added.baseline = newBaseline(sim.settings.Algorithm, added)
+	sim.nodes = append(sim.nodes, added)
+	sim.nodesByID[id] = added
 	added.addPeers()
 	added.readStore()
 	added.tick()
@@ -81,9 +84,10 @@
 
 func (node *node) running() bool { return !node.dead && !node.paused }
 
-// addPeers stands for the seeds and the platform's machine list.
+// addPeers makes all other running nodes known to the core, in place of the seeds
+// and the platform's machine list.
 func (node *node) addPeers() {
-	for _, other := range node.world.nodes {
+	for _, other := range node.sim.nodes {
 		if other != node && !other.dead {
 			node.core.AddPeer(&apiv1.Member{Id: other.id, Zone: other.zone, PeerAddress: other.id, Incarnation: 1})
 		}
@@ -98,76 +102,79 @@
 		node.core.Tick(node.now())
 		node.applyCoreOutput()
 	}
-	node.world.Clock.After(node.world.settings.TickInterval, node.tick)
+	node.sim.Clock.After(node.sim.settings.TickInterval, node.tick)
 }
 
-// canReachStore reports whether the store answers the node; a zone that is cut
-// off does not reach it.
+// canReachStore reports whether the node can reach the store. Nodes of a
+// partitioned zone cannot, unless the settings say otherwise.
 func (node *node) canReachStore() bool {
-	reached := !node.world.partitionedZones[node.zone] || node.world.settings.Store.ReachableWhenPartitioned
-	return reached && !node.world.store.down
+	reachable := !node.sim.partitionedZones[node.zone] || node.sim.settings.Store.ReachableWhenPartitioned
+	return reachable && !node.sim.store.down
 }
 
-// pollGroupLiveness reads the group's sign of life now and then.
+// pollGroupLiveness reads the group liveness key from the store every
+// livenessPollInterval and reports changes of it to the core.
 func (node *node) pollGroupLiveness() {
 	if node.dead {
 		return
 	}
-	if alive := node.world.store.groupLiveness; alive != node.groupLiveness && node.canReachStore() && !node.paused {
-		node.groupLiveness = alive
+	if groupLiveness := node.sim.store.groupLiveness; groupLiveness != node.groupLiveness && node.canReachStore() && !node.paused {
+		node.groupLiveness = groupLiveness
 		node.core.ObserveGroupLiveness(node.now())
 	}
-	node.world.Clock.After(livenessPollInterval, node.pollGroupLiveness)
+	node.sim.Clock.After(livenessPollInterval, node.pollGroupLiveness)
 }
 
 const livenessPollInterval = 5 * time.Second
 
-func (node *node) now() uint32 { return node.world.Clock.Milliseconds() }
+func (node *node) now() uint32 { return node.sim.Clock.Milliseconds() }
 
-// readStore reads both values after the store's delay.
+// readStore reads the document and the configuration after a round trip to the
+// store.
 func (node *node) readStore() {
-	world := node.world
-	world.Clock.After(2*world.settings.Store.Delay, func() {
+	sim := node.sim
+	sim.Clock.After(2*sim.settings.Store.Delay, func() {
 		if !node.canReachStore() || !node.running() {
 			return
 		}
-		if world.store.document != nil {
-			node.core.ObserveDocument(node.now(), world.store.document)
+		if sim.store.document != nil {
+			node.core.ObserveDocument(node.now(), sim.store.document)
 		}
-		node.core.ObserveConfiguration(node.now(), world.store.configuration)
+		node.core.ObserveConfiguration(node.now(), sim.store.configuration)
 		node.applyCoreOutput()
 	})
 }
 
-// applyCoreOutput carries out what the core wants done.
+// applyCoreOutput passes a new configuration to the core and to the baseline, and
+// carries out the core's output.
 func (node *node) applyCoreOutput() {
 	if configuration := node.core.Configuration(); configuration != nil {
 		revision := configuration.GetRevision()
 		if _, seen := node.acceptedAt[revision]; !seen {
-			node.acceptedAt[revision] = node.world.Clock.Now()
+			node.acceptedAt[revision] = node.sim.Clock.Now()
 			node.core.SetDesired(node.now(), revision, desiredRules(configuration), compile.ClearedMarks(configuration))
 			node.markLeaving(configuration)
 			node.baseline.setConfiguration(configuration)
 		}
 	}
 	node.applyDocumentWeights()
-	out := node.core.Ready()
-	if out.View != nil {
-		node.router.SetView(out.View)
-		node.core.ViewInForce(out.ViewVersion)
+	output := node.core.Ready()
+	if output.View != nil {
+		node.router.SetView(output.View)
+		node.core.ViewInForce(output.ViewVersion)
 	}
-	node.router.SetContact(out.ContactLeaseEnd, out.ServeIsolated)
-	for _, message := range out.Messages {
-		node.world.deliver(node, message)
+	node.router.SetContact(output.ContactLeaseEnd, output.ServeIsolated)
+	for _, message := range output.Messages {
+		node.sim.deliver(node, message)
 	}
-	for _, resolution := range out.Resolutions {
+	for _, resolution := range output.Resolutions {
 		node.resolve(resolution)
 	}
-	if out.RefreshGroupLiveness && node.canReachStore() {
-		node.world.store.groupLiveness++
+	if output.RefreshGroupLiveness && node.canReachStore() {
+		node.sim.store.groupLiveness++
 	}
-	if out.Write != nil {
-		node.world.store.write(node, out.Write.Document, func(written bool) {
+	if output.Write != nil {
+		node.sim.store.write(node, output.Write.Document, func(written bool) {
 			if !node.running() {
 				return
 			}
@@ -177,11 +184,11 @@
 	}
 }
 
-// applyDocumentWeights wants the weights of the newest document, on the nodes that do
-// not run the policies.
+// applyDocumentWeights sets the weights of the newest document as desired, on the
+// nodes that do not run the policy.
 func (node *node) applyDocumentWeights() {
 	version := node.core.Document().GetVersion()
-	if !node.world.settings.Reports.Enabled || version == node.weightsDocumentVersion || node.world.policyNode() == node {
+	if !node.sim.settings.Reports.Enabled || version == node.weightsDocumentVersion || node.sim.policyNode() == node {
 		return
 	}
 	node.weightsDocumentVersion = version
@@ -190,8 +197,8 @@
 		compile.Rules(configuration, compile.NewestWeights(node.core.Document())), compile.ClearedMarks(configuration))
 }
 
-// markLeaving spreads the drains of a configuration as marks, which is faster
-// than an epoch.
+// markLeaving creates leaving marks for the back ends that a configuration
+// drains: marks reach the other nodes sooner than an epoch does.
 func (node *node) markLeaving(configuration *apiv1.Configuration) {
 	for _, service := range configuration.GetServices() {
 		for _, backend := range service.GetBackends() {
@@ -202,23 +209,23 @@
 	}
 }
 
-// deliver sends a message between nodes, with delay, loss, duplication and
-// cuts.
-func (world *Simulation) deliver(from *node, message *apiv1.Envelope) {
-	to := world.nodesByID[message.GetTo()]
+// deliver sends a message between nodes, subject to delay, loss, duplication and
+// partitions.
+func (sim *Simulation) deliver(from *node, message *apiv1.Envelope) {
+	to := sim.nodesByID[message.GetTo()]
 	size := uint64(proto.Size(message) + envelopeOverhead)
 	from.controlBytes += size
 	from.bytesByKind[messageKind(message)] += size
-	if to == nil || world.partitioned(from.zone, to.zone) || world.Clock.Random.Float64() < world.settings.Network.MessageLoss {
+	if to == nil || sim.partitioned(from.zone, to.zone) || sim.Clock.Random.Float64() < sim.settings.Network.MessageLoss {
 		return
 	}
 	copies := 1
-	if world.Clock.Random.Float64() < world.settings.Network.MessageDuplication {
+	if sim.Clock.Random.Float64() < sim.settings.Network.MessageDuplication {
 		copies = 2
 	}
 	for range copies {
 		copied := proto.CloneOf(message)
-		world.Clock.After(world.delay(from.zone, to.zone), func() { to.receive(copied) })
+		sim.Clock.After(sim.delay(from.zone, to.zone), func() { to.receive(copied) })
 	}
 }
 
@@ -242,88 +249,90 @@
 	node.applyCoreOutput()
 }
 
-// route handles one packet as the traffic goroutines do.
-func (node *node) route(arrived packet) {
+// route handles one packet as a traffic goroutine of a real node does.
+func (node *node) route(pkt packet) {
 	if node.dead {
 		return
 	}
 	if node.paused {
-		node.pausedPackets = append(node.pausedPackets, func() { node.route(arrived) })
+		node.pausedPackets = append(node.pausedPackets, func() { node.route(pkt) })
 		return
 	}
-	if node.world.settings.Algorithm != AlgorithmEpochs {
-		node.baseline.route(arrived)
+	if node.sim.settings.Algorithm != AlgorithmEpochs {
+		node.baseline.route(pkt)
 		return
 	}
-	verdict := node.router.Decide(node.now(), arrived.flow.key, arrived.flow.hash, arrived.flags)
-	node.world.Result.Paths[verdict.Path]++
-	node.traceDecision(arrived, verdict)
-	switch verdict.Action {
+	decision := node.router.Decide(node.now(), pkt.flow.key, pkt.flow.hash, pkt.flags)
+	node.sim.Result.Paths[decision.Path]++
+	node.traceDecision(pkt, decision)
+	switch decision.Action {
 	case router.ActionForward:
-		node.forward(arrived, verdict.Backend)
+		node.forward(pkt, decision.Backend)
 	case router.ActionLookup:
-		node.queueForLookup(arrived, verdict)
+		node.queueForLookup(pkt, decision)
 	case router.ActionRefuse:
-		node.world.refuseFlow(arrived)
+		node.sim.refuseFlow(pkt)
 	case router.ActionDrop:
-		node.world.Result.Dropped++
+		node.sim.Result.Dropped++
 	}
 }
 
-func (node *node) forward(arrived packet, backend uint32) {
-	world := node.world
-	target := world.backends[backend]
-	world.Clock.After(world.delay(node.zone, target.zone), func() { world.receiveAtBackend(target, arrived) })
+func (node *node) forward(pkt packet, backend uint32) {
+	sim := node.sim
+	target := sim.backends[backend]
+	sim.Clock.After(sim.delay(node.zone, target.zone), func() { sim.receiveAtBackend(target, pkt) })
 }
 
-func (node *node) queueForLookup(arrived packet, verdict router.Decision) {
+func (node *node) queueForLookup(pkt packet, decision router.Decision) {
 	if node.queuedPacketCount >= maxQueuedPackets {
-		node.world.Result.Dropped++
+		node.sim.Result.Dropped++
 		return
 	}
 	node.queuedPacketCount++
-	key := arrived.flow.key
-	node.queuedPackets[key] = append(node.queuedPackets[key], arrived)
-	node.core.Lookup(node.now(), key, verdict.Proposal, verdict.Bind, verdict.Opens)
+	key := pkt.flow.key
+	node.queuedPackets[key] = append(node.queuedPackets[key], pkt)
+	node.core.Lookup(node.now(), key, decision.Proposal, decision.Bind, decision.Opens)
 	node.applyCoreOutput()
 }
 
 func (node *node) resolve(resolution core.Resolution) {
-	waiting := node.queuedPackets[resolution.Key]
+	queued := node.queuedPackets[resolution.Key]
 	delete(node.queuedPackets, resolution.Key)
-	node.queuedPacketCount -= len(waiting)
-	for _, arrived := range waiting {
+	node.queuedPacketCount -= len(queued)
+	for _, pkt := range queued {
 		if resolution.Backend == rule.NoBackend {
-			node.world.Result.Paths[router.PathDroppedKeepers]++
-			node.world.Result.Dropped++
+			node.sim.Result.Paths[router.PathDroppedKeepers]++
+			node.sim.Result.Dropped++
 			continue
 		}
-		hash := arrived.flow.hash
+		hash := pkt.flow.hash
 		if _, found := node.router.Table().Get(resolution.Key, hash); !found {
-			node.router.InsertFlow(node.now(), resolution.Key, hash, resolution.Backend, arrived.flags)
+			node.router.InsertFlow(node.now(), resolution.Key, hash, resolution.Backend, pkt.flags)
 		}
-		node.world.traceFlow(arrived.flow, "%s resolved to %d", node.id, resolution.Backend)
-		node.forward(arrived, resolution.Backend)
+		node.sim.traceFlow(pkt.flow, "%s resolved to %d", node.id, resolution.Backend)
+		node.forward(pkt, resolution.Backend)
 	}
 }
 
-// traceDecision notes a decision in the flow's history.
-func (node *node) traceDecision(arrived packet, verdict router.Decision) {
-	if node.world.settings.Trace {
+// traceDecision adds a routing decision to the flow's history if the settings ask
+// for traces.
+func (node *node) traceDecision(pkt packet, decision router.Decision) {
+	if node.sim.settings.Trace {
 		view := node.router.View()
-		node.world.traceFlow(arrived.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
-			node.id, arrived.flags, verdict.Path, verdict.Action, verdict.Backend, verdict.Proposal, verdict.Bind,
+		node.sim.traceFlow(pkt.flow, "%s flags %d: %s action %d back end %d proposal %d bind %t (settled %d, %s, active %v, known %v)",
+			node.id, pkt.flags, decision.Path, decision.Action, decision.Backend, decision.Proposal, decision.Bind,
 			view.Settled.Number, view.Phase, view.ActiveMarks, view.KnownMarks)
 	}
 }
 
-func (world *Simulation) traceFlow(traced *connection, format string, values ...any) {
-	if world.settings.Trace {
-		traced.history = append(traced.history, fmt.Sprintf("%s ", world.Clock.Now())+fmt.Sprintf(format, values...))
+func (sim *Simulation) traceFlow(conn *connection, format string, values ...any) {
+	if sim.settings.Trace {
+		conn.history = append(conn.history, fmt.Sprintf("%s ", sim.Clock.Now())+fmt.Sprintf(format, values...))
 	}
 }
 
-// resume lets a paused node go on, traffic first.
+// resume resumes a paused node: it handles the packets that arrived meanwhile,
+// then the messages.
 func (node *node) resume() {
 	node.paused = false
 	packets, messages := node.pausedPackets, node.pausedMessages
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -21,27 +21,28 @@
 
 func pathName(path int) string { return router.Path(path).String() }
 
-// WriteReport writes a self-contained HTML page with the rows side by side and
-// plots of imbalance, broken flows and the delays of leaving.
+// WriteReport writes a self-contained HTML page to path. It shows a table of the
+// rows, plots of broken flows, imbalance and control traffic, and a table of how
+// long leaving back ends still got new flows.
 func WriteReport(path string, rows []Row) error {
 	page := reportPage{Rows: rows, Made: time.Now().UTC().Format(time.RFC3339)}
-	for _, draw := range []func([]Row) (*plot.Plot, error){plotBroken, plotImbalance, plotControl} {
-		drawn, err := draw(rows)
+	for _, newPlot := range []func([]Row) (*plot.Plot, error){plotBroken, plotImbalance, plotControl} {
+		graph, err := newPlot(rows)
 		if err != nil {
 			return errors.Wrap(err, "report: plot")
 		}
-		encoded, err := encodePlot(drawn)
+		encoded, err := encodePlot(graph)
 		if err != nil {
 			return errors.Wrap(err, "report: plot")
 		}
 		page.Plots = append(page.Plots, encoded)
 	}
 	page.Leaving = leavingTable(rows)
-	var written bytes.Buffer
-	if err := reportTemplate.Execute(&written, page); err != nil {
+	var output bytes.Buffer
+	if err := reportTemplate.Execute(&output, page); err != nil {
 		return errors.Wrap(err, "report")
 	}
-	return errors.Wrap(os.WriteFile(path, written.Bytes(), 0o644), "report")
+	return errors.Wrap(os.WriteFile(path, output.Bytes(), 0o644), "report")
 }
 
 type reportPage struct {
@@ -65,8 +66,8 @@
 	histogramDigits  = 3
 )
 
-func encodePlot(drawn *plot.Plot) (template.URL, error) {
-	writer, err := drawn.WriterTo(plotWidth, plotHeight, "png")
+func encodePlot(graph *plot.Plot) (template.URL, error) {
+	writer, err := graph.WriterTo(plotWidth, plotHeight, "png")
 	if err != nil {
 		return "", err
 	}
@@ -77,7 +78,8 @@
 	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(image.Bytes())), nil
 }
 
-// sumByScenario sums a value of the rows by scenario, for each method.
+// sumByScenario adds up a value of the rows by method and scenario. It returns the
+// scenarios in the order of the rows and the methods in alphabetical order.
 func sumByScenario(rows []Row, value func(Row) float64) (scenarios []string, methods []string, sums map[string]map[string]float64) {
 	sums = make(map[string]map[string]float64)
 	seen := make(map[string]bool)
@@ -97,14 +99,14 @@
 	return scenarios, methods, sums
 }
 
-func barChart(title, axis string, rows []Row, value func(Row) float64) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = title
-	drawn.Y.Label.Text = axis
-	drawn.Y.Min = 0
+func barChart(title, yLabel string, rows []Row, value func(Row) float64) (*plot.Plot, error) {
+	graph := plot.New()
+	graph.Title.Text = title
+	graph.Y.Label.Text = yLabel
+	graph.Y.Min = 0
 	scenarios, methods, sums := sumByScenario(rows, value)
 	width := vg.Points(min(14, 500/float64(len(scenarios)*len(methods))))
-	for place, method := range methods {
+	for methodIndex, method := range methods {
 		values := make(plotter.Values, len(scenarios))
 		for index, scenario := range scenarios {
 			values[index] = sums[method][scenario]
@@ -113,18 +115,18 @@
 		if err != nil {
 			return nil, err
 		}
-		chart.Color = plotutil.Color(place)
+		chart.Color = plotutil.Color(methodIndex)
 		chart.LineStyle.Width = 0
-		chart.Offset = width * vg.Length(float64(place)-float64(len(methods)-1)/2)
-		drawn.Add(chart)
-		drawn.Legend.Add(method, chart)
+		chart.Offset = width * vg.Length(float64(methodIndex)-float64(len(methods)-1)/2)
+		graph.Add(chart)
+		graph.Legend.Add(method, chart)
 	}
-	drawn.Legend.Top = true
-	drawn.NominalX(scenarios...)
-	drawn.X.Tick.Label.Rotation = 0.5
-	drawn.X.Tick.Label.XAlign = -1
-	drawn.X.Tick.Label.Font.Size = vg.Points(7)
-	return drawn, nil
+	graph.Legend.Top = true
+	graph.NominalX(scenarios...)
+	graph.X.Tick.Label.Rotation = 0.5
+	graph.X.Tick.Label.XAlign = -1
+	graph.X.Tick.Label.Font.Size = vg.Points(7)
+	return graph, nil
 }
 
 func plotBroken(rows []Row) (*plot.Plot, error) {
@@ -138,14 +140,14 @@
 }
 
 func plotImbalance(rows []Row) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = "Imbalance over time (first user and seed, method epochs)"
-	drawn.X.Label.Text = "seconds"
-	drawn.Y.Label.Text = "maximum over mean"
-	drawn.Legend.Top = true
-	place := 0
+	graph := plot.New()
+	graph.Title.Text = "Imbalance over time (first user and seed, method epochs)"
+	graph.X.Label.Text = "seconds"
+	graph.Y.Label.Text = "maximum over mean"
+	graph.Legend.Top = true
+	plotted := 0
 	for _, row := range rows {
-		if row.Algorithm != AlgorithmEpochs || row.User != rows[0].User || row.Seed != rows[0].Seed || place == 7 {
+		if row.Algorithm != AlgorithmEpochs || row.User != rows[0].User || row.Seed != rows[0].Seed || plotted == 7 {
 			continue
 		}
 		var points plotter.XYs
@@ -158,16 +160,17 @@
 		if err != nil {
 			return nil, err
 		}
-		line.Color = plotutil.Color(place)
-		drawn.Add(line)
-		drawn.Legend.Add(row.Scenario, line)
-		place++
+		line.Color = plotutil.Color(plotted)
+		graph.Add(line)
+		graph.Legend.Add(row.Scenario, line)
+		plotted++
 	}
-	return drawn, nil
+	return graph, nil
 }
 
-// leavingTable gives percentiles of the time until a leaving back end gets no
-// new flow, over all rows of a method.
+// leavingTable returns, for each method, percentiles of the time between the
+// start of a back end's leaving and each new flow that it still accepted, over
+// all rows of the method.
 func leavingTable(rows []Row) []leavingRow {
 	histograms := make(map[string]*hdrhistogram.Histogram)
 	for _, row := range rows {
