--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -152,8 +152,8 @@
 	return refusals
 }
 
-// refusedFraction returns the fraction of the priority at a rank that is refused. It is 0
-// until the integral rises.
+// refusedFraction returns the fraction that is refused of the priority at a rank, from 0 for
+// the lowest priority that the integral covers. It is 0 until the integral rises.
 func refusedFraction(integral, relativeError float64, rank int) float64 {
 	if integral == 0 {
 		return 0
--- a/internal/aside/aside.go
+++ b/internal/aside/aside.go
@@ -5,10 +5,10 @@
 // A balancer cannot see how long a packet waited before it was read. But a new flow
 // passes through it twice: with its first packet, and with what its client sends once a
 // back end has answered. The time between the two is the network's, some milliseconds,
-// plus the time the packets waited on this balancer. Back ends answer before they work,
-// so that time does not grow with their load. Back ends that are down or full do not
-// answer, whichever balancer forwards to them, so unanswered packets count only together
-// with late answers.
+// plus the time the packets waited on this balancer. Back ends answer the first
+// packet before they process the request, so that time does not grow with their load. Back
+// ends that are down or full do not answer, whichever balancer forwards to them, so
+// unanswered packets count only together with late answers.
 //
 // Invariants:
 //
@@ -70,7 +70,7 @@
 	strugglingSince time.Time
 	// baseline is how long a flow takes to open under normal conditions; 0 means unknown.
 	baseline time.Duration
-	// lastSample is the result of the last sample.
+	// lastSample has the flows that the last sample counted.
 	lastSample Sample
 	// withdrawnUntil is when the current withdrawal ends. returnedAt is when the last one
 	// ended, and withdrawalDuration is the length of the latest.
@@ -89,7 +89,7 @@
 // balancer is withdrawn.
 func (d *Detector) Struggling() bool { return d.withdrawn || d.badSamples > 0 }
 
-// LastSample returns the result of the last sample.
+// LastSample returns the flows that the last sample counted.
 func (d *Detector) LastSample() Sample { return d.lastSample }
 
 // WithdrawalDuration returns the duration of the latest withdrawal.
--- a/internal/aside/aside_test.go
+++ b/internal/aside/aside_test.go
@@ -34,9 +34,9 @@
 	return counts
 }
 
-// What a balancer counts in one sample: when it is healthy, when its packets are delayed,
-// when half of the back ends do not answer, when none does, without flows, and when a
-// quarter of the flows are slow.
+// These are the counts of one sample of a balancer: when it is healthy, when its packets are
+// delayed, when half of the back ends do not answer, when none does, without flows, and when
+// a quarter of the flows are slow.
 var (
 	healthyCounts  = countsOf(12, 0, 0)
 	slowCounts     = countsOf(2, 7, 3)
--- a/internal/aside/zone.go
+++ b/internal/aside/zone.go
@@ -5,9 +5,9 @@
 const (
 	// minZoneSize is the minimum size of a zone of which a balancer may withdraw.
 	minZoneSize = 5
-	// overloadNumerator / overloadDenominator is the fraction of a zone above which
-	// struggling balancers are not at fault one by one: the zone as a whole is
-	// overloaded, and those that withdrew would leave its load to the rest.
+	// overloadNumerator / overloadDenominator is the fraction of struggling balancers above
+	// which the cause is not in single balancers: the zone as a whole is overloaded, and
+	// those that withdrew would leave its load to the rest.
 	overloadNumerator, overloadDenominator = 2, 3
 )
 
--- a/internal/demand/localload_test.go
+++ b/internal/demand/localload_test.go
@@ -8,8 +8,8 @@
 )
 
 // A balancer that receives no packets, such as a withdrawn one, has no load and does not count
-// as carrying traffic of its zone. Otherwise a pressure of 1.6 was taken for 3 when 16 of 30
-// balancers carried traffic.
+// as carrying traffic of its zone. When all balancers counted, a pressure of 1.6 was taken for 3
+// while 16 of 30 carried traffic.
 func TestBalancerWithoutPacketsHasNoLoad(t *testing.T) {
 	var local LocalLoad
 	poolZone := PoolZone{Pool: "lending", Zone: "maadi"}
--- a/internal/demand/tree.go
+++ b/internal/demand/tree.go
@@ -12,8 +12,9 @@
 	// MaximumReportInterval is the longest time between two reports of a live follower: it
 	// reports each second at least, and a machine with 0.06 cores may be late by half a second.
 	MaximumReportInterval = 1500 * time.Millisecond
-	// maximumHeight is how many levels of balancers may be below one: three in a zone of
-	// 1,200, its head and the root. Higher reports are rejected, which also breaks cycles.
+	// maximumHeight is how many levels of balancers may be below one. Below the root are the
+	// heads of the zones, and below the head of a zone of 1,200 balancers three more levels.
+	// Higher reports are rejected, which also breaks cycles.
 	maximumHeight = 4
 	// MaximumAge is the age up to which decisions may be based on an aggregate. Sums go up
 	// within some 0.3 s a level, and the aggregate of all comes down within 1 to 1.5 s a level:
@@ -102,8 +103,9 @@
 }
 
 // SetParentDepth stores the depth that the parent reports of itself. A balancer may follow one
-// at its own depth, because its regular parent is silent or has other members. Then it leases
-// its load for as long as one more level needs; otherwise the load would never count there.
+// at its own depth, because its regular parent is silent or because the two know different
+// members. Then it leases its load for as long as one more level needs; otherwise the load would
+// never count there.
 func (t *Tree) SetParentDepth(depth int, now time.Time) { t.parentDepth, t.parentDepthAt = depth, now }
 
 // Depth returns the number of levels above this balancer. It is at most one more than the
--- a/internal/directory/batches.go
+++ b/internal/directory/batches.go
@@ -3,13 +3,13 @@
 import apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 
 // NeedsSnapshot reports whether a follower that knows everything up to a revision must be sent all
-// entries. With everything set, it answers for SinceWithTombstones, and otherwise for Since.
-func (d *Directory) NeedsSnapshot(after uint64, everything bool) bool {
-	return after == 0 || after < d.compactedRevision || d.insideStep(after) || everything && after > d.revision
+// entries. With withTombstones set, it answers for SinceWithTombstones, and otherwise for Since.
+func (d *Directory) NeedsSnapshot(after uint64, withTombstones bool) bool {
+	return after == 0 || after < d.compactedRevision || d.insideStep(after) || withTombstones && after > d.revision
 }
 
 // Since returns the changes after a revision. The batch is complete if the requester knows nothing,
-// or may know entries whose removal is no longer recorded here.
+// or may know entries whose removal was not seen here or is no longer recorded.
 func (d *Directory) Since(after uint64) *apiv1.DirectoryBatch {
 	complete := d.NeedsSnapshot(after, false)
 	batch := &apiv1.DirectoryBatch{Revision: d.revision, Complete: complete}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -117,7 +117,7 @@
 }
 
 // Clear removes everything. It is needed when the store has just been restored from an older
-// backup, because what was learned from a stale read may be later than the store itself.
+// backup, because what was learned from a stale snapshot may be later than the store itself.
 func (d *Directory) Clear() {
 	for key := range d.entries {
 		d.deleteEntry(key)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -138,11 +138,11 @@
 	require.False(t, dir.Since(3).GetComplete())
 	require.True(t, dir.Expire(start.Add(time.Second)))
 	require.True(t, dir.Since(3).GetComplete(), "the requester may not know of the removal")
-	asker := New(time.Minute)
-	asker.Apply(batch(4, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
-	asker.Apply(dir.Since(4), start)
-	require.True(t, asker.Backends()[0].Gone)
-	require.False(t, asker.Backends()[1].Gone)
+	requester := New(time.Minute)
+	requester.Apply(batch(4, true, backendChange(2, "i-1", false, false), backendChange(3, "i-2", false, false)), start)
+	requester.Apply(dir.Since(4), start)
+	require.True(t, requester.Backends()[0].Gone)
+	require.False(t, requester.Backends()[1].Gone)
 }
 
 // fakeStore is a store with a history of changes, for property tests.
--- a/internal/directory/eras.go
+++ b/internal/directory/eras.go
@@ -15,9 +15,9 @@
 // although the store's revisions belong to a later era.
 //
 // The version of the route table identifies an older one reliably. Policies have no version, and
-// nobody else writes them again, so the known ones are kept until they have been written.
-// Known back ends and evacuation orders are kept for a limited time only, because an entry that is
-// not written again by then is really gone.
+// nobody else writes them again, so the known ones are kept until balancers have written them
+// again. Known back ends and evacuation orders are kept for a limited time only, because an entry
+// that is not written again by then is really gone.
 
 const (
 	// missingOverrideTime is how long an entry is kept that the backup lacks. Its writer is back
@@ -29,9 +29,9 @@
 	// gone silent: three times 3 s.
 	endedOverrideTime = 10 * time.Second
 	// maxOverrideAge is the time without an update after which the content of this directory no
-	// longer overrides that of a later era. A balancer that was cut off for longer may read the
-	// store long after the restore, and differences are then later writes. A restore drill takes
-	// some seconds.
+	// longer overrides that of a later era. A balancer that had no contact for longer may read
+	// the store long after the restore, and differences are then later writes. A restore takes some
+	// seconds.
 	maxOverrideAge = 10 * time.Second
 )
 
@@ -95,8 +95,8 @@
 	StoredRevision uint64
 }
 
-// LostPolicies returns the policies and removals that have to be written again, because nobody else
-// remembers them.
+// LostPolicies returns the policies and removals that have to be written again, because only
+// balancers still know them.
 func (d *Directory) LostPolicies() []LostPolicy {
 	var policies []LostPolicy
 	for key, e := range d.lostPolicies {
@@ -182,7 +182,7 @@
 	case reportsDraining(before) && !after.GetGone() && !after.GetBackend().GetDraining():
 		return endedOverrideTime
 	case !after.GetBackend().GetDraining() && !sameContent(before, after):
-		// The backup may show the back end colder than it is by now.
+		// The backup may show the back end less warmed up than it is by now.
 		return missingOverrideTime
 	}
 	return 0
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -23,7 +23,8 @@
 	LocalZone Name = "local_zone"
 	// ZoneSharing sends new flows that exceed the capacity of the local zone to other zones.
 	ZoneSharing Name = "zone_sharing"
-	// SpreadAfterStart distributes new flows evenly over all zones for the first seconds.
+	// SpreadAfterStart sends new flows to the back ends of all zones with the same weight for
+	// the first seconds.
 	SpreadAfterStart Name = "spread_after_start"
 	// LeastUsed compares several back ends by their utilization.
 	LeastUsed Name = "least_used"
--- a/internal/observe/compare.go
+++ b/internal/observe/compare.go
@@ -82,8 +82,8 @@
 }
 
 // baselineFraction returns the fraction of responses in the tail for the half of the
-// back ends with the smallest fractions. One added response keeps it above 0. It
-// returns false if too few back ends can be compared.
+// back ends with the smallest fractions. Two added responses, one of them in the tail,
+// keep it above 0. It returns false if too few back ends can be compared.
 func baselineFraction(tails []tail) (fraction float64, ok bool) {
 	var compared []tail
 	for _, tail := range tails {
--- a/internal/observe/finding.go
+++ b/internal/observe/finding.go
@@ -104,8 +104,9 @@
 	return health
 }
 
-// significantFraction returns the fraction of the excess, or 0 if that is too small
-// or lacks the evidence.
+// significantFraction returns the fraction of the excess, or 0 if that is below the
+// minimum or lacks the needed evidence. Less evidence is needed if the previous
+// fraction was above 0.
 func (e Excess) significantFraction(needed, previous, minimum float64) float64 {
 	if previous > 0 {
 		needed *= hysteresis
--- a/internal/observe/responsecounts.go
+++ b/internal/observe/responsecounts.go
@@ -53,8 +53,8 @@
 // Empty reports whether the counts have decayed to almost nothing.
 func (c *ResponseCounts) Empty() bool { return c.lengths.total < 0.5 && c.times.total < 0.5 }
 
-// bucketOf returns the bucket of a value: two for each octave from firstBit on,
-// one for each half of it.
+// bucketOf returns the bucket of a value. Values of at most firstBit bits are counted
+// in bucket 0. Each octave above has two buckets, one for each half of it.
 func bucketOf(value uint64, firstBit int) int {
 	length := bits.Len64(value)
 	if length <= firstBit {
--- a/internal/observe/responsehistory.go
+++ b/internal/observe/responsehistory.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// recentIntervals is for how many intervals between comparisons responses are kept separate.
-// That a pool is saturated becomes known with a delay, from an aggregate that may be so many
-// seconds old.
+// recentIntervals is for how many intervals between comparisons, of a second each, responses
+// are kept separate. That a pool is saturated becomes known with a delay, from an aggregate
+// that may be as many seconds old.
 const recentIntervals = 3
 
 // ResponseHistory counts the responses of one back end for one service. The latest ones are
--- a/internal/policy/damping.go
+++ b/internal/policy/damping.go
@@ -16,7 +16,7 @@
 
 // Damper turns outcomes into quantised weights that do not flap. A weight changes
 // only if it differs by minimumWeightChange, and at most every MinimumInterval; a
-// fall to 0 or a rise from 0 takes effect at once.
+// new back end, a fall to 0 or a rise from 0 takes effect at once.
 type Damper struct {
 	weights   map[uint32]uint32
 	changedAt time.Time
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -195,7 +195,8 @@
 }
 
 // Samples returns the facts that a policy is tested with when it is applied: those
-// of a healthy, a loaded, a newly started, an unhealthy and an unreported back end.
+// of a healthy, a loaded, a newly started and an unhealthy back end, and of one
+// without a recent report.
 func Samples() []Facts {
 	healthy := Facts{Name: "sample", Zone: "zone", MachineState: "live", Healthy: true, Load: 0.5, MeanLoad: 0.5, ReportAge: 1, UpSeconds: 3600, Local: true, Capacity: 2}
 	loaded, starting, unhealthy, unreported := healthy, healthy, healthy, healthy
--- a/internal/rule/logarithm.go
+++ b/internal/rule/logarithm.go
@@ -4,7 +4,7 @@
 
 // The logarithm is computed with integers only, so that it is the same on every
 // processor. Two nodes whose floating-point logarithms differed in the last bit
-// would send the same flow to two back ends.
+// would send the same flow to different back ends.
 const (
 	fractionBits = 32
 	tableBits    = 10
--- a/internal/rule/rule.go
+++ b/internal/rule/rule.go
@@ -3,7 +3,7 @@
 // A Rule is an immutable function from flows to back ends. All nodes with the
 // same rule make the same choice without communication. When a weight changes,
 // only those flows move whose best score moves between the changed back end and
-// another one. That keeps the number of records small.
+// another one. That keeps the number of records of moved flows small.
 //
 // The score of a back end for a flow is -log2(u)/weight with u uniform in
 // (0, 1]; the lowest score wins. This is the method of Thaler and Ravishankar,
@@ -20,8 +20,8 @@
 )
 
 // MaximumWeight is the largest weight of a candidate. Weights are integers, so it bounds how
-// small the share of a back end relative to others can be: with 1000, the 1,400 back ends in
-// other zones of a zone with 14 received 0.091 of its flows at the smallest possible weight.
+// small the share of a back end relative to others can be: with 1000, a zone with 14 back ends
+// sent 0.091 of its flows to the 1,400 back ends in other zones when these had weight 1.
 const MaximumWeight = 1_000_000
 
 // NoBackend is the back end number that means no back end.
