--- a/internal/directory/backendindex_test.go
+++ b/internal/directory/backendindex_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		dir := New(5 * time.Second)
 		now := start
-		initial := uint64(rapid.IntRange(0, 300).Draw(t, "back ends at first"))
+		initial := uint64(rapid.IntRange(0, 300).Draw(t, "initial back ends"))
 		for number := range initial {
 			dir.Apply(batch(number+1, false, backendChange(number+1, fmt.Sprintf("j-%d", number), false, false)), now)
 		}
--- a/internal/directory/evacuations_test.go
+++ b/internal/directory/evacuations_test.go
@@ -76,7 +76,7 @@
 		revision := uint64(1)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			revision++
-			gone := rapid.Bool().Draw(t, "taken back")
+			gone := rapid.Bool().Draw(t, "order revoked")
 			reader := peers[rapid.IntRange(0, 2).Draw(t, "reader")]
 			switch rapid.IntRange(0, 1).Draw(t, "way") {
 			case 0:
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -89,11 +89,11 @@
 func TestTimesAreTranslatedInFavourOfTheBackend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// The remote clock shows the local time less its start.
-		remoteStart := at(rapid.IntRange(-100_000, 0).Draw(t, "their start"))
+		remoteStart := at(rapid.IntRange(-100_000, 0).Draw(t, "start of the remote clock"))
 		sent := rapid.IntRange(0, 1000).Draw(t, "sent")
-		left := sent + rapid.IntRange(0, 2000).Draw(t, "way there and wait")
-		received := left + rapid.IntRange(0, 5000).Draw(t, "way back")
-		leftAfter := sent + rapid.IntRange(0, left-sent).Draw(t, "known to have waited")
+		left := sent + rapid.IntRange(0, 2000).Draw(t, "delay of the request and wait")
+		received := left + rapid.IntRange(0, 5000).Draw(t, "delay of the answer")
+		leftAfter := sent + rapid.IntRange(0, left-sent).Draw(t, "part of the wait that is known")
 		clock := NewRemoteClock(1, at(left).Sub(remoteStart), at(leftAfter), at(received))
 		when := rapid.IntRange(-2000, 10_000).Draw(t, "statement")
 		exact := at(when).Sub(remoteStart)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -35,7 +35,7 @@
 	MeanLoad float64
 	// UpSeconds is how long ago the back end was first seen healthy.
 	UpSeconds float64
-	// Local is set when the back end is in the zone of the balancer that asks.
+	// Local is set when the back end is in the zone of the balancer that evaluates the policy.
 	Local bool
 	// Capacity is how many requests the back end processes at once; 0 is unknown.
 	Capacity float64
