--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -35,7 +35,7 @@
 	MeanLoad float64
 	// UpSeconds is how long ago the back end was first seen healthy.
 	UpSeconds float64
-	// Local is set when the back end is in the zone of the balancer that asks.
+	// Local is set when the back end is in the zone of the balancer that evaluates the policy.
 	Local bool
 	// Capacity is how many requests the back end processes at once; 0 is unknown.
 	Capacity float64
@@ -195,7 +195,8 @@
 }
 
 // Samples returns the facts that a policy is tested with when it is applied: those
-// of a healthy, a loaded, a newly started, an unhealthy and an unreported back end.
+// of a healthy, a loaded, a newly started and an unhealthy back end, and of one
+// without a recent report.
 func Samples() []Facts {
 	healthy := Facts{Name: "sample", Zone: "zone", MachineState: "live", Healthy: true, Load: 0.5, MeanLoad: 0.5, ReportAge: 1, UpSeconds: 3600, Local: true, Capacity: 2}
 	loaded, starting, unhealthy, unreported := healthy, healthy, healthy, healthy
