--- a/internal/tokenroute/backendhealth.go
+++ b/internal/tokenroute/backendhealth.go
@@ -67,7 +67,8 @@
 	return count
 }
 
-// lostCopies returns the total number of unanswered copies of requests that passed this balancer.
+// lostCopies returns the total number of retransmissions of unanswered requests that passed this
+// balancer.
 func (h *backendHealth) lostCopies() int {
 	sum := 0
 	for _, each := range h.unanswered {
@@ -92,7 +93,7 @@
 	return summary
 }
 
-// lastEventAt returns when the back end's health last changed.
+// lastEventAt returns the time of the latest evidence for or against the back end.
 func (h *backendHealth) lastEventAt() time.Time {
 	lastEventAt := h.activeAt
 	for _, at := range []time.Time{h.promptSentAt, h.retransmittedAt} {
@@ -124,8 +125,8 @@
 	}
 }
 
-// othersResponsive reports whether the other back ends have answered since the given time, which
-// rules out that this balancer loses the packets itself.
+// othersResponsive reports whether enough of the other back ends have answered promptly since the
+// given time (minPromptRatio) to rule out that this balancer loses the packets itself.
 func (d *FailureDetector) othersResponsive(suspect *backendHealth, since time.Time) bool {
 	prompt, retransmitted := 0, 0
 	for _, health := range d.health {
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -72,8 +72,8 @@
 		}
 		byGroup[i] = b.backendsOf(group, prior.backends)
 	}
-	for place, prior := range b.previous.poolZones {
-		if !listed[place] {
+	for poolZone, prior := range b.previous.poolZones {
+		if !listed[poolZone] {
 			b.removeTokens(prior.backends)
 		}
 	}
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -42,6 +42,8 @@
 // The reasons.
 const (
 	ReasonToken Reason = iota
+	// ReasonOpenedElsewhere means that the flow was opened by a back end other than the one that its
+	// token names, and stays with the one that opened it.
 	ReasonOpenedElsewhere
 	ReasonNewFlow
 	ReasonNoTable
@@ -83,9 +85,9 @@
 	Refusal *admission.Refusal
 }
 
-// Decide decides on one packet using a table, which may be nil while nothing is known. An open flow
-// is refused only if its own back end is known to be dead: another balancer may know an open flow
-// that this one does not.
+// Decide decides on one packet using a table, which may be nil while no routes are known. An open
+// flow is refused only if its own back end is known to be dead: another balancer may know an open
+// flow that this one does not.
 func (f *Flows) Decide(table *Table, packet Packet, now time.Time) Decision {
 	if table == nil {
 		return Decision{Verdict: Drop, Reason: ReasonNoTable}
--- a/internal/tokenroute/demand.go
+++ b/internal/tokenroute/demand.go
@@ -91,9 +91,9 @@
 
 // countRequest counts a request that starts, or one that was answered. The first request of a flow
 // that opened here was already counted with the opening.
-func (s *flowState) countRequest(begins bool, now time.Time) {
+func (s *flowState) countRequest(starts bool, now time.Time) {
 	poolDemand := s.load.poolDemand
-	if !begins {
+	if !starts {
 		s.lost = false
 		poolDemand.responses++
 		updateMean(&poolDemand.responseTime, now.Sub(s.inFlightSince))
@@ -241,8 +241,8 @@
 }
 
 // minServiceFraction is the lower bound of serviceFraction, which applies if responses take hardly
-// longer than the round trip, or less than openings did. Without it a zone would look idle whatever
-// the demand, and would draw requests that other zones have no capacity for. One twentieth
+// longer than the round trip, or even less time than openings did. Without it a zone would look idle
+// whatever the demand, and would draw requests that other zones have no capacity for. One twentieth
 // corresponds to 5 ms of work in a response time of 100 ms.
 const minServiceFraction = 0.05
 
--- a/internal/tokenroute/doc.go
+++ b/internal/tokenroute/doc.go
@@ -30,6 +30,6 @@
 //
 //	table := NewTable(directory, options) // in the control goroutine
 //	decision := flows.Decide(table, packet, now) // in the traffic goroutine
-//	for _, abandoned := range flows.TakeAbandoned() { ... }
+//	for _, abandoned := range flows.TakeAbandonedFlows() { ... }
 //	if summary := flows.Summarize(now); summary != nil { ... }
 package tokenroute
--- a/internal/tokenroute/failuredetector.go
+++ b/internal/tokenroute/failuredetector.go
@@ -32,7 +32,7 @@
 	// not, before a balancer trusts its own link.
 	minPromptRatio = 2
 	// failureTTL is how long a failure lasts without another unanswered request. It is well below
-	// the time for which a disruption excuses a reset.
+	// the time after a disruption in which resets of flows are tolerated.
 	failureTTL = 2 * time.Second
 	// maxBackendHealth bounds the number of back ends whose health is tracked at a time.
 	maxBackendHealth = 32768
@@ -40,9 +40,9 @@
 
 // FailureDetector detects failed back ends passively, from the packets of their clients. The
 // balancer sees no answers, since back ends send them directly to the clients. But a client
-// retransmits what was not acknowledged, and acknowledges what it received. If a request was
-// retransmitted twice by two clients each, or three times by one, and no client acknowledged
-// anything newer, the back end has failed.
+// retransmits what was not acknowledged, and acknowledges what it received. If two
+// clients have each retransmitted a request twice, or one client has done so three times, and no
+// client has acknowledged anything newer, the back end has failed.
 //
 // A flow to a failed back end can only wait for its client's deadline, so resetting it at once is
 // better for the client. When the failure is detected, the flows that passed recently are reset,
@@ -50,7 +50,7 @@
 // end. After that, flows are reset when they send a request.
 //
 // A reset that hits a live back end breaks a flow, so uncertain evidence counts in favor of the
-// back end: any acknowledgment newer than the unanswered requests discards them, copies that did
+// back end: any acknowledgement newer than the unanswered requests discards them, copies that did
 // not pass this balancer are not counted, and a failure expires by itself unless the directory also
 // says that the back end is gone. A balancer whose own link is congested loses the requests to all
 // its back ends. So no failure is detected unless other back ends answered promptly in the
@@ -82,8 +82,8 @@
 
 // newFailureDetector returns a detector for the back ends of the flows in a flow cache, without any
 // evidence.
-func newFailureDetector(memory *flowCache, zones *zoneMonitor, disabled mechanism.Set) *FailureDetector {
-	return &FailureDetector{disabled: disabled, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
+func newFailureDetector(cache *flowCache, zones *zoneMonitor, disabled mechanism.Set) *FailureDetector {
+	return &FailureDetector{disabled: disabled, memory: cache, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
 // Observe handles a packet of an open flow to a back end and reports whether the back end counts as
@@ -142,6 +142,7 @@
 	}
 }
 
+// trackRequest starts tracking a new request of a flow in place of the previous one.
 func (d *FailureDetector) trackRequest(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	state.setInFlight(true, now)
 	if state.firstRequestAt.IsZero() {
@@ -265,14 +266,14 @@
 		return
 	}
 	health.activeAt = livedAt
-	answers := false
+	contradictsRemote := false
 	for client, each := range health.unanswered {
 		if !each.sentAt.After(livedAt) {
-			answers = answers || each.remote()
+			contradictsRemote = contradictsRemote || each.remote()
 			delete(health.unanswered, client)
 		}
 	}
-	if answers {
+	if contradictsRemote {
 		d.reportActivity(backend, health)
 	}
 	if len(health.unanswered) == 0 {
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -98,8 +98,9 @@
 }
 
 // ChooseForFirst returns the back end for the first packet of a flow, or for a retransmission of
-// it, or nil if the route has none. A retransmission that comes before the answer was due goes to
-// the same back end as the earlier packet, provided that this one still takes new flows.
+// it, or nil if the route has none. A retransmission that comes before the answer was due, or after
+// maxAttempts back ends were tried, goes to the same back end as the earlier packet, provided that
+// this one still takes new flows.
 func (f *Flows) ChooseForFirst(route *Route, key flow.Key, now time.Time) *Backend {
 	f.rotate(now)
 	f.collectOverdue(now)
--- a/internal/tokenroute/link.go
+++ b/internal/tokenroute/link.go
@@ -31,14 +31,14 @@
 // countResponse counts a response. retransmitted is set if it took a retransmission.
 func (l *linkMonitor) countResponse(retransmitted bool, now time.Time) {
 	number := now.UnixNano() / int64(linkBucketTime)
-	slot := &l.buckets[number%linkBuckets]
-	if slot.number != number {
-		*slot = linkBucket{number: number}
+	bucket := &l.buckets[number%linkBuckets]
+	if bucket.number != number {
+		*bucket = linkBucket{number: number}
 	}
 	if retransmitted {
-		slot.retransmitted++
+		bucket.retransmitted++
 	} else {
-		slot.prompt++
+		bucket.prompt++
 	}
 }
 
@@ -47,9 +47,9 @@
 	first := max(at.UnixNano(), now.Add(-linkWindow).UnixNano()) / int64(linkBucketTime)
 	last := now.UnixNano() / int64(linkBucketTime)
 	for i := range l.buckets {
-		if slot := &l.buckets[i]; slot.number >= first && slot.number <= last {
-			prompt += slot.prompt
-			retransmitted += slot.retransmitted
+		if bucket := &l.buckets[i]; bucket.number >= first && bucket.number <= last {
+			prompt += bucket.prompt
+			retransmitted += bucket.retransmitted
 		}
 	}
 	return prompt, retransmitted
@@ -60,11 +60,11 @@
 // link alone. sentAt is when the latest request was sent; the responses since then show whether the
 // link has become worse.
 func (l *linkMonitor) expectedLinkLoss(copies int, sentAt, now time.Time) float64 {
-	expectedLinkLoss := expectedLost(copies)(l.countSince(now.Add(-linkWindow), now))
+	expected := expectedLost(copies)(l.countSince(now.Add(-linkWindow), now))
 	if prompt, retransmitted := l.countSince(sentAt, now); retransmitted > 0 {
-		expectedLinkLoss = max(expectedLinkLoss, expectedLost(copies)(prompt, retransmitted))
+		expected = max(expected, expectedLost(copies)(prompt, retransmitted))
 	}
-	return expectedLinkLoss
+	return expected
 }
 
 // expectedLost returns how many of the requests that were answered promptly, or after a
@@ -72,18 +72,19 @@
 // one more response of each kind, so that few responses say little.
 func expectedLost(copies int) func(prompt, retransmitted int) float64 {
 	return func(prompt, retransmitted int) float64 {
-		answers := float64(prompt + retransmitted)
-		loss := (float64(retransmitted) + 1) / (answers + 2)
-		return (answers + 1) * math.Pow(loss, float64(copies))
+		responses := float64(prompt + retransmitted)
+		loss := (float64(retransmitted) + 1) / (responses + 2)
+		return (responses + 1) * math.Pow(loss, float64(copies))
 	}
 }
 
 const (
-	// maxLinkLossForFailure is the expected link loss up to which a balancer declares a back end
-	// dead by what passed here: one request in 500 times as many as are answered within the window.
-	// With this limit, 20 balancers behind links that lose 10 to 70 of 100 packets reset no flows
-	// of live back ends in 8 s, compared to 188 without it
-	// (TestBalancersBehindCongestedLinksResetNoLiveFlows). Dead back ends were detected as early.
+	// maxLinkLossForFailure is the expected link loss up to which a balancer marks a back end as
+	// failed because of the requests that passed here. It corresponds to one request lost to the
+	// link out of 500 times as many as are answered within the window. With this limit, 20
+	// balancers behind links that lose 10 to 70 of 100 packets reset no flows of live back ends in
+	// 8 s, compared to 188 without it (TestBalancersBehindCongestedLinksResetNoLiveFlows). Dead back
+	// ends were detected as early.
 	maxLinkLossForFailure = 0.002
 	// maxLinkLossForReport is the expected link loss up to which unanswered requests are reported
 	// to other balancers. They need at least two of them to detect a failure, and may know better.
--- a/internal/tokenroute/opening.go
+++ b/internal/tokenroute/opening.go
@@ -12,8 +12,8 @@
 	maxAttempts = 3
 	// inFlightWeight is the number of open flows that count as much as one request in flight. A
 	// request in flight occupies a slot or a place in a queue now, while an open flow may stay idle
-	// for long. A weight of 1 lowered the fraction served in bursts by 0.003 in each of two small
-	// fleets.
+	// for long. A weight of 1 lowered the fraction served in bursts by 0.003 in each of two fleets
+	// that were short of capacity.
 	inFlightWeight = 8
 	// The time for which a back end that did not answer is avoided doubles from minAvoidTime to
 	// maxAvoidTime.
--- a/internal/tokenroute/poolzone.go
+++ b/internal/tokenroute/poolzone.go
@@ -17,7 +17,7 @@
 	version uint64
 	weight  uint32
 	uniform bool
-	// evacuated is set while the zone takes no new flows, and withheld if at least one
+	// evacuated is set while the zone takes no new flows, and withheldByEvacuation if at least one
 	// back end takes none only for that reason.
 	evacuated, withheldByEvacuation bool
 	// timeIndependent is set unless the pool zone changes with time alone.
@@ -42,8 +42,8 @@
 }
 
 // poolZone builds the pool zone of a group. A back end may take new flows if it has an entry, or
-// had one that expired during an outage of the store and may come back, unless its zone is
-// evacuated.
+// had one that expired during an outage of the store and may come back, unless it is draining,
+// another back end of the pool owns its token, or its zone is evacuated.
 func (b *builder) poolZone(group *directory.BackendGroup, backends []*Backend) *poolZone {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.PoolZone)
@@ -94,11 +94,11 @@
 
 // weight returns the weight for new flows of each back end of a pool in one zone if all of them
 // have the same, and reports whether they do.
-func (b *builder) weight(place directory.PoolZone) (weight uint32, uniform bool) {
+func (b *builder) weight(poolZone directory.PoolZone) (weight uint32, uniform bool) {
 	if b.options.WeightOfPoolZone == nil {
 		return 0, false
 	}
-	return b.options.WeightOfPoolZone(place)
+	return b.options.WeightOfPoolZone(poolZone)
 }
 
 // rule returns the rule that ranks the given back ends of a group for a flow.
--- a/internal/tokenroute/restart.go
+++ b/internal/tokenroute/restart.go
@@ -31,8 +31,8 @@
 // abandonEarlierStarts abandons the flows of earlier starts of a back end.
 func (f *Flows) abandonEarlierStarts(backend *Backend, now time.Time) {
 	isEarlierStart := func(id incarnation.ID) bool { return id.Number == backend.Number && id.Start != backend.Start }
-	predatesStart := func(seenAt time.Time) bool {
-		return !seenAt.IsZero() && backend.Start.PrecededBy(now.Sub(seenAt), now)
+	predatesStart := func(firstRequestAt time.Time) bool {
+		return !firstRequestAt.IsZero() && backend.Start.PrecededBy(now.Sub(firstRequestAt), now)
 	}
 	abandon := func(key flow.Key, acknowledged uint32) {
 		f.failureDetector.abandoned = append(f.failureDetector.abandoned,
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -75,7 +75,8 @@
 }
 
 // compareGroup compares the responses of the back ends of a pool for one address. While the pool is
-// saturated, only responses from before the last comparison are used.
+// saturated, the responses of the latest intervals between comparisons are discarded, and only those
+// that were settled before are used (see observe.ResponseHistory).
 func (f *Flows) compareGroup(group responseGroup, loads []*backendLoad) {
 	saturated := f.isSaturated(group.pool.name)
 	counts := make([]*observe.ResponseCounts, len(loads))
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -108,7 +108,7 @@
 	WeightOf WeightFunc
 	// WeightOfPoolZone returns the weight of each back end of a pool in one zone if they all have the
 	// same, and reports whether they do. If it is nil, WeightOf is called for each back end.
-	WeightOfPoolZone func(place directory.PoolZone) (weight uint32, uniform bool)
+	WeightOfPoolZone func(poolZone directory.PoolZone) (weight uint32, uniform bool)
 	// FormerPools maps a route's address to the pools that the route had before. The open flows of
 	// these pools stay where they are.
 	FormerPools map[flow.Address]map[string]bool
@@ -144,10 +144,10 @@
 	Since, Until time.Time
 }
 
-// covers reports whether an entry that disappeared at vanishedAt may merely have expired during the
+// covers reports whether an entry that disappeared at removedAt may merely have expired during the
 // outage.
-func (s StoreRecovery) covers(vanishedAt, now time.Time) bool {
-	return now.Before(s.Until) && !vanishedAt.Before(s.Since)
+func (s StoreRecovery) covers(removedAt, now time.Time) bool {
+	return now.Before(s.Until) && !removedAt.Before(s.Since)
 }
 
 // NewTable builds a table from a directory. It returns nil as long as the directory has no route
@@ -247,7 +247,7 @@
 
 // Choose returns the back end for a new flow, or nil if the route has none. Of the highest-ranked
 // back ends for the flow's hash, it chooses the one with the lowest load relative to its weight.
-func (r *Route) Choose(hash uint64, prefer func(*Backend) Preference, inUse func(*Backend) int) *Backend {
+func (r *Route) Choose(hash uint64, prefer func(*Backend) Preference, usage func(*Backend) int) *Backend {
 	chosen := r.poolFor(hash)
 	if chosen == nil {
 		return nil
@@ -256,7 +256,7 @@
 		var topCandidates [maxCandidates]rule.RankedCandidate
 		count := chosen.topCandidates(hash, topCandidates[:], func(backend *Backend) bool { return prefer(backend) > worst })
 		if count > 0 {
-			return chosen.leastLoaded(topCandidates[:count], inUse)
+			return chosen.leastLoaded(topCandidates[:count], usage)
 		}
 	}
 	return nil
@@ -332,12 +332,12 @@
 }
 
 // leastLoaded returns the back end with the lowest load relative to its weight.
-func (p *pool) leastLoaded(candidates []rule.RankedCandidate, inUse func(*Backend) int) *Backend {
+func (p *pool) leastLoaded(candidates []rule.RankedCandidate, usage func(*Backend) int) *Backend {
 	var best *Backend
 	bestUse, bestWeight := 0, 1
 	for _, candidate := range candidates {
 		backend := p.backend(candidate)
-		use, weight := inUse(backend)+1, int(candidate.Weight)
+		use, weight := usage(backend)+1, int(candidate.Weight)
 		if best == nil || use*bestWeight < bestUse*weight {
 			best, bestUse, bestWeight = backend, use, weight
 		}
--- a/internal/tokenroute/tracker.go
+++ b/internal/tokenroute/tracker.go
@@ -9,7 +9,8 @@
 // clientAddress is the IPv4 address of a client.
 type clientAddress [4]byte
 
-// requestTracker tracks the oldest unanswered data packet of a flow, as far as it passed here.
+// requestTracker tracks the oldest unanswered data packet of a flow among those that passed this
+// balancer.
 type requestTracker struct {
 	// backend is nil until a packet with data has passed.
 	backend                *Backend
--- a/internal/tokenroute/zones.go
+++ b/internal/tokenroute/zones.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// silentZoneMisses is the number of back ends of a zone that must have left something
-	// unanswered for the zone to count as silent, with nothing sent since being answered by any
-	// back end of the zone.
+	// silentZoneMisses is the number of back ends that must have left a packet unanswered for their
+	// zone to count as silent, provided that no back end of the zone has answered anything sent
+	// since.
 	silentZoneMisses = 3
 	// zoneAvoidTime is how long new flows avoid a silent zone until one of them probes it.
 	zoneAvoidTime = time.Second
 	// zoneMissAge is how long an unanswered packet counts against its zone.
 	zoneMissAge = 4 * time.Second
 	// zoneLogInterval is the minimum time between two log messages about a zone. A zone that loses
-	// some packets alternates between the states, 25 times in 120 s at a few flows a second.
+	// some packets alternates between silent and not silent, 25 times in 120 s at a few flows a
+	// second.
 	zoneLogInterval = 10 * time.Second
 )
 
 // zoneMonitor detects zones that can't be reached from here by what their back ends leave
-// unanswered: first packets, and requests that are retransmitted. It only decides where new flows
+// unanswered: first packets, and requests that are retransmitted. It only affects where new flows
 // go, since a zone behind a network partition and a zone that has failed look the same from here. A
 // wrong decision costs load: the other zones get the new flows of a live zone, for a second at a
 // time.
@@ -33,8 +34,8 @@
 // that have not answered themselves come last (Suspected), so that live ones are found as if no
 // zone were silent.
 //
-// Without zoneMonitor, each back end is avoided only after one flow was lost to it (Flows), and a
-// partitioned zone has a hundred of them.
+// Without zoneMonitor, each back end is avoided only after one flow was lost to it (see backoff),
+// and a partitioned zone may have a hundred back ends.
 type zoneMonitor struct {
 	disabled mechanism.Set
 	zones    map[string]*zoneState
