--- a/internal/tokenroute/congestedlinks_test.go
+++ b/internal/tokenroute/congestedlinks_test.go
@@ -126,9 +126,9 @@
 
 // A third of the balancers is behind links that lose a fraction of the packets and delay the
 // others, while every back end is live. In some cases the entries of the back ends have been
-// removed although they still serve, as planned work may do; then no disruption excuses a reset.
-// Without an estimate of the loss on the own link, 30 to 190 flows of live back ends were reset in
-// 8 s in those cases.
+// removed although they still serve, as planned work may do. No resets are tolerated then, since
+// there is no disruption. Without an estimate of the loss on the balancer's own link, 30 to 190
+// flows of live back ends were reset in 8 s in those cases.
 func TestBalancersBehindCongestedLinksResetNoLiveFlows(t *testing.T) {
 	const balancers, backends = 60, 90
 	for _, gone := range []bool{false, true} {
--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -52,8 +52,8 @@
 	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].RequestRate, "each request counts once")
 }
 
-// Full back ends reset flows, which clients do not show. In bursts, 1,483 requests then seemed to
-// be in flight to 40 slots, and 1,120 still did four seconds after the burst.
+// Full back ends reset flows, which the packets of clients do not show. In bursts, 1,483 requests
+// then seemed to be in flight to 40 slots, and 1,120 still did four seconds after the burst.
 func TestUnansweredRequestsStopCountingAsInFlight(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 9, 2, 0)
@@ -118,10 +118,10 @@
 	}
 }
 
-// runSlowBackend keeps 8 clients waiting for responses that take responseTime. Unless their
-// requests are acknowledged, they retransmit them as clients do. It returns the mean number of
-// requests in flight, the number of responses counted, and the number of summaries at which nothing
-// seemed to be in flight.
+// runSlowBackend keeps 8 clients waiting for responses that take responseTime milliseconds.
+// Unless their requests are acknowledged, they retransmit them as clients do. It returns the mean
+// number of requests in flight, the number of responses counted, and the number of summaries at
+// which nothing seemed to be in flight.
 func runSlowBackend(table *Table, flows *Flows, responseTime, rounds int, acknowledged bool) (inFlight, responses float64, idle int) {
 	flows.Summarize(at(0))
 	summaries := 0.0
--- a/internal/tokenroute/failuredetector_test.go
+++ b/internal/tokenroute/failuredetector_test.go
@@ -283,7 +283,7 @@
 	require.Empty(t, flows.loads)
 }
 
-// BenchmarkObserve measures tracking a request and its acknowledgment.
+// BenchmarkObserve measures tracking a request and its acknowledgement.
 func BenchmarkObserve(b *testing.B) {
 	table := manyBackends(200)
 	flows := NewFlows(mechanism.Set{})
--- a/internal/tokenroute/incremental_test.go
+++ b/internal/tokenroute/incremental_test.go
@@ -26,13 +26,13 @@
 			}
 		}
 	}
-	inUse := func(backend *Backend) int { return int(backend.Number % 3) }
+	usage := func(backend *Backend) int { return int(backend.Number % 3) }
 	for address, route := range want.routes {
 		other := got.routes[address]
 		for port := range 20 {
 			hash := key(port).Hash()
 			prefer := func(backend *Backend) Preference { return Preference((backend.Number + uint64(port)) % 4) }
-			require.Equal(t, route.Choose(hash, prefer, inUse), other.Choose(hash, prefer, inUse))
+			require.Equal(t, route.Choose(hash, prefer, usage), other.Choose(hash, prefer, usage))
 			require.Equal(t, route.refusalReason(hash), other.refusalReason(hash))
 		}
 	}
@@ -65,16 +65,16 @@
 				entries.Apply(&apiv1.DirectoryBatch{Revision: revision, Changes: []*apiv1.DirectoryChange{change}}, now)
 			}
 			entries.Expire(now)
-			place := directory.PoolZone{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
-			weights[place] = uint32(rapid.IntRange(0, 3).Draw(t, "weight")) * 1000
-			weightOf := func(place directory.PoolZone) uint32 {
-				if weight, found := weights[place]; found {
+			poolZone := directory.PoolZone{Pool: "lending", Zone: rapid.SampledFrom([]string{"maadi", "giza"}).Draw(t, "weighed")}
+			weights[poolZone] = uint32(rapid.IntRange(0, 3).Draw(t, "weight")) * 1000
+			weightOf := func(poolZone directory.PoolZone) uint32 {
+				if weight, found := weights[poolZone]; found {
 					return weight
 				}
 				return rule.MaximumWeight
 			}
 			nonUniform := rapid.IntRange(0, 3).Draw(t, "uneven") == 0
-			settings.WeightOfPoolZone = func(place directory.PoolZone) (uint32, bool) { return weightOf(place), !nonUniform }
+			settings.WeightOfPoolZone = func(poolZone directory.PoolZone) (uint32, bool) { return weightOf(poolZone), !nonUniform }
 			settings.WeightOf = func(entry directory.BackendEntry) uint32 {
 				if nonUniform && entry.GetNumber()%2 == 0 {
 					return 500
@@ -113,8 +113,8 @@
 	settings.Previous = before
 	after := NewTable(entries, settings)
 	for zone, shared := range map[string]bool{"zone-0": false, "zone-1": true, "zone-2": true} {
-		place := directory.PoolZone{Pool: "lending", Zone: zone}
-		require.Equal(t, shared, before.poolZones[place] == after.poolZones[place], zone)
+		poolZone := directory.PoolZone{Pool: "lending", Zone: zone}
+		require.Equal(t, shared, before.poolZones[poolZone] == after.poolZones[poolZone], zone)
 	}
 	require.Len(t, after.poolZones[directory.PoolZone{Pool: "lending", Zone: "zone-0"}].eligible, 19)
 	require.Len(t, before.poolZones[directory.PoolZone{Pool: "lending", Zone: "zone-0"}].eligible, 20)
--- a/internal/tokenroute/observations_test.go
+++ b/internal/tokenroute/observations_test.go
@@ -33,7 +33,7 @@
 	return len(flows.TakeAbandonedFlows())
 }
 
-// exchange forwards a request of a client's flow and the acknowledgment of its answer.
+// exchange forwards a request of a client's flow and the acknowledgement of its answer.
 func exchange(flows *Flows, table *Table, client byte, token Token, now int) {
 	flows.Decide(table, request(client, token, uint32(now+1)), at(now))
 	flows.Decide(table, acknowledgement(client, token), at(now+20))
@@ -58,11 +58,11 @@
 	require.Equal(t, Refuse, flows.Decide(table, request(4, 2, 1), at(1000)).Verdict)
 	require.Equal(t, Forward, flows.Decide(table, request(2, 3, 1), at(1000)).Verdict)
 	require.Equal(t, uint64(1), flows.BackendFailures())
-	verdicts := flows.TakeBackendFailures()
-	require.Len(t, verdicts, 1)
-	require.Equal(t, at(100), verdicts[0].SilentSince)
-	require.Equal(t, 2, verdicts[0].Remote)
-	require.Zero(t, verdicts[0].Local)
+	failures := flows.TakeBackendFailures()
+	require.Len(t, failures, 1)
+	require.Equal(t, at(100), failures[0].SilentSince)
+	require.Equal(t, 2, failures[0].Remote)
+	require.Zero(t, failures[0].Local)
 }
 
 func TestLocalAndRemoteReportsAreCombined(t *testing.T) {
--- a/internal/tokenroute/refusal_test.go
+++ b/internal/tokenroute/refusal_test.go
@@ -13,23 +13,23 @@
 // lowPriorityRefusals returns refusals of all low-priority flows to a pool that is short of
 // capacity.
 func lowPriorityRefusals(t *testing.T) *admission.Refusals {
-	gate := admission.NewController()
-	var levels *admission.Refusals
+	controller := admission.NewController()
+	var refusals *admission.Refusals
 	for step := range 20 {
 		now := at(250 * step)
-		levels = gate.Update([]admission.PoolState{{Pool: "lending", Priorities: []admission.Priority{1, 2},
+		refusals = controller.Update([]admission.PoolState{{Pool: "lending", Priorities: []admission.Priority{1, 2},
 			Pressure: admission.Pressure{RequestsPerSlot: 6, SeenAt: now}}}, now)
 	}
-	require.NotNil(t, levels)
-	return levels
+	require.NotNil(t, refusals)
+	return refusals
 }
 
 // twoPriorityTable returns a table with one pool behind a high-priority and a low-priority route.
 func twoPriorityTable() *Table {
-	urgent, other := route(1, share("lending", 1)), route(2, share("lending", 1))
-	urgent.Priority, other.Priority = 1, 2
+	highPriority, lowPriority := route(1, share("lending", 1)), route(2, share("lending", 1))
+	highPriority.Priority, lowPriority.Priority = 1, 2
 	return NewTable(newDirectory(&apiv1.DirectoryChange{Revision: 1, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{
-		Version: 1, Routes: []*apiv1.ServiceRoute{urgent, other}}}}, backend(2, 7, "lending"), backend(3, 9, "lending")), defaultOptions())
+		Version: 1, Routes: []*apiv1.ServiceRoute{highPriority, lowPriority}}}}, backend(2, 7, "lending"), backend(3, 9, "lending")), defaultOptions())
 }
 
 func firstPacketTo(port int, address byte) Packet {
--- a/internal/tokenroute/simulation_test.go
+++ b/internal/tokenroute/simulation_test.go
@@ -21,7 +21,7 @@
 	table  *Table
 	nodes  []simulatedBalancer
 	flows  []simulatedFlow
-	// failedAt is when the first failed back ends fall silent.
+	// failed is the number of back ends that fall silent at failedAt, lowest numbers first.
 	failed, failedAt int
 	// detectedAfter maps a balancer and a failed back end to the time from the failure until the
 	// balancer first reset a flow of the back end.
@@ -63,7 +63,7 @@
 	retransmits int
 	nextAt      int
 	waiting     bool
-	// respondedAt is when the answer arrives, if that is known in advance, and 0 otherwise.
+	// answeredAt is when the answer arrives, if that is known in advance, and 0 otherwise.
 	answeredAt int
 }
 
@@ -236,8 +236,8 @@
 }
 
 // Of 150 back ends, 30 fall silent at the same time. Without shared reports, each balancer detects
-// the failures by losing requests of its own, one back end after the other, and half know only after 3
-// seconds. With shared reports, half of the balancers know after about 1.0 second, of which 0.6 are
+// the failures by losing requests of its own, one back end after the other, and half know only after
+// 3 seconds. With shared reports, half of the balancers know after about 1.0 second, of which 0.6 are
 // two retransmissions and 0.2 the wait for contradicting activity, and a third as many requests go
 // to failed back ends.
 func TestSharedReportsShortenFailureDetection(t *testing.T) {
--- a/internal/tokenroute/zonefailures_test.go
+++ b/internal/tokenroute/zonefailures_test.go
@@ -20,8 +20,8 @@
 // silentClients are the clients of most back ends of giza.
 var silentClients = []byte{101, 102, 103, 104, 105, 106, 107, 108}
 
-func newZoneFixture(off mechanism.Set) *zoneFixture {
-	fixture := &zoneFixture{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones()}
+func newZoneFixture(disabled mechanism.Set) *zoneFixture {
+	fixture := &zoneFixture{flows: NewFlows(disabled).WithZone("maadi"), table: twoLargeZones()}
 	for number := range byte(10) {
 		exchange(fixture.flows, fixture.table, number+1, Token(number+1), 0)
 		exchange(fixture.flows, fixture.table, number+101, Token(number)+101, 0)
@@ -43,7 +43,7 @@
 	}
 }
 
-// resetClients evaluates pending failures and returns the clients whose flows are reset, in order.
+// resetClients evaluates the pending reports and returns the clients whose flows are reset, in order.
 func (z *zoneFixture) resetClients(now int) []byte {
 	for earlier := now - 500; earlier <= now; earlier += 10 {
 		z.flows.EvaluatePending(at(earlier))
@@ -115,7 +115,7 @@
 		fleet := newZonedSimulation(balancers, 150, 40, mechanism.Set{}, otherZone, zone)
 		fleet.idleFrom = 40
 		fleet.run(9000)
-		require.NotEmpty(t, fleet.detectionTimes(), "the dead back ends are detected")
+		require.NotEmpty(t, fleet.detectionTimes(), "the failed back ends are detected")
 		kept := 0
 		for _, each := range fleet.flows {
 			if each.backend >= 40 && each.backend < 50 {
--- a/internal/tokenroute/zones_test.go
+++ b/internal/tokenroute/zones_test.go
@@ -33,8 +33,8 @@
 	lost map[string]int
 }
 
-func newOpener(off mechanism.Set, responds func(*Backend) bool) *flowOpener {
-	return &flowOpener{flows: NewFlows(off).WithZone("maadi"), table: twoLargeZones(), responds: responds, pause: 10, lost: make(map[string]int)}
+func newOpener(disabled mechanism.Set, responds func(*Backend) bool) *flowOpener {
+	return &flowOpener{flows: NewFlows(disabled).WithZone("maadi"), table: twoLargeZones(), responds: responds, pause: 10, lost: make(map[string]int)}
 }
 
 func (o *flowOpener) open(count int) {
@@ -57,14 +57,15 @@
 
 func inMaadi(b *Backend) bool { return b.Zone == "maadi" }
 
-// A partitioned zone has many back ends, and each would lose a flow before it is avoided by itself.
+// A partitioned zone has many back ends. If each were avoided only for its own silence, every one of
+// them would lose a flow first.
 func TestSilentZoneIsAvoided(t *testing.T) {
-	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
+	silentZonesDisabled, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
-	disabled, enabled := newOpener(off, inMaadi), newOpener(mechanism.Set{}, inMaadi)
+	disabled, enabled := newOpener(silentZonesDisabled, inMaadi), newOpener(mechanism.Set{}, inMaadi)
 	disabled.open(90)
 	enabled.open(90)
-	require.Greater(t, disabled.lost["giza"], 19, "each back end is avoided by itself")
+	require.Greater(t, disabled.lost["giza"], 19, "each back end is avoided only for its own silence")
 	require.LessOrEqual(t, enabled.lost["giza"], 15, "only those within 150 ms, before the first answer was due")
 	require.EqualValues(t, 1, enabled.flows.SilentZoneCount())
 	silent := enabled.flows.TakeSilentZones()
@@ -100,10 +101,10 @@
 // from those that have. Here nineteen of twenty are dead, in one zone. Without the distinction a
 // first packet would reach the live one as rarely as each dead one.
 func TestAllZonesSilentStillPrefersLiveBackends(t *testing.T) {
-	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
+	silentZonesDisabled, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
-	lost := func(off mechanism.Set) int {
-		opener := newOpener(off, func(b *Backend) bool { return b.Number == 7 })
+	lost := func(set mechanism.Set) int {
+		opener := newOpener(set, func(b *Backend) bool { return b.Number == 7 })
 		changes := []*apiv1.DirectoryChange{routes(1, route(1, share("lending", 1)))}
 		for number := range uint64(20) {
 			changes = append(changes, inZone(backend(2, number+1, "lending"), "maadi"))
@@ -113,12 +114,13 @@
 		opener.open(1000)
 		return opener.lost["maadi"]
 	}
-	disabled, enabled := lost(off), lost(mechanism.Set{})
+	disabled, enabled := lost(silentZonesDisabled), lost(mechanism.Set{})
 	t.Logf("first packets lost of 1,000: each back end by itself %d, with silent zones %d", disabled, enabled)
 	require.LessOrEqual(t, enabled, disabled+disabled/10)
 }
 
-// If other back ends of a zone answer, those that do not are full or dead by themselves.
+// If other back ends of a zone answer, those that do not are full or dead individually, which is no
+// reason to avoid the zone.
 func TestZoneWithSomeResponsesIsNotSilent(t *testing.T) {
 	opener := newOpener(mechanism.Set{}, func(b *Backend) bool { return inMaadi(b) || b.Number%2 == 0 })
 	opener.open(500)
@@ -144,8 +146,8 @@
 // A zone of which some back ends answer and others do not alternates between silent and not, and is
 // logged once in ten seconds. With the mechanism disabled, nothing is counted or logged.
 func TestSilentZoneLoggingIsRateLimited(t *testing.T) {
-	alternate := func(off mechanism.Set) (logged, times int, counted uint64) {
-		monitor := newZoneMonitor(off)
+	alternate := func(disabled mechanism.Set) (logged, times int, counted uint64) {
+		monitor := newZoneMonitor(disabled)
 		for now := 0; now < 120_000; now += 100 {
 			backend := &Backend{Number: uint64(now / 100 % 7), Zone: "giza"}
 			monitor.recordMiss(backend, at(now), at(now+1))
@@ -163,9 +165,9 @@
 	require.LessOrEqual(t, logged, 12)
 	require.GreaterOrEqual(t, logged, 10)
 	require.Greater(t, times, 50)
-	off, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
+	silentZonesDisabled, err := mechanism.Parse([]string{string(mechanism.SilentZones)})
 	require.NoError(t, err)
-	logged, _, counted = alternate(off)
+	logged, _, counted = alternate(silentZonesDisabled)
 	require.Zero(t, logged)
 	require.Zero(t, counted)
 }
