--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -273,9 +273,9 @@
 		compared := make(map[uint64]*Backend)
 		route := table.Route(key(port).Address())
 		first := route.poolFor(key(port).Hash())
-		var leader [1]rule.RankedCandidate
-		require.Equal(t, 1, first.topCandidates(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
-		zone := first.backend(leader[0]).Zone
+		var top [1]rule.RankedCandidate
+		require.Equal(t, 1, first.topCandidates(key(port).Hash(), top[:], func(*Backend) bool { return false }))
+		zone := first.backend(top[0]).Zone
 		zones[zone]++
 		chosen := route.Choose(key(port).Hash(), preferAll, func(backend *Backend) int {
 			compared[backend.Number] = backend
@@ -283,7 +283,7 @@
 		})
 		require.Len(t, compared, 4)
 		rank := 0
-		group := first.poolZones[leader[0].RuleIndex]
+		group := first.poolZones[top[0].RuleIndex]
 		for _, score := range group.rule.Score(key(port).Hash()) {
 			backend := group.eligible[score.Backend-1]
 			if rank < 4 {
--- a/internal/tokenroute/failuredetector_test.go
+++ b/internal/tokenroute/failuredetector_test.go
@@ -271,12 +271,12 @@
 		packet.Key = key(port)
 		flows.Decide(table, packet, at(port/100))
 	}
-	memory := flows.flowCache
-	require.LessOrEqual(t, len(memory.current)+len(memory.previous), 2*maxGenerationFlows)
+	cache := flows.flowCache
+	require.LessOrEqual(t, len(cache.current)+len(cache.previous), 2*maxGenerationFlows)
 	flows.rotate(at(600_000))
 	flows.rotate(at(600_000 + int(generationTime/time.Millisecond)))
-	require.Empty(t, memory.current)
-	require.Empty(t, memory.previous)
+	require.Empty(t, cache.current)
+	require.Empty(t, cache.previous)
 	require.Empty(t, flows.failureDetector.health)
 	require.Empty(t, flows.backoffs)
 	flows.rotate(at(600_000 + 2*int(generationTime/time.Millisecond)))
--- a/internal/tokenroute/observations_test.go
+++ b/internal/tokenroute/observations_test.go
@@ -242,8 +242,8 @@
 			group.stall(now, stalls)
 			for index := range clients {
 				if clients[index].send(now, random.IntN(longestThink)) {
-					at := &group.members[index%len(group.members)]
-					at.queue = append(at.queue, index)
+					receiver := &group.members[index%len(group.members)]
+					receiver.queue = append(receiver.queue, index)
 				}
 			}
 			for position := range group.members {
