--- a/internal/tokenroute/demand_test.go
+++ b/internal/tokenroute/demand_test.go
@@ -52,8 +52,8 @@
 	require.Zero(t, summarizeAt(flows, 2000)[lendingPoolZone("giza")].RequestRate, "each request counts once")
 }
 
-// Full back ends reset flows, which clients do not show. In bursts, 1,483 requests then seemed to
-// be in flight to 40 slots, and 1,120 still did four seconds after the burst.
+// Full back ends reset flows, which the packets of clients do not show. In bursts, 1,483 requests
+// then seemed to be in flight to 40 slots, and 1,120 still did four seconds after the burst.
 func TestUnansweredRequestsStopCountingAsInFlight(t *testing.T) {
 	table, flows := NewTable(twoZoneDirectory(), defaultOptions()), NewFlows(mechanism.Set{}).WithZone("maadi")
 	exchange(flows, table, 9, 2, 0)
@@ -118,10 +118,10 @@
 	}
 }
 
-// runSlowBackend keeps 8 clients waiting for responses that take responseTime. Unless their
-// requests are acknowledged, they retransmit them as clients do. It returns the mean number of
-// requests in flight, the number of responses counted, and the number of summaries at which nothing
-// seemed to be in flight.
+// runSlowBackend keeps 8 clients waiting for responses that take responseTime milliseconds.
+// Unless their requests are acknowledged, they retransmit them as clients do. It returns the mean
+// number of requests in flight, the number of responses counted, and the number of summaries at
+// which nothing seemed to be in flight.
 func runSlowBackend(table *Table, flows *Flows, responseTime, rounds int, acknowledged bool) (inFlight, responses float64, idle int) {
 	flows.Summarize(at(0))
 	summaries := 0.0
@@ -273,9 +273,9 @@
 		compared := make(map[uint64]*Backend)
 		route := table.Route(key(port).Address())
 		first := route.poolFor(key(port).Hash())
-		var leader [1]rule.RankedCandidate
-		require.Equal(t, 1, first.topCandidates(key(port).Hash(), leader[:], func(*Backend) bool { return false }))
-		zone := first.backend(leader[0]).Zone
+		var top [1]rule.RankedCandidate
+		require.Equal(t, 1, first.topCandidates(key(port).Hash(), top[:], func(*Backend) bool { return false }))
+		zone := first.backend(top[0]).Zone
 		zones[zone]++
 		chosen := route.Choose(key(port).Hash(), preferAll, func(backend *Backend) int {
 			compared[backend.Number] = backend
@@ -283,7 +283,7 @@
 		})
 		require.Len(t, compared, 4)
 		rank := 0
-		group := first.poolZones[leader[0].RuleIndex]
+		group := first.poolZones[top[0].RuleIndex]
 		for _, score := range group.rule.Score(key(port).Hash()) {
 			backend := group.eligible[score.Backend-1]
 			if rank < 4 {
