--- a/internal/balancer/pages.go
+++ b/internal/balancer/pages.go
@@ -22,7 +22,7 @@
 
 // errPageExpired is returned to a follower that asks for a page too late. The follower
 // then asks for everything again.
-var errPageExpired = errors.New("the page has expired; ask for everything again")
+var errPageExpired = errors.New("the page is kept no more; ask for everything")
 
 // serve answers a follower that asks for one page.
 func (p *pageCache) serve(request *apiv1.FollowRequest) (*apiv1.FollowReply, error) {
@@ -67,8 +67,8 @@
 	p.entries.Store(&entries)
 }
 
-// pagesFor returns everything that is known as pages, for a caller that knows everything
-// up to a revision, or nil where it fits in one answer.
+// pagesFor returns the whole directory as pages, for a caller that has everything up to a
+// revision, or nil if the directory fits in one answer.
 func (c *control) pagesFor(after uint64, now time.Time) *replication.Pages {
 	if cached := c.pageCache.reusable(min(after, c.replica.Revision()), now); cached != nil {
 		return cached
