--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -40,11 +40,11 @@
 	state.updateRoutes(&apiv1.RouteTable{Routes: []*apiv1.ServiceRoute{{Priority: 2, Pools: []*apiv1.PoolShare{{Pool: "lending"}}},
 		{Priority: 1, Pools: []*apiv1.PoolShare{{Pool: "lending"}}}}})
 	state.pressureEstimator = *newLoadedEstimator(1000, now)
-	var rejections *admission.Refusals
+	var refusals *admission.Refusals
 	for step := range 40 {
 		at := now.Add(time.Duration(step) * 250 * time.Millisecond)
-		rejections = state.controller.Update([]admission.PoolState{{Pool: "lending", Priorities: state.priorities["lending"],
+		refusals = state.controller.Update([]admission.PoolState{{Pool: "lending", Priorities: state.priorities["lending"],
 			Pressure: state.pressureEstimator.estimate("lending", "maadi", nil, nil)}}, at)
 	}
-	require.Nil(t, rejections)
+	require.Nil(t, refusals)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -105,7 +105,7 @@
 	// share, and withdrawals counts how often that state began.
 	withdrawn   atomic.Bool
 	withdrawals atomic.Uint64
-	// minAggregatePressure is when the store last confirmed the directory, in nanoseconds since
+	// confirmedAt is when the store last confirmed the directory, in nanoseconds since
 	// started; 0 means never.
 	confirmedAt atomic.Int64
 	// era counts how often the store was restored from a backup, as far as this balancer
@@ -213,7 +213,7 @@
 const (
 	// stopQuietPeriod is how long no packet must have arrived before a planned stop ends.
 	stopQuietPeriod = 600 * time.Millisecond
-	// stopWaitShare is the part of the time allowed for a stop after which the wait ends
+	// stopWaitShare is the fraction of the time allowed for a stop after which the wait ends
 	// in any case. The rest is for the shutdown itself.
 	stopWaitShare = 0.4
 )
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// requestTo returns the request for a call to a peer. It states what this balancer knows.
+// requestTo returns the request for a call to a peer. It states the revision and the age of
+// this balancer's replica. A follow call also carries the reports for the parent.
 func (c *control) requestTo(peer replication.Peer, age time.Duration, now time.Time) *apiv1.FollowRequest {
 	settings := c.balancer.settings.Load()
 	request := &apiv1.FollowRequest{
@@ -112,7 +113,7 @@
 		request.Demand = c.demandReportFor(peer.Address, false, now)
 		if c.core.SharesOrder(peer.Address) {
 			// A balancer of another zone has hardly sent to the same back ends, but would
-			// count as one more observer that may find something by chance.
+			// count as one more observer, which may find something by chance.
 			request.Findings = encodeFindings(c.findings.subtree(now))
 			request.TakesFindings = true
 			request.Struggling, request.TellsStruggling = c.strugglingReports(now), true
@@ -123,9 +124,9 @@
 	return request
 }
 
-// callPeer asks a peer for news once. What the peer knows was confirmed no later than its
-// reported age before the answer left, and the answer left no earlier than the request was
-// sent plus the time that the request waited there.
+// callPeer asks a peer for news once. The peer's data was confirmed no earlier than its
+// reported age before the answer was sent, and the answer was sent no earlier than the
+// request plus the time that the request waited at the peer.
 func (c *control) callPeer(ctx context.Context, client *replication.Client, peer replication.Peer, request *apiv1.FollowRequest) {
 	if client != c.client {
 		defer client.Close()
@@ -177,5 +178,5 @@
 	}
 }
 
-// unknownAge is the age reported for knowledge that was never confirmed.
+// unknownAge is the age reported for data that was never confirmed.
 const unknownAge = 1000 * time.Hour
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -64,8 +64,7 @@
 
 // measureCapacity counts the back ends that may take new flows, for each new table. It ignores
 // which balancers may use a cold back end: computing a rank among 12,000 balancers for each of
-// 1,400 cold back ends raised the processor time of counting 140,000 back ends from 226 ms to 484
-// ms.
+// 1,400 cold back ends raised the processor time of counting 140,000 back ends from 226 to 484 ms.
 func (c *control) measureCapacity(evacuated map[string]uint64, now time.Time) {
 	counts := c.demand.capacity.counts
 	result := capacity{
--- a/internal/balancer/clientfor_test.go
+++ b/internal/balancer/clientfor_test.go
@@ -8,7 +8,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/replication"
 )
 
-// A balancer that knows nothing uses the dial timeout that its core gives, which is short
+// A balancer that has no data uses the dial timeout that its core gives, which is short
 // at first, and not the client's default.
 func TestClientUsesTheDialTimeoutOfTheCore(t *testing.T) {
 	control := newTestControl()
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// paceOf returns the replication pace that the settings give.
+// paceOf returns the replication timing that the settings give.
 func paceOf(settings *apiv1.BalancerSettings) replication.Timing {
 	poll := time.Duration(settings.GetPollMilliseconds()) * time.Millisecond
 	stale := time.Duration(settings.GetStaleMilliseconds()) * time.Millisecond
@@ -205,8 +205,8 @@
 }
 
 // buildPause returns the pause after a table build of the given duration.
-func buildPause(took time.Duration, pace replication.Timing) time.Duration {
-	return min(buildPauseFactor*took, pace.PollInterval/buildPauseDivisor)
+func buildPause(took time.Duration, timing replication.Timing) time.Duration {
+	return min(buildPauseFactor*took, timing.PollInterval/buildPauseDivisor)
 }
 
 // updateShares applies what the traffic goroutine and other balancers have observed.
@@ -244,8 +244,8 @@
 	c.pollInFlight = true
 	c.core.PollStarted(kind, now)
 	c.balancer.logger.Debug("Control: reading the store.", "kind", kind, "reader", c.core.IsReader())
-	_, knows := c.core.Age(now)
-	go c.poll(ctx, kind, purposeOf(kind, knows, c.core.ReadsStore()), c.replica.Revision(), now)
+	_, hasData := c.core.Age(now)
+	go c.poll(ctx, kind, purposeOf(kind, hasData, c.core.ReadsStore()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
 		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).PollInterval)
 		go c.checkOperatorEntries(ctx)
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -19,7 +19,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/settings"
 )
 
-// testSettings returns the settings of a balancer with a fixed pace.
+// testSettings returns the settings of a balancer with fixed poll and staleness times.
 func testSettings() *apiv1.BalancerSettings {
 	loaded := settings.BalancerDefaults()
 	loaded.Name, loaded.Zone = "edge-1", "maadi"
@@ -49,7 +49,7 @@
 		Revision: revision, Entry: &apiv1.DirectoryChange_Routes{Routes: &apiv1.RouteTable{Version: revision}}}}}
 }
 
-// A peer that knows nothing answers with an age beyond all limits and no revision. Its
+// A peer that has no data answers with an age beyond all limits and no revision. Its
 // answer confirms nothing, so the store is asked as eagerly as before.
 func TestPeerWithoutKnowledgeDoesNotConfirm(t *testing.T) {
 	control := newTestControl()
@@ -115,8 +115,8 @@
 	require.False(t, control.replica.Backends()[0].Gone)
 }
 
-// A starting balancer knows a back end that has already gone from the stale snapshot, so
-// that open flows still find it: the snapshot is older than the current state, and is
+// A starting balancer learns of a back end that has already gone from the stale snapshot,
+// so that open flows still reach it: the snapshot is older than the current state, and is
 // kept.
 func TestStaleSnapshotIsKeptBesideCurrentState(t *testing.T) {
 	control := newTestControl()
@@ -259,10 +259,10 @@
 
 func (control *control) addBackends(pool, zone string, count int, now time.Time) {
 	batch := &apiv1.DirectoryBatch{Revision: 1}
-	for place := range count {
+	for index := range count {
 		batch.Changes = append(batch.Changes, &apiv1.DirectoryChange{Revision: 1,
 			Entry: &apiv1.DirectoryChange_Backend{Backend: &apiv1.PoolBackend{
-				Id: fmt.Sprintf("%s-%s-%d", pool, zone, place), Pool: pool, Zone: zone, Address: 1, Port: 80}}})
+				Id: fmt.Sprintf("%s-%s-%d", pool, zone, index), Pool: pool, Zone: zone, Address: 1, Port: 80}}})
 	}
 	control.replica.Apply(batch, now)
 }
@@ -312,11 +312,11 @@
 		loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1",
 			"configuration_milliseconds": configuration, "drain_milliseconds": configuration})
 		require.NoError(t, err)
-		pace := paceOf(loaded)
+		timing := paceOf(loaded)
 		inForce := time.Duration(loaded.GetConfigurationMilliseconds()) * time.Millisecond
-		require.Equal(t, buildPauseFactor*time.Millisecond, buildPause(time.Millisecond, pace))
+		require.Equal(t, buildPauseFactor*time.Millisecond, buildPause(time.Millisecond, timing))
 		for _, took := range []time.Duration{0, 10 * time.Millisecond, 600 * time.Millisecond, time.Minute} {
-			require.Less(t, 2*pace.PollInterval+buildPause(took, pace), inForce)
+			require.Less(t, 2*timing.PollInterval+buildPause(took, timing), inForce)
 		}
 	}
 }
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -25,7 +25,7 @@
 	// lineOpening: the first packet of a flow, or a retransmission of it.
 	lineOpening
 	// lineSampled: a request in the sample. The sample is the same on every balancer, so
-	// that the log has the complete path of such a request.
+	// that the logs together show the complete path of such a request.
 	lineSampled
 	// linePassing: any other request that passes.
 	linePassing
--- a/internal/balancer/decisionlog_test.go
+++ b/internal/balancer/decisionlog_test.go
@@ -51,9 +51,9 @@
 	var written bytes.Buffer
 	log := decisionLog{logger: slog.New(slog.NewTextHandler(&written, nil))}
 	now := time.Now().Truncate(time.Second)
-	level := &admission.Refusal{Pool: "lending", Priority: 2, Fraction: 0.75,
+	refusal := &admission.Refusal{Pool: "lending", Priority: 2, Fraction: 0.75,
 		Pressure: admission.Pressure{RequestsPerSlot: 4.256, SeenAt: now.Add(-1500 * time.Millisecond)}}
-	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoCapacity, Refusal: level}
+	refused := tokenroute.Decision{Verdict: tokenroute.Refuse, Reason: tokenroute.ReasonNoCapacity, Refusal: refusal}
 	for range 1000 {
 		log.record(tokenroute.Packet{First: true}, nil, refused, nil, now)
 	}
--- a/internal/balancer/demandfeed.go
+++ b/internal/balancer/demandfeed.go
@@ -27,7 +27,7 @@
 
 // demandFeed is what followers were sent of the total demand.
 type demandFeed struct {
-	// encoded is source, the latest total demand, as encoded at encodedAt.
+	// encoded is the encoded form of source, the latest total demand, made at encodedAt.
 	encoded   *apiv1.DemandReport
 	source    demand.Aggregate
 	encodedAt time.Time
@@ -57,7 +57,7 @@
 }
 
 // totalDemandFor returns the total demand to send to a follower, or nil if it was sent recently.
-// The aggregate is encoded once per observation interval for all followers.
+// The aggregate is encoded for all followers together, at most once per shareUpdateInterval.
 func (c *control) totalDemandFor(follower string, now time.Time) *apiv1.DemandReport {
 	f := &c.demand.demandFeed
 	if f.encoded == nil || now.Sub(f.encodedAt) >= shareUpdateInterval {
@@ -81,9 +81,9 @@
 func (f *demandFeed) refresh(aggregate demand.Aggregate, slots map[demand.PoolZone]float64, now time.Time) {
 	f.encoded, f.source, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
 	f.pressures = make(map[demand.PoolZone]float64, len(aggregate.Loads))
-	withRoom := aggregate.WithCapacity(slots)
+	withCapacity := aggregate.WithCapacity(slots)
 	for poolZone := range aggregate.Loads {
-		f.pressures[poolZone] = withRoom.Pressure(poolZone)
+		f.pressures[poolZone] = withCapacity.Pressure(poolZone)
 	}
 	if f.sent == nil {
 		f.sent = make(map[string]feedState)
@@ -96,7 +96,8 @@
 }
 
 // pressureChanged reports whether the pressure of a pool zone has changed enough to be sent sooner.
-// Pool zones without capacity have infinite pressure before and after.
+// A pool zone whose requests have no capacity has infinite pressure, and does not count as changed
+// while it stays infinite.
 func pressureChanged(before, after map[demand.PoolZone]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > minPressureChange }
 	for poolZone, pressure := range after {
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -22,7 +22,8 @@
 		"Balancers that the picture of demand counts, by zone.", []string{"zone"}, nil)
 )
 
-// collectDemand reports the current view of demand and free capacity.
+// collectDemand collects the gauges of an aggregate: its age, its balancers by zone, and the
+// capacity, pressure and request rate of each pool zone.
 func collectDemand(aggregate *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
 	if aggregate == nil || aggregate.At.IsZero() {
 		return
@@ -31,17 +32,17 @@
 	for zone, count := range aggregate.ZoneBalancers {
 		gauge(aggregateBalancersDescription, float64(count), string(zone))
 	}
-	report := func(zonePool demand.PoolZone) {
-		gauge(capacityDescription, aggregate.Capacity[zonePool], string(zonePool.Pool), string(zonePool.Zone))
-		gauge(pressureDescription, aggregate.Pressure(zonePool), string(zonePool.Pool), string(zonePool.Zone))
+	report := func(poolZone demand.PoolZone) {
+		gauge(capacityDescription, aggregate.Capacity[poolZone], string(poolZone.Pool), string(poolZone.Zone))
+		gauge(pressureDescription, aggregate.Pressure(poolZone), string(poolZone.Pool), string(poolZone.Zone))
 	}
-	for zonePool := range aggregate.Capacity {
-		report(zonePool)
+	for poolZone := range aggregate.Capacity {
+		report(poolZone)
 	}
-	for zonePool, load := range aggregate.Loads {
-		gauge(requestRateDescription, load.RequestRate, string(zonePool.Pool), string(zonePool.Zone))
-		if _, found := aggregate.Capacity[zonePool]; !found {
-			report(zonePool)
+	for poolZone, load := range aggregate.Loads {
+		gauge(requestRateDescription, load.RequestRate, string(poolZone.Pool), string(poolZone.Zone))
+		if _, found := aggregate.Capacity[poolZone]; !found {
+			report(poolZone)
 		}
 	}
 }
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -6,7 +6,8 @@
 // the store and from peers as control events, builds a new table when the directory has
 // changed, and answers the balancers that follow this one. Calls to the store and to peers
 // run in goroutines of their own and never touch shared state: each publishes its result
-// as an event.
+// as an event. Package replication describes which balancer reads the store and which one
+// each of the others follows.
 //
 // The balancer holds no request and does not negotiate flows with other balancers, so a
 // planned stop only has to wait until the routers send packets elsewhere.
--- a/internal/balancer/early.go
+++ b/internal/balancer/early.go
@@ -44,9 +44,9 @@
 // add stores a copy of a packet, replacing an earlier transmission of the same packet.
 func (e *earlyBuffer) add(packet tokenroute.Packet, datagram []byte, now time.Time) {
 	e.expire(now)
-	for place := range e.packets {
-		if e.packets[place].sameAs(packet) {
-			e.packets = slices.Delete(e.packets, place, place+1)
+	for index := range e.packets {
+		if e.packets[index].sameAs(packet) {
+			e.packets = slices.Delete(e.packets, index, index+1)
 			break
 		}
 	}
--- a/internal/balancer/early_test.go
+++ b/internal/balancer/early_test.go
@@ -187,9 +187,9 @@
 
 // newTestTable returns a table that routes everything to one back end.
 func newTestTable(target netip.AddrPort) *tokenroute.Table {
-	known := directory.New(time.Minute)
-	known.Apply(newTestBatch(target), time.Now())
-	return tokenroute.NewTable(known, tokenroute.Options{
+	replica := directory.New(time.Minute)
+	replica.Apply(newTestBatch(target), time.Now())
+	return tokenroute.NewTable(replica, tokenroute.Options{
 		WeightOf: func(directory.BackendEntry) uint32 { return rule.MaximumWeight }, Now: time.Now()})
 }
 
@@ -211,7 +211,7 @@
 	return socket
 }
 
-// After a power loss clients' packets arrive before a balancer knows anything. The first
+// After a power loss clients' packets arrive before a balancer has any data. The first
 // table must route them even if no further packet arrives. Without the mechanism the
 // clients have to retransmit them.
 func TestFirstTableRoutesEarlyPackets(t *testing.T) {
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -77,7 +77,7 @@
 	return joined
 }
 
-// all returns the merged findings of all balancers, as far as they are known here.
+// all returns the merged findings of all balancers, as far as this balancer has received them.
 func (f *findings) all(now time.Time) map[incarnation.ID]observe.Finding {
 	joined := f.subtree(now)
 	if f.parent.fresh(now) {
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -16,7 +16,7 @@
 	caller        replication.Caller
 	afterRevision uint64
 	receivedAt    time.Time
-	// minAggregatePressure is when the follower's own knowledge was last confirmed.
+	// confirmedAt is when the follower's own data was last confirmed.
 	confirmedAt time.Time
 	deadline    time.Time
 	findings    []*apiv1.BackendFinding
@@ -52,10 +52,10 @@
 	return len(f.findings) > 0 || f.deadline.After(f.receivedAt) && !f.revisionOnly
 }
 
-// wantsFullReply reports whether the answer holds everything that is known here.
+// wantsFullReply reports whether the answer holds the whole directory.
 func (f *followCall) wantsFullReply() bool { return f.afterRevision == 0 && !f.revisionOnly }
 
-// fullReplyLimiter limits the rate of answers that hold everything that is known. When the
+// fullReplyLimiter limits the rate of answers that hold the whole directory. When the
 // whole fleet starts, many balancers ask at once for what may be hundreds of kilobytes
 // each.
 type fullReplyLimiter struct {
@@ -217,8 +217,8 @@
 	return true
 }
 
-// pagedReply returns the pages of everything that is known for a follower that needs all
-// of it, or nil where a single answer is enough.
+// pagedReply returns the pages of the whole directory for a follower that needs all of it,
+// or nil where a single answer is enough.
 func (c *control) pagedReply(call *followCall, known bool, now time.Time) *replication.Pages {
 	if !known || call.revisionOnly || !call.acceptsPages || !c.replica.NeedsSnapshot(call.afterRevision, call.withTombstones) {
 		return nil
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// update computes the allowed fractions for the current demand, if an aggregate tells it.
+// update computes the allowed fractions for the current demand. Without a fresh aggregate it counts
+// no requests in flight.
 func (l *healthLimits) update(aggregate *demand.Aggregate, now time.Time) {
 	l.allowed = make(map[demand.PoolZone]float64, len(l.poolZoneTotals))
 	for poolZone, sum := range l.poolZoneTotals {
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -49,7 +49,7 @@
 	}
 	c.countUnreadable(news)
 	confirms := c.confirms(news)
-	if _, knows := c.core.Age(now); !knows && confirms && isOlder(news.GetBatch(), c.replica) {
+	if _, hasData := c.core.Age(now); !hasData && confirms && isOlder(news.GetBatch(), c.replica) {
 		c.replica.Clear()
 	}
 	c.apply(news.GetBatch(), now)
@@ -60,15 +60,15 @@
 }
 
 // isOlder reports whether batch is a complete read of the store with an earlier revision
-// than known. A starting balancer may have read data that is some seconds old; if the
+// than the replica. A starting balancer may have read data that is some seconds old; if the
 // store was restored from a backup meanwhile, that data contains writes that the store has
 // lost.
-func isOlder(batch *apiv1.DirectoryBatch, known *directory.Directory) bool {
-	return batch.GetComplete() && batch.GetRevision() < known.Revision()
+func isOlder(batch *apiv1.DirectoryBatch, replica *directory.Directory) bool {
+	return batch.GetComplete() && batch.GetRevision() < replica.Revision()
 }
 
 // confirms reports whether news states what the store holds now. A batch without a
-// revision is only a part of the store's content, or comes from a peer that knows nothing
+// revision is only a part of the store's content, or comes from a peer that has no data
 // itself. A stale snapshot states what the store held earlier, and so does a batch from an
 // era that the store has left.
 func (c *control) confirms(news *apiv1.DirectoryNews) bool {
@@ -110,7 +110,8 @@
 	}
 }
 
-// updateBalancers passes on the balancers that the directory lists, if they have changed.
+// updateBalancers updates everything that depends on the balancers listed in the directory,
+// if they have changed.
 func (c *control) updateBalancers(now time.Time) {
 	if c.replica.BalancerChanges() == c.balancerChangesSeen {
 		return
@@ -162,7 +163,7 @@
 }
 
 // operatorCheckEnded handles the result of a read of the operators' entries. The route
-// table in it can be applied directly. Orders that differ from the known ones mean that a
+// table in it can be applied directly. Orders that differ from those in the replica mean that a
 // change was missed, so the whole store is read.
 func (c *control) operatorCheckEnded(news *apiv1.DirectoryNews, now time.Time) {
 	batch := news.GetBatch()
--- a/internal/balancer/observationexchange.go
+++ b/internal/balancer/observationexchange.go
@@ -201,8 +201,8 @@
 func encodeObservation(observation evidence.Observation, at time.Duration) *apiv1.Testimony {
 	switch o := observation.(type) {
 	case evidence.UnansweredRequest:
-		// Rounding down makes the request older. If the time is an age, rounding of the reply's own
-		// time makes the age greater.
+		// A time that is rounded down makes the request older. An age that is rounded down does not,
+		// but the wait time in the same reply is rounded down too, which makes the request older.
 		return &apiv1.Testimony{Number: o.Backend.Number, StartedMilliseconds: uint64(o.Backend.Start), Client: uint32(o.Client),
 			Zone: o.Zone, Milliseconds: at.Milliseconds()}
 	case evidence.Activity:
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -8,8 +8,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/observe"
 )
 
-// pressureTimeConstant is the time constant of the smoothed number of requests waiting here. One
-// balancer sees only some requests at a time, so a single sample is mostly noise.
+// pressureTimeConstant is the time constant of the smoothed number of requests in flight through
+// this balancer. One balancer sees only some requests at a time, so a single sample is mostly
+// noise.
 const pressureTimeConstant = 300 * time.Millisecond
 
 const (
@@ -18,19 +19,19 @@
 	// Scaling up what one balancer sees is not enough: before the first traffic, a zone's request
 	// fraction close to 0 gave an idle start pressures of billions, and 409 flows were refused.
 	minAggregatePressure = 1.0
-	// minLocalInFlight is the average number of requests that must wait here before the local count
-	// is scaled up to the whole pool. With fewer, a single additional request would scale to as
-	// much as the whole pool can handle; the count in the aggregate is used instead, which is a
-	// second or two old.
+	// minLocalInFlight is the average number of requests that must be in flight through this
+	// balancer, by the aggregate, before the local count is scaled up to the whole pool. With
+	// fewer, a single additional request would scale to as much as the whole pool can handle; the
+	// count in the aggregate is used instead, which is a second or two old.
 	minLocalInFlight = 1.0
 )
 
-// pressureEstimator estimates the pressure on each pool from the requests waiting at this balancer.
-// An aggregate is a second or two old, and within that time a burst fills the queues of all back
-// ends, whereas the number of requests waiting here is known at once. The aggregate only gives the
-// fraction of all requests that passes through this balancer, which changes slowly: with the
-// pressure of the aggregate itself, flows were first refused half a second into a burst, and for a
-// second after its end.
+// pressureEstimator estimates the pressure on each pool from the requests in flight through this
+// balancer. An aggregate is a second or two old, and within that time a burst fills the queues of
+// all back ends, whereas the number of requests in flight here is known at once. The aggregate only
+// gives the fraction of all requests that passes through this balancer, which changes slowly: with
+// the pressure of the aggregate itself, a burst was refused half a second later, and flows were
+// still refused for a second after its end.
 //
 // That fraction changes at once when another balancer of the zone stops. The request rate here then
 // grows, which is corrected for up to the factor maxGrowth.
@@ -39,7 +40,7 @@
 	requestRates requestRates
 }
 
-// addSummary updates the waiting requests and the request rates.
+// addSummary updates the numbers of requests in flight and the request rates.
 func (p *pressureEstimator) addSummary(summary *observe.Summary) {
 	p.update(summary, pressureTimeConstant)
 	p.requestRates.addSummary(summary)
@@ -49,7 +50,8 @@
 // balancers, and the aggregate gives the fraction of the pool's requests that come from the zone's
 // clients. The pressure is unknown if the aggregate covers less than half of the balancers in the
 // directory, or if nothing was observed here: the balancers left out may see a lack of capacity or
-// not. It is zero while the aggregate shows free slots.
+// not. It is also unknown if the aggregate has no slots of the pool or no requests from the zone.
+// It is zero while the aggregate shows free slots.
 func (p *pressureEstimator) estimate(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate, listed zoneCounts) admission.Pressure {
 	if aggregate == nil || 2*aggregate.Balancers < listed.total() {
 		return admission.Pressure{}
@@ -76,9 +78,10 @@
 const (
 	// saturationPressure is the pressure at which an aggregate shows that a pool has no free slot.
 	saturationPressure = 1.0
-	// localSaturationPressure is the pressure, estimated from the requests waiting here, from which
-	// a pool counts as saturated before the aggregate shows it, if at least minSaturationInFlight
-	// requests wait. The local estimate is uncertain by a third.
+	// localSaturationPressure is the pressure, estimated from the requests in flight here, from
+	// which a pool counts as saturated before the aggregate shows it, if at least
+	// minSaturationInFlight requests are in flight here. The local estimate is uncertain by a
+	// third.
 	localSaturationPressure = 1.5
 	minSaturationInFlight   = 1.0
 )
--- a/internal/balancer/pressure_test.go
+++ b/internal/balancer/pressure_test.go
@@ -25,9 +25,9 @@
 // of the requests, and one whose clients send the rest.
 func unevenAggregate(at time.Time) *demand.Aggregate {
 	maadi, giza := demand.PoolZone{Pool: "lending", Zone: "maadi"}, demand.PoolZone{Pool: "lending", Zone: "giza"}
-	estimator := demand.Aggregate{At: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
+	aggregate := demand.Aggregate{At: at, Balancers: 4, ZoneBalancers: map[demand.Zone]int{"maadi": 3, "giza": 1},
 		Loads: map[demand.PoolZone]demand.Load{maadi: {RequestRate: 100, InFlight: 40}, giza: {RequestRate: 300, InFlight: 40}}}
-	return estimator.WithCapacity(map[demand.PoolZone]float64{maadi: 10, giza: 10})
+	return aggregate.WithCapacity(map[demand.PoolZone]float64{maadi: 10, giza: 10})
 }
 
 // Balancers of zones with uneven demand see different fractions of it, and must estimate the same
--- a/internal/balancer/renew.go
+++ b/internal/balancer/renew.go
@@ -14,7 +14,7 @@
 func (c *control) rebuildTable(now time.Time) {
 	c.rebuildNeeded = false
 	c.nextTableChange = time.Time{}
-	if _, knows := c.core.Age(now); !knows {
+	if _, hasData := c.core.Age(now); !hasData {
 		// Neither a part of the store nor a stale snapshot is sufficient reason to refuse
 		// flows.
 		return
--- a/internal/balancer/silent_test.go
+++ b/internal/balancer/silent_test.go
@@ -106,15 +106,15 @@
 			reader.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
 		},
 	} {
-		for _, rest := range []time.Duration{0, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond} {
-			t.Run(fmt.Sprintf("%s after %v", name, rest), func(t *testing.T) {
+		for _, delay := range []time.Duration{0, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond} {
+			t.Run(fmt.Sprintf("%s after %v", name, delay), func(t *testing.T) {
 				t.Parallel()
 				site := newSilentSite(t)
 				reader := site.start("edge-1", 1)
 				follower := site.start("edge-2", 0.1, reader.address)
 				site.eventually(reader, 1, 5*time.Second)
 				site.eventually(follower, 1, 5*time.Second)
-				time.Sleep(2*time.Second + rest)
+				time.Sleep(2*time.Second + delay)
 				silence(reader, follower)
 				site.configure(2)
 				began := time.Now()
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -25,8 +25,8 @@
 }
 
 // When the first of two calls to a peer goes unanswered and the second is answered, the
-// time lost on the first must not add to the age of the peer's answer. It did: the peer
-// counted as stale and was skipped for 2 s.
+// time lost on the first must not add to the age of the peer's answer. When it did, the
+// peer counted as stale and was skipped for 2 s.
 func TestPeerBehindASilentConnectionIsNotSkipped(t *testing.T) {
 	child := newControlWithRoutes(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/balancer/smoothing.go
+++ b/internal/balancer/smoothing.go
@@ -18,14 +18,14 @@
 	return smoothedInFlight{inFlight: make(map[string]float64)}
 }
 
-// update moves the averages toward those of a summary, about two thirds of the way (1-1/e)
-// when the time constant within has passed since the last summary. It reports whether the
+// update moves the averages toward the counts of a summary, about two thirds of the way
+// (1-1/e) when timeConstant has passed since the last summary. It reports whether the
 // summary was a new one.
-func (s *smoothedInFlight) update(summary *observe.Summary, within time.Duration) bool {
+func (s *smoothedInFlight) update(summary *observe.Summary, timeConstant time.Duration) bool {
 	if summary == nil || !summary.At.After(s.lastSummaryAt) {
 		return false
 	}
-	weight := 1 - math.Exp(-summary.At.Sub(s.lastSummaryAt).Seconds()/within.Seconds())
+	weight := 1 - math.Exp(-summary.At.Sub(s.lastSummaryAt).Seconds()/timeConstant.Seconds())
 	s.lastSummaryAt = summary.At
 	for pool, inFlight := range summary.InFlight {
 		s.inFlight[pool] += weight * (inFlight - s.inFlight[pool])
--- a/internal/balancer/storecalls.go
+++ b/internal/balancer/storecalls.go
@@ -10,10 +10,10 @@
 // storePurpose is the reason for a call to the store.
 type storePurpose uint8
 
-// The platform charges for each call to the store, and over a large fleet these calls are
-// the largest part of its cost.
+// The platform charges for each call to the store, and these calls are what a large fleet
+// pays most for.
 const (
-	// storeStart: a starting balancer reads what it needs to begin.
+	// storeStart: a balancer that has no data reads what it needs to begin.
 	storeStart storePurpose = iota
 	// storeFollow: the reader reads the store on behalf of all balancers.
 	storeFollow
@@ -37,9 +37,9 @@
 
 // purposeOf returns the purpose of a read of the store. The reader is the balancer that is
 // assigned to read it.
-func purposeOf(poll replication.Poll, knows, reader bool) storePurpose {
+func purposeOf(poll replication.Poll, hasData, reader bool) storePurpose {
 	switch {
-	case !knows:
+	case !hasData:
 		return storeStart
 	case !reader:
 		return storeStandIn
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -114,17 +114,17 @@
 // maxFlowsPerSecond returns the greatest number of new flows that a cold back end got within any
 // second.
 func (f *coldFleet) maxFlowsPerSecond() int {
-	maxFlowsPerSecond := 0
+	highest := 0
 	for _, times := range f.newFlows {
 		first := 0
 		for index, at := range times {
 			for at.Sub(times[first]) >= time.Second {
 				first++
 			}
-			maxFlowsPerSecond = max(maxFlowsPerSecond, index-first+1)
+			highest = max(highest, index-first+1)
 		}
 	}
-	return maxFlowsPerSecond
+	return highest
 }
 
 // A zone comes back cold and idle at full demand: its balancers prefer it, and so does choosing the
@@ -164,9 +164,9 @@
 			Entry: &apiv1.DirectoryChange_Evacuation{Evacuation: &apiv1.Evacuation{Zone: "maadi"}}}}}
 	}
 	countCold := func(now time.Time) int {
-		warming, count := c.newWarmupState(now), 0
+		state, count := c.newWarmupState(now), 0
 		for _, backend := range c.replica.Backends() {
-			if backend.GetZone() == "maadi" && !warming.warmup(backend).Until.IsZero() {
+			if backend.GetZone() == "maadi" && !state.warmup(backend).Until.IsZero() {
 				count++
 			}
 		}
--- a/internal/balancer/weightinputs.go
+++ b/internal/balancer/weightinputs.go
@@ -13,7 +13,8 @@
 const (
 	// demandTimeConstant is the time constant of the smoothed estimate of demand.
 	demandTimeConstant = time.Second
-	// minShareChange is the change of a pool's remote share that requires a new table.
+	// minShareChange is the change of a pool's remote share, or of a zone's planned share, above
+	// which a new table is built.
 	minShareChange = 0.05
 	// minHealthWeightChange is the same for the weight of a back end.
 	minHealthWeightChange = 0.1
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -105,8 +105,8 @@
 // zoneChosenByWeights reports whether the weights alone choose the zone of a pool's new flows: this
 // is so if the weights follow planned shares and the own zone keeps one. If the own zone has no
 // back end, the weights of the other zones differ little, and choosing the least used back end of
-// all zones avoids a zone that is cut off before that is reported: with one zone evacuated while
-// another was cut off, 129 more requests were late without this.
+// all zones avoids a partitioned zone before any balancer reports it: with one zone evacuated while
+// another was partitioned, 129 more requests were late without this.
 func (w *weights) zoneChosenByWeights(pool string) bool {
 	return w.usesPlannedShares(pool) && w.poolShares(pool)[demand.Zone(w.zone)] > 0
 }
--- a/internal/balancer/withdrawal_test.go
+++ b/internal/balancer/withdrawal_test.go
@@ -66,16 +66,16 @@
 		balancers = append(balancers, &apiv1.Balancer{Name: fmt.Sprintf("edge-%d", number), Zone: "maadi"})
 		balancers = append(balancers, &apiv1.Balancer{Name: fmt.Sprintf("far-%d", number), Zone: "nasr"})
 	}
-	places := make(map[int]bool)
+	ranks := make(map[int]bool)
 	for number := range 12 {
 		control := newTestControl()
 		control.balancer.settings.Load().Name = fmt.Sprintf("edge-%d", number)
 		control.rankZoneBalancers(balancers)
 		zone := control.withdrawalZone(time.Now())
 		require.Equal(t, 12, zone.Size)
-		places[zone.Rank] = true
+		ranks[zone.Rank] = true
 	}
-	require.Len(t, places, 12)
+	require.Len(t, ranks, 12)
 	control := newTestControl()
 	control.balancer.settings.Load().Name = "new"
 	control.rankZoneBalancers(balancers)
