--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -75,7 +75,7 @@
 
 func checkRequest(configuration *apiv1.Configuration, request *apiv1.ChangeRequest) *Problem {
 	if request.GetOperationId() == "" {
-		return invalid("operation_id", "", "is missing", "send a new ID with each change, and the same one when you retry it")
+		return invalid("operation_id", "", "is missing", "send a fresh ID with each change, the same one when you retry it")
 	}
 	base, current := request.GetBaseRevision(), configuration.GetRevision()
 	if base == 0 || base == current {
@@ -83,7 +83,7 @@
 	}
 	conflict := NewProblem(CodeConflict, "base_revision", strconv.FormatUint(base, 10),
 		fmt.Sprintf("the configuration is at revision %d", current),
-		"read it again, check that your change still applies, and send it with that revision")
+		"read it again, look whether your change still fits, and send it with that revision")
 	conflict.CurrentRevision = current
 	if changes := configuration.GetChanges(); len(changes) > 0 {
 		conflict.ChangedBy = changes[len(changes)-1].GetAuthor()
@@ -108,7 +108,7 @@
 	case *apiv1.ChangeRequest_PutToken:
 		return "put token " + change.PutToken.GetName(), putToken(next, change.PutToken)
 	}
-	return "", invalid("change", "", "is missing or not known", "set exactly one change")
+	return "", invalid("change", "", "is missing or not known", "name exactly one change")
 }
 
 // FindService returns the service with the given name, or nil.
--- a/internal/change/policy.go
+++ b/internal/change/policy.go
@@ -12,7 +12,7 @@
 	}
 	if environment.CheckPolicy != nil {
 		if err := environment.CheckPolicy(policy); err != nil {
-			return invalid("policy", policy.GetName(), err.Error(), "correct the expression; \"indigobarrow policy check\" validates it")
+			return invalid("policy", policy.GetName(), err.Error(), "mend the expression; \"indigobarrow policy check\" tries it")
 		}
 	}
 	replacePolicy(next, policy)
--- a/internal/change/service.go
+++ b/internal/change/service.go
@@ -24,8 +24,8 @@
 		return nil
 	}
 	if old.GetAddress() != desired.GetAddress() || old.GetPort() != desired.GetPort() {
-		return invalid("address", desired.GetAddress(), "the address of a service cannot be changed",
-			"create a second service, move the callers to it, then delete this one")
+		return invalid("address", desired.GetAddress(), "a service keeps its address for life",
+			"create a second service, move the callers, then delete this one")
 	}
 	proto.Reset(old)
 	proto.Merge(old, desired)
@@ -92,7 +92,7 @@
 		free := environment.SettledRevision >= released.GetRevision()
 		if same && !free && released.GetService() != service.GetName() {
 			return NewProblem(CodeUnavailable, "address", service.GetAddress(),
-				fmt.Sprintf("service %s released it in revision %d, which not every node has confirmed; waiting for %v",
+				fmt.Sprintf("service %s has left it in revision %d, which not every node has confirmed; waiting for %v",
 					released.GetService(), released.GetRevision(), environment.WaitingFor),
 				"try again when \"indigobarrow status --wait\" reports the revision in force")
 		}
@@ -108,7 +108,7 @@
 	names := make(map[string]bool)
 	for _, backend := range service.GetBackends() {
 		if backend.GetName() == "" || names[backend.GetName()] {
-			return invalid("backends.name", backend.GetName(), "is missing or used twice", "give each back end a unique name")
+			return invalid("backends.name", backend.GetName(), "is missing or used twice", "give each back end a name of its own")
 		}
 		names[backend.GetName()] = true
 		parsed, err := netip.ParseAddrPort(backend.GetTunnelAddress())
--- a/internal/change/team.go
+++ b/internal/change/team.go
@@ -29,10 +29,10 @@
 
 func putToken(next *apiv1.Configuration, token *apiv1.Token) *Problem {
 	if token.GetName() == "" || len(token.GetSha256()) != tokenHashSize {
-		return invalid("token", token.GetName(), "has no name or no hash of 32 bytes", "send the name and the SHA-256 of the token's text")
+		return invalid("token", token.GetName(), "lacks a name or a hash of 32 bytes", "send the name and the SHA-256 of the token's text")
 	}
 	if token.GetRole() == apiv1.Role_ROLE_EDITOR && token.GetTeam() == "" {
-		return invalid("team", "", "an editor must belong to a team", "name the team")
+		return invalid("team", "", "an editor belongs to a team", "name the team")
 	}
 	for _, existing := range next.GetTokens() {
 		if existing.GetName() == token.GetName() {
