--- a/internal/change/service.go
+++ b/internal/change/service.go
@@ -173,7 +173,8 @@
 	}
 	backend.Leaving = request.GetLeaving()
 	if !request.GetLeaving() {
-		// A leaving mark that no node remembers any more had the next incarnation.
+		// If no node remembers the leaving mark any more, its incarnation was the one after
+		// the last cleared mark.
 		backend.ClearedMark = max(backend.GetClearedMark()+1, environment.MarkIncarnations[backend.GetId()])
 	}
 	return nil
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -38,7 +38,7 @@
 	KindRules Kind = "rules"
 	// KindWritten reports that a write of the document has ended.
 	KindWritten Kind = "written"
-	// KindAlive reports that the group's alive entry in the store has changed.
+	// KindAlive reports that the group liveness key in the store has changed.
 	KindAlive Kind = "alive"
 	// KindDirectoryNews reports that the store or a peer answered a balancer, or failed to.
 	KindDirectoryNews Kind = "news"
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -266,9 +266,9 @@
 	return Write{Put: []*apiv1.Balancer{c.config.Self}}, true
 }
 
-// StoreRestored handles the restoration of the store from a backup, which lists the
-// given balancers. Everything that was written since the backup is lost, whether or not
-// the write was seen to take effect, and is written again.
+// StoreRestored handles the restoration of the store from a backup; listed are the
+// balancers that the restored store lists. Everything that was written since the backup
+// is lost, whether or not the write was seen to take effect, and is written again.
 func (c *Core) StoreRestored(listed []*apiv1.Balancer, now time.Time) {
 	c.members.zoneLeads.written = nil
 	c.SetBalancers(listed, now)
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -30,8 +30,8 @@
 	// confirmations that are passed on take less than minStalePolls.
 	waitsPerPoll  = 3
 	delaysPerPoll = 8
-	// advancesPerPoll and advanceLimit bound the age that a level of the tree adds, in
-	// exchange for how often balancers call each other while nothing changes.
+	// advancesPerPoll and advanceLimit bound the age that a level of the tree adds. With
+	// lower bounds, balancers would call each other more often while nothing changes.
 	advancesPerPoll = 20
 	advanceLimit    = 100 * time.Millisecond
 	// standbyDelaysPerPoll lets the standby balancers try the store within half a poll
--- a/internal/replication/tree.go
+++ b/internal/replication/tree.go
@@ -23,7 +23,8 @@
 	sharedOrder bool
 	// parentCandidates are the balancers that this one may follow, the best first: its
 	// parent, the ancestors of its parent, the others before it in its zone, and the
-	// heads of earlier zones. The relation has no cycles.
+	// heads of other zones: for the head of a zone only those of earlier zones, so that
+	// the relation has no cycles.
 	parentCandidates []*apiv1.Balancer
 	// followers are the balancers whose parent this one is, and others all that are not
 	// parent candidates.
@@ -119,8 +120,8 @@
 
 func (t *tree) head(zone int) *apiv1.Balancer { return t.zones[zone][0] }
 
-// parentOf returns the position that a later position follows. It applies to the
-// positions in a zone and to the zones themselves.
+// parentOf returns the position of the parent of the balancer at a position. It applies
+// to the positions in a zone and to the zones themselves.
 func (t *tree) parentOf(position int) int { return (position - 1) / t.fanout }
 
 // rank returns the position of this balancer among all: the heads of the zones come
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,7 +1,7 @@
 // Package revision orders what the store reports across its eras.
 //
-// The store numbers its changes. When it is restored from a copy of itself, its number goes
-// back and numbers are assigned again, in a new era. Whatever is ordered by revisions,
+// The store numbers its changes. When it is restored from a backup, its number goes back
+// and numbers are assigned again, in a new era. Whatever is ordered by revisions,
 // stored with them or sent under them uses joined revisions, in which the era precedes the
 // number: everything of a later era is later, and the numbers of two eras are never
 // confused.
@@ -10,7 +10,7 @@
 //
 //	joined, err := revision.Join(era, number) // where the store's answer is read
 //	if revision.EraOf(joined) > revision.EraOf(known) {
-//		// what the restored copy lacks has to be written again
+//		// what the backup lacks has to be written again
 //	}
 //
 // Zero means no revision. A store that reports no era is always in era 0.
@@ -22,8 +22,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Era is the number of times the store has been restored from a copy, as the store counts
-// it.
+// Era is the number of times the store has been restored from a backup, as the store
+// counts it.
 type Era uint64
 
 const (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// suggestionDivisor limits suggestions to fields of whose name at most one letter in so
-// many, a third, is wrong.
+// suggestionDivisor limits how much a suggested name may differ: the edit distance may be
+// at most the length of the name divided by it, that is, a third of the letters.
 const suggestionDivisor = 3
 
 // unknownFieldRemedy suggests a field with a similar name, or else to remove the field.
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -96,7 +96,7 @@
 }
 
 // Find returns the lines about a request ID, a flow or a client, sorted by time: those of all
-// its flows, and those about the balancers that handled the flows.
+// its flows, and those without a flow that the same balancers wrote around that time.
 func Find(lines []Line, query string) []Line {
 	flows := make(map[string]bool)
 	for _, line := range lines {
