--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -380,16 +380,17 @@
 	if !from.alive || from.starts != call.starts {
 		return true
 	}
-	cut := f.isCut(from, to)
+	partitioned := f.isCut(from, to)
 	waited := f.now.Sub(call.sentAt)
 	if !to.alive && f.poweredOff && !call.delivered && waited < call.dialTime {
 		return false
 	}
-	if !to.alive || cut && !call.delivered && waited >= 300*time.Millisecond || cut && waited >= 2*time.Second {
+	if !to.alive || partitioned && !call.delivered && waited >= 300*time.Millisecond ||
+		partitioned && waited >= 2*time.Second {
 		from.core.PeerFailed(call.peer, f.now)
 		return true
 	}
-	if cut {
+	if partitioned {
 		return false
 	}
 	if !call.delivered {
