--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -113,7 +113,8 @@
 
 // authorize returns a handler that calls next if the bearer token of the request
 // has at least the given role, and refuses the request otherwise. While no token is
-// configured, every caller is an administrator, so that the first token can be set.
+// configured, every caller is an administrator, so operators should set a token
+// before anything else.
 func (api *API) authorize(minimumRole apiv1.Role, next authorizedHandler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		caller, problem := api.authenticate(request)
@@ -265,7 +266,7 @@
 		name, team = body.Drain.GetService(), caller.team
 	default:
 		return change.NewProblem(change.CodeForbidden, "token", caller.name,
-			"has the role ROLE_EDITOR", "policies, teams and tokens need an administrator's token")
+			"is an editor's", "policies, teams and tokens need an administrator's token")
 	}
 	if service := change.FindService(configuration, name); service != nil && service.GetTeam() != caller.team || team != caller.team {
 		return change.NewProblem(change.CodeForbidden, "service", name,
@@ -325,8 +326,8 @@
 	api.writeMessage(writer, status, problem.Problem)
 }
 
-// toProblem returns an error as a problem; any error that is none becomes one that
-// the caller may retry.
+// toProblem converts an error to a problem. An error other than a *change.Problem
+// becomes a problem with the code unavailable, whose remedy is to try again.
 func toProblem(err error) *change.Problem {
 	if problem, isProblem := err.(*change.Problem); isProblem {
 		return problem
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -89,9 +89,9 @@
 	delete(decisionLog.views, details.Version-maximumViews)
 }
 
-// Decided records a decision about a flow: the path that made it and the back end.
-// now is the number of milliseconds since the node's start. It implements
-// dataplane.Observer.
+// Decided records a decision about a flow: the path by which it was reached
+// and the back end. now is the number of milliseconds since the node's start.
+// Decided implements dataplane.Observer.
 func (decisionLog *DecisionLog) Decided(now uint32, key flow.Key, path router.Path, backend uint32) {
 	decisionLog.mutex.RLock()
 	version := decisionLog.newestVersion
@@ -206,29 +206,29 @@
 	return decision
 }
 
-// pathReason returns the reason of a decision that was made by a path.
+// pathReason returns the text that explains why a decision took a path.
 func pathReason(path router.Path) string {
 	switch path {
 	case router.PathLocal:
-		return "the flow table of this node already had the flow's back end"
+		return "this node had already bound the flow"
 	case router.PathSettled:
 		return "the settled rule decides, and no record names another back end"
 	case router.PathPending:
 		return "the pending rule decides, and no record names another back end"
 	case router.PathKeeper:
-		return "the known rules choose different back ends for this flow, or the flow may have been displaced, so its keepers were asked"
+		return "the rules at hand differ for this flow, or it may be displaced, so its keepers were asked"
 	case router.PathRefusedOverload:
 		return "the flow table was nearly full; the flow was not opened"
 	case router.PathRefusedNoBackend:
-		return "no back end accepted new flows; the flow was not opened"
+		return "no back end took new flows; the flow was not opened"
 	case router.PathRefusedNoService:
 		return "no service has this address; nothing was forwarded"
 	case router.PathDroppedNoContact:
-		return "the node was out of contact with its group and had no record of the flow"
+		return "the node was out of contact with its group and did not know the flow"
 	case router.PathDroppedNotReady:
 		return "the node or the service was not ready"
 	case router.PathDroppedRejoin:
-		return "a node that had been isolated was recording its flows; the packet had to be retransmitted"
+		return "a node that was cut off was recording its flows; the packet came again later"
 	case router.PathDroppedKeepers:
 		return "the keepers did not answer in time"
 	}
@@ -255,7 +255,7 @@
 	return reports
 }
 
-// candidateVerdict returns why a back end was or was not chosen. rank is its place in
+// candidateVerdict returns why a back end was or was not chosen. rank is its index in
 // the order of scores.
 func candidateVerdict(details *ViewDetails, found record, score rule.Score, rank int) string {
 	reason := details.Reasons[score.Backend]
@@ -267,7 +267,7 @@
 	case score.Weight == 0:
 		return "takes no new flows: " + reason
 	case rank == 0:
-		return "best score under the current rule, but the flow was bound before"
+		return "best by the rule now, but the flow was bound before"
 	}
-	return "higher score than the chosen back end"
+	return "higher score than the chosen one"
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -118,15 +118,15 @@
 	drain := request.GetDrain()
 	backend := change.FindBackend(change.FindService(configuration, drain.GetService()), drain.GetBackend())
 	if !drain.GetLeaving() || backend == nil {
-		return nil, change.NewProblem(change.CodeUnavailable, "", "", "the store does not respond: "+cause.Error(),
-			"nothing was changed; retry when the store is available again")
+		return nil, change.NewProblem(change.CodeUnavailable, "", "", "the store does not answer: "+cause.Error(),
+			"nothing was changed; repeat it when the store is back")
 	}
 	mark := &apiv1.LeavingMark{Backend: backend.GetId(), Reason: "drained by " + request.GetAuthor() + " during a store outage"}
 	if err := node.bus.Publish(events.Event{Kind: events.KindLeavingMark, Body: mark}); err != nil {
 		return nil, err
 	}
 	return &apiv1.ChangeAnswer{MarkedOnly: true,
-		Message: "the store is unavailable; the back end gets no new flows from now on, repeat the drain when the store is available again"}, nil
+		Message: "the store is out; the back end gets no new flows from now on, repeat the drain when the store is back"}, nil
 }
 
 // changeEnvironment returns the state besides the configuration that a change
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -29,7 +29,7 @@
 	// ErrConflict means that the key's version is not the expected one.
 	ErrConflict = errors.New("the key has another version than expected")
 	// ErrRateLimited means that the service's rate limit was reached.
-	ErrRateLimited = errors.New("the rate limit of the store was reached")
+	ErrRateLimited = errors.New("the store limits the rate of requests")
 	// ErrUnknownOutcome means that a write may or may not have taken effect.
 	ErrUnknownOutcome = errors.New("the outcome of the write is unknown")
 )
