--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -139,8 +139,9 @@
 	}
 }
 
-// portReuseTime is the age, in milliseconds, of a record from which on a SYN
-// can no longer belong to the recorded flow: by then its client has given up.
+// portReuseTime is the time, in milliseconds, after which a SYN can no longer
+// be a retransmission of the SYN of a recorded flow, because the client has
+// given up by then. A later SYN opens a new flow on the same ports.
 const portReuseTime = 64_000
 
 // dropReusedRecord drops the record of a flow whose ports have been reused, if
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -44,7 +44,7 @@
 // LeavingMarks returns the known marks, sorted by back end.
 func (core *Core) LeavingMarks() []*apiv1.LeavingMark { return core.sortedMarks() }
 
-// addMark adds a new mark. A node that does not trust its view has opened no
+// addMark adds a new mark. A node that does not trust its view yet has opened no
 // flows under it that the other nodes do not know, so the mark is active at
 // once.
 func (core *Core) addMark(mark *apiv1.LeavingMark) {
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -166,7 +166,9 @@
 
 // majorityKnowsFencing reports whether a majority of the members, including the
 // fenced ones, has accepted the document that fences. Only then is it certain
-// that the contact lease of a fenced node has expired.
+// that the contact lease of a fenced node has expired. If at least half of the
+// members are silent or fenced, all remaining members must have accepted it
+// instead.
 func (core *Core) majorityKnowsFencing() bool {
 	if len(core.document.GetFenced()) == 0 {
 		return true
--- a/internal/core/publish.go
+++ b/internal/core/publish.go
@@ -31,8 +31,9 @@
 )
 
 // SetDesired sets the rules that the configuration of the operators and the
-// policies call for, sorted by service name. Every node computes them; the node
-// whose turn it is publishes an epoch when they differ from the settled ones.
+// policies call for, sorted by service name. Every node computes them. When they
+// differ from the settled ones, the node whose back-off elapses first publishes
+// an epoch.
 // The cleared map gives, by back end, the incarnation of the last mark that the
 // operators have cleared.
 func (core *Core) SetDesired(now uint32, revision uint64, services []*apiv1.ServiceRule, cleared map[uint32]uint64) {
@@ -205,12 +206,12 @@
 }
 
 func memberKeys(members []*apiv1.Member) []string {
-	names := make([]string, 0, len(members))
+	keys := make([]string, 0, len(members))
 	for _, member := range members {
-		names = append(names, fmt.Sprintf("%s/%s/%d", member.GetId(), member.GetPeerAddress(), member.GetIncarnation()))
+		keys = append(keys, fmt.Sprintf("%s/%s/%d", member.GetId(), member.GetPeerAddress(), member.GetIncarnation()))
 	}
-	sort.Strings(names)
-	return names
+	sort.Strings(keys)
+	return keys
 }
 
 // membersToFence returns the members that a majority has not heard from for the
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -46,7 +46,7 @@
 }
 
 // hasLostMajority reports whether at least half of the members have been silent
-// for RecoveryTime, and the group liveness key as well.
+// for RecoveryTime and the group liveness key has not changed in that time.
 func (core *Core) hasLostMajority(members map[string]*apiv1.Member) bool {
 	if !core.isGroupLivenessStale() {
 		return false
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -59,8 +59,8 @@
 	// Leaving holds all back ends that accept no new flows, by a mark or by a
 	// rule.
 	Leaving map[uint32]bool
-	// Keepers and Filters determine which flows may have a record. Filters holds a
-	// Bloom filter of the recorded flows for each keeper.
+	// Keepers and Filters determine which flows may have a record. Filters holds,
+	// for each keeper, a Bloom filter of the displaced flows that it has recorded.
 	Keepers *Keepers
 	Filters map[string]*bloom.BloomFilter
 
