--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -55,9 +55,9 @@
 	parent  *replication
 	other   string
 	newKeys []flow.Key
-	// replied is set once the requester has received its reply without the
-	// confirmation. The records are then sent again until the other keeper has
-	// them.
+	// replied is set once the reply to the requester no longer waits for this
+	// confirmation. Without the confirmation, the records are then sent again
+	// until the other keeper has them.
 	replied  bool
 	deadline uint32
 	// retryDelay is the current retry delay, in milliseconds.
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -101,8 +101,8 @@
 func (core *Core) broadcastProgressUpdate() {
 	core.lastProgressSent = core.progress()
 	for _, id := range sortedKeys(core.peers) {
-		news := &apiv1.Heartbeat{Progress: core.lastProgressSent}
-		core.send(id, &apiv1.Envelope{Body: &apiv1.Envelope_Heartbeat{Heartbeat: news}})
+		heartbeat := &apiv1.Heartbeat{Progress: core.lastProgressSent}
+		core.send(id, &apiv1.Envelope{Body: &apiv1.Envelope_Heartbeat{Heartbeat: heartbeat}})
 	}
 }
 
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -102,7 +102,7 @@
 	return node.store.Get(ctx, key)
 }
 
-// GroupLivenessKey returns the store key of a group's liveness.
+// GroupLivenessKey returns the store key that a live group changes periodically.
 func GroupLivenessKey(group string) string { return "indigobarrow." + group + ".alive" }
 
 // refreshGroupLiveness writes the group liveness key, which increases its version.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -92,9 +92,9 @@
 	Action  Action
 	Path    Path
 	Backend uint32
-	// Proposal and Bind are the lookup to send to the keepers for ActionLookup.
-	// If there is no record, Bind asks the keepers to bind the flow to the
-	// proposal; without Bind they only read.
+	// Proposal and Bind are the parameters of the lookup for ActionLookup. If the
+	// keepers have no record, they bind the flow to the proposal if Bind is set;
+	// otherwise they only read, and the proposal is the result.
 	Proposal uint32
 	Bind     bool
 	// Opens is set if the lookup is for a SYN.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -47,8 +47,9 @@
 	inbox     chan *apiv1.Envelope
 	mutex     sync.Mutex
 	links     map[string]*link
-	// dropped counts messages dropped at full queues and messages discarded when
-	// a stream failed.
+	// dropped counts messages dropped at full queues and messages that were still
+	// queued when a stream failed. It does not count the message whose sending
+	// failed.
 	dropped   atomic.Uint64
 	sentBytes sync.Map
 }
@@ -162,8 +163,8 @@
 	return counts
 }
 
-// Dropped returns the number of messages dropped at full queues or discarded
-// when a stream failed.
+// Dropped returns the number of messages that were dropped at full queues, or that
+// were still queued when a stream failed.
 func (transport *Transport) Dropped() uint64 { return transport.dropped.Load() }
 
 // link is the outgoing stream to one peer with its queue.
@@ -189,8 +190,8 @@
 	}
 }
 
-// dropQueued discards the messages queued for a peer that could not be reached.
-// By the time the peer is reachable, newer messages supersede them.
+// dropQueued discards the queued messages after a stream could not be opened or
+// failed. By the time the peer is reachable, newer messages supersede them.
 func (transport *Transport) dropQueued(link *link) {
 	for {
 		select {
