--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -68,21 +68,21 @@
 // updateAdmission updates the admission controller from the latest summary and passes the resulting
 // refusal fractions to the traffic goroutine.
 func (c *control) updateAdmission(summary *observe.Summary, now time.Time) {
-	c.gate.pressureEstimator.addSummary(summary)
+	c.admission.pressureEstimator.addSummary(summary)
 	aggregate := c.demand.aggregate.Load()
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
-	c.balancer.traffic.flows.SetSaturatedPools(c.gate.saturatedPools(zone, aggregate, now))
+	c.balancer.traffic.flows.SetSaturatedPools(c.admission.saturatedPools(zone, aggregate, now))
 	if c.balancer.disabled.Has(mechanism.Admission) {
 		return
 	}
 	var demands []admission.PoolState
 	for pool := range aggregate.PoolZones() {
-		if priorities := c.gate.priorities[string(pool)]; len(priorities) > 0 {
-			pressure := c.gate.pressureEstimator.estimate(pool, zone, aggregate, c.balancersByZone)
+		if priorities := c.admission.priorities[string(pool)]; len(priorities) > 0 {
+			pressure := c.admission.pressureEstimator.estimate(pool, zone, aggregate, c.balancersByZone)
 			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: priorities, Pressure: pressure})
 		}
 	}
-	refusals := c.gate.controller.Update(demands, now)
+	refusals := c.admission.controller.Update(demands, now)
 	c.logOverloadChanges(refusals, aggregate, now)
 	c.balancer.traffic.flows.SetRefusals(refusals)
 }
@@ -92,22 +92,22 @@
 	overloaded := make(map[string]bool)
 	zone := demand.Zone(c.balancer.settings.Load().GetZone())
 	for _, refusal := range refusals.All() {
-		if !overloaded[refusal.Pool] && !c.gate.overloaded[refusal.Pool] {
+		if !overloaded[refusal.Pool] && !c.admission.overloaded[refusal.Pool] {
 			waiting, slots := aggregate.PoolTotals(demand.Pool(refusal.Pool))
 			c.balancer.logger.Warn("Control: pool is short of room.", "pool", refusal.Pool, "urgency", uint64(refusal.Priority),
 				"refused_part", rounded(refusal.Fraction), "pressure", rounded(refusal.Pressure.RequestsPerSlot),
 				"pressure_age", refusal.Pressure.Age(now).Round(time.Millisecond), "waiting", rounded(waiting), "room", rounded(slots),
-				"waiting_here", rounded(c.gate.pressureEstimator.inFlight[refusal.Pool]),
+				"waiting_here", rounded(c.admission.pressureEstimator.inFlight[refusal.Pool]),
 				"zone_part", rounded(zoneRequestFraction(demand.Pool(refusal.Pool), zone, aggregate)), "zone_balancers", aggregate.ZoneBalancers[zone])
 		}
 		overloaded[refusal.Pool] = true
 	}
-	for pool := range c.gate.overloaded {
+	for pool := range c.admission.overloaded {
 		if !overloaded[pool] {
 			c.balancer.logger.Info("Control: pool has room again.", "pool", pool)
 		}
 	}
-	c.gate.overloaded = overloaded
+	c.admission.overloaded = overloaded
 }
 
 // refusalCounters counts the flows refused for lack of capacity, by pool and priority. It is safe
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -213,9 +213,9 @@
 const (
 	// stopQuietPeriod is how long no packet must have arrived before a planned stop ends.
 	stopQuietPeriod = 600 * time.Millisecond
-	// stopWaitShare is the fraction of the time allowed for a stop after which the wait ends
+	// stopWaitFraction is the fraction of the time allowed for a stop after which the wait ends
 	// in any case. The rest is for the shutdown itself.
-	stopWaitShare = 0.4
+	stopWaitFraction = 0.4
 )
 
 // Stop tells the routers to send packets elsewhere and returns when they do, or when the
@@ -224,7 +224,7 @@
 	b.logger.Info("Stopping as planned.")
 	b.stopping.Store(true)
 	began := time.Now()
-	limit := seconds(stopWaitShare * b.settings.Load().GetStopSeconds())
+	limit := seconds(stopWaitFraction * b.settings.Load().GetStopSeconds())
 	ticker := time.NewTicker(stopQuietPeriod / 4)
 	defer ticker.Stop()
 	for time.Since(began) < limit {
--- a/internal/balancer/calls.go
+++ b/internal/balancer/calls.go
@@ -44,7 +44,7 @@
 		defer cancel()
 		return store.StaleSnapshot(ctx)
 	case replication.PollChanges:
-		wait := paceOf(c.balancer.settings.Load()).ChangesWait
+		wait := timingOf(c.balancer.settings.Load()).ChangesWait
 		ctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
 		defer cancel()
 		return store.Changes(ctx, after, wait)
@@ -106,8 +106,8 @@
 	}
 	request.WithoutChanges = peer.RevisionOnly
 	if peer.Purpose == replication.PurposeFollow {
-		if peer.Address == c.testimony.parent {
-			request.TestimonyAfter, request.TestimonyClock = c.testimony.receivedSequence, c.testimony.parentClock.ID
+		if peer.Address == c.observations.parent {
+			request.TestimonyAfter, request.TestimonyClock = c.observations.receivedSequence, c.observations.parentClock.ID
 		}
 		request.TakesTestimony = true
 		request.Demand = c.demandReportFor(peer.Address, false, now)
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -88,8 +88,8 @@
 		result.counts[group.PoolZone] = count
 		result.addCount(group.PoolZone, count, localZone)
 		poolZone := poolZoneOf(group.PoolZone)
-		if warmup.limited() || len(c.observed.unhealthy) > 0 {
-			result.addBackends(group, poolZone, warmup, &c.observed, now)
+		if warmup.limited() || len(c.weightInputs.unhealthy) > 0 {
+			result.addBackends(group, poolZone, warmup, &c.weightInputs, now)
 		} else if count.backends > 0 {
 			result.slots[poolZone] += count.slots
 		}
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -47,26 +47,26 @@
 
 // control is the state of the control goroutine.
 type control struct {
-	balancer   *Balancer
-	replica    *directory.Directory
-	core       *replication.Core
-	client     *replication.Client
-	packer     replication.Packer
-	programs   policyCache
-	observed   weightInputs
-	findings   findings
-	demand     demandState
-	withdrawal withdrawalState
+	balancer     *Balancer
+	replica      *directory.Directory
+	core         *replication.Core
+	client       *replication.Client
+	packer       replication.Packer
+	policies     policyCache
+	weightInputs weightInputs
+	findings     findings
+	demand       demandState
+	withdrawal   withdrawalState
 	// balancersByZone counts the balancers of each zone, this one included.
 	balancersByZone zoneCounts
-	gate            admissionState
+	admission       admissionState
 	followCalls     chan *followCall
 	// testifyRequests carries the calls in which followers report what they saw of back
 	// ends, and wakeRequested wakes this goroutine to pass on what the traffic goroutine
 	// saw.
 	testifyRequests chan *apiv1.TestifyRequest
 	wakeRequested   chan struct{}
-	testimony       observationExchange
+	observations    observationExchange
 	waitingCalls    []*followCall
 	fullReplies     fullReplyLimiter
 	pageCache       pageCache
@@ -102,7 +102,7 @@
 		replica:  directory.New(retention),
 		core: replication.NewCore(replication.Config{
 			Self:       balancer.ownEntry(),
-			Timing:     paceOf(settings),
+			Timing:     timingOf(settings),
 			TreeFanout: replication.DefaultTreeFanout,
 
 			SharedOrderLimit: replication.DefaultSharedOrderLimit,
@@ -113,16 +113,16 @@
 			StartupWait:   startupStoreDelay,
 			AuditInterval: auditInterval,
 		}, random, balancer.started),
-		client:      replication.NewClient(balancer.logger),
-		programs:    policyCache{compiled: make(map[string]*compiledPolicy)},
-		observed:    newWeightInputs(),
-		withdrawal:  withdrawalState{core: aside.New()},
-		gate:        newAdmissionState(),
-		followCalls: make(chan *followCall, maxWaitingFollowers),
+		client:       replication.NewClient(balancer.logger),
+		policies:     policyCache{compiled: make(map[string]*compiledPolicy)},
+		weightInputs: newWeightInputs(),
+		withdrawal:   withdrawalState{detector: aside.New()},
+		admission:    newAdmissionState(),
+		followCalls:  make(chan *followCall, maxWaitingFollowers),
 
 		testifyRequests: make(chan *apiv1.TestifyRequest, maxWaitingFollowers),
 		wakeRequested:   make(chan struct{}, 1),
-		testimony:       observationExchange{clock: random.Uint64() | 1, client: replication.NewClient(balancer.logger)},
+		observations:    observationExchange{clock: random.Uint64() | 1, client: replication.NewClient(balancer.logger)},
 
 		demand: demandState{tree: demand.NewTree(balancer.started)},
 
@@ -134,7 +134,7 @@
 
 func (c *control) run(ctx context.Context) error {
 	defer c.client.Close()
-	defer c.testimony.client.Close()
+	defer c.observations.client.Close()
 	messages, err := c.balancer.bus.Subscribe(ctx)
 	if err != nil {
 		return err
@@ -171,8 +171,8 @@
 	}
 }
 
-// paceOf returns the replication timing that the settings give.
-func paceOf(settings *apiv1.BalancerSettings) replication.Timing {
+// timingOf returns the replication timing that the settings give.
+func timingOf(settings *apiv1.BalancerSettings) replication.Timing {
 	poll := time.Duration(settings.GetPollMilliseconds()) * time.Millisecond
 	stale := time.Duration(settings.GetStaleMilliseconds()) * time.Millisecond
 	return replication.NewTiming(poll, stale)
@@ -201,7 +201,7 @@
 	if took >= slowBuildThreshold {
 		c.balancer.logger.Info("Control: table build was slow.", "took", took.Round(time.Millisecond))
 	}
-	c.nextBuild = now.Add(buildPause(took, paceOf(c.balancer.settings.Load())))
+	c.nextBuild = now.Add(buildPause(took, timingOf(c.balancer.settings.Load())))
 }
 
 // buildPause returns the pause after a table build of the given duration.
@@ -218,7 +218,7 @@
 	c.nextShareUpdate = now.Add(shareUpdateInterval)
 	c.updateDemand(now)
 	summary := c.balancer.traffic.latestSummary.Load()
-	changed := c.observed.update(summary, now)
+	changed := c.weightInputs.update(summary, now)
 	c.updateAdmission(summary, now)
 	c.findings.local = nil
 	if summary != nil && now.Sub(summary.At) <= summaryMaxAge {
@@ -227,8 +227,8 @@
 	changed = c.updateHealth(now) || changed
 	changed = c.planZoneShares(now) || changed
 	if changed {
-		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.observed.unhealthy), "demand", c.observed.inFlightByPool(),
-			"parts", c.observed.plannedShares)
+		c.balancer.logger.Debug("Control: shares change.", "unwell", len(c.weightInputs.unhealthy), "demand", c.weightInputs.inFlightByPool(),
+			"parts", c.weightInputs.plannedShares)
 	}
 	return changed
 }
@@ -247,7 +247,7 @@
 	_, hasData := c.core.Age(now)
 	go c.poll(ctx, kind, purposeOf(kind, hasData, c.core.ReadsStore()), c.replica.Revision(), now)
 	if kind == replication.PollChanges && !now.Before(c.nextOperatorCheck) {
-		c.nextOperatorCheck = now.Add(paceOf(c.balancer.settings.Load()).PollInterval)
+		c.nextOperatorCheck = now.Add(timingOf(c.balancer.settings.Load()).PollInterval)
 		go c.checkOperatorEntries(ctx)
 	}
 }
--- a/internal/balancer/control_test.go
+++ b/internal/balancer/control_test.go
@@ -312,7 +312,7 @@
 		loaded, err := settings.LoadBalancer("", map[string]string{"name": "n", "zone": "z", "store_address": "127.0.0.1:1",
 			"configuration_milliseconds": configuration, "drain_milliseconds": configuration})
 		require.NoError(t, err)
-		timing := paceOf(loaded)
+		timing := timingOf(loaded)
 		inForce := time.Duration(loaded.GetConfigurationMilliseconds()) * time.Millisecond
 		require.Equal(t, buildPauseFactor*time.Millisecond, buildPause(time.Millisecond, timing))
 		for _, took := range []time.Duration{0, 10 * time.Millisecond, 600 * time.Millisecond, time.Minute} {
@@ -371,7 +371,7 @@
 	c.core.PollSucceeded(replication.PollFirstPage, false, now)
 	c.core.PollStarted(replication.PollSnapshot, now)
 	c.core.PollSucceeded(replication.PollSnapshot, false, now)
-	now = now.Add(2 * paceOf(c.balancer.settings.Load()).PollInterval)
+	now = now.Add(2 * timingOf(c.balancer.settings.Load()).PollInterval)
 	require.NotEqual(t, replication.PollSnapshot, c.core.NextPoll(now))
 	check := routesBatch(6)
 	check.Revision, check.Complete, check.OrdersRevision = 0, false, 9
--- a/internal/balancer/decisionlog.go
+++ b/internal/balancer/decisionlog.go
@@ -17,8 +17,8 @@
 type lineKind uint8
 
 const (
-	// lineNone: the decision is not logged.
-	lineNone lineKind = iota
+	// lineUnlogged: the decision is not logged.
+	lineUnlogged lineKind = iota
 	// lineFailure: a packet was refused or dropped, or its flow was kept on the back end
 	// that opened it.
 	lineFailure
@@ -107,7 +107,7 @@
 	case request != nil:
 		return "Traffic: request passes.", linePassing
 	}
-	return "", lineNone
+	return "", lineUnlogged
 }
 
 // sampled reports whether a request is in the sample, by its ID.
@@ -120,7 +120,7 @@
 // allow reports whether another line of the kind may be written in this second. The
 // numbers of omitted lines are logged by kind when the second is over.
 func (d *decisionLog) allow(kind lineKind, now time.Time) bool {
-	if kind == lineNone {
+	if kind == lineUnlogged {
 		return false
 	}
 	if second := now.Unix(); second != d.second {
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -83,7 +83,7 @@
 // handleDemandReport stores the report of a follower. A report whose times are in another clock is
 // ignored, since they cannot be converted.
 func (c *control) handleDemandReport(from string, encoded *apiv1.DemandReport, now time.Time) {
-	if from == "" || encoded == nil || encoded.GetClock() != c.testimony.clock {
+	if from == "" || encoded == nil || encoded.GetClock() != c.observations.clock {
 		return
 	}
 	report := demand.Report{
@@ -108,8 +108,8 @@
 // demandReportFor returns the report for the parent, or nil if the parent must not be sent one now.
 // The report is sent in a call of its own if alone is set, or else with another call.
 func (c *control) demandReportFor(parent string, alone bool, now time.Time) *apiv1.DemandReport {
-	parentClock := c.testimony.parentClock
-	if parent != c.testimony.parent || !parentClock.Known() || !c.core.MayReportTo(parent) {
+	parentClock := c.observations.parentClock
+	if parent != c.observations.parent || !parentClock.Known() || !c.core.MayReportTo(parent) {
 		return nil
 	}
 	report, ok := c.demand.tree.ReportTo(demand.Address(parent), now)
@@ -127,17 +127,17 @@
 // sendDemandReport sends a report that does not wait for the next call.
 func (c *control) sendDemandReport(ctx context.Context, now time.Time) {
 	d := &c.demand
-	if d.sending || c.testimony.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
+	if d.sending || c.observations.sending || c.balancer.traffic == nil || !d.schedule.Due(now) {
 		return
 	}
-	parent := c.testimony.parent
+	parent := c.observations.parent
 	report := c.demandReportFor(parent, true, now)
 	if report == nil {
 		return
 	}
 	d.sending = true
 	request := &apiv1.TestifyRequest{FromAddress: c.balancer.settings.Load().GetPeerAddress(), Demand: report}
-	client := c.testimony.client
+	client := c.observations.client
 	go func() {
 		err := client.Testify(ctx, parent, request)
 		c.balancer.peerCalls.count(err)
--- a/internal/balancer/demand_test.go
+++ b/internal/balancer/demand_test.go
@@ -39,8 +39,8 @@
 	parentEntry := &apiv1.Balancer{Name: "edge-2", Zone: "maadi", PeerAddress: "10.0.0.2:1", ProcessorCores: 4, LinkMegabits: 1000}
 	childControl.core.SetBalancers([]*apiv1.Balancer{childControl.balancer.ownEntry(), parentEntry}, now)
 	require.True(t, childControl.core.MayReportTo("10.0.0.2:1"))
-	childControl.testimony.parent = "10.0.0.2:1"
-	childControl.testimony.parentClock = evidence.NewRemoteClock(parentControl.testimony.clock, parentControl.clockNow(now), now.Add(-30*time.Millisecond), now)
+	childControl.observations.parent = "10.0.0.2:1"
+	childControl.observations.parentClock = evidence.NewRemoteClock(parentControl.observations.clock, parentControl.clockNow(now), now.Add(-30*time.Millisecond), now)
 	for _, each := range []*control{parentControl, childControl} {
 		each.demand.tree = demand.NewTree(now.Add(-time.Minute))
 	}
@@ -60,7 +60,7 @@
 		require.NotNil(t, request.GetDemand())
 		require.Nil(t, child.requestTo(replication.Peer{Address: "10.0.0.3:1", Purpose: replication.PurposeFollow}, 0, now).GetDemand(),
 			"no other parent gets a report while the first may still count it")
-		call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
+		call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsObservations: true,
 			reply: make(chan *apiv1.FollowReply, 1)}
 		if alone {
 			parent.handleTestifyRequest(&apiv1.TestifyRequest{FromAddress: "10.0.0.1:1", Demand: request.GetDemand()}, now)
@@ -160,7 +160,7 @@
 	countSent := func(waiting float64) (sent int) {
 		for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(30 * time.Millisecond) {
 			parent.demand.tree.SetOwn(demandOf("maadi", 10, waiting, now), demand.Position{})
-			call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsTestimony: true,
+			call := &followCall{caller: replication.Caller{Address: "10.0.0.1:1"}, receivedAt: now, deadline: now, wantsObservations: true,
 				reply: make(chan *apiv1.FollowReply, 1)}
 			parent.enqueueFollow(call)
 			parent.answerWaiting(now)
@@ -264,7 +264,7 @@
 	aggregate := *control.demand.aggregate.Load()
 	control.demand.aggregate.Store(aggregate.WithCapacity(control.demand.capacity.slots))
 	require.True(t, control.planZoneShares(now))
-	require.Zero(t, control.observed.plannedShares["lending"]["maadi"])
+	require.Zero(t, control.weightInputs.plannedShares["lending"]["maadi"])
 	weights := control.newWeights(map[string]uint64{"maadi": 7}, now)
 	require.NotNil(t, weights.poolShares("lending"))
 	require.False(t, weights.zoneChosenByWeights("lending"))
@@ -276,7 +276,7 @@
 	require.True(t, control.planZoneShares(now))
 	control.zoneWeights(now)
 	require.True(t, control.planZoneShares(now.Add(demand.MaximumAge+time.Millisecond)))
-	require.Nil(t, control.observed.plannedShares)
+	require.Nil(t, control.weightInputs.plannedShares)
 }
 
 // Only back ends that take new flows count as capacity.
--- a/internal/balancer/findings_test.go
+++ b/internal/balancer/findings_test.go
@@ -55,13 +55,13 @@
 	control := newTestControl()
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
-	require.False(t, control.observed.evaluateHealth(failingFinding(14), 1))
+	require.False(t, control.weightInputs.evaluateHealth(failingFinding(14), 1))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
-	require.False(t, control.observed.evaluateHealth(failingFinding(16), 20), "the evidence is too weak for twenty observers")
-	require.True(t, control.observed.evaluateHealth(failingFinding(16), 1))
+	require.False(t, control.weightInputs.evaluateHealth(failingFinding(16), 20), "the evidence is too weak for twenty observers")
+	require.True(t, control.weightInputs.evaluateHealth(failingFinding(16), 1))
 	require.LessOrEqual(t, control.weightFunc(nil, now)(entry), uint32(rule.MaximumWeight/20))
-	require.False(t, control.observed.evaluateHealth(failingFinding(9), 1), "nothing changes while it still counts as failing")
-	require.True(t, control.observed.evaluateHealth(nil, 1))
+	require.False(t, control.weightInputs.evaluateHealth(failingFinding(9), 1), "nothing changes while it still counts as failing")
+	require.True(t, control.weightInputs.evaluateHealth(nil, 1))
 	require.Equal(t, uint32(rule.MaximumWeight), control.weightFunc(nil, now)(entry))
 }
 
@@ -71,9 +71,9 @@
 	now := time.Now()
 	entry := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Id: "i-7", Number: 7, Pool: "lending", Zone: "maadi"}}
 	control.replica.Apply(policyBatch(1, "lending", "failing > 0.3 ? 0.25 : 1.0 - slow - 0.0 * use"), now)
-	require.True(t, control.observed.evaluateHealth(failingFinding(16), 1))
+	require.True(t, control.weightInputs.evaluateHealth(failingFinding(16), 1))
 	require.Equal(t, uint32(rule.MaximumWeight/4), control.weightFunc(nil, now)(entry))
-	require.False(t, control.observed.evaluateHealth(failingFinding(16), 1), "the table was built with this health")
+	require.False(t, control.weightInputs.evaluateHealth(failingFinding(16), 1), "the table was built with this health")
 }
 
 // Calls that report, query or fetch carry no findings, and do not remove earlier ones.
--- a/internal/balancer/followers.go
+++ b/internal/balancer/followers.go
@@ -36,12 +36,12 @@
 	acceptsPacked, wantsFindings bool
 	// acceptsPages is set when the follower understands answers in pages.
 	acceptsPages bool
-	// wantsTestimony is set when the follower asks for observations of back ends that may
-	// be dead. testimonyAfter is the sequence number up to which it has already received
-	// them, as counted by the process whose clock has the ID testimonyClock.
-	wantsTestimony                 bool
-	testimonyAfter, testimonyClock uint64
-	reply                          chan *apiv1.FollowReply
+	// wantsObservations is set when the follower asks for observations of back ends that may
+	// be dead. observationsAfter is the sequence number up to which it has already received
+	// them, as counted by the process whose clock has the ID observationsClock.
+	wantsObservations                    bool
+	observationsAfter, observationsClock uint64
+	reply                                chan *apiv1.FollowReply
 	// done is closed when the follower's connection has ended.
 	done <-chan struct{}
 }
@@ -122,9 +122,9 @@
 		acceptsPacked:     request.GetTakesPacked(),
 		wantsFindings:     request.GetTakesFindings(),
 		acceptsPages:      request.GetTakesPages(),
-		wantsTestimony:    request.GetTakesTestimony(),
-		testimonyAfter:    request.GetTestimonyAfter(),
-		testimonyClock:    request.GetTestimonyClock(),
+		wantsObservations: request.GetTakesTestimony(),
+		observationsAfter: request.GetTestimonyAfter(),
+		observationsClock: request.GetTestimonyClock(),
 		reply:             make(chan *apiv1.FollowReply, 1),
 		done:              ctx.Done(),
 	}
@@ -182,7 +182,7 @@
 	if !known && now.Before(call.deadline) {
 		return false
 	}
-	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= paceOf(c.balancer.settings.Load()).MinAdvance
+	fresher := known && now.Add(-age).Sub(call.confirmedAt) >= timingOf(c.balancer.settings.Load()).MinAdvance
 	observations := c.pendingObservations(call, now)
 	if call.afterRevision >= c.replica.Revision() && !fresher && len(observations) == 0 && now.Before(call.deadline) {
 		return false
@@ -205,7 +205,7 @@
 		reply.Findings = allFindings()
 		reply.Struggling, reply.TellsStruggling = c.strugglingReports(now), true
 	}
-	if call.wantsTestimony {
+	if call.wantsObservations {
 		c.addObservations(reply, observations, now)
 		reply.Demand = c.totalDemandFor(call.caller.Address, now)
 	}
--- a/internal/balancer/health.go
+++ b/internal/balancer/health.go
@@ -10,16 +10,16 @@
 // updateHealth evaluates the health of back ends from the findings of all balancers, and reports
 // whether the table should be rebuilt.
 func (c *control) updateHealth(now time.Time) bool {
-	before, merged := c.observed.unhealthy, c.findings.all(now)
-	c.observed.limits.update(c.demand.aggregate.Load(), now)
-	changed := c.observed.evaluateHealth(merged, c.core.OrderSize())
-	for backend, health := range c.observed.unhealthy {
+	before, merged := c.weightInputs.unhealthy, c.findings.all(now)
+	c.weightInputs.limits.update(c.demand.aggregate.Load(), now)
+	changed := c.weightInputs.evaluateHealth(merged, c.core.OrderSize())
+	for backend, health := range c.weightInputs.unhealthy {
 		if before[backend].Healthy() {
 			c.logHealthChange("Control: back end counts as unwell.", backend, health, merged[backend])
 		}
 	}
 	for backend := range before {
-		if c.observed.unhealthy[backend].Healthy() {
+		if c.weightInputs.unhealthy[backend].Healthy() {
 			c.logHealthChange("Control: back end counts as healthy again.", backend, observe.Health{}, merged[backend])
 		}
 	}
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -40,19 +40,19 @@
 // computeHealthLimits sums up the back ends that take new flows, for each new table.
 func (c *control) computeHealthLimits(evacuated map[string]uint64, warmup *warmupState, now time.Time) {
 	result := healthLimits{
-		poolZones:      make(map[incarnation.ID]demand.PoolZone, len(c.observed.unhealthy)),
+		poolZones:      make(map[incarnation.ID]demand.PoolZone, len(c.weightInputs.unhealthy)),
 		poolZoneTotals: make(map[demand.PoolZone]slotTotals),
 		poolTotals:     make(map[demand.Pool]slotTotals),
 	}
-	if len(c.observed.unhealthy) > 0 {
+	if len(c.weightInputs.unhealthy) > 0 {
 		for _, group := range c.replica.BackendGroups() {
 			if _, isEvacuated := evacuated[group.Zone]; !isEvacuated {
-				result.addGroup(group, &c.observed, warmup, now)
+				result.addGroup(group, &c.weightInputs, warmup, now)
 			}
 		}
 	}
 	result.update(c.demand.aggregate.Load(), now)
-	c.observed.limits = result
+	c.weightInputs.limits = result
 }
 
 // addGroup adds the back ends of a group. Cold back ends can handle little load and do not count as
--- a/internal/balancer/healthlimits_test.go
+++ b/internal/balancer/healthlimits_test.go
@@ -60,7 +60,7 @@
 				all += count
 			}
 			healthyFraction := maxBackendFraction(t, control)
-			require.True(t, control.observed.evaluateHealth(slowFindings(test.unhealthy), 1))
+			require.True(t, control.weightInputs.evaluateHealth(slowFindings(test.unhealthy), 1))
 			control.rebuildTable(now)
 			require.LessOrEqual(t, maxBackendFraction(t, control), 2*healthyFraction+0.02, "at most twice its fraction while all back ends are healthy")
 			require.GreaterOrEqual(t, control.slots(), float64(all), "half of the slots still count as capacity")
@@ -73,10 +73,10 @@
 func TestHealthLimitFollowsDemand(t *testing.T) {
 	now := time.Now()
 	control := newServingControl(now, map[string]int{"maadi": 10})
-	require.True(t, control.observed.evaluateHealth(slowFindings(5), 1))
+	require.True(t, control.weightInputs.evaluateHealth(slowFindings(5), 1))
 	control.rebuildTable(now)
 	slow := incarnation.ID{Number: 1}
-	idle := control.observed.healthWeight(slow)
+	idle := control.weightInputs.healthWeight(slow)
 	require.Less(t, idle, 0.05)
 	control.demand.tree.SetOwn(demand.Aggregate{At: now, Balancers: 1, ZoneBalancers: map[demand.Zone]int{"maadi": 1},
 		Loads: map[demand.PoolZone]demand.Load{lendingPoolZone("maadi"): {InFlight: 40, RequestRate: 100}}}, demand.Position{})
@@ -85,7 +85,7 @@
 	control.findings.local = slowFindings(5)
 	require.True(t, control.updateHealth(now), "the table must be rebuilt")
 	control.rebuildTable(now)
-	require.Greater(t, control.observed.healthWeight(slow), 0.5)
+	require.Greater(t, control.weightInputs.healthWeight(slow), 0.5)
 }
 
 // BenchmarkCapacityWithUnhealthyBackends measures the capacity of a large fleet, as for each new
@@ -95,7 +95,7 @@
 		b.Run(fmt.Sprint(unhealthy), func(b *testing.B) {
 			now := time.Now()
 			control := newSizedControl(140_000, 100, 0, now)
-			control.observed.evaluateHealth(slowFindings(unhealthy), 1)
+			control.weightInputs.evaluateHealth(slowFindings(unhealthy), 1)
 			for b.Loop() {
 				control.measureCapacity(nil, now)
 			}
--- a/internal/balancer/metrics.go
+++ b/internal/balancer/metrics.go
@@ -100,7 +100,7 @@
 	counter(earlyDescription, traffic.earlyBuffer.sent.Load(), "sent")
 	counter(earlyDescription, traffic.earlyBuffer.lost.Load(), "lost")
 	counter(lostObservationsDescription, traffic.inbox.lost.Load()+traffic.outbox.lost.Load(), "mailbox")
-	counter(lostObservationsDescription, balancer.control.testimony.buffer.Dropped.Load(), "a_second")
+	counter(lostObservationsDescription, balancer.control.observations.buffer.Dropped.Load(), "a_second")
 	answered, failed := uint64(0), uint64(0)
 	for purpose := range storePurposeCount {
 		counts := &balancer.storeCalls[purpose]
@@ -113,7 +113,7 @@
 	counter(callsDescription, balancer.peerCalls.answered.Load(), "peer", "answered")
 	counter(callsDescription, balancer.peerCalls.failed.Load(), "peer", "failed")
 	counter(withdrawalsDescription, balancer.withdrawals.Load())
-	counter(silentConnectionsDescription, balancer.control.client.SilentConnections.Load()+balancer.control.testimony.client.SilentConnections.Load())
+	counter(silentConnectionsDescription, balancer.control.client.SilentConnections.Load()+balancer.control.observations.client.SilentConnections.Load())
 	if confirmed := balancer.confirmedAt.Load(); confirmed > 0 {
 		gauge(eraDescription, float64(balancer.era.Load()))
 		gauge(ageDescription, (time.Since(balancer.started) - time.Duration(confirmed)).Seconds())
--- a/internal/balancer/news.go
+++ b/internal/balancer/news.go
@@ -120,7 +120,7 @@
 	balancers := c.replica.Balancers()
 	c.core.SetBalancers(balancers, now)
 	c.balancersByZone = c.countByZone(balancers)
-	c.observed.zoneBalancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
+	c.weightInputs.zoneBalancers = c.balancersByZone[demand.Zone(c.balancer.settings.Load().GetZone())]
 	c.rankZoneBalancers(balancers)
 }
 
--- a/internal/balancer/observationexchange.go
+++ b/internal/balancer/observationexchange.go
@@ -49,7 +49,7 @@
 		return
 	}
 	for _, observation := range c.balancer.traffic.outbox.take() {
-		c.testimony.buffer.Add(observation, "", now)
+		c.observations.buffer.Add(observation, "", now)
 	}
 }
 
@@ -58,7 +58,7 @@
 func (c *control) receiveObservations(observations []evidence.Observation, from string, now time.Time) {
 	var added []evidence.Observation
 	for _, observation := range observations {
-		if c.testimony.buffer.Add(observation, from, now) {
+		if c.observations.buffer.Add(observation, from, now) {
 			added = append(added, observation)
 		}
 	}
@@ -69,7 +69,7 @@
 
 // handleParentObservations stores the observations of the parent.
 func (c *control) handleParentObservations(news *apiv1.DirectoryNews, now time.Time) {
-	t := &c.testimony
+	t := &c.observations
 	if t.parent != news.GetPeer() || t.parentClock.ID != news.GetClock() {
 		t.parent, t.receivedSequence = news.GetPeer(), 0
 	}
@@ -91,7 +91,7 @@
 
 // sendObservations sends the parent the observations that it does not have yet.
 func (c *control) sendObservations(ctx context.Context, now time.Time) {
-	t := &c.testimony
+	t := &c.observations
 	if t.sending || now.Before(t.nextSendAt) || !t.parentClock.Known() || t.sentSequence == t.buffer.LastSequence() {
 		return
 	}
@@ -118,10 +118,10 @@
 // handleTestifyResult handles the end of a call that sent observations. After a failure they are
 // sent again, as long as they are still buffered.
 func (c *control) handleTestifyResult(news *apiv1.DirectoryNews, now time.Time) {
-	c.testimony.sending = false
+	c.observations.sending = false
 	if news.GetError() != "" {
-		c.testimony.sentSequence = news.GetTestimonyLatest()
-		c.testimony.nextSendAt = now.Add(testifyRetryDelay)
+		c.observations.sentSequence = news.GetTestimonyLatest()
+		c.observations.nextSendAt = now.Add(testifyRetryDelay)
 	}
 }
 
@@ -142,7 +142,7 @@
 	if len(request.GetTestimony()) == 0 {
 		return
 	}
-	if request.GetClock() != c.testimony.clock {
+	if request.GetClock() != c.observations.clock {
 		c.balancer.logger.Debug("Control: observations in another clock are ignored.", "peer", request.GetFromAddress())
 		return
 	}
@@ -157,25 +157,25 @@
 // pendingObservations returns the observations that a follower has not been sent yet, once its call
 // has waited for batchDelay.
 func (c *control) pendingObservations(call *followCall, now time.Time) []evidence.Observation {
-	if !call.wantsTestimony || now.Sub(call.receivedAt) < batchDelay {
+	if !call.wantsObservations || now.Sub(call.receivedAt) < batchDelay {
 		return nil
 	}
-	after := call.testimonyAfter
-	if call.testimonyClock != c.testimony.clock {
+	after := call.observationsAfter
+	if call.observationsClock != c.observations.clock {
 		after = 0
 	}
-	if after == c.testimony.buffer.LastSequence() {
+	if after == c.observations.buffer.LastSequence() {
 		return nil
 	}
-	return c.testimony.buffer.Since(after, call.caller.Address, now)
+	return c.observations.buffer.Since(after, call.caller.Address, now)
 }
 
 // addObservations adds observations to the reply to a follower, and the clock in which the follower
 // can send its own.
 func (c *control) addObservations(reply *apiv1.FollowReply, observations []evidence.Observation, now time.Time) {
-	reply.Clock = c.testimony.clock
+	reply.Clock = c.observations.clock
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
-	reply.TestimonyLatest = c.testimony.buffer.LastSequence()
+	reply.TestimonyLatest = c.observations.buffer.LastSequence()
 	for _, observation := range selectObservations(observations) {
 		reply.Testimony = append(reply.Testimony, encodeObservation(observation, now.Sub(observation.When())))
 	}
--- a/internal/balancer/observationexchange_test.go
+++ b/internal/balancer/observationexchange_test.go
@@ -50,7 +50,7 @@
 	c := newTestControl()
 	now := time.Now()
 	c.handleNews(&apiv1.DirectoryNews{Batch: routesBatch(5), AsOfNanoseconds: c.sinceStart(now)}, now)
-	t.Cleanup(c.testimony.client.Close)
+	t.Cleanup(c.observations.client.Close)
 	return c
 }
 
@@ -69,58 +69,58 @@
 	other.balancer.settings.Load().PeerAddress = "127.0.0.1:1"
 	address := serveControl(t, parent)
 	now := time.Now()
-	child.testimony.buffer.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
+	child.observations.buffer.Add(evidence.UnansweredRequest{Backend: evidence.Backend{Number: 7}, Client: 1, Zone: "maadi", SentAt: now.Add(-700 * time.Millisecond)}, "", now)
 	child.sendObservations(context.Background(), now)
-	require.False(t, child.testimony.sending, "the clock of the parent is not known yet")
+	require.False(t, child.observations.sending, "the clock of the parent is not known yet")
 
 	child.followFrom(t, address)
-	require.Equal(t, parent.testimony.clock, child.testimony.parentClock.ID)
+	require.Equal(t, parent.observations.clock, child.observations.parentClock.ID)
 	messages, err := child.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
 	child.sendObservations(context.Background(), time.Now())
-	require.True(t, child.testimony.sending)
+	require.True(t, child.observations.sending)
 	child.handle(<-messages)
-	require.False(t, child.testimony.sending)
+	require.False(t, child.observations.sending)
 
 	other.followFrom(t, address)
-	received := other.testimony.buffer.Since(0, "", time.Now())
+	received := other.observations.buffer.Since(0, "", time.Now())
 	require.Len(t, received, 1)
 	unanswered := received[0].(evidence.UnansweredRequest)
 	require.Equal(t, evidence.Backend{Number: 7}, unanswered.Backend)
 	require.Equal(t, "maadi", unanswered.Zone)
 	require.False(t, unanswered.SentAt.After(now.Add(-700*time.Millisecond)), "the request never appears newer than it is")
 	require.WithinDuration(t, now.Add(-700*time.Millisecond), unanswered.SentAt, 5*time.Second)
-	require.Equal(t, uint64(1), other.testimony.receivedSequence)
-	require.Empty(t, other.testimony.buffer.Since(0, address, time.Now()), "an observation is not sent back to its sender")
+	require.Equal(t, uint64(1), other.observations.receivedSequence)
+	require.Empty(t, other.observations.buffer.Since(0, address, time.Now()), "an observation is not sent back to its sender")
 }
 
 // Times in the clock of a process that has ended cannot be interpreted.
 func TestObservationsWithAnotherClockAreIgnored(t *testing.T) {
 	c := newControlWithRoutes(t)
-	request := &apiv1.TestifyRequest{Clock: c.testimony.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
+	request := &apiv1.TestifyRequest{Clock: c.observations.clock + 2, Testimony: []*apiv1.Testimony{{Number: 7, Client: 1}}}
 	c.handleTestifyRequest(request, time.Now())
-	require.Zero(t, c.testimony.buffer.LastSequence())
-	request.Clock = c.testimony.clock
+	require.Zero(t, c.observations.buffer.LastSequence())
+	request.Clock = c.observations.clock
 	c.handleTestifyRequest(request, time.Now())
-	require.Equal(t, uint64(1), c.testimony.buffer.LastSequence())
+	require.Equal(t, uint64(1), c.observations.buffer.LastSequence())
 }
 
 // Observations that could not be delivered are sent again while they are still useful.
 func TestUndeliveredObservationsAreSentAgain(t *testing.T) {
 	c := newControlWithRoutes(t)
 	now := time.Now()
-	c.testimony.parent, c.testimony.parentClock = "127.0.0.1:1", evidence.NewRemoteClock(3, 0, now, now)
-	c.testimony.buffer.Add(evidence.Activity{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
+	c.observations.parent, c.observations.parentClock = "127.0.0.1:1", evidence.NewRemoteClock(3, 0, now, now)
+	c.observations.buffer.Add(evidence.Activity{Backend: evidence.Backend{Number: 7}, At: now}, "", now)
 	messages, err := c.balancer.bus.Subscribe(context.Background())
 	require.NoError(t, err)
 	c.sendObservations(context.Background(), now)
-	require.Equal(t, uint64(1), c.testimony.sentSequence)
+	require.Equal(t, uint64(1), c.observations.sentSequence)
 	c.handle(<-messages)
-	require.Zero(t, c.testimony.sentSequence)
+	require.Zero(t, c.observations.sentSequence)
 	c.sendObservations(context.Background(), time.Now())
-	require.False(t, c.testimony.sending, "not before testifyRetryDelay has passed")
+	require.False(t, c.observations.sending, "not before testifyRetryDelay has passed")
 	c.sendObservations(context.Background(), time.Now().Add(testifyRetryDelay))
-	require.True(t, c.testimony.sending)
+	require.True(t, c.observations.sending)
 	c.handle(<-messages)
 }
 
--- a/internal/balancer/pages_test.go
+++ b/internal/balancer/pages_test.go
@@ -60,7 +60,7 @@
 func TestFullReplyOverASlowLink(t *testing.T) {
 	now := time.Now()
 	parent, child := newFleetControl(1_000, 10_000, now), newTestControl()
-	t.Cleanup(child.testimony.client.Close)
+	t.Cleanup(child.observations.client.Close)
 	link := newThrottledListener(t, 200<<10)
 	address := serveControlOn(t, parent, link)
 	child.followFrom(t, address)
--- a/internal/balancer/renew.go
+++ b/internal/balancer/rebuild.go
@@ -39,7 +39,7 @@
 		return
 	}
 	c.scheduleTableChange(now)
-	c.gate.updateRoutes(c.replica.Routes())
+	c.admission.updateRoutes(c.replica.Routes())
 	previous := c.balancer.table.Swap(table)
 	if previous == nil || previous.Version != table.Version {
 		c.balancer.logger.Info("Control: configuration in force.", "version", table.Version,
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -16,8 +16,8 @@
 
 // How the balancers of a fleet treat cold back ends.
 const (
-	modeIgnore  = "ignore"
-	modeLimited = "bounded"
+	modeUnlimited = "ignore"
+	modeLimited   = "bounded"
 )
 
 // coldFleet simulates a fleet of balancers in virtual time, with a zone whose back ends have just
@@ -132,7 +132,7 @@
 // balancers together, and no flow is refused because of that.
 func TestReturningColdZoneIsNotOverloaded(t *testing.T) {
 	for _, size := range []int{8, 88, 300} {
-		unlimited := newColdFleet(size, modeIgnore, false)
+		unlimited := newColdFleet(size, modeUnlimited, false)
 		unlimited.run(1500)
 		require.Greater(t, unlimited.maxFlowsPerSecond(), 5, "without the limit a back end is overloaded, with %d balancers", size)
 		fleet := newColdFleet(size, modeLimited, false)
--- a/internal/balancer/weightinputs_test.go
+++ b/internal/balancer/weightinputs_test.go
@@ -18,7 +18,7 @@
 	changed := false
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 250 * time.Millisecond {
 		summary := &observe.Summary{At: from.Add(elapsed), InFlight: map[string]float64{pool: waiting}}
-		changed = control.observed.update(summary, from.Add(elapsed)) || changed
+		changed = control.weightInputs.update(summary, from.Add(elapsed)) || changed
 	}
 	return changed
 }
@@ -51,9 +51,9 @@
 	remote := directory.BackendEntry{PoolBackend: &apiv1.PoolBackend{Pool: "lending", Zone: "giza"}}
 	control.observeWaiting("lending", 1, now)
 	alone := control.weightFunc(nil, now)(remote)
-	control.observed.zoneBalancers = control.countByZone([]*apiv1.Balancer{
+	control.weightInputs.zoneBalancers = control.countByZone([]*apiv1.Balancer{
 		{Name: "edge-1", Zone: "maadi"}, {Name: "edge-2", Zone: "maadi"}, {Name: "edge-3", Zone: "maadi"}, {Name: "edge-4", Zone: "giza"}})["maadi"]
-	require.Equal(t, 3, control.observed.zoneBalancers)
+	require.Equal(t, 3, control.weightInputs.zoneBalancers)
 	require.Greater(t, control.weightFunc(nil, now)(remote), alone)
 }
 
@@ -64,8 +64,8 @@
 	control.addBackends("lending", "maadi", 4, now)
 	control.addBackends("lending", "giza", 8, now)
 	control.observeWaiting("lending", 400, now)
-	require.NotEmpty(t, control.observed.inFlight)
+	require.NotEmpty(t, control.weightInputs.inFlight)
 	old := &observe.Summary{At: now.Add(2 * time.Second), InFlight: map[string]float64{"lending": 400}}
-	control.observed.update(old, now.Add(10*time.Second))
-	require.Empty(t, control.observed.inFlight)
+	control.weightInputs.update(old, now.Add(10*time.Second))
+	require.Empty(t, control.weightInputs.inFlight)
 }
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -58,10 +58,10 @@
 	}
 	c.measureCapacity(evacuated, now)
 	result.pools = c.demand.capacity.pools
-	c.observed.beginTable(result.pools)
-	c.observed.weightedByShares = make(map[string]bool, len(result.pools))
+	c.weightInputs.beginTable(result.pools)
+	c.weightInputs.weightedByShares = make(map[string]bool, len(result.pools))
 	for pool := range result.pools {
-		c.observed.weightedByShares[pool] = result.usesPlannedShares(pool)
+		c.weightInputs.weightedByShares[pool] = result.usesPlannedShares(pool)
 	}
 	return result
 }
@@ -81,14 +81,14 @@
 	}
 	weight := w.poolZoneWeight(directory.PoolZone{Pool: backend.GetPool(), Zone: backend.GetZone()})
 	if !c.balancer.disabled.Has(mechanism.Health) {
-		weight *= c.observed.healthWeight(backend.Incarnation())
+		weight *= c.weightInputs.healthWeight(backend.Incarnation())
 	}
 	return uint32(math.Ceil(weight * rule.MaximumWeight))
 }
 
 // uniformWeight returns the weight of each back end of a pool zone, if all have the same.
 func (w *weights) uniformWeight(poolZone directory.PoolZone) (weight uint32, uniform bool) {
-	if w.program(poolZone.Pool) != nil || len(w.control.observed.unhealthy) > 0 {
+	if w.program(poolZone.Pool) != nil || len(w.control.weightInputs.unhealthy) > 0 {
 		return 0, false
 	}
 	return uint32(math.Ceil(w.poolZoneWeight(poolZone) * rule.MaximumWeight)), true
@@ -121,7 +121,7 @@
 func (w *weights) program(pool string) *policy.Program {
 	program, cached := w.programs[pool]
 	if !cached {
-		program = w.control.programs.lookup(w.control.replica, pool)
+		program = w.control.policies.lookup(w.control.replica, pool)
 		w.programs[pool] = program
 	}
 	return program
@@ -135,7 +135,7 @@
 	if pool == nil || pool.localBackends > 0 && pool.localBackends < minLocalBackends {
 		return nil
 	}
-	return w.control.observed.appliedShares[demand.Pool(name)]
+	return w.control.weightInputs.appliedShares[demand.Pool(name)]
 }
 
 // zoneWeight returns the weight, from 0 to 1, of a pool's back ends in a zone.
@@ -159,7 +159,7 @@
 	if pool == nil || pool.localBackends < minLocalBackends {
 		return 1
 	}
-	remote := c.observed.remoteShares[name]
+	remote := c.weightInputs.remoteShares[name]
 	if c.balancer.disabled.Has(mechanism.ZoneSharing) {
 		remote = shares.RemoteShare(0, pool.localSlots, pool.remoteSlots)
 	}
@@ -168,7 +168,7 @@
 }
 
 func (c *control) evaluate(program *policy.Program, backend directory.BackendEntry, local bool) (uint32, bool) {
-	health := c.observed.unhealthy[backend.Incarnation()]
+	health := c.weightInputs.unhealthy[backend.Incarnation()]
 	facts := policy.Facts{
 		Name:          backend.GetId(),
 		Zone:          backend.GetZone(),
@@ -181,7 +181,7 @@
 		WarmupSeconds: (time.Duration(backend.GetWarmupMilliseconds()) * time.Millisecond).Seconds(),
 		Failing:       health.Failing,
 		Slow:          health.Slow,
-		Use:           c.observed.utilization(backend.GetPool()),
+		Use:           c.weightInputs.utilization(backend.GetPool()),
 	}
 	if backend.GetDraining() {
 		facts.MachineState = stateLeaving
--- a/internal/balancer/withdrawal.go
+++ b/internal/balancer/withdrawal.go
@@ -18,8 +18,8 @@
 // withdrawalState is what the control goroutine knows of the balancers of its zone that struggle,
 // that is, do not carry their share of the traffic.
 type withdrawalState struct {
-	core    *aside.Detector
-	reports aside.ReportSet
+	detector *aside.Detector
+	reports  aside.ReportSet
 	// lastReportAt is when another balancer last reported which balancers struggle, or that none
 	// does.
 	lastReportAt time.Time
@@ -41,7 +41,7 @@
 	for step := range flows.OpenedByTime {
 		counts.Opened[step] = flows.OpenedByTime[step].Load()
 	}
-	core := c.withdrawal.core
+	core := c.withdrawal.detector
 	if !core.Observe(counts, c.withdrawalZone(now), now) {
 		return
 	}
@@ -77,8 +77,8 @@
 // with this balancer's own report if it struggles.
 func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
-	if c.withdrawal.core.Struggling() {
-		c.withdrawal.reports.Add(aside.Report{Name: name, Withdrawn: c.withdrawal.core.Withdrawn(), At: now})
+	if c.withdrawal.detector.Struggling() {
+		c.withdrawal.reports.Add(aside.Report{Name: name, Withdrawn: c.withdrawal.detector.Withdrawn(), At: now})
 	} else {
 		c.withdrawal.reports.Remove(name)
 	}
--- a/internal/balancer/zoneshares.go
+++ b/internal/balancer/zoneshares.go
@@ -19,7 +19,7 @@
 	aggregate := c.demand.aggregate.Load()
 	disabled := c.balancer.disabled
 	if !c.aggregateUsable(aggregate, now) || disabled.Has(mechanism.DemandShares) || disabled.Has(mechanism.ZoneSharing) {
-		return c.observed.setPlannedShares(nil)
+		return c.weightInputs.setPlannedShares(nil)
 	}
 	localZone := demand.Zone(c.balancer.settings.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
@@ -28,7 +28,7 @@
 			planned[pool] = zoneShares
 		}
 	}
-	return c.observed.setPlannedShares(planned)
+	return c.weightInputs.setPlannedShares(planned)
 }
 
 // recoveryDelay is how long an aggregate must have been fresh again, after being stale, before it
@@ -43,7 +43,7 @@
 // therefore used for all of demand.MaximumAge.
 func (c *control) aggregateUsable(aggregate *demand.Aggregate, now time.Time) bool {
 	if !aggregate.Fresh(now) {
-		if c.observed.plannedShares != nil || !c.demand.staleAt.IsZero() {
+		if c.weightInputs.plannedShares != nil || !c.demand.staleAt.IsZero() {
 			c.demand.staleAt = now
 		}
 		return false
--- a/internal/balancer/zoneshares_test.go
+++ b/internal/balancer/zoneshares_test.go
@@ -62,7 +62,7 @@
 	}
 	now = now.Add(100 * time.Millisecond)
 	control.handleNews(&apiv1.DirectoryNews{Batch: gone, AsOfNanoseconds: control.sinceStart(now)}, now)
-	require.NotNil(t, control.observed.plannedShares)
+	require.NotNil(t, control.weightInputs.plannedShares)
 	require.NotPanics(t, func() { control.rebuildTable(now) })
 }
 
@@ -101,7 +101,7 @@
 	t.Run("few in the zone", func(t *testing.T) {
 		few := newServingControl(now, map[string]int{"maadi": minLocalBackends - 1, "giza": 6})
 		few.planWithDemand(now)
-		require.NotNil(t, few.observed.plannedShares)
+		require.NotNil(t, few.weightInputs.plannedShares)
 		few.rebuildTable(now)
 		require.Zero(t, localFraction(t, few))
 	})
@@ -121,7 +121,7 @@
 	})
 	t.Run("no plan of this pool", func(t *testing.T) {
 		other := newServingControl(now, map[string]int{"maadi": 4, "giza": 4})
-		other.observed.plannedShares = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
+		other.weightInputs.plannedShares = map[demand.Pool]map[demand.Zone]float64{"covers": {"maadi": 1}}
 		other.rebuildTable(now)
 		require.Zero(t, localFraction(t, other)-localFraction(t, newServingControl(now, map[string]int{"maadi": 4, "giza": 4})))
 	})
@@ -164,7 +164,7 @@
 	require.True(t, control.planWithDemand(now))
 	control.rebuildTable(now)
 	require.False(t, control.observeWaiting("lending", 12, now))
-	control.observed.plannedShares = nil
+	control.weightInputs.plannedShares = nil
 	control.rebuildTable(now)
 	require.True(t, control.observeWaiting("lending", 3, now.Add(10*time.Second)), "without planned shares a new table is needed")
 }
@@ -196,5 +196,5 @@
 		now = now.Add(500 * time.Millisecond)
 		control.planWithDemand(now)
 	}
-	require.NotNil(t, control.observed.plannedShares)
+	require.NotNil(t, control.weightInputs.plannedShares)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -101,8 +101,8 @@
 	settledFilters     *filterSet
 	pendingFilters     *filterSet
 	filtersRequestedAt uint32
-	settledKeeper      *router.Keepers
-	pendingKeeper      *router.Keepers
+	settledKeepers     *router.Keepers
+	pendingKeepers     *router.Keepers
 
 	peers                map[string]*peer
 	lastHeartbeat        uint32
@@ -311,7 +311,7 @@
 		ActiveMarks:      core.activeMarks(),
 		KnownMarks:       core.knownMarks(),
 		Leaving:          core.leavingBackends(),
-		Keepers:          core.settledKeeper,
+		Keepers:          core.settledKeepers,
 		Filters:          core.viewFilters(),
 	}
 	core.view = view.Compile()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -185,9 +185,9 @@
 	cluster.isolated["b"], cluster.isolated["c"] = true, true
 	core := cluster.cores["a"]
 	number := 0
-	for first, second := core.settledKeeper.Pick(testKey(number).Hash()); first == "a" || second == "a"; {
+	for first, second := core.settledKeepers.Pick(testKey(number).Hash()); first == "a" || second == "a"; {
 		number++
-		first, second = core.settledKeeper.Pick(testKey(number).Hash())
+		first, second = core.settledKeepers.Pick(testKey(number).Hash())
 	}
 	core.Lookup(cluster.now, testKey(number), 1, true, false)
 	core.Ready()
--- a/internal/core/document.go
+++ b/internal/core/document.go
@@ -142,10 +142,10 @@
 // does not change the assignment: the records stay where they are, and the
 // other keeper of each has a copy. The next epoch makes a new assignment.
 func (core *Core) updateKeepers() {
-	core.settledKeeper = core.newKeepers(core.document.GetSettled())
-	core.pendingKeeper = core.settledKeeper
+	core.settledKeepers = core.newKeepers(core.document.GetSettled())
+	core.pendingKeepers = core.settledKeepers
 	if core.document.GetPending() != nil {
-		core.pendingKeeper = core.newKeepers(core.document.GetPending())
+		core.pendingKeepers = core.newKeepers(core.document.GetPending())
 	}
 }
 
--- a/internal/core/hint.go
+++ b/internal/core/hint.go
@@ -26,7 +26,7 @@
 func (core *Core) handleHintRequest(from string) {
 	var flows []assignedFlow
 	for key, record := range core.records {
-		first, _ := core.settledKeeper.Pick(key.Hash())
+		first, _ := core.settledKeepers.Pick(key.Hash())
 		if first == core.self.GetId() && !record.tentative {
 			flows = append(flows, assignedFlow{key: key, backend: record.backend})
 		}
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -165,7 +165,7 @@
 			proposal = entry.Backend
 		}
 	}
-	firstKeeper, _ := core.pendingKeeper.Pick(key.Hash())
+	firstKeeper, _ := core.pendingKeepers.Pick(key.Hash())
 	superseded := record != nil && record.tentative && replicated && from == firstKeeper && proposal != rule.NoBackend
 	if record != nil && !superseded {
 		return record.tentative && !replicated
@@ -179,7 +179,7 @@
 }
 
 func (core *Core) otherKeeper(key flow.Key) string {
-	first, second := core.pendingKeeper.Pick(key.Hash())
+	first, second := core.pendingKeepers.Pick(key.Hash())
 	if first == core.self.GetId() {
 		return second
 	}
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -51,7 +51,7 @@
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key, Backend: backend, Recorded: true})
 		return
 	}
-	if len(core.lookups) >= core.config.MaximumLookups || core.settledKeeper == nil {
+	if len(core.lookups) >= core.config.MaximumLookups || core.settledKeepers == nil {
 		core.out.Resolutions = append(core.out.Resolutions, Resolution{Key: key})
 		return
 	}
@@ -68,8 +68,8 @@
 // lookupSteps returns the steps of a lookup: a single one when the settled and
 // the pending epoch assign the flow to the same keepers.
 func (core *Core) lookupSteps(key flow.Key, bind bool) []lookupStep {
-	settledFirst, settledSecond := core.settledKeeper.Pick(key.Hash())
-	pendingFirst, pendingSecond := core.pendingKeeper.Pick(key.Hash())
+	settledFirst, settledSecond := core.settledKeepers.Pick(key.Hash())
+	pendingFirst, pendingSecond := core.pendingKeepers.Pick(key.Hash())
 	last := lookupStep{first: pendingFirst, second: pendingSecond, bind: bind}
 	if settledFirst == pendingFirst && settledSecond == pendingSecond {
 		return []lookupStep{last}
--- a/internal/core/offer.go
+++ b/internal/core/offer.go
@@ -77,7 +77,7 @@
 func (core *Core) offerFlows(purpose offerPurpose, flows []assignedFlow) {
 	byKeeper := make(map[string][]assignedFlow)
 	for _, assigned := range flows {
-		for _, keeper := range keepersFor(core.pendingKeeper, assigned.key) {
+		for _, keeper := range keepersFor(core.pendingKeepers, assigned.key) {
 			if keeper == core.self.GetId() {
 				core.recordFlow(assigned)
 				continue
@@ -235,7 +235,7 @@
 	core.recordOwnFlows()
 	digests := make([]byte, count*digestSize)
 	for key, record := range core.records {
-		first, second := core.pendingKeeper.Pick(key.Hash())
+		first, second := core.pendingKeepers.Pick(key.Hash())
 		if (first == core.self.GetId() || second == core.self.GetId()) && core.isDisplaced(key, record.backend) {
 			addToDigest(digests, fingerprintOf(key))
 		}
@@ -260,7 +260,7 @@
 	}
 	core.ownFlowsRecordedEpoch = core.targetEpochNumber()
 	for _, assigned := range core.displacedFlows() {
-		for _, keeper := range keepersFor(core.pendingKeeper, assigned.key) {
+		for _, keeper := range keepersFor(core.pendingKeepers, assigned.key) {
 			if keeper == core.self.GetId() {
 				core.recordFlow(assigned)
 			}
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -42,7 +42,7 @@
 	Key      flow.Key
 	Proposal uint32
 	Bind     bool
-	Opens    bool
+	IsSYN    bool
 }
 
 // LookupResult is the response of the control goroutine to a Lookup.
@@ -177,9 +177,9 @@
 	return lowest
 }
 
-// Paths returns the number of packets by path, by cause of a drop before routing,
+// PathCounts returns the number of packets by path, by cause of a drop before routing,
 // dropped at full buffers and failed to send.
-func (plane *Plane) Paths() map[string]uint64 {
+func (plane *Plane) PathCounts() map[string]uint64 {
 	counts := make(map[string]uint64)
 	for path := range router.PathCount {
 		counts[path.String()] = plane.pathCounts[path].Load()
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -99,7 +99,7 @@
 	_, err := client.WriteTo(datagram(t, 40001, true), plane.socket.LocalAddr())
 	require.NoError(t, err)
 	receive(t, back)
-	paths := plane.Paths()
+	paths := plane.PathCounts()
 	require.Equal(t, uint64(2), paths["bad_truncated"])
 	require.Equal(t, uint64(1), paths["bad_oversize"])
 	require.Equal(t, uint64(1), paths["bad_wrong_version"])
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -129,7 +129,7 @@
 	if !first {
 		return
 	}
-	lookup := Lookup{Key: packet.Key, Proposal: decision.Proposal, Bind: decision.Bind, Opens: decision.Opens}
+	lookup := Lookup{Key: packet.Key, Proposal: decision.Proposal, Bind: decision.Bind, IsSYN: decision.IsSYN}
 	select {
 	case plane.lookups <- lookup:
 	default:
--- a/internal/demand/tree.go
+++ b/internal/demand/tree.go
@@ -126,7 +126,7 @@
 	}
 	report := Report{Aggregate: t.own, ExpiresAt: now.Add(LeaseTime(t.Depth(now)))}
 	for _, each := range t.followers {
-		if !t.current(each, now) {
+		if !t.isCurrent(each, now) {
 			continue
 		}
 		report.Aggregate = report.plus(each.Aggregate)
@@ -139,10 +139,10 @@
 	return report, true
 }
 
-// current reports whether a report counts here and is passed on. The report of a live follower
+// isCurrent reports whether a report counts here and is passed on. The report of a live follower
 // has lost at most a MaximumReportInterval of its lease at each level. Others would outlast
 // their expiry in the sum, and make it old.
-func (t *Tree) current(report Report, now time.Time) bool {
+func (t *Tree) isCurrent(report Report, now time.Time) bool {
 	return report.ExpiresAt.Sub(now) >= LeaseTime(t.Depth(now))
 }
 
@@ -150,7 +150,7 @@
 func (t *Tree) subtree(now time.Time) Aggregate {
 	sum := t.own
 	for _, each := range t.followers {
-		if t.current(each, now) {
+		if t.isCurrent(each, now) {
 			sum = sum.plus(each.Aggregate)
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -244,11 +244,11 @@
 	if isNameOnly(change) {
 		return d.markUnreadable(key, e, change.GetRevision())
 	}
-	if e.supersedes(change, context) {
+	if e.isFromEarlierStart(change, context) {
 		d.markContested(key, e, change.GetRevision())
 		return false
 	}
-	e.observeStart(change, now)
+	e.recordStart(change, now)
 	same := !e.change.GetGone() && e.override == nil && sameContent(e.change, change)
 	e.change = change
 	d.trackLostPolicy(key, e)
--- a/internal/directory/starts.go
+++ b/internal/directory/starts.go
@@ -20,9 +20,9 @@
 	return change.GetBackend().GetStartedMilliseconds()
 }
 
-// supersedes reports whether a change with a higher revision comes from an earlier start of a back
+// isFromEarlierStart reports whether a change with a higher revision comes from an earlier start of a back
 // end. That is so if the later start is alive, or if the change is read from a restored store.
-func (e *entry) supersedes(change *apiv1.DirectoryChange, context batchContext) bool {
+func (e *entry) isFromEarlierStart(change *apiv1.DirectoryChange, context batchContext) bool {
 	changeStart, knownStart := startTime(change), startTime(e.change)
 	if changeStart == 0 || changeStart >= knownStart {
 		return false
@@ -30,8 +30,8 @@
 	return context.newEra || !e.change.GetGone() && context.receivedAt.Sub(e.startSeenAt) < lateWriteWindow
 }
 
-// observeStart records that an entry was seen, and whether it belongs to another start.
-func (e *entry) observeStart(change *apiv1.DirectoryChange, now time.Time) {
+// recordStart records that an entry was seen, and whether it belongs to another start.
+func (e *entry) recordStart(change *apiv1.DirectoryChange, now time.Time) {
 	e.startSeenAt = now
 	if startTime(change) != startTime(e.change) && startTime(change) != 0 {
 		e.restartedAt = now
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -38,8 +38,8 @@
 	KindRules Kind = "rules"
 	// KindWritten reports that a write of the document has ended.
 	KindWritten Kind = "written"
-	// KindAlive reports that the group liveness key in the store has changed.
-	KindAlive Kind = "alive"
+	// KindGroupLiveness reports that the group liveness key in the store has changed.
+	KindGroupLiveness Kind = "alive"
 	// KindDirectoryNews reports that the store or a peer answered a balancer, or failed to.
 	KindDirectoryNews Kind = "news"
 	// KindStop requests a planned stop of this node.
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -291,7 +291,7 @@
 	node.queuedPacketCount++
 	key := pkt.flow.key
 	node.queuedPackets[key] = append(node.queuedPackets[key], pkt)
-	node.core.Lookup(node.now(), key, decision.Proposal, decision.Bind, decision.Opens)
+	node.core.Lookup(node.now(), key, decision.Proposal, decision.Bind, decision.IsSYN)
 	node.applyCoreOutput()
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -170,7 +170,7 @@
 		Group:          node.settings.GetGroup(),
 		Flows:          uint64(node.table.Len()),
 		StoreReachable: node.storeReachable.Load(),
-		Packets:        node.plane.Paths(),
+		Packets:        node.plane.PathCounts(),
 		ControlBytes:   node.transport.SentBytes(),
 		FlowsByBackend: node.flowsByBackend(),
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -35,7 +35,7 @@
 		case envelope := <-node.transport.Inbox():
 			node.core.Step(node.now(), envelope)
 		case lookup := <-node.plane.Lookups():
-			node.core.Lookup(node.now(), lookup.Key, lookup.Proposal, lookup.Bind, lookup.Opens)
+			node.core.Lookup(node.now(), lookup.Key, lookup.Proposal, lookup.Bind, lookup.IsSYN)
 			state.handleQueuedLookups()
 		case received, open := <-messages:
 			if open {
@@ -65,7 +65,7 @@
 	for {
 		select {
 		case lookup := <-state.node.plane.Lookups():
-			state.node.core.Lookup(state.node.now(), lookup.Key, lookup.Proposal, lookup.Bind, lookup.Opens)
+			state.node.core.Lookup(state.node.now(), lookup.Key, lookup.Proposal, lookup.Bind, lookup.IsSYN)
 		default:
 			return
 		}
@@ -96,7 +96,7 @@
 	switch event.Kind {
 	case events.KindWritten:
 		node.core.WriteDone(node.now(), event.Succeeded)
-	case events.KindAlive:
+	case events.KindGroupLiveness:
 		node.core.ObserveGroupLiveness(node.now())
 	case events.KindStop:
 		node.core.Leave(node.now())
--- a/internal/node/storewatch.go
+++ b/internal/node/storewatch.go
@@ -128,7 +128,7 @@
 		value, err := node.store.Get(ctx, GroupLivenessKey(node.settings.GetGroup()))
 		if err == nil && value.Version != seen {
 			seen = value.Version
-			if err := node.bus.Publish(events.Event{Kind: events.KindAlive}); err != nil {
+			if err := node.bus.Publish(events.Event{Kind: events.KindGroupLiveness}); err != nil {
 				return err
 			}
 		}
--- a/internal/observe/finding.go
+++ b/internal/observe/finding.go
@@ -24,9 +24,9 @@
 	// since a little random variation remains in the finding of each.
 	baseEvidence        = 15.0
 	evidencePerObserver = 0.5
-	// hysteresis is the fraction of that evidence down to which a back end stays
+	// hysteresisFactor is the fraction of that evidence down to which a back end stays
 	// unhealthy.
-	hysteresis = 0.3
+	hysteresisFactor = 0.3
 	// minimumFailing is the least fraction of failed responses worth acting on.
 	minimumFailing = 0.08
 	// minimumSlow is the same for late responses. Under high demand, some back ends
@@ -109,7 +109,7 @@
 // fraction was above 0.
 func (e Excess) significantFraction(needed, previous, minimum float64) float64 {
 	if previous > 0 {
-		needed *= hysteresis
+		needed *= hysteresisFactor
 	}
 	if e.Evidence < needed || e.Fraction < minimum {
 		return 0
--- a/internal/replication/calls.go
+++ b/internal/replication/calls.go
@@ -193,7 +193,7 @@
 	c.contactOf(peer.Address).unusable = stale
 	switch {
 	case stale && !c.hasData():
-		c.pausedUntil[peer.Address] = now.Add(eagerRetryDelay)
+		c.pausedUntil[peer.Address] = now.Add(noDataRetryDelay)
 	case stale:
 		c.pausedUntil[peer.Address] = now.Add(c.config.PeerRetryDelay)
 	default:
@@ -208,7 +208,7 @@
 	if c.hasData() {
 		return
 	}
-	c.pausedUntil[peer.Address] = now.Add(eagerRetryDelay)
+	c.pausedUntil[peer.Address] = now.Add(noDataRetryDelay)
 	if now.Sub(asOf) < noDataAge {
 		c.fetchCandidates = addBounded(c.fetchCandidates, peer.Address, fetchCandidatesLimit)
 	}
@@ -228,7 +228,7 @@
 	case peer.Purpose == PurposeAnnounce:
 		c.announceInterval = max(c.announceInterval/2, minAnnounceInterval)
 	case !c.hasData():
-		c.pausedUntil[peer.Address] = now.Add(eagerRetryDelay)
+		c.pausedUntil[peer.Address] = now.Add(noDataRetryDelay)
 	default:
 		c.pausedUntil[peer.Address] = now.Add(c.config.PeerRetryDelay)
 	}
--- a/internal/replication/core.go
+++ b/internal/replication/core.go
@@ -342,17 +342,17 @@
 // A balancer without data cannot serve traffic, so it calls the store and its peers
 // more often. For the store, the number of such calls is bounded.
 const (
-	eagerMaxFailures = 30
-	eagerMaxBackoff  = 250 * time.Millisecond
-	eagerRetryDelay  = 100 * time.Millisecond
+	noDataMaxFailures = 30
+	noDataMaxBackoff  = 250 * time.Millisecond
+	noDataRetryDelay  = 100 * time.Millisecond
 )
 
 // PollFailed schedules the next call to the store after a failure. The pause doubles
 // each time, and half of it is random, so that balancers do not call at the same time.
 func (c *Core) PollFailed(now time.Time) {
 	limit := c.config.MaxBackoff
-	if c.confirmedAt.IsZero() && c.pollFailures < eagerMaxFailures {
-		limit = eagerMaxBackoff
+	if c.confirmedAt.IsZero() && c.pollFailures < noDataMaxFailures {
+		limit = noDataMaxBackoff
 	}
 	pause := min(initialBackoff<<min(c.pollFailures, 10), limit)
 	c.pollFailures++
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -27,8 +27,8 @@
 	lists    []listing
 	// storeRefuses reports whether the store refuses the calls of a node.
 	storeRefuses func(*fleetNode) bool
-	// isCut reports whether messages between two nodes are lost.
-	isCut func(a, b *fleetNode) bool
+	// isPartitioned reports whether messages between two nodes are lost.
+	isPartitioned func(a, b *fleetNode) bool
 	// poweredOff is set if nodes that are not alive have no power, so that they do not
 	// refuse connections either.
 	poweredOff bool
@@ -105,10 +105,10 @@
 	f := &fleet{
 		t: t, now: startTime, random: rand.New(rand.NewPCG(uint64(count), 1)), revision: 1,
 		byAddress: make(map[string]*fleetNode), linkFreeAt: make(map[*fleetNode]time.Time),
-		zoneLeads:    make(map[string]*apiv1.ZoneLeads),
-		fullReplies:  make(map[*fleetNode]int),
-		storeRefuses: func(*fleetNode) bool { return false },
-		isCut:        func(_, _ *fleetNode) bool { return false },
+		zoneLeads:     make(map[string]*apiv1.ZoneLeads),
+		fullReplies:   make(map[*fleetNode]int),
+		storeRefuses:  func(*fleetNode) bool { return false },
+		isPartitioned: func(_, _ *fleetNode) bool { return false },
 	}
 	for index := range count {
 		entry := &apiv1.Balancer{Name: name(index), Zone: fmt.Sprintf("zone-%d", index%fleetZones),
@@ -380,7 +380,7 @@
 	if !from.alive || from.starts != call.starts {
 		return true
 	}
-	partitioned := f.isCut(from, to)
+	partitioned := f.isPartitioned(from, to)
 	waited := f.now.Sub(call.sentAt)
 	if !to.alive && f.poweredOff && !call.delivered && waited < call.dialTime {
 		return false
@@ -671,7 +671,7 @@
 	runForSizes(t, func(t *testing.T, count int) {
 		f := newSettledFleet(t, count)
 		zone := f.readers()[0].entry.GetZone()
-		f.isCut = func(a, b *fleetNode) bool { return (a.entry.GetZone() == zone) != (b.entry.GetZone() == zone) }
+		f.isPartitioned = func(a, b *fleetNode) bool { return (a.entry.GetZone() == zone) != (b.entry.GetZone() == zone) }
 		require.LessOrEqual(t, f.countExactCalls(20*time.Second), 200)
 		for _, node := range f.nodes {
 			require.False(t, node.core.Stale(f.now), node.entry.GetName())
--- a/internal/replication/outage_test.go
+++ b/internal/replication/outage_test.go
@@ -17,11 +17,11 @@
 type storeOutage struct {
 	now   time.Time
 	nodes []*outageNode
-	// cutUntil is until when messages from one node to another are lost.
-	cutUntil map[[2]int]time.Time
-	calls    []*outageCall
-	random   *rand.Rand
-	seeds    []string
+	// partitionedUntil is until when messages from one node to another are lost.
+	partitionedUntil map[[2]int]time.Time
+	calls            []*outageCall
+	random           *rand.Rand
+	seeds            []string
 }
 
 type outageNode struct {
@@ -52,7 +52,7 @@
 )
 
 func newStoreOutage(count int, seed uint64) *storeOutage {
-	o := &storeOutage{now: startTime, cutUntil: make(map[[2]int]time.Time), random: rand.New(rand.NewPCG(seed, 1))}
+	o := &storeOutage{now: startTime, partitionedUntil: make(map[[2]int]time.Time), random: rand.New(rand.NewPCG(seed, 1))}
 	for index := range min(count, 3) {
 		o.seeds = append(o.seeds, address(index))
 	}
@@ -86,8 +86,8 @@
 	node.core.SetBalancers(newZone(len(o.nodes)), startTime)
 }
 
-func (o *storeOutage) isCut(from, to *outageNode) bool {
-	return o.now.Before(o.cutUntil[[2]int{from.index, to.index}])
+func (o *storeOutage) isPartitioned(from, to *outageNode) bool {
+	return o.now.Before(o.partitionedUntil[[2]int{from.index, to.index}])
 }
 
 // step starts the calls that are due and advances those in progress.
@@ -140,7 +140,7 @@
 		}
 		return over
 	}
-	reached := call.to.alive && !o.isCut(call.from, call.to) && !o.isCut(call.to, call.from)
+	reached := call.to.alive && !o.isPartitioned(call.from, call.to) && !o.isPartitioned(call.to, call.from)
 	refused := !call.to.alive && !call.to.poweredOff
 	dialing := !call.delivered && o.now.Sub(call.sentAt) >= 300*time.Millisecond
 	if refused || !reached && dialing || !o.now.Before(call.deadline) {
@@ -197,7 +197,7 @@
 			return false
 		}
 	}
-	return o.now.Sub(o.cutUntil[[2]int{a.index, b.index}]) >= since && o.now.Sub(o.cutUntil[[2]int{b.index, a.index}]) >= since
+	return o.now.Sub(o.partitionedUntil[[2]int{a.index, b.index}]) >= since && o.now.Sub(o.partitionedUntil[[2]int{b.index, a.index}]) >= since
 }
 
 // firstDataTime is the time within which a balancer that has no data receives it from
@@ -272,7 +272,7 @@
 		case 3:
 			other := rapid.IntRange(0, len(o.nodes)-1).Draw(t, label+" cut from")
 			length := rapid.IntRange(0, 2500).Draw(t, label+" cut ms")
-			o.cutUntil[[2]int{index, other}] = o.now.Add(time.Duration(length) * time.Millisecond)
+			o.partitionedUntil[[2]int{index, other}] = o.now.Add(time.Duration(length) * time.Millisecond)
 		case 4:
 			// The store has answered this balancer alone.
 			if node.alive {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -97,8 +97,8 @@
 	// otherwise they only read, and the proposal is the result.
 	Proposal uint32
 	Bind     bool
-	// Opens is set if the lookup is for a SYN.
-	Opens bool
+	// IsSYN is set if the lookup is for a SYN.
+	IsSYN bool
 }
 
 const (
@@ -223,10 +223,10 @@
 		if opens {
 			proposal = result.proposal
 		}
-		return Decision{Action: ActionLookup, Path: PathKeeper, Proposal: proposal, Bind: true, Opens: opens}
+		return Decision{Action: ActionLookup, Path: PathKeeper, Proposal: proposal, Bind: true, IsSYN: opens}
 	}
 	if view.mayHaveRecord(key, hash) {
-		return Decision{Action: ActionLookup, Path: PathKeeper, Proposal: result.fallback, Opens: opens}
+		return Decision{Action: ActionLookup, Path: PathKeeper, Proposal: result.fallback, IsSYN: opens}
 	}
 	if result.fallback == rule.NoBackend {
 		return Decision{Action: ActionDrop, Path: PathRefusedNoBackend}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -90,7 +90,7 @@
 			router := testRouter(t, testView(t, pending, test.phase))
 			decision := router.Decide(10, ambiguous, ambiguous.Hash(), test.flags)
 			require.Equal(t, Decision{Action: ActionLookup, Path: PathKeeper, Proposal: test.proposal, Bind: true,
-				Opens: test.flags&PacketOpens != 0}, decision)
+				IsSYN: test.flags&PacketOpens != 0}, decision)
 			require.Equal(t, ActionForward, router.Decide(10, agreed, agreed.Hash(), test.flags).Action)
 		})
 	}
--- a/internal/tokenroute/backendhealth.go
+++ b/internal/tokenroute/backendhealth.go
@@ -29,8 +29,8 @@
 	// receivedAt is when another balancer first reported the request. It is zero for requests that
 	// this balancer forwarded itself.
 	receivedAt time.Time
-	// copies is the number of retransmissions of the request that passed this balancer.
-	copies int
+	// retransmissions is the number of retransmissions of the request that passed this balancer.
+	retransmissions int
 }
 
 func (r unansweredRequest) remote() bool { return !r.receivedAt.IsZero() }
@@ -67,12 +67,12 @@
 	return count
 }
 
-// lostCopies returns the total number of retransmissions of unanswered requests that passed this
+// lostRetransmissions returns the total number of retransmissions of unanswered requests that passed this
 // balancer.
-func (h *backendHealth) lostCopies() int {
+func (h *backendHealth) lostRetransmissions() int {
 	sum := 0
 	for _, each := range h.unanswered {
-		sum += each.copies
+		sum += each.retransmissions
 	}
 	return sum
 }
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -221,7 +221,7 @@
 	for _, group := range groups {
 		zone := b.poolZones[group.PoolZone]
 		if !ready {
-			zone = b.vanishedPoolZone(group, zone)
+			zone = b.removedPoolZone(group, zone)
 		}
 		built.withheld = built.withheld || zone.withheldByEvacuation
 		built.poolZones = append(built.poolZones, zone)
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -50,7 +50,7 @@
 	ReasonNoRoute
 	ReasonNoBackend
 	ReasonUnknownToken
-	ReasonForeignToken
+	ReasonMisroutedToken
 	ReasonDeadBackend
 	// ReasonEvacuated means that all back ends that could take the flow are in evacuated zones.
 	ReasonEvacuated
@@ -105,7 +105,7 @@
 	}
 	backend := table.Resolve(route, packet.Token)
 	if backend == nil && table.KnowsToken(packet.Token) {
-		return Decision{Verdict: Drop, Reason: ReasonForeignToken}
+		return Decision{Verdict: Drop, Reason: ReasonMisroutedToken}
 	}
 	if backend == nil {
 		return Decision{Verdict: Drop, Reason: ReasonUnknownToken}
@@ -154,7 +154,7 @@
 		state.detach(now)
 		return
 	}
-	f.flowCache.forget(packet.Key, state, now)
+	f.flowCache.remove(packet.Key, state, now)
 }
 
 func (f *Flows) decideFirst(route *Route, packet Packet, now time.Time) Decision {
--- a/internal/tokenroute/failuredetector.go
+++ b/internal/tokenroute/failuredetector.go
@@ -64,10 +64,10 @@
 type FailureDetector struct {
 	disabled mechanism.Set
 	// zone is the zone of this balancer.
-	zone   string
-	memory *flowCache
-	zones  *zoneMonitor
-	health map[incarnation.ID]*backendHealth
+	zone        string
+	flowCache   *flowCache
+	zoneMonitor *zoneMonitor
+	health      map[incarnation.ID]*backendHealth
 	// link estimates the packet loss on the balancer's own link from the answers.
 	link      linkMonitor
 	abandoned []AbandonedFlow
@@ -83,7 +83,7 @@
 // newFailureDetector returns a detector for the back ends of the flows in a flow cache, without any
 // evidence.
 func newFailureDetector(cache *flowCache, zones *zoneMonitor, disabled mechanism.Set) *FailureDetector {
-	return &FailureDetector{disabled: disabled, memory: cache, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
+	return &FailureDetector{disabled: disabled, flowCache: cache, zoneMonitor: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
 // Observe handles a packet of an open flow to a back end and reports whether the back end counts as
@@ -163,7 +163,7 @@
 	}
 	tracked.retransmissions++
 	tracked.retransmittedAt = now
-	d.zones.recordMiss(tracked.backend, tracked.sentAt, now)
+	d.zoneMonitor.recordMiss(tracked.backend, tracked.sentAt, now)
 	if health := d.healthOf(tracked.backend); health != nil {
 		health.retransmittedAt = now
 	}
@@ -186,7 +186,7 @@
 		d.link.countResponse(tracked.retransmissions > 0, now)
 	}
 	if tracked.retransmissions == 0 {
-		d.zones.recordResponse(backend, tracked.sentAt)
+		d.zoneMonitor.recordResponse(backend, tracked.sentAt)
 	}
 	if health != nil && tracked.retransmissions == 0 && tracked.sentAt.After(health.promptSentAt) {
 		health.promptSentAt = tracked.sentAt
@@ -212,13 +212,13 @@
 		return
 	}
 	othersAnswered := d.othersResponsive(health, tracked.sentAt) && d.link.expectedLinkLoss(tracked.retransmissions, tracked.sentAt, now) <= maxLinkLossForReport
-	health.unanswered[client] = unansweredRequest{sentAt: tracked.sentAt, othersAnswered: othersAnswered, copies: tracked.retransmissions}
+	health.unanswered[client] = unansweredRequest{sentAt: tracked.sentAt, othersAnswered: othersAnswered, retransmissions: tracked.retransmissions}
 	if !othersAnswered || d.disabled.Has(mechanism.Verdicts) {
 		return
 	}
 	d.reportUnanswered(backend, client, tracked.sentAt)
 	enough := tracked.retransmissions >= retransmitsToFail || health.localClients() >= clientsToFail
-	if enough && d.link.expectedLinkLoss(health.lostCopies(), tracked.sentAt, now) <= maxLinkLossForFailure {
+	if enough && d.link.expectedLinkLoss(health.lostRetransmissions(), tracked.sentAt, now) <= maxLinkLossForFailure {
 		d.markFailed(health, backend, now)
 		return
 	}
@@ -240,17 +240,17 @@
 // abandonFlows adds the cached flows of a failed back end to the flows to be reset, and removes
 // them from the cache.
 func (d *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
-	for _, generation := range []map[flow.Key]*flowState{d.memory.current, d.memory.previous} {
+	for _, generation := range []map[flow.Key]*flowState{d.flowCache.current, d.flowCache.previous} {
 		for key, state := range generation {
 			tracked := &state.tracker
 			if tracked.backend == nil || tracked.backend.Incarnation() != backend.Incarnation() {
 				continue
 			}
 			d.abandoned = append(d.abandoned, AbandonedFlow{Key: key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: tracked.lastAck})
-			d.memory.forget(key, state, now)
+			d.flowCache.remove(key, state, now)
 		}
 	}
-	for _, idle := range d.memory.takeIdle(backend.Incarnation()) {
+	for _, idle := range d.flowCache.takeIdle(backend.Incarnation()) {
 		d.abandoned = append(d.abandoned, AbandonedFlow{Key: idle.key, Backend: backend, Reason: ReasonDeadBackend, Acknowledged: idle.lastAck})
 	}
 }
--- a/internal/tokenroute/flowcache.go
+++ b/internal/tokenroute/flowcache.go
@@ -177,8 +177,8 @@
 	return state
 }
 
-// forget removes a flow.
-func (c *flowCache) forget(key flow.Key, state *flowState, now time.Time) {
+// remove removes a flow.
+func (c *flowCache) remove(key flow.Key, state *flowState, now time.Time) {
 	state.detach(now)
 	state.cached = false
 	delete(c.current, key)
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -26,8 +26,8 @@
 	pools       map[string]*poolUse
 	// summarizedAt is when the last summary was made, comparedAt when responses were last compared.
 	summarizedAt, comparedAt time.Time
-	// warmupAllowance limits the new flows to cold back ends.
-	warmupAllowance warmupLimiter
+	// warmupLimiter limits the new flows to cold back ends.
+	warmupLimiter warmupLimiter
 	// refusals select the new flows that are refused because their pool is short of capacity.
 	refusals atomic.Pointer[admission.Refusals]
 	// saturated holds the pools whose response times depend on their queues.
@@ -126,7 +126,7 @@
 
 // preference returns how willingly a new flow is sent to a back end.
 func (f *Flows) preference(o *flowOpening, backend *Backend, now time.Time) Preference {
-	warmupPreference := f.warmupAllowance.preference(backend, now)
+	warmupPreference := f.warmupLimiter.preference(backend, now)
 	if warmupPreference == Forbidden {
 		return Forbidden
 	}
@@ -177,7 +177,7 @@
 	if o.count > 0 {
 		f.Retried.Add(1)
 	}
-	f.warmupAllowance.record(chosen, now)
+	f.warmupLimiter.record(chosen, now)
 	f.countNewFlow(chosen, o.count == 0)
 	o.count = min(o.count, maxAttempts-1)
 	o.attempts[o.count] = chosen
@@ -258,7 +258,7 @@
 		return
 	}
 	f.failureDetector.expire(now)
-	f.warmupAllowance.expire(now)
+	f.warmupLimiter.expire(now)
 	for id, state := range f.backoffs {
 		if now.Sub(state.avoidUntil) > maxAvoidTime {
 			delete(f.backoffs, id)
--- a/internal/tokenroute/poolzone.go
+++ b/internal/tokenroute/poolzone.go
@@ -77,9 +77,9 @@
 	return b.options.StoreRecovery.covers(entry.RemovalSeenAt, b.options.Now) || b.options.Now.Sub(entry.RemovalSeenAt) < b.options.EmptyPoolGrace
 }
 
-// vanishedPoolZone returns the pool zone with the back ends whose entries disappeared recently as
+// removedPoolZone returns the pool zone with the back ends whose entries disappeared recently as
 // the eligible ones. They take new flows if their pool has no other back end.
-func (b *builder) vanishedPoolZone(group *directory.BackendGroup, zone *poolZone) *poolZone {
+func (b *builder) removedPoolZone(group *directory.BackendGroup, zone *poolZone) *poolZone {
 	built := &poolZone{backends: zone.backends, withheldByEvacuation: zone.withheldByEvacuation}
 	for i := range group.Entries {
 		entry := &group.Entries[i]
--- a/internal/tokenroute/restart.go
+++ b/internal/tokenroute/restart.go
@@ -43,7 +43,7 @@
 			tracked := &state.tracker
 			if tracked.backend != nil && isEarlierStart(tracked.backend.Incarnation()) && predatesStart(state.firstRequestAt) {
 				abandon(key, tracked.lastAck)
-				f.flowCache.forget(key, state, now)
+				f.flowCache.remove(key, state, now)
 			}
 		}
 	}
--- a/internal/tokenroute/simulation_test.go
+++ b/internal/tokenroute/simulation_test.go
@@ -68,8 +68,8 @@
 }
 
 const (
-	treeWidth = 16
-	stepTime  = 5
+	treeFanout = 16
+	stepTime   = 5
 	// messageTime is the transit time of a message, and batchTime how long observations are
 	// collected for one, in milliseconds.
 	messageTime = 10
@@ -116,7 +116,7 @@
 func (s *simulation) run(until int) {
 	for now := 0; now < until; now += stepTime {
 		for index := range s.flows {
-			s.ask(&s.flows[index], now)
+			s.stepFlow(&s.flows[index], now)
 		}
 		for node := range s.nodes {
 			s.applyResets(node, now)
@@ -125,8 +125,8 @@
 	}
 }
 
-// ask advances a flow to the given time.
-func (s *simulation) ask(f *simulatedFlow, now int) {
+// stepFlow advances a flow to the given time.
+func (s *simulation) stepFlow(f *simulatedFlow, now int) {
 	silent := f.backend < s.failed && now >= s.failedAt
 	switch {
 	case f.backend < 0 || now < f.nextAt || !f.waiting && f.requests > 0 && s.idleFrom > 0 && f.backend >= s.idleFrom && f.backend < s.idleFrom+10:
@@ -205,9 +205,9 @@
 	}
 	node.nextMessageAt = now + batchTime
 	if index > 0 {
-		s.send(index, (index-1)/treeWidth, now)
+		s.send(index, (index-1)/treeFanout, now)
 	}
-	for child := index*treeWidth + 1; child <= min(index*treeWidth+treeWidth, len(s.nodes)-1); child++ {
+	for child := index*treeFanout + 1; child <= min(index*treeFanout+treeFanout, len(s.nodes)-1); child++ {
 		s.send(index, child, now)
 	}
 	node.sentUpTo = node.buffer.LastSequence()
--- a/internal/tokenroute/tokenroute_test.go
+++ b/internal/tokenroute/tokenroute_test.go
@@ -86,7 +86,7 @@
 	table := NewTable(newDirectory(routes(1, route(1, share("lending", 1))), backend(2, 7, "lending"), backend(3, 9, "covers")), defaultOptions())
 	flows := NewFlows(mechanism.Set{})
 	require.Equal(t, Decision{Verdict: Drop, Reason: ReasonUnknownToken}, flows.Decide(table, laterPacket(1, 55), start))
-	require.Equal(t, Decision{Verdict: Drop, Reason: ReasonForeignToken}, flows.Decide(table, laterPacket(1, 9), start))
+	require.Equal(t, Decision{Verdict: Drop, Reason: ReasonMisroutedToken}, flows.Decide(table, laterPacket(1, 9), start))
 	unrouted := laterPacket(1, 7)
 	unrouted.Key.Destination[3] = 9
 	require.Equal(t, Decision{Verdict: Drop, Reason: ReasonNoRoute}, flows.Decide(table, unrouted, start))
@@ -113,10 +113,10 @@
 	require.Equal(t, uint64(8), flows.Decide(table, laterPacket(1001, 8), start).Backend.Number)
 }
 
-// vanishingPool returns a directory with a pool of four back ends, two of which disappear at the
+// disappearingPool returns a directory with a pool of four back ends, two of which disappear at the
 // start, one of them marked as draining before. With it, tests check that back ends whose entries
 // the store drops are still used for the grace period, and no longer.
-func vanishingPool() *directory.Directory {
+func disappearingPool() *directory.Directory {
 	entries := newDirectory(routes(1, route(1, share("lending", 1))), backend(2, 7, "lending"), backend(3, 8, "lending"),
 		backend(4, 9, "lending"), draining(backend(5, 10, "lending")))
 	entries.Apply(&apiv1.DirectoryBatch{Revision: 110, Changes: []*apiv1.DirectoryChange{
@@ -128,7 +128,7 @@
 // their share of the pool. That doesn't apply to back ends that were draining, nor to one that had
 // disappeared before the outage.
 func TestExpiredBackendsTakeFlowsDuringStoreRecovery(t *testing.T) {
-	entries := vanishingPool()
+	entries := disappearingPool()
 	after := defaultOptions()
 	after.StoreRecovery = StoreRecovery{Since: start, Until: at(2000)}
 	require.Equal(t, map[uint64]bool{7: true, 8: true, 9: true}, chosenBackends(NewTable(entries, after)))
@@ -141,12 +141,12 @@
 
 // Without an outage, a back end whose entry disappeared has ended.
 func TestVanishedBackendsTakeNoFlows(t *testing.T) {
-	require.Equal(t, map[uint64]bool{8: true, 9: true}, chosenBackends(NewTable(vanishingPool(), defaultOptions())))
+	require.Equal(t, map[uint64]bool{8: true, 9: true}, chosenBackends(NewTable(disappearingPool(), defaultOptions())))
 }
 
 // A pool that has disappeared as a whole is used for a short time rather than refusing every flow.
 func TestVanishedPoolIsUsedDuringGracePeriod(t *testing.T) {
-	entries := vanishingPool()
+	entries := disappearingPool()
 	entries.Apply(&apiv1.DirectoryBatch{Revision: 112, Changes: []*apiv1.DirectoryChange{
 		gone(backend(111, 8, "lending")), gone(backend(112, 9, "lending"))}}, start)
 	require.Equal(t, map[uint64]bool{7: true, 8: true, 9: true}, chosenBackends(NewTable(entries, defaultOptions())))
@@ -202,7 +202,7 @@
 func TestFormerPools(t *testing.T) {
 	entries := newDirectory(routes(1, route(1, share("covers", 1))), backend(2, 7, "lending"), backend(3, 8, "covers"))
 	strict := NewTable(entries, defaultOptions())
-	require.Equal(t, ReasonForeignToken, NewFlows(mechanism.Set{}).Decide(strict, laterPacket(1, 7), start).Reason)
+	require.Equal(t, ReasonMisroutedToken, NewFlows(mechanism.Set{}).Decide(strict, laterPacket(1, 7), start).Reason)
 	withFormerPools := defaultOptions()
 	withFormerPools.FormerPools = map[flow.Address]map[string]bool{key(1).Address(): {"lending": true}}
 	require.Equal(t, uint64(7), NewFlows(mechanism.Set{}).Decide(NewTable(entries, withFormerPools), laterPacket(1, 7), start).Backend.Number)
