--- a/cmd/balancer/explain.go
+++ b/cmd/balancer/explain.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/urfave/cli/v3"
 
-	"github.com/indigobarrow/indigobarrow/internal/story"
+	"github.com/indigobarrow/indigobarrow/internal/flowtrace"
 )
 
 func explainCommand() *cli.Command {
@@ -28,24 +28,24 @@
 // explain prints the log lines about a request, a flow or a client, in the order of
 // their times.
 func explain(subject string, files []string) error {
-	var lines []story.Line
+	var lines []flowtrace.Line
 	for _, file := range files {
 		input, err := os.Open(file)
 		if err != nil {
 			return errors.Wrap(err, "log")
 		}
-		fileLines, err := story.Read(input)
+		fileLines, err := flowtrace.Read(input)
 		_ = input.Close()
 		if err != nil {
 			return errors.Wrapf(err, "log %s", file)
 		}
 		lines = append(lines, fileLines...)
 	}
-	found := story.Find(lines, subject)
+	found := flowtrace.Find(lines, subject)
 	if len(found) == 0 {
 		return errors.Newf("%q occurs in none of %d lines; it reached no balancer whose log was given, or its lines were left out", subject, len(lines))
 	}
-	if err := story.Write(os.Stdout, found); err != nil {
+	if err := flowtrace.Write(os.Stdout, found); err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "balancer: %d of %d lines\n", len(found), len(lines))
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -6,11 +6,11 @@
 	"time"
 
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
-	"github.com/indigobarrow/indigobarrow/internal/aside"
 	"github.com/indigobarrow/indigobarrow/internal/demand"
 	"github.com/indigobarrow/indigobarrow/internal/directory"
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 	"github.com/indigobarrow/indigobarrow/internal/replication"
+	"github.com/indigobarrow/indigobarrow/internal/withdrawal"
 )
 
 const (
@@ -116,7 +116,7 @@
 		client:       replication.NewClient(balancer.logger),
 		policies:     policyCache{compiled: make(map[string]*compiledPolicy)},
 		weightInputs: newWeightInputs(),
-		withdrawal:   withdrawalState{detector: aside.New()},
+		withdrawal:   withdrawalState{detector: withdrawal.New()},
 		admission:    newAdmissionState(),
 		followCalls:  make(chan *followCall, maxWaitingFollowers),
 
--- a/internal/balancer/silent_test.go
+++ b/internal/balancer/silent_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/indigobarrow/indigobarrow/internal/balancer"
 	"github.com/indigobarrow/indigobarrow/internal/settings"
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 	"github.com/indigobarrow/indigobarrow/internal/standin/metadata"
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 	"github.com/indigobarrow/indigobarrow/platform"
 )
 
@@ -31,7 +31,7 @@
 type member struct {
 	*balancer.Balancer
 	address     string
-	store, peer *swallow.Proxy
+	store, peer *faultproxy.Proxy
 }
 
 func newSilentSite(t *testing.T) *silentSite {
@@ -57,7 +57,7 @@
 
 // start starts a balancer that uses the given number of cores.
 func (s *silentSite) start(name string, cores float64, seeds ...string) *member {
-	storePath, err := swallow.Start(s.storeAt)
+	storePath, err := faultproxy.Start(s.storeAt)
 	require.NoError(s.t, err)
 	loaded := settings.BalancerDefaults()
 	loaded.Name, loaded.Zone, loaded.ProcessorCores, loaded.LinkMegabits = name, "maadi", cores, 1000*cores
@@ -71,7 +71,7 @@
 		NewReadinessHandler: platform.ReadinessHandler,
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(s.t, err)
-	peerPath, err := swallow.Start(started.PeerListenerAddress().String())
+	peerPath, err := faultproxy.Start(started.PeerListenerAddress().String())
 	require.NoError(s.t, err)
 	started.SetAdvertisedPeerAddress(peerPath.Address())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,14 +96,14 @@
 func TestNewsWithinTwoSecondsAfterAllConnectionsGoSilent(t *testing.T) {
 	for name, silence := range map[string]func(reader, follower *member){
 		"all": func(reader, follower *member) {
-			reader.store.Blackhole(swallow.ToTarget, swallow.ToClient)
-			reader.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
-			follower.store.Blackhole(swallow.ToTarget, swallow.ToClient)
-			follower.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
+			reader.store.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
+			reader.peer.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
+			follower.store.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
+			follower.peer.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
 		},
 		"follower": func(reader, follower *member) {
-			follower.store.Blackhole(swallow.ToTarget, swallow.ToClient)
-			reader.peer.Blackhole(swallow.ToTarget, swallow.ToClient)
+			follower.store.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
+			reader.peer.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
 		},
 	} {
 		for _, delay := range []time.Duration{0, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond} {
--- a/internal/balancer/silentpeer_test.go
+++ b/internal/balancer/silentpeer_test.go
@@ -10,7 +10,7 @@
 
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
 	"github.com/indigobarrow/indigobarrow/internal/replication"
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 )
 
 // freshHandler answers at once with data that was confirmed 100 ms ago.
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- replication.Serve(ctx, listener, freshHandler{}) }()
-	proxy, err := swallow.Start(listener.Addr().String())
+	proxy, err := faultproxy.Start(listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		proxy.Close()
@@ -54,7 +54,7 @@
 		request.WaitMilliseconds = uint32(replication.FollowWait.Milliseconds())
 		go child.callPeer(ctx, child.client, peer, request)
 		child.handle(<-messages)
-		proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
+		proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
 	}
 	require.Equal(t, 2, proxy.Accepted())
 	require.False(t, child.core.Stale(time.Now()))
--- a/internal/balancer/withdrawal.go
+++ b/internal/balancer/withdrawal.go
@@ -6,9 +6,9 @@
 	"time"
 
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
-	"github.com/indigobarrow/indigobarrow/internal/aside"
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 	"github.com/indigobarrow/indigobarrow/internal/replication"
+	"github.com/indigobarrow/indigobarrow/internal/withdrawal"
 )
 
 // strugglingMaxAge is the time without reports after which those received no longer count.
@@ -18,8 +18,8 @@
 // withdrawalState is what the control goroutine knows of the balancers of its zone that struggle,
 // that is, do not carry their share of the traffic.
 type withdrawalState struct {
-	detector *aside.Detector
-	reports  aside.ReportSet
+	detector *withdrawal.Detector
+	reports  withdrawal.ReportSet
 	// lastReportAt is when another balancer last reported which balancers struggle, or that none
 	// does.
 	lastReportAt time.Time
@@ -37,37 +37,37 @@
 		return
 	}
 	flows := c.balancer.traffic.flows
-	counts := aside.Counts{Unanswered: flows.Unanswered.Load()}
+	counts := withdrawal.Counts{Unanswered: flows.Unanswered.Load()}
 	for step := range flows.OpenedByTime {
 		counts.Opened[step] = flows.OpenedByTime[step].Load()
 	}
-	core := c.withdrawal.detector
-	if !core.Observe(counts, c.withdrawalZone(now), now) {
+	detector := c.withdrawal.detector
+	if !detector.Observe(counts, c.withdrawalZone(now), now) {
 		return
 	}
-	c.balancer.withdrawn.Store(core.Withdrawn())
-	if !core.Withdrawn() {
+	c.balancer.withdrawn.Store(detector.Withdrawn())
+	if !detector.Withdrawn() {
 		c.balancer.logger.Info("Control: back from aside.")
 		return
 	}
 	c.balancer.withdrawals.Add(1)
-	seen := core.LastSample()
-	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", core.WithdrawalDuration(),
+	seen := detector.LastSample()
+	c.balancer.logger.Warn("Control: stepped aside, packets wait too long here.", "for", detector.WithdrawalDuration(),
 		"opened_promptly", seen.OnTime, "slowly", seen.Slow, "not_in_time", seen.Unanswered)
 }
 
 // withdrawalZone returns what is known about the balancers of this zone at the given time.
-func (c *control) withdrawalZone(now time.Time) aside.Zone {
+func (c *control) withdrawalZone(now time.Time) withdrawal.Zone {
 	name := c.balancer.settings.Load().GetName()
 	rank, listed := c.withdrawal.ranks[name]
 	if !listed {
-		return aside.Zone{} // the others do not count this balancer
+		return withdrawal.Zone{} // the others do not count this balancer
 	}
 	reporting := now.Sub(c.withdrawal.lastReportAt) < strugglingMaxAge && c.withdrawal.reports.Complete()
-	zone := aside.Zone{Rank: rank, Size: len(c.withdrawal.ranks), ReportsComplete: reporting}
+	zone := withdrawal.Zone{Rank: rank, Size: len(c.withdrawal.ranks), ReportsComplete: reporting}
 	for _, report := range c.withdrawal.reports.Current(now) {
 		if peerRank, inZone := c.withdrawal.ranks[report.Name]; inZone && report.Name != name {
-			zone.Struggling = append(zone.Struggling, aside.Peer{Rank: peerRank, Withdrawn: report.Withdrawn})
+			zone.Struggling = append(zone.Struggling, withdrawal.Peer{Rank: peerRank, Withdrawn: report.Withdrawn})
 		}
 	}
 	return zone
@@ -78,7 +78,7 @@
 func (c *control) strugglingReports(now time.Time) []*apiv1.Struggling {
 	name := c.balancer.settings.Load().GetName()
 	if c.withdrawal.detector.Struggling() {
-		c.withdrawal.reports.Add(aside.Report{Name: name, Withdrawn: c.withdrawal.detector.Withdrawn(), At: now})
+		c.withdrawal.reports.Add(withdrawal.Report{Name: name, Withdrawn: c.withdrawal.detector.Withdrawn(), At: now})
 	} else {
 		c.withdrawal.reports.Remove(name)
 	}
@@ -103,7 +103,7 @@
 		if report.GetName() == c.balancer.settings.Load().GetName() {
 			continue
 		}
-		c.withdrawal.reports.Add(aside.Report{Name: report.GetName(), Withdrawn: report.GetAway(),
+		c.withdrawal.reports.Add(withdrawal.Report{Name: report.GetName(), Withdrawn: report.GetAway(),
 			At: now.Add(-time.Duration(report.GetMilliseconds()) * time.Millisecond)})
 	}
 }
--- a/internal/balancer/withdrawal_test.go
+++ b/internal/balancer/withdrawal_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
-	"github.com/indigobarrow/indigobarrow/internal/aside"
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 	"github.com/indigobarrow/indigobarrow/internal/tokenroute"
+	"github.com/indigobarrow/indigobarrow/internal/withdrawal"
 )
 
 // newWithdrawalControl returns the control state of a balancer that may withdraw, with the flow
@@ -26,8 +26,8 @@
 // openFlows opens flows that each take the given time to open, and runs the withdrawal check for
 // the given length of time. If flows take long, some are also not answered in time.
 func (control *control) openFlows(took, length time.Duration, now time.Time) time.Time {
-	for end := now.Add(length); now.Before(end); now = now.Add(aside.SampleInterval) {
-		control.balancer.traffic.flows.OpenedByTime[aside.BucketOf(took)].Add(12)
+	for end := now.Add(length); now.Before(end); now = now.Add(withdrawal.SampleInterval) {
+		control.balancer.traffic.flows.OpenedByTime[withdrawal.BucketOf(took)].Add(12)
 		if took > 50*time.Millisecond {
 			control.balancer.traffic.flows.Unanswered.Add(4)
 		}
@@ -79,7 +79,7 @@
 	control := newTestControl()
 	control.balancer.settings.Load().Name = "new"
 	control.rankZoneBalancers(balancers)
-	require.Equal(t, aside.Zone{}, control.withdrawalZone(time.Now()))
+	require.Equal(t, withdrawal.Zone{}, control.withdrawalZone(time.Now()))
 }
 
 // A balancer's report about itself reaches the others of its zone through their common parent,
@@ -90,10 +90,10 @@
 	leaf.balancer.settings.Load().Name = "edge-2"
 	parent.balancer.settings.Load().Name = "edge-3"
 	now = leaf.openFlows(2*time.Millisecond, 3*time.Second, now)
-	now = leaf.openFlows(80*time.Millisecond, aside.SampleInterval, now)
+	now = leaf.openFlows(80*time.Millisecond, withdrawal.SampleInterval, now)
 	parent.handleStrugglingReports(leaf.strugglingReports(now), true, now)
 	other.handleStrugglingReports(parent.strugglingReports(now.Add(time.Second)), true, now.Add(time.Second))
-	require.Equal(t, []aside.Peer{{Rank: 1}}, other.withdrawalZone(now.Add(time.Second)).Struggling)
+	require.Equal(t, []withdrawal.Peer{{Rank: 1}}, other.withdrawalZone(now.Add(time.Second)).Struggling)
 	parent.handleStrugglingReports(other.strugglingReports(now.Add(2*time.Second)), true, now.Add(2*time.Second))
 	require.Empty(t, parent.strugglingReports(now.Add(4*time.Second)), "a relayed report must not renew itself")
 	require.Empty(t, other.withdrawalZone(now.Add(4*time.Second)).Struggling)
--- a/internal/directory/backendindex.go
+++ b/internal/directory/backendindex.go
@@ -25,7 +25,7 @@
 // backendIndex groups all back ends by pool and zone and is updated as entries change, so that the
 // cost of deriving a table depends on the number of groups that changed. Listing and sorting all
 // back ends anew for each table took half of the time that a balancer spent on a single change,
-// 91 ms with 10,000 back ends (BenchmarkRenewAfterOneChange).
+// 91 ms with 10,000 back ends (BenchmarkRebuildAfterOneChange).
 type backendIndex struct {
 	groups     map[PoolZone]*BackendGroup
 	ordered    []*BackendGroup
--- a/internal/story/story.go
+++ b/internal/flowtrace/flowtrace.go
@@ -1,13 +1,13 @@
-// Package story extracts from the logs of many balancers what happened to one request, flow
+// Package flowtrace extracts from the logs of many balancers what happened to one request, flow
 // or client: which balancers handled it, what each decided and on which information, and
 // which events concerned those balancers at that time. It works on saved logs, so the
 // balancers need not run any more.
 //
 // # Usage
 //
-//	lines, err := story.Read(input)
-//	err = story.Write(os.Stdout, story.Find(lines, requestID))
-package story
+//	lines, err := flowtrace.Read(input)
+//	err = flowtrace.Write(os.Stdout, flowtrace.Find(lines, requestID))
+package flowtrace
 
 import (
 	"bufio"
--- a/internal/story/story_test.go
+++ b/internal/flowtrace/flowtrace_test.go
@@ -1,4 +1,4 @@
-package story
+package flowtrace
 
 import (
 	"bytes"
--- a/internal/replication/client_test.go
+++ b/internal/replication/client_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	apiv1 "github.com/indigobarrow/indigobarrow/api/v1"
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 )
 
 // waitingHandler replies to a call after the time that the call asks to wait.
@@ -53,10 +53,10 @@
 
 // startProxiedPeer starts a balancer that handles calls, behind a proxy whose
 // connections can go silent.
-func startProxiedPeer(t *testing.T) (*waitingHandler, *swallow.Proxy) {
+func startProxiedPeer(t *testing.T) (*waitingHandler, *faultproxy.Proxy) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	proxy, err := swallow.Start(listener.Addr().String())
+	proxy, err := faultproxy.Start(listener.Addr().String())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	handler := &waitingHandler{}
@@ -94,7 +94,7 @@
 	client := newTestClient(t)
 	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
-	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(swallow.ToTarget, swallow.ToClient) })
+	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient) })
 	began := time.Now()
 	reply, sentAt, err := client.Follow(context.Background(), proxy.Address(), followRequest(FollowWait))
 	require.NoError(t, err)
@@ -115,7 +115,7 @@
 	client := newTestClient(t)
 	_, err := followFor(client, proxy.Address(), 0)
 	require.NoError(t, err)
-	proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
+	proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
 	request := followRequest(100 * time.Millisecond)
 	_, _, err = client.Follow(context.Background(), proxy.Address(), request)
 	require.NoError(t, err)
@@ -197,7 +197,7 @@
 	_, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
 	require.NoError(t, client.Testify(context.Background(), proxy.Address(), &apiv1.TestifyRequest{}))
-	proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
+	proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
 	require.NoError(t, client.Testify(context.Background(), proxy.Address(), &apiv1.TestifyRequest{}))
 	require.Equal(t, 2, proxy.Accepted())
 }
@@ -207,7 +207,7 @@
 func TestCallOnNewConnectionIsNotRetried(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
-	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(swallow.ToTarget, swallow.ToClient) })
+	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient) })
 	_, err := followFor(client, proxy.Address(), 200*time.Millisecond)
 	require.Error(t, err)
 	calls, _ := handler.counts()
@@ -219,7 +219,7 @@
 func TestSilentFollowerIsDisconnected(t *testing.T) {
 	handler, proxy := startProxiedPeer(t)
 	client := newTestClient(t)
-	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(swallow.ToTarget, swallow.ToClient) })
+	time.AfterFunc(50*time.Millisecond, func() { proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient) })
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
--- a/internal/standin/swallow/swallow.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -1,15 +1,15 @@
-// Package swallow provides a TCP proxy that simulates a network in which connections fail
+// Package faultproxy provides a TCP proxy that simulates a network in which connections fail
 // without notice. The open connections can be blackholed permanently, in one direction or
 // both, closed or reset, while new connections work. Data sent on a blackholed connection
 // is read and discarded, and the close of one side is not passed on to the other.
 //
 // # Usage
 //
-//	proxy, err := swallow.Start("127.0.0.1:8169")
+//	proxy, err := faultproxy.Start("127.0.0.1:8169")
 //	defer proxy.Close()
 //	dial(proxy.Address())
-//	proxy.Silence(swallow.ToTarget, swallow.ToClient)
-package swallow
+//	proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
+package faultproxy
 
 import (
 	"net"
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"github.com/indigobarrow/indigobarrow/internal/admission"
-	"github.com/indigobarrow/indigobarrow/internal/aside"
 	"github.com/indigobarrow/indigobarrow/internal/demand"
 	"github.com/indigobarrow/indigobarrow/internal/flow"
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 	"github.com/indigobarrow/indigobarrow/internal/mechanism"
 	"github.com/indigobarrow/indigobarrow/internal/observe"
+	"github.com/indigobarrow/indigobarrow/internal/withdrawal"
 )
 
 // Flows holds the flows of one traffic goroutine and decides on their packets.
@@ -43,7 +43,7 @@
 	// Unanswered counts openings that a back end did not answer in time.
 	Unanswered atomic.Uint64
 	// OpenedByTime counts opened flows by the time that they took to open.
-	OpenedByTime [aside.Buckets]atomic.Uint64
+	OpenedByTime [withdrawal.Buckets]atomic.Uint64
 	// TokenOverrides counts packets sent to the back end that opened their flow although their
 	// token named another one.
 	TokenOverrides atomic.Uint64
@@ -220,7 +220,7 @@
 // ResponseTimeout is counted as unanswered instead.
 func (f *Flows) countOpened(took time.Duration) {
 	if took < ResponseTimeout {
-		f.OpenedByTime[aside.BucketOf(took)].Add(1)
+		f.OpenedByTime[withdrawal.BucketOf(took)].Add(1)
 	}
 }
 
--- a/internal/aside/counts.go
+++ b/internal/withdrawal/counts.go
@@ -1,4 +1,4 @@
-package aside
+package withdrawal
 
 import "time"
 
--- a/internal/aside/aside.go
+++ b/internal/withdrawal/withdrawal.go
@@ -1,4 +1,4 @@
-// Package aside decides when a balancer that cannot carry its share withdraws, that is,
+// Package withdrawal decides when a balancer that cannot carry its share withdraws, that is,
 // reports itself as not ready: when its link is congested, its processor starved, or its
 // machine slow. It does no I/O: counters and times go in, a state comes out.
 //
@@ -22,11 +22,11 @@
 //
 // # Usage
 //
-//	detector := aside.New()
-//	zone := aside.Zone{Rank: 3, Size: 14, Struggling: peers, ReportsComplete: true}
+//	detector := withdrawal.New()
+//	zone := withdrawal.Zone{Rank: 3, Size: 14, Struggling: peers, ReportsComplete: true}
 //	detector.Observe(counts, zone, now)
 //	if detector.Withdrawn() { ... }
-package aside
+package withdrawal
 
 import "time"
 
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 	"github.com/indigobarrow/indigobarrow/internal/standin/metadata"
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
 )
 
 const (
@@ -87,16 +87,16 @@
 		"store-throttles-some": zoneStoreFaultStep(metadata.Faults{Throttled: true}),
 
 		"store-link-silent": func(soak *soak, next event) {
-			soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
+			soak.blackhole(soak.storeProxies, next.balancer, faultproxy.ToTarget, faultproxy.ToClient)
 		},
-		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToClient) },
-		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, swallow.ToTarget) },
+		"store-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, faultproxy.ToClient) },
+		"store-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.storeProxies, next.balancer, faultproxy.ToTarget) },
 		"store-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.storeProxies, next.balancer) },
 		"peer-link-silent": func(soak *soak, next event) {
-			soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget, swallow.ToClient)
+			soak.blackhole(soak.peerProxies, next.balancer, faultproxy.ToTarget, faultproxy.ToClient)
 		},
-		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToClient) },
-		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, swallow.ToTarget) },
+		"peer-link-deaf":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, faultproxy.ToClient) },
+		"peer-link-mute":  func(soak *soak, next event) { soak.blackhole(soak.peerProxies, next.balancer, faultproxy.ToTarget) },
 		"peer-link-reset": func(soak *soak, next event) { soak.resetLinks(soak.peerProxies, next.balancer) },
 		"peer-link-slow":  func(soak *soak, next event) { soak.delayLinks(next.balancer, next.duration) },
 
--- a/test/e2e/links_test.go
+++ b/test/e2e/links_test.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 )
 
 // blackhole makes the open connections from a balancer to the store, or from its peers to
 // it, drop all further data without closing them.
-func (soak *soak) blackhole(proxies []*swallow.Proxy, balancer int, directions ...swallow.Direction) {
+func (soak *soak) blackhole(proxies []*faultproxy.Proxy, balancer int, directions ...faultproxy.Direction) {
 	proxies[balancer].Blackhole(directions...)
 	soak.historyMutex.Lock()
 	defer soak.historyMutex.Unlock()
@@ -16,13 +16,13 @@
 }
 
 // resetLinks resets the open connections of a balancer's proxy.
-func (soak *soak) resetLinks(proxies []*swallow.Proxy, balancer int) {
+func (soak *soak) resetLinks(proxies []*faultproxy.Proxy, balancer int) {
 	proxies[balancer].ResetConnections()
 	soak.recordDisturbance(soak.balancersBehind(proxies, balancer), 0, nil)
 }
 
 // balancersBehind returns the balancers whose connections go through a proxy.
-func (soak *soak) balancersBehind(proxies []*swallow.Proxy, balancer int) []int {
+func (soak *soak) balancersBehind(proxies []*faultproxy.Proxy, balancer int) []int {
 	if proxies[balancer] == soak.storeProxies[balancer] {
 		return []int{balancer}
 	}
--- a/test/e2e/proxy_test.go
+++ b/test/e2e/proxy_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 	"github.com/stretchr/testify/require"
 )
 
 // startProxy starts a proxy that forwards connections from address to target until the test
 // ends. It dials from the given IP address, if there is one.
-func startProxy(t *testing.T, address, target, from string) *swallow.Proxy {
-	proxy, err := swallow.StartAt(address, target, from)
+func startProxy(t *testing.T, address, target, from string) *faultproxy.Proxy {
+	proxy, err := faultproxy.StartAt(address, target, from)
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
 	return proxy
@@ -59,12 +59,12 @@
 	first := dial()
 	require.NoError(t, echo(first))
 	<-received
-	proxy.Blackhole(swallow.ToClient)
+	proxy.Blackhole(faultproxy.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Equal(t, byte('x'), <-received, "the other direction works")
 	require.NoError(t, echo(dial()))
 	<-received
-	proxy.Blackhole(swallow.ToTarget, swallow.ToClient)
+	proxy.Blackhole(faultproxy.ToTarget, faultproxy.ToClient)
 	require.ErrorContains(t, echo(first), "timeout")
 	require.Empty(t, received)
 	second := dial()
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/indigobarrow/indigobarrow/internal/standin/echonet"
-	"github.com/indigobarrow/indigobarrow/internal/standin/swallow"
+	"github.com/indigobarrow/indigobarrow/internal/standin/faultproxy"
 )
 
 // The environment variables that configure a soak. "make soak" sets them.
@@ -65,7 +65,7 @@
 	processes []*process
 	// storeProxies and peerProxies forward the connections from each balancer to the store
 	// and from the other balancers to its peer socket. Both are indexed by balancer.
-	storeProxies, peerProxies []*swallow.Proxy
+	storeProxies, peerProxies []*faultproxy.Proxy
 	// historyMutex guards the history and the processes.
 	historyMutex sync.Mutex
 	history      history
