--- a/internal/lab/rapidflags_test.go
+++ b/internal/lab/rapidflags_test.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// setRapidFlag sets one of rapid's flags, so that every run in CI has the same
-// result.
+// setRapidFlag sets one of rapid's flags, so that the verdict of CI does not depend
+// on which cases rapid generates.
 func setRapidFlag(name string, value int) error {
 	return flag.Set("rapid."+name, strconv.Itoa(value))
 }
--- a/internal/lab/settings.go
+++ b/internal/lab/settings.go
@@ -32,11 +32,11 @@
 	// MeanPacketInterval is the mean time between two packets of a flow.
 	MeanPacketInterval time.Duration
 	// InitialFlows is the number of flows that are opened during the first seconds
-	// of the run, in addition to those of ArrivalRate.
+	// of traffic, in addition to those of ArrivalRate.
 	InitialFlows int
 }
 
-// NetworkSettings describes the network between nodes.
+// NetworkSettings describes the network between clients, nodes and back ends.
 type NetworkSettings struct {
 	// SameZoneDelay and CrossZoneDelay are the one-way delays within a zone and
 	// between zones.
@@ -107,7 +107,7 @@
 }
 
 // KayalpathSettings returns settings with the sizes of the user Kayalpath
-// Ticketing Edge.
+// Ticketing Edge: three zones, and services with 14 and 4 back ends.
 func KayalpathSettings(seed uint64) Settings {
 	return twoServiceSettings(seed, []string{"ernakulam", "vyttila", "kakkanad"}, "booking", "timetables", 3*time.Millisecond)
 }
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -87,8 +87,8 @@
 	MaximumOverMean, Variation float64
 }
 
-// New returns a simulation whose nodes and services start at time 0. Advance its
-// Clock to run it.
+// New returns a simulation whose nodes and services start at time 0, and whose
+// traffic starts after warmUpTime. Advance its Clock to run it.
 func New(settings Settings) *Simulation {
 	sim := &Simulation{
 		Clock:            NewClock(settings.Seed),
@@ -284,13 +284,13 @@
 }
 
 // MeanVariation returns the mean coefficient of variation over the run after the
-// warm-up.
+// initial flows have been opened.
 func (result Result) MeanVariation() float64 {
 	return result.mean(func(sample Imbalance) float64 { return sample.Variation })
 }
 
 // MeanMaximumOverMean returns the mean of MaximumOverMean over the run after the
-// warm-up.
+// initial flows have been opened.
 func (result Result) MeanMaximumOverMean() float64 {
 	return result.mean(func(sample Imbalance) float64 { return sample.MaximumOverMean })
 }
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -42,7 +42,7 @@
 	address  flow.Address
 	backends []*backend
 	index    int
-	// deleted is set when the service gets no further flows.
+	// deleted is set when the service has been deleted. It gets no further flows.
 	deleted bool
 }
 
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -61,7 +61,8 @@
 // Faults lists the faults that can be injected into a back end's reports. Its JSON
 // form is the body of PUT /faults.
 type Faults struct {
-	// ReportLagMilliseconds makes reports show the load of so many milliseconds ago.
+	// ReportLagMilliseconds makes reports show the load of so many milliseconds ago. The
+	// load is 0 if that is before the oldest sample kept.
 	ReportLagMilliseconds int `json:"lag_milliseconds"`
 	// FalseLoad replaces the reported load unless it is nil.
 	FalseLoad *float64 `json:"lie"`
--- a/internal/standin/echonet/backend_test.go
+++ b/internal/standin/echonet/backend_test.go
@@ -11,8 +11,8 @@
 
 // The address of a stopped back end can be reused at once, even while other tests start
 // processes. A child process holds copies of closed sockets until its program is loaded, so
-// that the address is still in use for a moment; TestBalancerAddressReuse can fail this way
-// on a busy machine.
+// that the address is still in use for a moment. TestBalancerAddressReuse failed once on a
+// busy machine.
 func TestAddressIsReusableAfterStop(t *testing.T) {
 	address := netip.MustParseAddrPort("127.105.9.1:8080")
 	var starting sync.WaitGroup
--- a/internal/standin/echonet/requests.go
+++ b/internal/standin/echonet/requests.go
@@ -10,12 +10,12 @@
 // shed: the back end answers at once that it has not run them.
 type LoadModel struct {
 	// Slots is the number of requests that run concurrently, QueueLength the number
-	// that may wait. With 0 slots there is no limit.
+	// that may wait. With 0 slots there is no limit, and requests finish at once.
 	Slots, QueueLength int
 	// ServiceTime is the time that a request takes.
 	ServiceTime time.Duration
-	// MinimumResponseSize is the minimum size of a response in bytes. Responses that
-	// shed a request are shorter.
+	// MinimumResponseSize is the minimum size of a response in bytes. It does not apply
+	// to responses that shed a request, nor to any response with 0 slots.
 	MinimumResponseSize int
 }
 
@@ -37,7 +37,8 @@
 	openedPorts map[uint16]bool
 }
 
-// exchange is a request and its response, which is nil until the request has finished.
+// exchange is a request and its response, which is nil until the request has finished or
+// has been shed.
 type exchange struct {
 	seq      uint32
 	response []byte
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -120,8 +120,8 @@
 	}
 }
 
-func (l *connection) close() {
-	for _, end := range l.ends {
+func (c *connection) close() {
+	for _, end := range c.ends {
 		_ = end.Close()
 	}
 }
@@ -139,23 +139,23 @@
 
 func (p *Proxy) accept() {
 	for {
-		caller, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.connect(caller)
+		go p.connect(client)
 	}
 }
 
 // connect forwards a connection, and resets it if the target can't be reached.
-func (p *Proxy) connect(caller net.Conn) {
+func (p *Proxy) connect(client net.Conn) {
 	target, err := p.dialer.Dial("tcp4", p.target)
 	if err != nil {
-		_ = caller.(*net.TCPConn).SetLinger(0)
-		_ = caller.Close()
+		_ = client.(*net.TCPConn).SetLinger(0)
+		_ = client.Close()
 		return
 	}
-	forwarded := &connection{ends: [2]net.Conn{caller, target}}
+	forwarded := &connection{ends: [2]net.Conn{client, target}}
 	p.add(forwarded)
 	go p.copyDirection(forwarded, ToTarget)
 	go p.copyDirection(forwarded, ToClient)
--- a/internal/standin/metadata/metadata.go
+++ b/internal/standin/metadata/metadata.go
@@ -94,7 +94,7 @@
 }
 
 // SetCallerFaults replaces the faults injected into calls from an IP address. They
-// take precedence over those for all callers.
+// take precedence over those for all callers; the zero value removes them.
 func (server *Server) SetCallerFaults(ip string, faults Faults) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
