--- a/internal/lab/guard_test.go
+++ b/internal/lab/guard_test.go
@@ -14,6 +14,8 @@
 	return New(guardSettings(seed, disabled))
 }
 
+// guardSettings returns small settings in which 30% of the SYN-ACKs are lost, so that
+// many SYNs are retransmitted, and in which some messages between nodes are lost.
 func guardSettings(seed uint64, disabled core.Guard) Settings {
 	settings := smallSettings(seed)
 	settings.Network.SYNACKLoss = 0.3
@@ -35,8 +37,8 @@
 	sim.Schedule(92*seconds, func() { sim.StartNode("nasr") })
 }
 
-// scheduleKeeperLoss kills one keeper soon after a change; the other keeper has a
-// copy of its records.
+// scheduleKeeperLoss drains a back end with a mark during a store outage and kills
+// one keeper 14 seconds later; the other keeper has a copy of its records.
 func scheduleKeeperLoss(sim *Simulation) {
 	sim.Schedule(30*seconds, func() { sim.SetStoreOutage(true) })
 	sim.Schedule(31*seconds, func() { sim.DrainByMark(0, 1, sim.Nodes()[0]) })
@@ -60,6 +62,8 @@
 	sim.Schedule(70*seconds, func() { sim.SetZonePartitioned("nasr", false) })
 }
 
+// runUntilViolation runs 110 seconds of virtual time, or until an invariant is
+// violated, and returns the violation.
 func runUntilViolation(sim *Simulation, scheduleEvents func(*Simulation)) error {
 	scheduleEvents(sim)
 	var violation error
@@ -72,6 +76,8 @@
 	return violation
 }
 
+// countViolations runs the events with three seeds. It returns the number of violated
+// invariants, broken flows, and SYNs at a second back end.
 func countViolations(t *testing.T, scheduleEvents func(*Simulation), disabled core.Guard) int {
 	total := 0
 	for seed := range uint64(3) {
@@ -126,8 +132,8 @@
 }
 
 // TestPublishGuardPreventsCompetingWriters checks a partition whose two sides both
-// reach the store: without the guard, both sides keep publishing documents that
-// replace those of the other side.
+// reach the store: only the guard keeps the sides from publishing against each other.
+// Without it, both keep publishing documents that replace those of the other side.
 func TestPublishGuardPreventsCompetingWriters(t *testing.T) {
 	versions := make(map[core.Guard]uint64)
 	for _, disabled := range []core.Guard{0, core.GuardPublish} {
