--- a/test/e2e/balancer_test.go
+++ b/test/e2e/balancer_test.go
@@ -252,8 +252,8 @@
 // meant for another back end.
 func (site *site) requireNoMisrouted() {
 	for id, backend := range site.backends {
-		_, foreign, _, forged := backend.Counts()
-		require.Zero(site.t, foreign, "%s: packets for another back end", id)
+		_, misrouted, _, forged := backend.Counts()
+		require.Zero(site.t, misrouted, "%s: packets for another back end", id)
 		require.Zero(site.t, forged, "%s: forged packets", id)
 	}
 }
--- a/test/e2e/checker_test.go
+++ b/test/e2e/checker_test.go
@@ -128,7 +128,7 @@
 }
 
 // checkRefusedUndelivered checks that a first packet which undisturbed balancers refused has
-// reached no back end.
+// reached no back end. It doesn't apply near the crash of a back end.
 func (history *history) checkRefusedUndelivered(attempt attempt) string {
 	if attempt.isOpening && attempt.result == outcomeRefused && history.openedPorts[attempt.port] && !history.nearCrash(attempt) &&
 		history.undisturbed(attempt.at, attempt.ended, attempt.via) {
@@ -152,8 +152,8 @@
 	return ""
 }
 
-// checkBurstRecovery checks that, outside of bursts, every request on an overloaded route is
-// answered as before the burst.
+// checkBurstRecovery checks that every request on a route which bursts overload is answered, unless
+// a burst, a crash of a back end or a disturbance is near.
 func (history *history) checkBurstRecovery(attempt attempt) string {
 	if attempt.result == outcomeAnswered || !history.overloadedRoutes[attempt.route] || history.duringBurst(attempt) || history.nearCrash(attempt) ||
 		!history.undisturbed(attempt.at, attempt.ended, attempt.via) {
@@ -163,7 +163,8 @@
 }
 
 // checkLatency checks that a request on an open flow is answered within latencyBound while
-// nothing is disturbed. Planned stops are no disturbance.
+// nothing is disturbed. Planned stops of balancers are no disturbance. A request is excused if its
+// back end stopped before the request ended.
 func (history *history) checkLatency(attempt attempt) string {
 	if attempt.isOpening || attempt.ended.Sub(attempt.at) < latencyBound || !history.undisturbed(attempt.at, attempt.ended, attempt.via) {
 		return ""
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -293,16 +293,16 @@
 }
 
 // verify checks the guarantees against the counts of callers and back ends: every answer
-// is complete and belongs to its request, no request has an unknown outcome, no request
-// ran twice, no request that was refused as "not run" did run, and no packet reached a
-// back end of another service.
+// is complete and belongs to its request, no connection broke, no request has an unknown
+// outcome, every answered request ran once, no request ran twice, no request that was refused
+// as "not run" did run, and no packet reached a back end of another service.
 func (cluster *cluster) verify(total caller.Counts) {
 	runs := make(map[string]int)
-	foreign := uint64(0)
+	misrouted := uint64(0)
 	for net, count := range map[int]int{2: lendingCount, 3: coversCount} {
 		for index := range count {
 			counts := cluster.backend(net, index)
-			foreign += counts.MisroutedPackets
+			misrouted += counts.MisroutedPackets
 			for key, times := range counts.Executions {
 				runs[key] += times
 			}
@@ -314,7 +314,7 @@
 	require.Zero(t, total.Broken, total.LastError)
 	require.Zero(t, total.WrongResponses, total.LastError)
 	require.Zero(t, total.UnknownOutcomes)
-	require.Zero(t, foreign, "packets at a back end of another service")
+	require.Zero(t, misrouted, "packets at a back end of another service")
 	require.Positive(t, total.Responses)
 	for key, times := range runs {
 		require.Equal(t, 1, times, "request %s ran more than once", key)
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -38,7 +38,8 @@
 var plannedSteps = []string{"stop", "stop", "leave", "vanish", "move", "burst", "settings", "settings-faulty"}
 
 // faultSteps are the faults. Faults of links affect open connections; new connections
-// work. A mute link drops requests, a deaf link drops responses.
+// work, but peer-link-slow delays them too. A mute link drops requests, a deaf link drops
+// responses, and a silent link drops both.
 var faultSteps = []string{"kill", "lose", "pause", "kill-zone", "pause-zone", "kill-all", "pause-all",
 	"store-busy", "store-silent", "store-throttles", "store-slow", "store-late", "store-compacts",
 	"store-refuses-some", "store-throttles-some", "store-drill",
@@ -154,7 +155,8 @@
 }
 
 // stopWhenPossible stops a balancer as planned. While others are down or its settings file
-// is being changed, the stop waits. If another planned stop waits already, it is skipped.
+// is being changed, the stop waits. If another planned stop waits already, the new one
+// is skipped.
 func (soak *soak) stopWhenPossible(balancer int, downtime time.Duration) {
 	if !soak.stopPending.CompareAndSwap(false, true) {
 		soak.markSkipped()
--- a/test/e2e/history_test.go
+++ b/test/e2e/history_test.go
@@ -14,7 +14,7 @@
 	outcomeRefused
 	outcomeBroken
 	outcomeDeadline
-	// outcomeShed means that the back end rejected the request without running it.
+	// outcomeShed means that the back end reported that it had not run the request.
 	outcomeShed
 )
 
--- a/test/e2e/leaving_test.go
+++ b/test/e2e/leaving_test.go
@@ -5,19 +5,19 @@
 )
 
 // oldestReady returns the back end of a pool that has been ready for the longest time, or ""
-// if at most two are ready.
+// if at most two are ready. The IDs count up in hexadecimal, so a lower one is older.
 func (soak *soak) oldestReady(pool string) string {
-	oldestReady, count := "", 0
+	oldest, count := "", 0
 	for _, id := range soak.readyBackends(pool) {
 		count++
-		if oldestReady == "" || len(id) < len(oldestReady) || len(id) == len(oldestReady) && id < oldestReady {
-			oldestReady = id
+		if oldest == "" || len(id) < len(oldest) || len(id) == len(oldest) && id < oldest {
+			oldest = id
 		}
 	}
 	if count <= 2 {
 		return ""
 	}
-	return oldestReady
+	return oldest
 }
 
 // readyBackends returns the back ends of a pool that accept new flows.
--- a/test/e2e/plan_test.go
+++ b/test/e2e/plan_test.go
@@ -65,7 +65,7 @@
 }
 
 const (
-	// Store restores come in series for faultPhaseTime. Planned work only follows for
+	// Store restores come in series for faultPhaseTime. Then comes only planned work, for
 	// restoreQuietTime, in which time bounds are checked.
 	restoreQuietTime = 9 * time.Second
 )
@@ -146,7 +146,7 @@
 }
 
 // A seed always gives the same plan, the plan is unchanged after writing and parsing, and it
-// contains every kind of step.
+// contains every kind of step. Malformed plans are rejected.
 func TestPlan(t *testing.T) {
 	t.Parallel()
 	generated := makePlan(7, 60*time.Minute)
--- a/test/e2e/report_test.go
+++ b/test/e2e/report_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// soakKeepVariable is the directory in which a soak saves its seed, plan and report. If a
+// soakKeepVariable names the directory in which a soak saves its seed, plan and report. If a
 // guarantee was violated, it also saves the logs and the explanation of the first affected
 // request.
 const soakKeepVariable = "INDIGOBARROW_SOAK_KEEP"
--- a/test/e2e/restores_test.go
+++ b/test/e2e/restores_test.go
@@ -51,7 +51,8 @@
 }
 
 // restoreStore restores the store from a backup. Operators and back ends then rewrite what they
-// had written since the backup, and entries of back ends that have stopped are removed again.
+// had written since the backup. Entries that had been removed since, or whose back ends have
+// stopped, are removed again.
 func (site *site) restoreStore(backup metadata.Backup) {
 	site.store.Restore(backup)
 	site.store.SetFaults(metadata.Faults{})
@@ -132,8 +133,8 @@
 	writing.Wait()
 }
 
-// replace terminates a balancer, waits until its process has exited, while callers go on, and
-// starts it again.
+// replace sends a signal that ends a balancer, waits until its process has exited, and starts it
+// again. Callers go on meanwhile. It returns once three balancers are ready.
 func (site *site) replace(old *process, signal syscall.Signal) *process {
 	require.NoError(site.t, old.command.Process.Signal(signal))
 	_ = old.command.Wait()
--- a/test/e2e/shrink_test.go
+++ b/test/e2e/shrink_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// soakShrinkVariable is a file with a plan that fails. It is replaced with the smallest
+	// soakShrinkVariable names a file with a plan that fails. It is replaced with the smallest
 	// failing plan that is found.
 	soakShrinkVariable = "INDIGOBARROW_SOAK_SHRINK"
 	// shrinkTries limits the number of plans that are run. Each takes about a minute.
--- a/test/e2e/soak_test.go
+++ b/test/e2e/soak_test.go
@@ -20,9 +20,9 @@
 const (
 	soakSecondsVariable = "INDIGOBARROW_SOAK_SECONDS"
 	soakSeedVariable    = "INDIGOBARROW_SOAK_SEED"
-	// soakBalancersVariable is the number of balancers.
+	// soakBalancersVariable sets the number of balancers.
 	soakBalancersVariable = "INDIGOBARROW_SOAK_BALANCERS"
-	// soakPlanVariable is a file with a plan to run instead of the seed's.
+	// soakPlanVariable names a file with a plan to run instead of the seed's.
 	soakPlanVariable   = "INDIGOBARROW_SOAK_PLAN"
 	soakDefaultSeconds = 24
 	soakDefaultSeed    = 1
