--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -1,19 +1,20 @@
 /*
- * Accepted changes: two operators race to change one configuration through the
- * store's compare-and-swap. The answer to a write may be lost; a writer may be
- * paused between reading and writing; each repeats its operation, under the
- * same operation ID, until it knows its fate or gives up.
+ * Accepted changes: two operators concurrently change one configuration with
+ * compare-and-swap writes to the store. The response to a write may be lost, and
+ * a writer may be paused between its read and its write. Each operator retries
+ * its operation with the same operation ID until it learns the outcome or gives
+ * up.
  *
- * Properties: an operation is applied at most once; an accepted one is never
- * lost; the revision never goes back.
+ * Properties: an operation is applied at most once; an accepted operation is
+ * never lost; the revision never decreases.
  */
 
 #define OPERATORS 2
 #define TRIES     3
 
 byte revision;
-byte applied[OPERATORS];    /* the stored configuration: operations it holds */
-bool accepted[OPERATORS];   /* the operator was told so */
+byte applied[OPERATORS];    /* stored configuration: how often it contains each operation */
+bool accepted[OPERATORS];   /* the operator knows that its operation was accepted */
 
 #ifdef NO_COMPARE
 #define compare(read) (true)
@@ -35,7 +36,7 @@
 	:: else ->
 		tries++;
 		atomic { read = revision; copy[0] = applied[0]; copy[1] = applied[1] }
-		/* The pause may be here. */
+		/* The writer may be paused here. */
 		if
 		:: recognised(copy[me]) -> accepted[me] = true
 		:: else ->
@@ -51,7 +52,7 @@
 					assert(!accepted[1 - me] || applied[1 - me] == 1);
 					if
 					:: true -> accepted[me] = true
-					:: true -> skip /* the answer is lost */
+					:: true -> skip /* the response is lost */
 					fi
 				:: else -> skip
 				fi
--- a/model/release.pml
+++ b/model/release.pml
@@ -1,20 +1,20 @@
 /*
  * Address release: an address moves from service A to service B while one of
- * three nodes may be paused at any time and wake later.
+ * three nodes may be paused at any time and resume later.
  *
- * The move is accepted only when every member has settled the configuration
- * without the address. A paused node still follows its old rule when it wakes.
+ * The move is accepted only after every member has settled the configuration
+ * without the address. A paused node still applies its old rule when it resumes.
  *
- * Property: a packet meant for B never reaches a back end of A. What a packet
- * is meant for is what the address stands for when the caller sends it.
+ * Property: a packet meant for B never reaches a back end of A. A packet is
+ * meant for the service that the address belongs to when the client sends it.
  */
 
 #define NODES 3
 
 mtype = { serviceA, released, serviceB };
 
-mtype operators = serviceA;   /* what the operators have accepted */
-mtype rule[NODES];            /* what each node follows */
+mtype operators = serviceA;   /* the owner of the address in the accepted configuration */
+mtype rule[NODES];            /* the rule that each node applies */
 bool paused[NODES];
 bool pauseUsed;
 
@@ -44,7 +44,7 @@
 		if
 		:: rule[me] == serviceA -> assert(meant != serviceB)
 		:: rule[me] == serviceB -> assert(meant == serviceB)
-		:: rule[me] == released -> skip /* refused */
+		:: rule[me] == released -> skip /* the packet is refused */
 		fi }
 	od
 }
