--- a/model/joining.pml
+++ b/model/joining.pml
@@ -1,20 +1,21 @@
 /*
- * Joining: a node restarts without memory (node 2) while nodes 0 and 1 go on and
- * node 3, paused and fenced, is stale. A revision is in force once nodes 0 and
- * 1 know it. The joining node learns from whom it meets first, and trusts its
- * state only when a majority of the four has answered and none of the answers
- * showed the sender to be ahead.
+ * Joining: node 2 restarts without its state while nodes 0 and 1 keep running
+ * and node 3, paused and fenced, is stale. A revision is in force once nodes 0
+ * and 1 have it. The joining node takes its state from the first peer it
+ * contacts, and trusts this state only after a majority of the four has
+ * responded and no response showed that its sender was ahead.
  *
- * Property: a node that serves is not behind what is in force by more than the
- * step under way: the revision it joins at cannot be passed without it.
+ * Property: a node that serves is behind the revision in force by at most the
+ * step in progress: the members cannot pass the revision at which the node joins
+ * unless the node has it too.
  */
 
 #define LAST 3
 
 byte known[4];
 bool answered[4];
-bool serves;        /* the joining node */
-bool counted[2];    /* nodes 0 and 1 wait for it */
+bool serves;        /* the joining node serves */
+bool counted[2];    /* nodes 0 and 1 wait for the joining node */
 byte inForce;
 
 #ifdef NO_MAJORITY
@@ -29,8 +30,8 @@
 #define ahead(peer) (known[peer] > known[2])
 #endif
 
-/* Nodes 0 and 1 take the next revision; it is in force when both, and a node
- * that either of them counts, have it. */
+/* Nodes 0 and 1 accept the next revision. It is in force once both of them have
+ * it and, if either of them counts the joining node, that node has it too. */
 proctype Member(byte me) {
 	do
 	:: atomic { known[me] < LAST && known[me] == inForce -> known[me]++ }
@@ -41,7 +42,7 @@
 	od
 }
 
-/* A greeting: the peer counts the joining node and answers how far it is. */
+/* On a greeting the peer counts the joining node and returns its own revision. */
 proctype Joining() {
 	byte peer;
 	do
@@ -63,7 +64,7 @@
 		:: ahead(peer) -> known[2] = known[peer]
 		:: else -> answered[peer] = true
 		fi }
-	/* News from peers, once they count it. */
+	/* Peers send updates once they count the joining node. */
 	:: atomic { known[0] > known[2] && counted[0] -> known[2] = known[0] }
 	:: atomic { known[1] > known[2] && counted[1] -> known[2] = known[1] }
 	:: atomic { !serves && confirmed -> serves = true; assert(known[2] >= inForce) }
--- a/model/leaving.pml
+++ b/model/leaving.pml
@@ -1,13 +1,13 @@
 /*
- * Leaving marks during a store outage: one flow whose settled back end (1) has
- * been marked as leaving; the rule without it chooses back end 2.
+ * Leaving marks during a store outage: the settled back end (1) of one flow has
+ * been marked as leaving. The rule without this back end chooses back end 2.
  *
- * Each of two nodes learns the mark (state 1) at its own time, records the
- * flows opened there whose SYN may come again, and heeds the mark (state 2)
- * when both have done so. The bound on the time is modelled by that condition:
- * within it, both nodes in contact have learned the mark.
+ * Each of two nodes receives the mark (state 1) at its own time, records the
+ * flows opened at the node whose SYN may be retransmitted, and applies the mark
+ * (state 2) once both nodes have done so. This condition models the time bound:
+ * within the bound, both nodes in contact have received the mark.
  *
- * Properties: one back end for the flow; a node that heeds the mark opens no
+ * Properties: the flow has one back end; a node that applies the mark opens no
  * new flow at the leaving back end.
  */
 
@@ -82,7 +82,7 @@
 		chosen = record;
 		asks = false }
 	:: atomic { deciding[me] && !asks ->
-		/* A flow that is new everywhere must not go to the marked back end. */
+		/* A flow that is new at every node must not go to the marked back end. */
 		assert(!(heeds && opens && table[me] == 0 && holder == 0 && record == OTHER && chosen == MARKED));
 		if
 		:: table[me] == 0 -> table[me] = chosen; opener[me] = opens
