--- a/model/demand.pml
+++ b/model/demand.pml
@@ -1,28 +1,29 @@
 /*
- * A balancer lends its part of the picture of demand to one of two others, each of which
- * adds it to its own and lends the sum to a third one. The balancer moves from one to
- * the other, starts anew without knowing what it lent, reports twice and vanishes;
- * messages are late, lost and doubled. Package internal/demand carries it.
+ * A balancer lends its contribution to the demand aggregate to one of two other
+ * balancers. Each of these adds it to its own and lends the sum to a third balancer.
+ * The first balancer switches from one to the other, restarts without knowing what it
+ * lent, reports twice and disappears. Messages are delayed, lost and duplicated.
+ * Package internal/demand implements this protocol.
  *
- * Property: at no moment does the third one count the part by both ways, and nobody counts
- * it longer than a lease after it vanished.
+ * Property: the third balancer never counts the contribution over both paths at once, and
+ * no balancer counts it for longer than a lease after its owner disappeared.
  */
 
 #define LEASE  3
-#define REST   2           /* what a part must have left to go into a sum, and the lease of that */
+#define REST   2           /* the time that a contribution must have left to enter a sum, and the lease of that sum */
 #define NOBODY 2
 
-/* All times are what is left of them, in steps of the clock. */
+/* All times are remaining times, in steps of the clock. */
 
-/* The owner of the part. */
+/* The owner of the contribution. */
 bool gone;
-byte goneLeft;             /* until nobody may count it */
+byte goneLeft;             /* the time after which no balancer may count the contribution */
 byte lender = NOBODY, lentLeft, startLeft;
 bool started;
 
-/* By way: the report under way, 0 for none, and what the middle one holds. */
+/* Per path: the report in transit, 0 for none, and what the middle balancer holds. */
 byte told[2], held[2];
-/* The sum under way, and what the last one holds of the part by it. */
+/* Per path: the sum in transit, and what the last balancer holds of the contribution through it. */
 bool summed[2];
 byte sum[2], counted[2];
 
@@ -66,7 +67,7 @@
 }
 
 #ifdef NO_CLOCK
-/* A lease that runs from the arrival outlasts what the owner knows. */
+/* A lease that starts at the arrival lasts longer than the owner assumes. */
 #define left(message) (LEASE)
 #else
 #define left(message) (message)
@@ -75,8 +76,8 @@
 proctype Middle(byte way) {
 	do
 	:: atomic { told[way] != 0 -> held[way] = left(told[way]); told[way] = 0 }
-	:: atomic { told[way] != 0 -> held[way] = left(told[way]) }    /* it comes once more */
-	:: told[way] = 0                                              /* it is lost */
+	:: atomic { told[way] != 0 -> held[way] = left(told[way]) }    /* the report is duplicated */
+	:: told[way] = 0                                              /* the report is lost */
 	:: atomic { !summed[way] ->
 		summed[way] = true;
 #ifdef NO_REST
--- a/model/fence.pml
+++ b/model/fence.pml
@@ -1,15 +1,15 @@
 /*
- * Fencing: three members; node 2 may be paused, be fenced by the others and
- * wake. Time is a common clock of ticks; LEASE is how long a confirmation of a
- * majority lets a node trust its view, and others fence only after LEASE +
- * MARGIN without a word from it.
+ * Fencing: of three members, node 2 may be paused, be fenced by the others and
+ * resume. Time is a common clock in ticks. LEASE is the time for which a
+ * confirmation by a majority lets a node trust its view. The other nodes fence a
+ * node only after they have received no message from it for LEASE + MARGIN.
  *
- * Property: when a node goes on without the fenced one, the fenced one does not
- * trust its old view.
+ * Property: when a node continues without the fenced node, the fenced node does
+ * not trust its old view.
  *
- * Node 2 is not fenced by its own silence alone: it wakes at any time, may
- * still win confirmations from those that have not learned of the fencing, and
- * a write that fences may take effect late.
+ * A lack of messages from node 2 does not fence it by itself: it resumes at any
+ * time and may still get confirmations from nodes that have not learned of the
+ * fencing, and a write that fences it may take effect late.
  */
 
 #define LEASE  2
@@ -17,15 +17,15 @@
 #define LAST   9
 
 byte clock;
-byte heard[2];          /* when nodes 0 and 1 last heard node 2 */
-byte confirmedTo[2];    /* when they last confirmed to it, +1; 0 is never */
-byte until[2];          /* what node 2 holds from each: trusted until */
+byte heard[2];          /* when nodes 0 and 1 last received a message from node 2 */
+byte confirmedTo[2];    /* when nodes 0 and 1 last confirmed to node 2, plus 1; 0 means never */
+byte until[2];          /* the time until which node 2 trusts the confirmation of each */
 bool written;           /* the fencing document is in the store */
 bool writing;
-bool taken[2];          /* the document is taken by the node */
-bool wentOn;            /* a node goes on without node 2 */
+bool taken[2];          /* the node has applied the document */
+bool wentOn;            /* a node continues without node 2 */
 
-/* Node 2 with itself and one of the others is a majority of three. */
+/* Node 2 and one other node are a majority of three. */
 #define trusts (until[0] > clock || until[1] > clock)
 
 bool seen[2];           /* the node has seen the document */
@@ -49,7 +49,7 @@
 #endif
 
 inline confirm(by) {
-	/* Node 2 greets, and the other confirms. */
+	/* Node 2 sends a greeting, and the other node confirms it. */
 	heard[by] = clock;
 	if
 	:: !confirms(by) -> skip
@@ -68,19 +68,19 @@
 
 proctype Member(byte me) {
 	do
-	/* Suspect, and write: the write may take effect at any later time. */
+	/* The node suspects node 2 and writes; the write may take effect at any later time. */
 	:: atomic { !writing && heard[0] + LEASE + MARGIN < clock && heard[1] + LEASE + MARGIN < clock -> writing = true }
 	:: atomic { writing && !written -> written = true }
 	:: atomic { written && !seen[me] -> seen[me] = true }
-	/* Take the document, when no confirmation given by this node holds. */
+	/* The node applies the document once no confirmation that it gave is valid. */
 	:: atomic { seen[me] && !taken[me] && ranOut(me) -> taken[me] = true }
-	/* Go on without node 2, when a majority (0 and 1) has taken it. */
+	/* The node continues without node 2 once a majority (0 and 1) has applied the document. */
 	:: atomic { taken[me] && fenceKnown -> wentOn = true; assert(!trusts) }
 	:: clock == LAST -> break
 	od
 }
 
-/* Node 2 greets whenever it runs. */
+/* Node 2 sends greetings whenever it runs. */
 proctype Paused() {
 	do
 	:: atomic { clock < LAST -> confirm(0) }
@@ -89,7 +89,7 @@
 	od
 }
 
-/* Once the others have gone on, node 2 never trusts its old view again. */
+/* Once the others have continued without it, node 2 never trusts its old view again. */
 proctype Observer() {
 	do
 	:: atomic { wentOn -> assert(!trusts) }
