--- a/model/evidence.pml
+++ b/model/evidence.pml
@@ -1,13 +1,14 @@
 /*
- * Two balancers tell a third one that a back end left their clients' requests
- * unanswered; the third one, which holds a flow of that back end that waits for
- * nothing, resets the flow by it. Messages are late, links are broken, a zone is cut
- * off, the back end stands still and goes on, or starts anew at its address under a
- * new number. Packages internal/evidence and internal/tokenroute carry it.
+ * Two balancers report to a third balancer that a back end left their clients'
+ * requests unanswered. The third balancer holds a flow of that back end that waits for
+ * no response, and resets the flow because of the reports. Messages are delayed, links
+ * fail, a zone is partitioned, and the back end stalls and resumes, or restarts at its
+ * address under a new number. Packages internal/evidence and internal/tokenroute
+ * implement this.
  *
- * Property: the flow is reset only by two clients whose requests the very run of the
- * back end that holds the flow left unanswered itself, and only if nothing that it sent
- * later had been acknowledged here.
+ * Property: the flow is reset only because of requests of two clients that the same run
+ * of the back end that holds the flow left unanswered itself, and only if nothing that
+ * this run sent later had been acknowledged here.
  */
 
 #define LAST 5
@@ -16,21 +17,21 @@
 #define SENT    1
 #define ARRIVED 2
 
-#define SILENT 1           /* the back end was dead or stood still */
+#define SILENT 1           /* the back end was dead or stalled */
 #define LINK   2           /* the balancer's own link lost the request */
-#define CUT    3           /* its zone is cut off from the back end's */
+#define CUT    3           /* the balancer's zone is partitioned from the zone of the back end */
 
 byte now = 1;
-bool dead, still;          /* of the run that holds the flow */
-byte proven;               /* when it last answered a client here */
+bool dead, still;          /* state of the run that holds the flow */
+byte proven;               /* when this run last responded to a client here */
 
-byte state[2];             /* of the two witnesses */
+byte state[2];             /* of the two unanswered requests */
 byte cause[2];
 byte client[2];
 byte sentAt[2];            /* when the request was sent */
-byte told[2];              /* the same, as it arrives */
+byte told[2];              /* the time of the request as the report gives it on arrival */
 byte lateBy[2];
-bool ofOtherRun[2];        /* it speaks of the new run at the same address */
+bool ofOtherRun[2];        /* the report is about the new run at the same address */
 
 bool reset;
 
@@ -40,14 +41,14 @@
 	:: atomic { !dead && !still -> still = true }
 	:: atomic { still && !dead -> still = false }
 	:: atomic { !dead -> dead = true }
-	:: atomic { !dead && !still -> proven = now }   /* it answers here */
+	:: atomic { !dead && !still -> proven = now }   /* the back end responds here */
 	:: now == LAST -> break
 	od
 }
 
 proctype Witness(byte w) {
 	byte began;
-	/* The request and its two repetitions span the time from began to now. */
+	/* The request and its two retransmissions span the time from began to now. */
 	atomic { now < LAST -> began = now; if :: client[w] = 1 :: client[w] = 2 fi }
 	if
 	:: atomic { (dead || still) -> cause[w] = SILENT }
@@ -57,14 +58,14 @@
 	fi;
 	sentAt[w] = began;
 #ifndef NO_PROMPT
-	/* A balancer whose other back ends are silent too says nothing. */
+	/* A balancer whose other back ends do not respond either reports nothing. */
 	if :: cause[w] == LINK -> goto done :: else fi;
 #endif
 	state[w] = SENT;
 	if :: lateBy[w] = 0 :: lateBy[w] = 1 :: lateBy[w] = 2 fi;
 	atomic {
 #ifdef NO_CLOCK
-		/* An age counted from the arrival makes a late message's witness younger. */
+		/* An age counted from the arrival makes the unanswered request of a late message younger. */
 		told[w] = sentAt[w] + lateBy[w];
 #else
 		told[w] = sentAt[w];
