--- a/model/directory.pml
+++ b/model/directory.pml
@@ -1,11 +1,12 @@
 /*
  * The directory of a balancer: one entry of the store is written, removed and
- * written again while two balancers learn of it, from the store (whole, by its
- * changes, or by an old answer that comes late) and from each other. Package
- * internal/directory carries it.
+ * written again while two balancers receive it from the store (by a full read, by
+ * its changes, or by an old response that arrives late) and from each other.
+ * Package internal/directory implements this.
  *
  * Property: a balancer whose revision is R holds the entry exactly as the store
- * held it at R; so it never goes back, and none keeps what is gone.
+ * held it at R. It therefore never reverts to an older state, and no balancer keeps
+ * a removed entry.
  */
 
 #define LAST  4
@@ -19,10 +20,10 @@
 bool alive[6];             /* whether the entry exists at a revision */
 byte changed[6];           /* the entry's own revision at a revision */
 
-byte revision[NODES];      /* everything up to here is known */
+byte revision[NODES];      /* the balancer has every change up to this revision */
 byte state[NODES];
-byte at[NODES];            /* the known entry's own revision */
-bool inside[12];           /* node * 6 + r: r lies inside of a rise */
+byte at[NODES];            /* own revision of the entry that the balancer has */
+bool inside[12];           /* node * 6 + r: the node's revision increased past r without stopping there */
 
 #ifdef NO_LATE
 #define isLate(n, r) (false)
@@ -48,7 +49,7 @@
 #define names(st) (st == ALIVE)
 #endif
 
-/* merge takes one change, as Directory.merge does. */
+/* merge applies one change, as Directory.merge does. */
 inline merge(n, st, own, batch) {
 	if
 	:: st == NONE -> skip
@@ -62,7 +63,8 @@
 	fi
 }
 
-/* finish buries what a complete batch does not name, and rises. */
+/* finish makes a tombstone of an entry that a complete batch does not contain, and
+ * increases the revision. */
 inline finish(n, st, batch, complete) {
 	if
 	:: complete && !names(st) && state[n] == ALIVE && at[n] <= batch -> state[n] = GONE; at[n] = batch
@@ -107,20 +109,20 @@
 	:: tries < 4 ->
 		tries++;
 		if
-		:: atomic { /* a whole read */
+		:: atomic { /* a full read */
 			entry = (alive[newest] -> ALIVE : NONE);
 			merge(n, entry, changed[newest], newest);
 			finish(n, entry, newest, true);
 			entry = 0; step = 0
 		   }
-		:: held == 0 -> held = newest /* a whole read whose answer is late */
-		:: held != 0 -> atomic { /* the late answer */
+		:: held == 0 -> held = newest /* a full read whose response is late */
+		:: held != 0 -> atomic { /* the late response */
 			entry = (alive[held] -> ALIVE : NONE);
 			merge(n, entry, changed[held], held);
 			finish(n, entry, held, true);
 			held = 0; entry = 0; step = 0
 		   }
-		:: atomic { /* the changes after what is known */
+		:: atomic { /* the changes after the revision of the balancer */
 			entry = (alive[newest] -> ALIVE : GONE);
 			if
 			:: changed[newest] > revision[n] -> merge(n, entry, changed[newest], newest)
@@ -129,7 +131,7 @@
 			finish(n, NONE, newest, false);
 			entry = 0; step = 0
 		   }
-		:: atomic { /* what the other one knows */
+		:: atomic { /* what the other balancer has */
 			all = needsAll(other, revision[n]);
 			entry = state[other];
 			if
