--- a/internal/tokenroute/takeover_test.go
+++ b/internal/tokenroute/takeover_test.go
@@ -13,7 +13,7 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// requireEquivalent requires that two tables decide alike.
+// requireEquivalent checks that two tables make the same decisions.
 func requireEquivalent(t require.TestingT, want, got *Table) {
 	require.Equal(t, want.RouteCount(), got.RouteCount())
 	require.Equal(t, want.RestartedBackends(), got.RestartedBackends())
@@ -38,8 +38,9 @@
 	}
 }
 
-// A table takes over from the one before what has not changed. Whatever changes, in entries,
-// weights, evacuations, time, outages of the store, it decides as one made anew.
+// A table reuses the unchanged parts of the previous one. Whatever changes, be it entries, weights,
+// evacuations, time or outages of the store, it makes the same decisions as a table built from
+// scratch.
 func TestIncrementalTableMatchesFullBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := newDirectory(routes(1, route(1, share("lending", 2), share("covers", 1)), route(2, share("covers", 1))))
@@ -51,7 +52,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause ms")) * time.Millisecond)
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
 				revision++
-				// Numbers from 12 on share the tokens of those that are 12 less.
+				// Numbers above 12 share the token of the number that is 12 less.
 				number := uint64(rapid.IntRange(1, 15).Draw(t, "number"))
 				if number > 12 {
 					number += 1<<32 - 12
@@ -97,7 +98,7 @@
 	})
 }
 
-// A table after one change shares the parts of the places that have not changed.
+// After one change, the new table shares the pool zones that have not changed.
 func TestUnchangedPoolZonesAreShared(t *testing.T) {
 	var changes []*apiv1.DirectoryChange
 	for number := range uint64(60) {
