--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -24,38 +24,38 @@
 	input    []byte
 	output   []byte
 	// lastPacket is when a packet last came, in nanoseconds since the start.
-	lastPacket atomic.Int64
-	counts     [tokenroute.ReasonCount]atomic.Uint64
-	// observed is the latest summary of what was observed.
-	observed atomic.Pointer[observe.Summary]
-	// heard are statements on back ends from other balancers, and statements those
+	lastPacket     atomic.Int64
+	decisionCounts [tokenroute.ReasonCount]atomic.Uint64
+	// latestSummary is the latest summary of what was observed.
+	latestSummary atomic.Pointer[observe.Summary]
+	// inbox are statements on back ends from other balancers, and statements those
 	// that they should be told.
-	heard, statements mailbox
+	inbox, outbox mailbox
 	// settleAt is when joined witnesses have waited long enough; zero is never.
 	settleAt time.Time
 	// early are the packets that came before the first table.
-	early early
+	early earlyBuffer
 	// refusals are the flows refused for want of room.
-	refusals  refusalCounters
-	malformed atomic.Uint64
-	failed    atomic.Uint64
+	refusals   refusalCounters
+	malformed  atomic.Uint64
+	sendErrors atomic.Uint64
 }
 
 func newTraffic(balancer *Balancer, socket *net.UDPConn) *traffic {
 	// One byte more than allowed shows oversize datagrams.
-	size := balancer.outside.Codec.MaximumSize() + 1
+	size := balancer.dependencies.Codec.MaximumSize() + 1
 	return &traffic{
 		balancer: balancer,
 		socket:   socket,
-		flows:    tokenroute.NewFlows(balancer.off).InZone(balancer.settings.Load().GetZone()),
+		flows:    tokenroute.NewFlows(balancer.disabled).InZone(balancer.settings.Load().GetZone()),
 		log:      decisionLog{logger: balancer.logger},
 		input:    make([]byte, size),
 		output:   make([]byte, 0, 2*size),
 	}
 }
 
-// readPause spaces reads from a socket that fails.
-const readPause = 10 * time.Millisecond
+// readRetryDelay spaces reads from a socket that fails.
+const readRetryDelay = 10 * time.Millisecond
 
 func (t *traffic) run(ctx context.Context) error {
 	go func() {
@@ -68,67 +68,67 @@
 			return nil
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.wake()
+			t.handleWakeup()
 			continue
 		}
 		if err != nil {
 			t.balancer.logger.Warn("Traffic: read failed.", "error", err)
-			time.Sleep(readPause)
+			time.Sleep(readRetryDelay)
 			continue
 		}
 		t.handle(t.input[:size], time.Now())
 	}
 }
 
-// tell lets the traffic goroutine judge by what another balancer saw, also while no
+// deliver lets the traffic goroutine judge by what another balancer saw, also while no
 // packet comes.
-func (t *traffic) tell(statements []evidence.Statement) {
-	t.heard.put(statements)
-	t.wakeAt(longPast)
+func (t *traffic) deliver(statements []evidence.Observation) {
+	t.inbox.put(statements)
+	t.setWakeup(pastDeadline)
 }
 
-// longPast is a deadline that wakes a read at once.
-var longPast = time.Unix(1, 0)
+// pastDeadline is a deadline that wakes a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// wakeAt ends the read of a packet at a time; the zero time lets it wait.
-func (t *traffic) wakeAt(at time.Time) {
+// setWakeup ends the read of a packet at a time; the zero time lets it wait.
+func (t *traffic) setWakeup(at time.Time) {
 	if err := t.socket.SetReadDeadline(at); err != nil {
 		t.balancer.logger.Debug("Traffic: no deadline, the next packet wakes.", "error", err)
 	}
 }
 
-// wake hears what other balancers saw and judges by it. The deadline is set before the
+// handleWakeup hears what other balancers saw and judges by it. The deadline is set before the
 // mailbox is looked at, so that nothing put into it meanwhile is left.
-func (t *traffic) wake() {
-	t.wakeAt(t.settleAt)
-	t.judge(time.Now())
-	t.wakeAt(t.settleAt)
-	if t.heard.filled.Load() || t.early.waits() && t.balancer.table.Load() != nil {
-		t.wakeAt(longPast)
+func (t *traffic) handleWakeup() {
+	t.setWakeup(t.settleAt)
+	t.judgeBackends(time.Now())
+	t.setWakeup(t.settleAt)
+	if t.inbox.nonEmpty.Load() || t.early.pending() && t.balancer.table.Load() != nil {
+		t.setWakeup(pastDeadline)
 	}
 }
 
-// judge takes what other balancers saw, judges by it and by what has waited for an
+// judgeBackends takes what other balancers saw, judges by it and by what has waited for an
 // answer, and tells the clients of back ends that are dead.
-func (t *traffic) judge(now time.Time) {
+func (t *traffic) judgeBackends(now time.Time) {
 	table := t.balancer.table.Load()
 	if table != nil {
-		t.sendEarly(table, now)
-		t.flows.Renew(table, now)
+		t.routeEarlyPackets(table, now)
+		t.flows.SetTable(table, now)
 	}
-	for _, statement := range t.heard.take() {
-		t.flows.Hear(statement, table, now)
+	for _, statement := range t.inbox.take() {
+		t.flows.Receive(statement, table, now)
 	}
-	t.settleAt = t.flows.Settle(now)
-	t.tellClients(table, now)
+	t.settleAt = t.flows.EvaluatePending(now)
+	t.reportVerdicts(table, now)
 }
 
-// tellClients resets the flows whose back ends were judged dead, and passes on what
+// reportVerdicts resets the flows whose back ends were judged dead, and passes on what
 // was seen.
-func (t *traffic) tellClients(table *tokenroute.Table, now time.Time) {
+func (t *traffic) reportVerdicts(table *tokenroute.Table, now time.Time) {
 	for _, verdict := range t.flows.TakeVerdicts() {
 		t.balancer.logger.Warn("Traffic: back end is judged dead.", "backend", verdict.Backend.ID,
-			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Own, "unanswered_elsewhere", verdict.Told,
+			"pool", verdict.Backend.Pool, "unanswered_here", verdict.Local, "unanswered_elsewhere", verdict.Remote,
 			"silent_for", now.Sub(verdict.SilentSince).Round(time.Millisecond))
 	}
 	for _, silent := range t.flows.TakeSilentZones() {
@@ -139,14 +139,14 @@
 		t.reset(abandoned, table, now)
 	}
 	if statements := t.flows.TakeStatements(); len(statements) > 0 {
-		t.statements.put(statements)
-		t.balancer.control.nudge()
+		t.outbox.put(statements)
+		t.balancer.control.wake()
 	}
 }
 
 func (t *traffic) handle(datagram []byte, now time.Time) {
 	t.lastPacket.Store(int64(now.Sub(t.balancer.started)))
-	codec := t.balancer.outside.Codec
+	codec := t.balancer.dependencies.Codec
 	packet, err := codec.Decode(datagram)
 	if err != nil {
 		t.malformed.Add(1)
@@ -155,65 +155,65 @@
 	table := t.balancer.table.Load()
 	switch {
 	case table != nil:
-		t.sendEarly(table, now)
-	case !t.balancer.off.Has(mechanism.EarlyPackets):
-		t.early.keep(packet, datagram, now)
+		t.routeEarlyPackets(table, now)
+	case !t.balancer.disabled.Has(mechanism.EarlyPackets):
+		t.early.add(packet, datagram, now)
 	}
-	t.pass(packet, datagram, table, now)
-	t.tellClients(table, now)
-	if t.heard.filled.Load() || t.flows.Holds() && !now.Before(t.settleAt) {
-		t.wake()
+	t.route(packet, datagram, table, now)
+	t.reportVerdicts(table, now)
+	if t.inbox.nonEmpty.Load() || t.flows.HasPending() && !now.Before(t.settleAt) {
+		t.handleWakeup()
 	}
 	if summary := t.flows.Summarize(now); summary != nil {
-		t.observed.Store(summary)
+		t.latestSummary.Store(summary)
 	}
 }
 
-// pass decides a packet by a table.
-func (t *traffic) pass(packet tokenroute.Packet, datagram []byte, table *tokenroute.Table, now time.Time) {
+// route decides a packet by a table.
+func (t *traffic) route(packet tokenroute.Packet, datagram []byte, table *tokenroute.Table, now time.Time) {
 	decision := t.flows.Decide(table, packet, now)
-	t.log.note(packet, t.balancer.outside.Codec.RequestID(datagram), decision, table, now)
-	t.carryOut(decision, packet, datagram)
+	t.log.record(packet, t.balancer.dependencies.Codec.RequestID(datagram), decision, table, now)
+	t.execute(decision, packet, datagram)
 }
 
-// newTable lets the traffic goroutine take a table, also while no packet comes.
-func (t *traffic) newTable() { t.wakeAt(longPast) }
+// tableChanged lets the traffic goroutine take a table, also while no packet comes.
+func (t *traffic) tableChanged() { t.setWakeup(pastDeadline) }
 
-// sendEarly sends on what came before the first table.
-func (t *traffic) sendEarly(table *tokenroute.Table, now time.Time) {
-	if !t.early.waits() {
+// routeEarlyPackets sends on what came before the first table.
+func (t *traffic) routeEarlyPackets(table *tokenroute.Table, now time.Time) {
+	if !t.early.pending() {
 		return
 	}
 	kept := t.early.take(now)
 	t.balancer.logger.Info("Traffic: packets from before the first table are sent on.", "packets", len(kept),
 		"lost", t.early.lost.Load())
 	for _, each := range kept {
-		t.passEarly(each, table, now)
+		t.routeEarlyPacket(each, table, now)
 	}
 }
 
-// passEarly decides a packet that has waited for the first table. It refuses nothing:
+// routeEarlyPacket decides a packet that has waited for the first table. It refuses nothing:
 // the client may have opened the flow by another balancer meanwhile. An acknowledgement
 // proves that its back end lived when it came, not now.
-func (t *traffic) passEarly(kept earlyPacket, table *tokenroute.Table, now time.Time) {
+func (t *traffic) routeEarlyPacket(kept earlyPacket, table *tokenroute.Table, now time.Time) {
 	if kept.acknowledges() {
-		now = kept.cameAt
+		now = kept.receivedAt
 	}
 	decision := t.flows.Decide(table, kept.packet, now)
 	if decision.Verdict == tokenroute.Refuse {
 		decision.Verdict = tokenroute.Drop
 	}
-	t.log.note(kept.packet, t.balancer.outside.Codec.RequestID(kept.datagram), decision, table, now)
-	t.carryOut(decision, kept.packet, kept.datagram)
+	t.log.record(kept.packet, t.balancer.dependencies.Codec.RequestID(kept.datagram), decision, table, now)
+	t.execute(decision, kept.packet, kept.datagram)
 }
 
-// carryOut does what was decided on a packet.
-func (t *traffic) carryOut(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
-	t.counts[decision.Reason].Add(1)
+// execute does what was decided on a packet.
+func (t *traffic) execute(decision tokenroute.Decision, packet tokenroute.Packet, datagram []byte) {
+	t.decisionCounts[decision.Reason].Add(1)
 	if decision.Level != nil {
 		t.refusals.increment(decision.Level)
 	}
-	codec := t.balancer.outside.Codec
+	codec := t.balancer.dependencies.Codec
 	var err error
 	switch decision.Verdict {
 	case tokenroute.Forward:
@@ -221,11 +221,11 @@
 		_, err = t.socket.WriteToUDPAddrPort(t.output, decision.Backend.Target)
 	case tokenroute.Refuse:
 		t.output = codec.Refuse(t.output[:0], packet)
-		_, err = t.socket.WriteToUDPAddrPort(t.output, codec.Client(packet))
+		_, err = t.socket.WriteToUDPAddrPort(t.output, codec.ClientAddress(packet))
 	case tokenroute.Drop:
 	}
 	if err != nil {
-		t.failed.Add(1)
+		t.sendErrors.Add(1)
 	}
 }
 
@@ -237,8 +237,8 @@
 		Reason:  abandoned.Reason,
 		Backend: abandoned.Backend,
 	}
-	t.log.note(packet, nil, decision, table, now)
-	t.carryOut(decision, packet, nil)
+	t.log.record(packet, nil, decision, table, now)
+	t.execute(decision, packet, nil)
 }
 
 // idle is the time since the last packet.
--- a/internal/balancer/warming.go
+++ b/internal/balancer/warming.go
@@ -37,7 +37,7 @@
 func (c *control) newWarmupState(now time.Time) *warmupState {
 	settings := c.balancer.settings.Load()
 	state := &warmupState{
-		directory: c.known,
+		directory: c.directory,
 		self:      settings.GetName(),
 		selfHash:  nameHash(settings.GetName()),
 		overshoot: settings.GetWarmupOvershoot(),
@@ -46,10 +46,10 @@
 		revokedAt: make(map[string]time.Time),
 		now:       now,
 	}
-	for _, pool := range c.known.Routes().GetWarmups() {
+	for _, pool := range c.directory.Routes().GetWarmups() {
 		state.pools[pool.GetPool()] = pool
 	}
-	for _, order := range c.known.Evacuations() {
+	for _, order := range c.directory.Evacuations() {
 		if !order.Holds() {
 			state.revokedAt[order.Zone] = order.GoneAt
 		}
@@ -81,7 +81,7 @@
 func (w *warmupState) limited() bool { return w.overshoot != 0 || w.slack != 0 }
 
 // warmupFunc tells how cold a back end is, or is nil where all are taken for warm.
-func (w *warmupState) warmupFunc() func(directory.BackendEntry) tokenroute.Warming {
+func (w *warmupState) warmupFunc() func(directory.BackendEntry) tokenroute.Warmup {
 	if !w.limited() {
 		return nil
 	}
@@ -89,16 +89,16 @@
 }
 
 // warmup tells how cold a back end is.
-func (w *warmupState) warmup(backend directory.BackendEntry) tokenroute.Warming {
+func (w *warmupState) warmup(backend directory.BackendEntry) tokenroute.Warmup {
 	until := w.warmAt(backend)
 	if !w.now.Before(until) {
-		return tokenroute.Warming{}
+		return tokenroute.Warmup{}
 	}
 	rate := w.pools[backend.GetPool()].GetFlowsPerSecond()
-	return tokenroute.Warming{
+	return tokenroute.Warmup{
 		Until:          until,
 		FlowsPerSecond: w.allowance(backend.GetNumber(), rate*w.overshoot+w.slack),
-		Rated:          rate > 0,
+		LimitKnown:     rate > 0,
 	}
 }
 
@@ -166,7 +166,7 @@
 // the order.
 func (c *control) evacuatedZones() map[string]uint64 {
 	zones := make(map[string]uint64)
-	for _, order := range c.known.Evacuations() {
+	for _, order := range c.directory.Evacuations() {
 		if order.Holds() {
 			zones[order.Zone] = order.Revision
 		}
--- a/internal/balancer/weigh.go
+++ b/internal/balancer/weigh.go
@@ -50,12 +50,12 @@
 // newWeights collects what the weights of a table depend on.
 func (c *control) newWeights(evacuated map[string]uint64, now time.Time) *weights {
 	zone := c.balancer.settings.Load().GetZone()
-	off := c.balancer.off
+	off := c.balancer.disabled
 	result := &weights{
 		control:        c,
 		zone:           zone,
 		programs:       make(map[string]*policy.Program),
-		spreadAllZones: now.Sub(c.firstAt) < startupSpreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
+		spreadAllZones: now.Sub(c.firstRoutesAt) < startupSpreadTime && !off.Has(mechanism.SpreadAfterStart) || off.Has(mechanism.LocalZone),
 	}
 	c.measureCapacity(evacuated, now)
 	result.pools = c.demand.capacity.pools
@@ -81,7 +81,7 @@
 		}
 	}
 	weight := w.poolZoneWeight(directory.Place{Pool: backend.GetPool(), Zone: backend.GetZone()})
-	if !c.balancer.off.Has(mechanism.Health) {
+	if !c.balancer.disabled.Has(mechanism.Health) {
 		weight *= c.observed.healthWeight(backend.Incarnation())
 	}
 	return uint32(math.Ceil(weight * rule.MaximumWeight))
@@ -122,7 +122,7 @@
 func (w *weights) program(pool string) *policy.Program {
 	program, cached := w.programs[pool]
 	if !cached {
-		program = w.control.programs.lookup(w.control.known, pool)
+		program = w.control.programs.lookup(w.control.directory, pool)
 		w.programs[pool] = program
 	}
 	return program
@@ -151,8 +151,8 @@
 }
 
 // poolZoneOf is a place of the directory as demand knows it.
-func poolZoneOf(poolZone directory.Place) demand.Place {
-	return demand.Place{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
+func poolZoneOf(poolZone directory.Place) demand.ZonePool {
+	return demand.ZonePool{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
 }
 
 // remoteWeight is the weight, 0 to 1, of a pool's back ends in other zones.
@@ -161,8 +161,8 @@
 		return 1
 	}
 	remote := c.observed.remoteShares[name]
-	if c.balancer.off.Has(mechanism.ZoneSharing) {
-		remote = shares.Remote(0, pool.localSlots, pool.remoteSlots)
+	if c.balancer.disabled.Has(mechanism.ZoneSharing) {
+		remote = shares.RemoteShare(0, pool.localSlots, pool.remoteSlots)
 	}
 	weight := shares.RemoteWeight(remote, pool.localBackends, pool.remoteBackends)
 	return min(weight, 1)
--- a/internal/demand/own.go
+++ b/internal/demand/own.go
@@ -6,62 +6,62 @@
 )
 
 const (
-	// followTime is how fast the own part follows what is observed. It is short beside
+	// smoothingTime is how fast the own part follows what is observed. It is short beside
 	// the way of a part to all balancers; where many add up, little chance is left.
-	followTime = 500 * time.Millisecond
-	// observedFor is how old an observation may be. A balancer without packets makes
+	smoothingTime = 500 * time.Millisecond
+	// maximumObservationAge is how old an observation may be. A balancer without packets makes
 	// none, and asks nothing.
-	observedFor = 2 * time.Second
-	// nothing is what a smoothed load counts as none below, in requests.
-	nothing = 1e-3
+	maximumObservationAge = 2 * time.Second
+	// negligibleLoad is what a smoothed load counts as none below, in requests.
+	negligibleLoad = 1e-3
 )
 
-// Own is what this balancer's own flows ask, smoothed. The zero value asks nothing.
-type Own struct {
-	seenAt time.Time
-	places map[Place]Load
+// LocalLoad is what this balancer's own flows ask, smoothed. The zero value asks nothing.
+type LocalLoad struct {
+	observedAt time.Time
+	loads      map[ZonePool]Load
 }
 
-// Take follows what was observed up to a time.
-func (o *Own) Take(observed map[Place]Load, at time.Time) {
-	if !at.After(o.seenAt) {
+// Observe follows what was observed up to a time.
+func (o *LocalLoad) Observe(observed map[ZonePool]Load, at time.Time) {
+	if !at.After(o.observedAt) {
 		return
 	}
-	part := 1 - math.Exp(-at.Sub(o.seenAt).Seconds()/followTime.Seconds())
-	o.seenAt = at
-	places := make(map[Place]Load, len(observed))
-	for place, load := range o.places {
-		if kept := load.times(1 - part); kept.sum() > nothing {
+	part := 1 - math.Exp(-at.Sub(o.observedAt).Seconds()/smoothingTime.Seconds())
+	o.observedAt = at
+	places := make(map[ZonePool]Load, len(observed))
+	for place, load := range o.loads {
+		if kept := load.scale(1 - part); kept.total() > negligibleLoad {
 			places[place] = kept
 		}
 	}
 	for place, load := range observed {
-		if load.sum() > 0 {
-			places[place] = places[place].Plus(load.times(part))
+		if load.total() > 0 {
+			places[place] = places[place].Plus(load.scale(part))
 		}
 	}
-	o.places = places
+	o.loads = places
 }
 
-// Picture is the part of this balancer, which stands in a zone.
-func (o *Own) Picture(zone Zone, now time.Time) Picture {
-	made := Picture{At: o.seenAt, Balancers: 1, Zones: map[Zone]int{zone: 1}, Places: o.places}
-	if now.Sub(o.seenAt) > observedFor {
+// Aggregate is the part of this balancer, which stands in a zone.
+func (o *LocalLoad) Aggregate(zone Zone, now time.Time) Aggregate {
+	made := Aggregate{OldestAt: o.observedAt, Balancers: 1, ZoneBalancers: map[Zone]int{zone: 1}, Loads: o.loads}
+	if now.Sub(o.observedAt) > maximumObservationAge {
 		// Others carry what its zone asks: one that is aside, or left out by the routers, would
 		// else make each of them seem to carry less than it does.
-		made.At, made.Places, made.Zones = now, nil, nil
+		made.OldestAt, made.Loads, made.ZoneBalancers = now, nil, nil
 	}
 	return made
 }
 
-func (l Load) times(part float64) Load {
+func (l Load) scale(part float64) Load {
 	return Load{
-		Waiting:  l.Waiting * part,
-		Openings: l.Openings * part,
-		Answers:  l.Answers * part,
-		Refusals: l.Refusals * part,
-		Asks:     l.Asks * part,
+		InFlight:  l.InFlight * part,
+		NewFlows:  l.NewFlows * part,
+		Responses: l.Responses * part,
+		Refusals:  l.Refusals * part,
+		Offered:   l.Offered * part,
 	}
 }
 
-func (l Load) sum() float64 { return l.Waiting + l.Openings + l.Answers + l.Refusals + l.Asks }
+func (l Load) total() float64 { return l.InFlight + l.NewFlows + l.Responses + l.Refusals + l.Offered }
--- a/internal/demand/pace.go
+++ b/internal/demand/pace.go
@@ -3,50 +3,50 @@
 import "time"
 
 const (
-	// reportPause is the longest time between two reports.
-	reportPause = time.Second
+	// reportInterval is the longest time between two reports.
+	reportInterval = time.Second
 	// gatherTime lets the reports of followers gather, which call again all at once when
-	// they have been answered, and sumPause bounds how often sums are told besides the
+	// they have been answered, and separateInterval bounds how often sums are told besides the
 	// calls that are made anyway.
-	gatherTime = 50 * time.Millisecond
-	sumPause   = 300 * time.Millisecond
-	// failedPause is the pause after a report that failed.
-	failedPause = 500 * time.Millisecond
+	gatherTime       = 50 * time.Millisecond
+	separateInterval = 300 * time.Millisecond
+	// retryDelay is the pause after a report that failed.
+	retryDelay = 500 * time.Millisecond
 )
 
-// Pace tells when a report goes up in a call of its own. The others go with the calls
+// ReportSchedule tells when a report goes up in a call of its own. The others go with the calls
 // that are made anyway. So a part reaches the reader over all levels in the second in
 // which it was seen, for one message more of each balancer that has followers.
-type Pace struct {
-	// told is when a report was told last, and summedAt when in a call of its own.
-	told, summedAt time.Time
-	// sumAt is when the reports of followers that were not passed on have gathered; zero
+type ReportSchedule struct {
+	// reportedAt is when a report was told last, and separateAt when in a call of its own.
+	reportedAt, separateAt time.Time
+	// gatheredAt is when the reports of followers that were not passed on have gathered; zero
 	// is none.
-	sumAt time.Time
+	gatheredAt time.Time
 }
 
-// Taken takes that a follower has reported.
-func (p *Pace) Taken(now time.Time) {
-	if p.sumAt.IsZero() {
-		p.sumAt = now.Add(gatherTime)
+// FollowerReported takes that a follower has reported.
+func (p *ReportSchedule) FollowerReported(now time.Time) {
+	if p.gatheredAt.IsZero() {
+		p.gatheredAt = now.Add(gatherTime)
 	}
 }
 
 // Due tells whether a report should be told now.
-func (p *Pace) Due(now time.Time) bool {
-	summed := !p.sumAt.IsZero() && !now.Before(p.sumAt) && now.Sub(p.summedAt) >= sumPause
-	return summed || now.Sub(p.told) >= reportPause
+func (p *ReportSchedule) Due(now time.Time) bool {
+	summed := !p.gatheredAt.IsZero() && !now.Before(p.gatheredAt) && now.Sub(p.separateAt) >= separateInterval
+	return summed || now.Sub(p.reportedAt) >= reportInterval
 }
 
-// Told takes that a report was told, in a call of its own or with another.
-func (p *Pace) Told(alone bool, now time.Time) {
-	p.told, p.sumAt = now, time.Time{}
+// Reported takes that a report was told, in a call of its own or with another.
+func (p *ReportSchedule) Reported(alone bool, now time.Time) {
+	p.reportedAt, p.gatheredAt = now, time.Time{}
 	if alone {
-		p.summedAt = now
+		p.separateAt = now
 	}
 }
 
 // Failed takes that a call of its own failed.
-func (p *Pace) Failed(now time.Time) {
-	p.told = now.Add(failedPause - reportPause)
+func (p *ReportSchedule) Failed(now time.Time) {
+	p.reportedAt = now.Add(retryDelay - reportInterval)
 }
--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -4,7 +4,7 @@
 // alone would lose a request of its own.
 //
 // What is passed on are observations, never verdicts: a Witness says that a request,
-// sent at a time, stayed unanswered through its repetitions; a SignOfLife says that a
+// sent at a time, stayed unanswered through its repetitions; a Activity says that a
 // back end sent something at a time. A sign of life that is newer answers a witness,
 // whoever saw it. Each balancer judges for itself (package tokenroute).
 //
@@ -33,18 +33,18 @@
 // Client is the address of a client, an IPv4 address.
 type Client uint32
 
-// Statement is what a balancer saw of a back end: a Witness or a SignOfLife.
-type Statement interface {
-	// About is the back end.
-	About() Backend
-	// When is the time that the statement speaks of.
-	When() time.Time
-	statement()
+// Observation is what a balancer saw of a back end: a Witness or a Activity.
+type Observation interface {
+	// BackendID is the back end.
+	BackendID() Backend
+	// Time is the time that the statement speaks of.
+	Time() time.Time
+	isObservation()
 }
 
-// Witness says that a client's request was repeated twice and not answered, while
+// UnansweredRequest says that a client's request was repeated twice and not answered, while
 // other back ends answered the balancer that saw it.
-type Witness struct {
+type UnansweredRequest struct {
 	Backend Backend
 	Client  Client
 	// Zone is that of the balancer that saw it.
@@ -53,24 +53,24 @@
 	SentAt time.Time
 }
 
-// SignOfLife says that a back end sent something.
-type SignOfLife struct {
+// Activity says that a back end sent something.
+type Activity struct {
 	Backend Backend
 	At      time.Time
 }
 
-// About implements Statement.
-func (w Witness) About() Backend { return w.Backend }
+// BackendID implements Statement.
+func (w UnansweredRequest) BackendID() Backend { return w.Backend }
 
-// When implements Statement.
-func (w Witness) When() time.Time { return w.SentAt }
+// Time implements Statement.
+func (w UnansweredRequest) Time() time.Time { return w.SentAt }
 
-func (w Witness) statement() {}
+func (w UnansweredRequest) isObservation() {}
 
-// About implements Statement.
-func (s SignOfLife) About() Backend { return s.Backend }
+// BackendID implements Statement.
+func (s Activity) BackendID() Backend { return s.Backend }
 
-// When implements Statement.
-func (s SignOfLife) When() time.Time { return s.At }
+// Time implements Statement.
+func (s Activity) Time() time.Time { return s.At }
 
-func (s SignOfLife) statement() {}
+func (s Activity) isObservation() {}
--- a/internal/observe/summary.go
+++ b/internal/observe/summary.go
@@ -10,11 +10,11 @@
 // Summary is what one balancer has observed up to a time. It is immutable.
 type Summary struct {
 	At time.Time
-	// Waiting is how many requests of this balancer's clients waited for an
+	// InFlight is how many requests of this balancer's clients waited for an
 	// answer of each pool, on average over the last time.
-	Waiting map[string]float64
-	// Places are what this balancer's flows asked since the last summary.
-	Places map[demand.Place]demand.Load
+	InFlight map[string]float64
+	// Loads are what this balancer's flows asked since the last summary.
+	Loads map[demand.ZonePool]demand.Load
 	// Dead are the back ends that are judged dead, whether the directory has them or
 	// not.
 	Dead []incarnation.ID
--- a/internal/observe/tally.go
+++ b/internal/observe/tally.go
@@ -8,49 +8,53 @@
 // Answers are counted in steps of half an octave: lengths in bytes, times in
 // units of timeUnit.
 const (
-	stepsPerOctave = 2
-	steps          = 40
+	bucketsPerOctave = 2
+	buckets          = 40
 	// firstLengthBit is the octave of the shortest length told apart, 16 bytes.
 	firstLengthBit = 5
 	timeUnit       = 250 * time.Microsecond
 )
 
-// Tally counts the answers of one back end by their length and by the time
+// ResponseCounts counts the answers of one back end by their length and by the time
 // until their first acknowledgement. Counts fade.
-type Tally struct {
+type ResponseCounts struct {
 	lengths, times histogram
 }
 
 // histogram counts by step; total is the sum.
 type histogram struct {
-	counts [steps]float32
+	counts [buckets]float32
 	total  float32
 }
 
-// Length counts an answer of so many bytes.
-func (t *Tally) Length(length uint32) { t.lengths.add(step(uint64(length), firstLengthBit)) }
+// AddLength counts an answer of so many bytes.
+func (t *ResponseCounts) AddLength(length uint32) {
+	t.lengths.add(bucketOf(uint64(length), firstLengthBit))
+}
 
-// Time counts an answer whose first part was acknowledged after a time.
-func (t *Tally) Time(took time.Duration) { t.times.add(step(uint64(max(took, 0)/timeUnit), 0)) }
+// AddTime counts an answer whose first part was acknowledged after a time.
+func (t *ResponseCounts) AddTime(took time.Duration) {
+	t.times.add(bucketOf(uint64(max(took, 0)/timeUnit), 0))
+}
 
-// Fade keeps a part of every count.
-func (t *Tally) Fade(part float32) {
-	t.lengths.fade(part)
-	t.times.fade(part)
+// Decay keeps a part of every count.
+func (t *ResponseCounts) Decay(part float32) {
+	t.lengths.decay(part)
+	t.times.decay(part)
 }
 
-// add adds the counts of another tally.
-func (t *Tally) add(other *Tally) {
-	t.lengths.plus(&other.lengths)
-	t.times.plus(&other.times)
+// merge adds the counts of another tally.
+func (t *ResponseCounts) merge(other *ResponseCounts) {
+	t.lengths.merge(&other.lengths)
+	t.times.merge(&other.times)
 }
 
 // Empty tells whether next to nothing is counted any more.
-func (t *Tally) Empty() bool { return t.lengths.total < 0.5 && t.times.total < 0.5 }
+func (t *ResponseCounts) Empty() bool { return t.lengths.total < 0.5 && t.times.total < 0.5 }
 
-// step is the place of a value: its octave, counted from a bit length, and the
+// bucketOf is the place of a value: its octave, counted from a bit length, and the
 // half of it.
-func step(value uint64, firstBit int) int {
+func bucketOf(value uint64, firstBit int) int {
 	length := bits.Len64(value)
 	if length <= firstBit {
 		return 0
@@ -59,7 +63,7 @@
 	if length > 1 {
 		half = int(value>>(length-2)) & 1
 	}
-	return min((length-firstBit)*stepsPerOctave+half, steps-1)
+	return min((length-firstBit)*bucketsPerOctave+half, buckets-1)
 }
 
 func (h *histogram) add(place int) {
@@ -67,14 +71,14 @@
 	h.total++
 }
 
-func (h *histogram) plus(other *histogram) {
+func (h *histogram) merge(other *histogram) {
 	for place, count := range other.counts {
 		h.counts[place] += count
 	}
 	h.total += other.total
 }
 
-func (h *histogram) fade(part float32) {
+func (h *histogram) decay(part float32) {
 	for place := range h.counts {
 		h.counts[place] *= part
 	}
--- a/internal/policy/damping.go
+++ b/internal/policy/damping.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// step is the quantum of weights, of 100.
-	step = 10
-	// threshold is the least change of a weight that is worth an epoch. Each
+	// weightStep is the quantum of weights, of 100.
+	weightStep = 10
+	// minimumWeightChange is the least change of a weight that is worth an epoch. Each
 	// change costs records for the flows it displaces.
-	threshold = 20
+	minimumWeightChange = 20
 	// MinimumInterval is the least time between two changes for load alone.
 	MinimumInterval = 15 * time.Second
 	fullWeight      = 100
@@ -17,8 +17,8 @@
 // only when it is off by the threshold, and only at intervals; a fall to or a
 // rise from 0 passes at once.
 type Damper struct {
-	weights map[uint32]uint32
-	changed time.Time
+	weights   map[uint32]uint32
+	changedAt time.Time
 }
 
 // NewDamper makes a damper that starts from the weights in force.
@@ -41,29 +41,29 @@
 		switch {
 		case !known || (old == 0) != (weight == 0):
 			urgent = true
-		case distance(old, weight) >= threshold:
+		case absoluteDifference(old, weight) >= minimumWeightChange:
 			wanted = true
 		default:
 			weight = old
 		}
 		next[backend] = weight
 	}
-	if !urgent && (!wanted || now.Sub(damper.changed) < MinimumInterval) {
+	if !urgent && (!wanted || now.Sub(damper.changedAt) < MinimumInterval) {
 		return damper.weights, false
 	}
 	damper.weights = next
-	damper.changed = now
+	damper.changedAt = now
 	return next, true
 }
 
 func quantise(weight float64) uint32 {
-	rounded := uint32(weight*fullWeight/step+0.5) * step
+	rounded := uint32(weight*fullWeight/weightStep+0.5) * weightStep
 	if rounded == 0 && weight > 0 {
-		return step
+		return weightStep
 	}
 	return rounded
 }
 
-func distance(left, right uint32) uint32 {
+func absoluteDifference(left, right uint32) uint32 {
 	return max(left, right) - min(left, right)
 }
--- a/internal/rule/rule.go
+++ b/internal/rule/rule.go
@@ -113,18 +113,18 @@
 	return best
 }
 
-// Leader is a candidate of one of several rules.
-type Leader struct {
+// RankedCandidate is a candidate of one of several rules.
+type RankedCandidate struct {
 	Candidate
-	// Rule is the place of its rule.
-	Rule int
+	// RuleIndex is the place of its rule.
+	RuleIndex int
 }
 
-// Leaders puts the first candidates of all rules in the order of a flow into found, the
+// TopCandidates puts the first candidates of all rules in the order of a flow into found, the
 // first one first, and returns how many there are; candidates for which except is true are
 // left out. Weights count across the rules, so that the order is that of one rule with the
 // candidates of all. It does not allocate.
-func Leaders(rules []*Rule, hash uint64, found []Leader, except func(rule int, backend uint32) bool) int {
+func TopCandidates(rules []*Rule, hash uint64, found []RankedCandidate, except func(rule int, backend uint32) bool) int {
 	var scores [16]uint64
 	limit := min(len(found), len(scores))
 	count := 0
@@ -148,7 +148,7 @@
 			for ; at > 0 && scores[at-1] > score; at-- {
 				found[at], scores[at] = found[at-1], scores[at-1]
 			}
-			found[at], scores[at] = Leader{Candidate: *candidate, Rule: place}, score
+			found[at], scores[at] = RankedCandidate{Candidate: *candidate, RuleIndex: place}, score
 		}
 	}
 	return count
--- a/internal/shares/healthlimit.go
+++ b/internal/shares/healthlimit.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	// leastKept is the part of the weight of a number of back ends that is kept, however
+	// minimumRemainingWeight is the part of the weight of a number of back ends that is kept, however
 	// many of them are unwell: those that are well take no more than twice their share.
-	leastKept = 0.5
-	// keptWhenFull is the same where the well ones have no room for more. A fifth may be
+	minimumRemainingWeight = 0.5
+	// maximumRemainingWeight is the same where the well ones have no room for more. A fifth may be
 	// taken off all the same: a request that fails may be lost, one that is shed is not.
-	keptWhenFull = 0.8
+	maximumRemainingWeight = 0.8
 )
 
 // HealthLimit returns the part, 0 to 1, of what health takes off the weights of a number of back
@@ -19,7 +19,7 @@
 	if well >= slots {
 		return 1
 	}
-	kept := math.Min(math.Max(demand/(fullUse*slots), leastKept), keptWhenFull)
+	kept := math.Min(math.Max(demand/(targetUtilization*slots), minimumRemainingWeight), maximumRemainingWeight)
 	return math.Min(1, (1-kept)*slots/(slots-well))
 }
 
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -7,34 +7,34 @@
 //
 // # Usage
 //
-//	remote := shares.Remote(demand, localSlots, remoteSlots)
+//	remote := shares.RemoteShare(demand, localSlots, remoteSlots)
 //	weight := shares.RemoteWeight(remote, localBackends, remoteBackends)
 package shares
 
 import "math"
 
-// fullUse is the part of a zone's slots in use from which on new flows go to
+// targetUtilization is the part of a zone's slots in use from which on new flows go to
 // other zones too. Back ends queue requests well before all slots of their zone
 // are in use, since each has a few only.
-const fullUse = 0.6
+const targetUtilization = 0.6
 
-// leastRemote is the share of new flows that may go to other zones in any case;
+// minimumRemoteShare is the share of new flows that may go to other zones in any case;
 // it only counts where the back ends of this zone are avoided.
-const leastRemote = 0.005
+const minimumRemoteShare = 0.005
 
-// Remote returns the part, 0 to 1, of a zone's new flows that should go to the
+// RemoteShare returns the part, 0 to 1, of a zone's new flows that should go to the
 // back ends of other zones. Demand is how many requests of the zone's clients
 // wait at a time; slots are how many the back ends of a zone handle at once.
-func Remote(demand, localSlots, remoteSlots float64) float64 {
+func RemoteShare(demand, localSlots, remoteSlots float64) float64 {
 	if remoteSlots <= 0 {
 		return 0
 	}
 	even := remoteSlots / (localSlots + remoteSlots)
 	if demand <= 0 {
-		return math.Min(leastRemote, even)
+		return math.Min(minimumRemoteShare, even)
 	}
-	local := fullUse * localSlots / demand
-	return math.Min(math.Max(1-local, leastRemote), even)
+	local := targetUtilization * localSlots / demand
+	return math.Min(math.Max(1-local, minimumRemoteShare), even)
 }
 
 // RemoteWeight returns the weight of each back end in other zones, where each in
--- a/internal/tokenroute/admission.go
+++ b/internal/tokenroute/admission.go
@@ -6,15 +6,15 @@
 
 // Admit takes the levels by which new flows are refused for want of room; nil refuses
 // nobody. It may be called by any goroutine.
-func (f *Flows) Admit(levels *admission.Levels) { f.levels.Store(levels) }
+func (f *Flows) Admit(levels *admission.Refusals) { f.levels.Store(levels) }
 
 // Levels are those in force.
-func (f *Flows) Levels() *admission.Levels { return f.levels.Load() }
+func (f *Flows) Levels() *admission.Refusals { return f.levels.Load() }
 
 // refusing returns the level by which the first packet of a flow is refused, or nil.
 // A copy passes: an earlier one may have been forwarded here or by another balancer, and
 // to refuse it would be to say of a flow that may have opened that it was not.
-func (f *Flows) refusing(route *Route, packet Packet) *admission.Level {
+func (f *Flows) refusing(route *Route, packet Packet) *admission.Refusal {
 	levels := f.levels.Load()
 	if levels == nil || packet.Copy {
 		return nil
@@ -24,7 +24,7 @@
 	if chosen == nil {
 		return nil
 	}
-	level := levels.Refusing(chosen.name, route.urgency, key.Hash())
+	level := levels.Match(chosen.name, route.urgency, key.Hash())
 	if level == nil {
 		return nil
 	}
--- a/internal/tokenroute/builder.go
+++ b/internal/tokenroute/builder.go
@@ -18,38 +18,38 @@
 // have changed, their tokens and the routes, and not by all back ends: 15 ms in place of 91
 // after one change at 10,000 was still by all.
 type builder struct {
-	options  Options
-	previous *Table
-	groups   []*directory.Group
-	tokens   *tokenChanges
-	parts    map[directory.Place]*part
-	pools    map[string]*pool
-	// mixed are the pools of which two back ends share a token.
-	mixed map[string]bool
+	options   Options
+	previous  *Table
+	groups    []*directory.Group
+	tokens    *tokenIndexBuilder
+	poolZones map[directory.Place]*poolZone
+	pools     map[string]*pool
+	// sharedTokenPools are the pools of which two back ends share a token.
+	sharedTokenPools map[string]bool
 	// restarted are the back ends of which an earlier start was known.
 	restarted []*Backend
 }
 
-var noTable = &Table{tokens: &tokenIndex{}}
+var emptyTable = &Table{tokens: &tokenIndex{}}
 
 func newBuilder(known *directory.Directory, options Options) *builder {
 	previous := options.Previous
 	if previous == nil {
-		previous = noTable
+		previous = emptyTable
 	}
 	made := &builder{
-		options:  options,
-		previous: previous,
-		groups:   known.Groups(),
-		tokens:   newTokenChanges(previous.tokens),
-		parts:    make(map[directory.Place]*part),
-		pools:    make(map[string]*pool),
-		mixed:    make(map[string]bool),
-	}
-	maps.Copy(made.mixed, previous.mixed)
+		options:          options,
+		previous:         previous,
+		groups:           known.Groups(),
+		tokens:           newTokenIndexBuilder(previous.tokens),
+		poolZones:        make(map[directory.Place]*poolZone),
+		pools:            make(map[string]*pool),
+		sharedTokenPools: make(map[string]bool),
+	}
+	maps.Copy(made.sharedTokenPools, previous.sharedTokenPools)
 	backends := made.indexBackends()
 	for place, group := range made.groups {
-		made.addPart(group, backends[place])
+		made.addPoolZone(group, backends[place])
 	}
 	return made
 }
@@ -61,19 +61,19 @@
 	listed := make(map[directory.Place]bool, len(b.groups))
 	for place, group := range b.groups {
 		listed[group.Place] = true
-		known := b.previous.parts[group.Place]
-		if known != nil && known.version == group.Version && b.options.Warm == nil {
+		known := b.previous.poolZones[group.Place]
+		if known != nil && known.version == group.Version && b.options.Warmup == nil {
 			found[place] = known.backends
 			continue
 		}
 		if known == nil {
-			known = &part{}
+			known = &poolZone{}
 		}
 		found[place] = b.backendsOf(group, known.backends)
 	}
-	for place, known := range b.previous.parts {
+	for place, known := range b.previous.poolZones {
 		if !listed[place] {
-			b.release(known.backends)
+			b.removeTokens(known.backends)
 		}
 	}
 	return found
@@ -89,7 +89,7 @@
 		for before < len(previous) && strings.Compare(previous[before].ID, entry.GetId()) < 0 {
 			before++
 		}
-		b.release(previous[:before])
+		b.removeTokens(previous[:before])
 		previous = previous[before:]
 		var known *Backend
 		if len(previous) > 0 && previous[0].ID == entry.GetId() {
@@ -97,15 +97,15 @@
 		}
 		made[place] = b.backend(entry, known)
 	}
-	b.release(previous)
+	b.removeTokens(previous)
 	return made
 }
 
 // backend is the back end of an entry; known is that of the previous table, or nil.
 func (b *builder) backend(entry directory.BackendEntry, known *Backend) *Backend {
 	wanted := newBackend(entry)
-	if b.options.Warm != nil {
-		wanted.Warming = b.options.Warm(entry)
+	if b.options.Warmup != nil {
+		wanted.Warmup = b.options.Warmup(entry)
 	}
 	if known != nil && *known == wanted {
 		return known
@@ -116,29 +116,29 @@
 	made := wanted.clone()
 	for _, each := range b.tokens.add(made) {
 		if each != made && each.Pool == made.Pool {
-			b.mixed[made.Pool] = true
+			b.sharedTokenPools[made.Pool] = true
 		}
 	}
 	return made
 }
 
-// release takes the tokens of back ends that are not listed any more.
-func (b *builder) release(backends []*Backend) {
+// removeTokens takes the tokens of back ends that are not listed any more.
+func (b *builder) removeTokens(backends []*Backend) {
 	for _, each := range backends {
 		b.tokens.remove(each)
 	}
 }
 
-// addPart adds the part of a group, the previous one where nothing that it depends on has
+// addPoolZone adds the part of a group, the previous one where nothing that it depends on has
 // changed.
-func (b *builder) addPart(group *directory.Group, backends []*Backend) {
+func (b *builder) addPoolZone(group *directory.Group, backends []*Backend) {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
-	made := b.previous.parts[group.Place]
-	if made == nil || b.mixed[group.Pool] || !made.sees(group.Version, evacuated, weight, uniform) {
-		made = b.part(group, backends)
+	made := b.previous.poolZones[group.Place]
+	if made == nil || b.sharedTokenPools[group.Pool] || !made.reusable(group.Version, evacuated, weight, uniform) {
+		made = b.poolZone(group, backends)
 	}
-	b.parts[group.Place] = made
+	b.poolZones[group.Place] = made
 	b.restarted = append(b.restarted, made.restarted...)
 }
 
@@ -155,13 +155,13 @@
 	}
 }
 
-// holdsToken tells whether the back end is the first of its pool to have its
+// ownsToken tells whether the back end is the first of its pool to have its
 // token.
-func (b *builder) holdsToken(backend *Backend) bool {
-	if !b.mixed[backend.Pool] {
+func (b *builder) ownsToken(backend *Backend) bool {
+	if !b.sharedTokenPools[backend.Pool] {
 		return true
 	}
-	for _, each := range b.tokens.made.of(backend.Token) {
+	for _, each := range b.tokens.index.backends(backend.Token) {
 		if each.Pool == backend.Pool {
 			return each == backend
 		}
@@ -178,20 +178,20 @@
 }
 
 func (b *builder) route(configured *apiv1.ServiceRoute, former map[string]bool) *Route {
-	made := &Route{Name: configured.GetName(), urgency: admission.Urgency(configured.GetPriority()), admitted: make(map[string]bool), admitAll: b.options.AdmitAll}
+	made := &Route{Name: configured.GetName(), urgency: admission.Priority(configured.GetPriority()), admittedPools: make(map[string]bool), admitAllPools: b.options.AdmitAllPools}
 	for name := range former {
-		made.admitted[name] = true
+		made.admittedPools[name] = true
 	}
 	var candidates []rule.Candidate
 	for _, share := range configured.GetPools() {
-		made.admitted[share.GetPool()] = true
+		made.admittedPools[share.GetPool()] = true
 		made.pools = append(made.pools, b.pool(share.GetPool()))
 		candidates = append(candidates, rule.Candidate{
 			Backend: uint32(len(made.pools)),
 			Weight:  share.GetWeight(),
 		})
 	}
-	made.shares = rule.New(made.Name, AddressOf(configured), salt(made.Name), candidates)
+	made.poolRule = rule.New(made.Name, AddressOf(configured), salt(made.Name), candidates)
 	return made
 }
 
@@ -213,17 +213,17 @@
 	if made := b.pools[name]; made != nil {
 		return made
 	}
-	made := &pool{name: name, byZone: b.options.ByZone != nil && b.options.ByZone(name)}
+	made := &pool{name: name, zoneByWeight: b.options.ZoneByWeight != nil && b.options.ZoneByWeight(name)}
 	b.pools[name] = made
 	groups := b.groupsOf(name)
-	ready := slices.ContainsFunc(groups, func(each *directory.Group) bool { return len(b.parts[each.Place].chosen) > 0 })
+	ready := slices.ContainsFunc(groups, func(each *directory.Group) bool { return len(b.poolZones[each.Place].eligible) > 0 })
 	for _, group := range groups {
-		joined := b.parts[group.Place]
+		joined := b.poolZones[group.Place]
 		if !ready {
-			joined = b.vanished(group, joined)
+			joined = b.vanishedPoolZone(group, joined)
 		}
-		made.evacuated = made.evacuated || joined.withheld
-		made.parts = append(made.parts, joined)
+		made.withheldByEvacuation = made.withheldByEvacuation || joined.withheldByEvacuation
+		made.zones = append(made.zones, joined)
 		made.rules = append(made.rules, joined.rule)
 	}
 	return made
--- a/internal/tokenroute/decide.go
+++ b/internal/tokenroute/decide.go
@@ -79,7 +79,7 @@
 	Reason  Reason
 	Backend *Backend
 	// Level is that by which the flow was refused for want of room.
-	Level *admission.Level
+	Level *admission.Refusal
 }
 
 // Decide decides one packet by a table, which may be nil while nothing is
@@ -89,9 +89,9 @@
 	if table == nil {
 		return Decision{Verdict: Drop, Reason: ReasonNoTable}
 	}
-	f.Renew(table, now)
+	f.SetTable(table, now)
 	if !f.off.Has(mechanism.RestedFlows) {
-		f.memory.rest = table.Rest
+		f.memory.rest = table.IdleTimeout
 	}
 	route := table.Route(packet.Key.Address())
 	if packet.First {
@@ -101,7 +101,7 @@
 		return Decision{Verdict: Drop, Reason: ReasonNoRoute}
 	}
 	named := table.Resolve(route, packet.Token)
-	if named == nil && table.Known(packet.Token) {
+	if named == nil && table.KnowsToken(packet.Token) {
 		return Decision{Verdict: Drop, Reason: ReasonForeignToken}
 	}
 	if named == nil {
@@ -164,7 +164,7 @@
 	}
 	chosen := f.First(route, packet.Key, now)
 	if chosen == nil {
-		return Decision{Verdict: Refuse, Reason: route.refusal(packet.Key.Hash())}
+		return Decision{Verdict: Refuse, Reason: route.refusalReason(packet.Key.Hash())}
 	}
 	return Decision{Verdict: Forward, Reason: ReasonNewFlow, Backend: chosen}
 }
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -19,7 +19,7 @@
 	memory *memory
 	queue  []waiting
 	// places are what is asked of each pool in each zone.
-	places map[demand.Place]*placeAsked
+	places map[demand.ZonePool]*placeAsked
 	silent map[incarnation.ID]*silence
 	zones  *zones
 	loads  map[incarnation.ID]*load
@@ -28,9 +28,9 @@
 	// last compared.
 	summarizedAt, judgedAt time.Time
 	// cold counts what goes to cold back ends.
-	cold allowance
+	cold warmupLimiter
 	// levels say which new flows are refused for want of room.
-	levels atomic.Pointer[admission.Levels]
+	levels atomic.Pointer[admission.Refusals]
 	// saturated are the pools whose answers tell of their queues.
 	saturated atomic.Pointer[map[string]bool]
 	// table is the latest one, and restarted are the starts whose earlier flows were given
@@ -38,7 +38,7 @@
 	table     *Table
 	restarted map[incarnation.ID]bool
 	// liveness judges back ends by the later packets of their flows.
-	liveness *Liveness
+	liveness *FailureDetector
 	// Retried counts first packets that went to another back end.
 	Retried atomic.Uint64
 	// Missed counts back ends that did not answer in time.
@@ -60,7 +60,7 @@
 		zones:    zones,
 		loads:    make(map[incarnation.ID]*load),
 		pools:    make(map[string]*poolUse),
-		liveness: newLiveness(memory, zones, off),
+		liveness: newFailureDetector(memory, zones, off),
 	}
 }
 
@@ -71,12 +71,12 @@
 }
 
 // Verdicts is how often a back end was judged dead.
-func (f *Flows) Verdicts() uint64 { return f.liveness.Verdicts.Load() }
+func (f *Flows) Verdicts() uint64 { return f.liveness.FailureCount.Load() }
 
 // TakeVerdicts returns the back ends that were judged dead since the last call.
-func (f *Flows) TakeVerdicts() []DeathVerdict {
-	taken := f.liveness.verdicts
-	f.liveness.verdicts = nil
+func (f *Flows) TakeVerdicts() []BackendFailure {
+	taken := f.liveness.failures
+	f.liveness.failures = nil
 	return taken
 }
 
@@ -113,7 +113,7 @@
 	if known.opened != nil {
 		return known.opened
 	}
-	if known.count > 0 && (now.Sub(known.sentAt) < AnswerTime || known.count == maximumTried) && route.Takes(known.last()) {
+	if known.count > 0 && (now.Sub(known.sentAt) < AnswerTime || known.count == maximumTried) && route.Accepts(known.last()) {
 		return known.last()
 	}
 	prefer := func(backend *Backend) Preference { return f.preference(known, backend, now) }
@@ -131,7 +131,7 @@
 	if warmth == Forbidden {
 		return Forbidden
 	}
-	if known.wasTried(backend) || f.liveness.Dead(backend, now) {
+	if known.wasTried(backend) || f.liveness.Failed(backend, now) {
 		return Avoided
 	}
 	silent := f.silent[backend.Incarnation()]
@@ -139,7 +139,7 @@
 		return Avoided
 	}
 	if f.zones.avoids(backend.Zone, now) {
-		return max(warmth, Distrusted)
+		return max(warmth, Suspected)
 	}
 	return warmth
 }
@@ -158,7 +158,7 @@
 	known := f.loads[backend.Incarnation()]
 	if known == nil {
 		known = &load{pool: f.poolUse(backend.Pool), place: f.placeAsked(backend.Pool, backend.Zone),
-			answers: make(map[flow.Address]*observe.Answers)}
+			answers: make(map[flow.Address]*observe.ResponseHistory)}
 		f.loads[backend.Incarnation()] = known
 	}
 	return known
@@ -178,7 +178,7 @@
 	if known.count > 0 {
 		f.Retried.Add(1)
 	}
-	f.cold.take(chosen, now)
+	f.cold.record(chosen, now)
 	f.countOpening(chosen, known.count == 0)
 	known.count = min(known.count, maximumTried-1)
 	known.tried[known.count] = chosen
@@ -258,8 +258,8 @@
 	if !f.memory.turn(now) {
 		return
 	}
-	f.liveness.forget(now)
-	f.cold.forget(now)
+	f.liveness.expire(now)
+	f.cold.expire(now)
 	for id, state := range f.silent {
 		if now.Sub(state.avoidUntil) > avoidLongest {
 			delete(f.silent, id)
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -12,32 +12,32 @@
 
 // The pace of the judgement on back ends.
 const (
-	// repeatPause is how far apart two copies of a packet must have been
+	// minRetransmitInterval is how far apart two copies of a packet must have been
 	// forwarded for the later one to count as a repetition. A stalled balancer
 	// that reads several copies at once thus counts one.
-	repeatPause = 150 * time.Millisecond
-	// repeatsForWitness is how often a request must have been repeated for its
+	minRetransmitInterval = 150 * time.Millisecond
+	// retransmitsToReport is how often a request must have been repeated for its
 	// flow to speak against the back end: clients repeat after 200 and 600 ms,
 	// and a back end that is well answers the first repetition at the latest.
-	repeatsForWitness = 2
-	// repeatsForProof is how often a request must have been repeated for its
+	retransmitsToReport = 2
+	// retransmitsToFail is how often a request must have been repeated for its
 	// flow alone to prove that the back end is dead. Where many balancers share
 	// the flows of many back ends, each sees one or none of a back end's.
-	repeatsForProof = 3
-	// witnessesNeeded is how many clients must speak against a back end. An entry that is
+	retransmitsToFail = 3
+	// clientsToFail is how many clients must speak against a back end. An entry that is
 	// gone is no further witness: back ends serve on without one.
-	witnessesNeeded = 2
-	// promptRatio is how many back ends must have answered promptly for each
+	clientsToFail = 2
+	// minPromptRatio is how many back ends must have answered promptly for each
 	// other one that did not, before a balancer trusts its own link.
-	promptRatio = 2
-	// verdictTime is how long a verdict lasts without a new witness. It stays
+	minPromptRatio = 2
+	// failureTTL is how long a verdict lasts without a new witness. It stays
 	// well below the time for which a disruption excuses a reset.
-	verdictTime = 2 * time.Second
-	// judgedLimit bounds the back ends judged at a time.
-	judgedLimit = 32768
+	failureTTL = 2 * time.Second
+	// maxBackendHealth bounds the back ends judged at a time.
+	maxBackendHealth = 32768
 )
 
-// Liveness tells back ends that have fallen silent by the packets of their
+// FailureDetector tells back ends that have fallen silent by the packets of their
 // clients. The balancer sees no answers, since back ends send them straight to
 // the clients; but a client repeats what was not acknowledged, and acknowledges
 // what it received. A request that was repeated twice, from two clients, or three
@@ -54,7 +54,7 @@
 // drops them, copies that did not pass through this balancer do not count, and a
 // verdict ends by itself unless the directory too says that the back end is gone.
 // A balancer whose own link is full loses the requests to all its back ends; so
-// there is no verdict unless others answered promptly meanwhile, promptRatio
+// there is no verdict unless others answered promptly meanwhile, minPromptRatio
 // times as many as did not, and unless repetitions are so seldom what brings an answer
 // that a lost packet would be a poor explanation (link).
 //
@@ -62,36 +62,36 @@
 // before a request of its own is lost to it.
 //
 // It belongs to one traffic goroutine.
-type Liveness struct {
-	off mechanism.Set
+type FailureDetector struct {
+	disabled mechanism.Set
 	// zone is that of this balancer.
 	zone   string
 	memory *memory
 	zones  *zones
-	judged map[incarnation.ID]*judgement
+	health map[incarnation.ID]*backendHealth
 	// link is what the answers tell of the balancer's own link.
 	link      link
 	abandoned []Abandoned
-	verdicts  []DeathVerdict
+	failures  []BackendFailure
 	// statements are what other balancers have yet to be told.
-	statements []evidence.Statement
-	// held are the back ends whose joined witnesses wait for an answer.
-	held []held
-	// Verdicts counts the verdicts that back ends are dead.
-	Verdicts atomic.Uint64
+	statements []evidence.Observation
+	// pending are the back ends whose joined witnesses wait for an answer.
+	pending []pendingEvaluation
+	// FailureCount counts the verdicts that back ends are dead.
+	FailureCount atomic.Uint64
 }
 
-// newLiveness makes a judge of the back ends of the flows in a memory, against
+// newFailureDetector makes a judge of the back ends of the flows in a memory, against
 // whom nothing speaks yet.
-func newLiveness(memory *memory, zones *zones, off mechanism.Set) *Liveness {
-	return &Liveness{off: off, memory: memory, zones: zones, judged: make(map[incarnation.ID]*judgement)}
+func newFailureDetector(memory *memory, zones *zones, off mechanism.Set) *FailureDetector {
+	return &FailureDetector{disabled: off, memory: memory, zones: zones, health: make(map[incarnation.ID]*backendHealth)}
 }
 
 // Observe takes a later packet of a flow that goes to a back end, and tells
 // whether the back end counts as dead for it. Only packets with data are ever
 // answered with true: the others ask for nothing. The state of the flow may be
 // nil for packets without data.
-func (l *Liveness) Observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
+func (l *FailureDetector) Observe(packet Packet, state *flowState, backend *Backend, now time.Time) bool {
 	if packet.Closing {
 		return false
 	}
@@ -100,42 +100,42 @@
 		return false
 	}
 	l.observeData(packet, state, backend, now)
-	return l.Dead(backend, now)
+	return l.Failed(backend, now)
 }
 
 // observeAcknowledgement follows a packet without data: the client sends it at
 // once when it has received something.
-func (l *Liveness) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	l.prove(backend, now)
+func (l *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
+	l.recordAlive(backend, now)
 	if state == nil || state.track.backend == nil {
 		return
 	}
 	state.track.expected = packet.Acknowledged
 	if state.track.acknowledged != packet.Acknowledged {
-		l.answered(packet.Key, state, backend, now)
+		l.recordAnswer(packet.Key, state, backend, now)
 	}
 }
 
 // observeData follows the oldest unanswered packet of a flow. A packet that
 // acknowledges more than the one before proves that the back end lived when
 // that one passed, at least.
-func (l *Liveness) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
+func (l *FailureDetector) observeData(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	known := &state.track
 	switch {
 	case known.backend == nil:
-		l.follow(packet, state, backend, now)
+		l.trackRequest(packet, state, backend, now)
 	case known.acknowledged != packet.Acknowledged:
-		l.prove(backend, known.passedAt)
-		l.answered(packet.Key, state, backend, now)
+		l.recordAlive(backend, known.passedAt)
+		l.recordAnswer(packet.Key, state, backend, now)
 		state.ended(packet.Key.Address(), packet.Acknowledged)
-		l.follow(packet, state, backend, now)
+		l.trackRequest(packet, state, backend, now)
 	case known.sequence == packet.Sequence && known.backend.Incarnation() != backend.Incarnation():
 		// What an earlier start left unanswered says nothing of this one.
-		l.follow(packet, state, backend, now)
+		l.trackRequest(packet, state, backend, now)
 	case known.sequence == packet.Sequence:
 		known.backend, known.passedAt = backend, now
 		state.waitsStill(now)
-		l.repeat(known, packet, now)
+		l.recordRetransmission(known, packet, now)
 		if known.repeats > 0 {
 			state.unreach(now)
 		}
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *Liveness) follow(packet Packet, state *flowState, backend *Backend, now time.Time) {
+func (l *FailureDetector) trackRequest(packet Packet, state *flowState, backend *Backend, now time.Time) {
 	state.setWaiting(true, now)
 	if state.seenAt.IsZero() {
 		state.seenAt = now
@@ -157,31 +157,31 @@
 	}
 }
 
-// repeat counts a copy of an unanswered packet and lets its client speak
+// recordRetransmission counts a copy of an unanswered packet and lets its client speak
 // against the back end when there were enough.
-func (l *Liveness) repeat(known *track, packet Packet, now time.Time) {
-	if now.Sub(known.repeatedAt) < repeatPause {
+func (l *FailureDetector) recordRetransmission(known *track, packet Packet, now time.Time) {
+	if now.Sub(known.repeatedAt) < minRetransmitInterval {
 		return
 	}
 	known.repeats++
 	known.repeatedAt = now
 	l.zones.missed(known.backend, known.sentAt, now)
-	if judged := l.judgementOf(known.backend); judged != nil {
-		judged.troubledAt = now
+	if judged := l.healthOf(known.backend); judged != nil {
+		judged.retransmittedAt = now
 	}
-	if known.repeats >= repeatsForWitness {
-		l.accuse(known, clientAddress(packet.Key.Source), now)
+	if known.repeats >= retransmitsToReport {
+		l.recordUnanswered(known, clientAddress(packet.Key.Source), now)
 	}
 }
 
-// answered takes that the oldest request of a flow was answered.
-func (l *Liveness) answered(key flow.Key, state *flowState, backend *Backend, now time.Time) {
+// recordAnswer takes that the oldest request of a flow was answered.
+func (l *FailureDetector) recordAnswer(key flow.Key, state *flowState, backend *Backend, now time.Time) {
 	state.setWaiting(false, now)
 	known := &state.track
-	judged := l.judgementOf(backend)
+	judged := l.healthOf(backend)
 	if state.load != nil && known.repeats == 0 && !known.timed {
 		known.timed = true
-		state.load.answersTo(key.Address()).Time(now.Sub(known.sentAt))
+		state.load.answersTo(key.Address()).AddTime(now.Sub(known.sentAt))
 	}
 	if !known.counted {
 		known.counted = true
@@ -190,58 +190,58 @@
 	if known.repeats == 0 {
 		l.zones.answered(backend, known.sentAt)
 	}
-	if judged != nil && known.repeats == 0 && known.sentAt.After(judged.promptAt) {
-		judged.promptAt = known.sentAt
+	if judged != nil && known.repeats == 0 && known.sentAt.After(judged.promptSentAt) {
+		judged.promptSentAt = known.sentAt
 	}
 }
 
-// judgementOf returns the judgement of a back end, or nil when there are too
+// healthOf returns the judgement of a back end, or nil when there are too
 // many.
-func (l *Liveness) judgementOf(backend *Backend) *judgement {
-	judged := l.judged[backend.Incarnation()]
-	if judged == nil && len(l.judged) < judgedLimit {
-		judged = &judgement{witnesses: make(map[clientAddress]witness)}
-		l.judged[backend.Incarnation()] = judged
+func (l *FailureDetector) healthOf(backend *Backend) *backendHealth {
+	judged := l.health[backend.Incarnation()]
+	if judged == nil && len(l.health) < maxBackendHealth {
+		judged = &backendHealth{unanswered: make(map[clientAddress]unansweredRequest)}
+		l.health[backend.Incarnation()] = judged
 	}
 	return judged
 }
 
-// accuse lets a client speak against the back end of its flow.
-func (l *Liveness) accuse(known *track, client clientAddress, now time.Time) {
+// recordUnanswered lets a client speak against the back end of its flow.
+func (l *FailureDetector) recordUnanswered(known *track, client clientAddress, now time.Time) {
 	backend := known.backend
-	judged := l.judgementOf(backend)
-	if judged == nil || !known.sentAt.After(judged.provenAt) {
+	judged := l.healthOf(backend)
+	if judged == nil || !known.sentAt.After(judged.aliveAt) {
 		return
 	}
-	prompt := l.othersPrompt(judged, known.sentAt) && l.link.doubt(known.repeats, known.sentAt, now) <= doubtOfWitness
-	judged.witnesses[client] = witness{sentAt: known.sentAt, prompt: prompt, copies: known.repeats}
-	if !prompt || l.off.Has(mechanism.Verdicts) {
+	prompt := l.othersResponsive(judged, known.sentAt) && l.link.doubt(known.repeats, known.sentAt, now) <= doubtOfWitness
+	judged.unanswered[client] = unansweredRequest{sentAt: known.sentAt, othersAnswered: prompt, copies: known.repeats}
+	if !prompt || l.disabled.Has(mechanism.Verdicts) {
 		return
 	}
-	l.testify(backend, client, known.sentAt)
-	enough := known.repeats >= repeatsForProof || judged.own() >= witnessesNeeded
-	if enough && l.link.doubt(judged.copies(), known.sentAt, now) <= doubtOfVerdict {
-		l.condemn(judged, backend, now)
+	l.reportUnanswered(backend, client, known.sentAt)
+	enough := known.repeats >= retransmitsToFail || judged.localClients() >= clientsToFail
+	if enough && l.link.doubt(judged.lostCopies(), known.sentAt, now) <= doubtOfVerdict {
+		l.markFailed(judged, backend, now)
 		return
 	}
-	l.weigh(judged, backend, now)
+	l.evaluate(judged, backend, now)
 }
 
-// condemn judges a back end dead for a while.
-func (l *Liveness) condemn(judged *judgement, backend *Backend, now time.Time) {
-	if !now.Before(judged.deadUntil) {
-		l.Verdicts.Add(1)
-		l.verdicts = append(l.verdicts, judged.verdict(backend))
-		if !l.off.Has(mechanism.IdleResets) {
-			l.abandon(backend, now)
+// markFailed judges a back end dead for a while.
+func (l *FailureDetector) markFailed(judged *backendHealth, backend *Backend, now time.Time) {
+	if !now.Before(judged.failedUntil) {
+		l.FailureCount.Add(1)
+		l.failures = append(l.failures, judged.failure(backend))
+		if !l.disabled.Has(mechanism.IdleResets) {
+			l.abandonFlows(backend, now)
 		}
 	}
-	judged.deadUntil = now.Add(verdictTime)
+	judged.failedUntil = now.Add(failureTTL)
 }
 
-// abandon puts the flows of a dead back end that are remembered on the list of
+// abandonFlows puts the flows of a dead back end that are remembered on the list of
 // those to reset, and forgets them.
-func (l *Liveness) abandon(backend *Backend, now time.Time) {
+func (l *FailureDetector) abandonFlows(backend *Backend, now time.Time) {
 	for _, generation := range []map[flow.Key]*flowState{l.memory.current, l.memory.previous} {
 		for key, state := range generation {
 			known := &state.track
@@ -257,38 +257,38 @@
 	}
 }
 
-// prove takes that a back end lived at a time. Requests sent until then no
+// recordAlive takes that a back end lived at a time. Requests sent until then no
 // longer speak against it, and a verdict that rests on them ends.
-func (l *Liveness) prove(backend *Backend, livedAt time.Time) {
-	judged := l.judgementOf(backend)
+func (l *FailureDetector) recordAlive(backend *Backend, livedAt time.Time) {
+	judged := l.healthOf(backend)
 	if judged == nil {
 		return
 	}
-	if !livedAt.After(judged.provenAt) {
+	if !livedAt.After(judged.aliveAt) {
 		return
 	}
-	judged.provenAt = livedAt
+	judged.aliveAt = livedAt
 	answers := false
-	for client, each := range judged.witnesses {
+	for client, each := range judged.unanswered {
 		if !each.sentAt.After(livedAt) {
-			answers = answers || each.told()
-			delete(judged.witnesses, client)
+			answers = answers || each.remote()
+			delete(judged.unanswered, client)
 		}
 	}
 	if answers {
-		l.answer(backend, judged)
+		l.reportAlive(backend, judged)
 	}
-	if len(judged.witnesses) == 0 {
-		judged.deadUntil = time.Time{}
+	if len(judged.unanswered) == 0 {
+		judged.failedUntil = time.Time{}
 	}
 }
 
-// Dead tells whether a back end counts as dead. The verdict on one whose entry
+// Failed tells whether a back end counts as dead. The verdict on one whose entry
 // is gone stays until something proves the opposite.
-func (l *Liveness) Dead(backend *Backend, now time.Time) bool {
-	judged := l.judged[backend.Incarnation()]
-	if judged == nil || judged.deadUntil.IsZero() {
+func (l *FailureDetector) Failed(backend *Backend, now time.Time) bool {
+	judged := l.health[backend.Incarnation()]
+	if judged == nil || judged.failedUntil.IsZero() {
 		return false
 	}
-	return backend.Gone || now.Before(judged.deadUntil)
+	return backend.Gone || now.Before(judged.failedUntil)
 }
--- a/internal/tokenroute/memory.go
+++ b/internal/tokenroute/memory.go
@@ -54,24 +54,24 @@
 	// answers are those of the back end by the address that was asked: what is
 	// usual differs between addresses, and flows that last make some back ends
 	// serve one more than another.
-	answers map[flow.Address]*observe.Answers
+	answers map[flow.Address]*observe.ResponseHistory
 	finding observe.Finding
 }
 
 // answersTo returns the tally of the back end's answers to an address.
-func (l *load) answersTo(address flow.Address) *observe.Tally {
+func (l *load) answersTo(address flow.Address) *observe.ResponseCounts {
 	known := l.answers[address]
 	if known == nil {
-		known = &observe.Answers{}
+		known = &observe.ResponseHistory{}
 		l.answers[address] = known
 	}
-	return known.Latest()
+	return known.Current()
 }
 
 // poolUse is what the flows that pass here use of a pool.
 type poolUse struct {
 	name string
-	use  observe.Use
+	use  observe.InFlightAverage
 }
 
 // attach counts a flow at the load of its back end.
--- a/internal/tokenroute/part.go
+++ b/internal/tokenroute/part.go
@@ -9,9 +9,9 @@
 	"github.com/indigobarrow/indigobarrow/internal/rule"
 )
 
-// part is the back ends of a pool in one zone. It is immutable, and tables share it as long
+// poolZone is the back ends of a pool in one zone. It is immutable, and tables share it as long
 // as nothing that it depends on changes.
-type part struct {
+type poolZone struct {
 	// version is that of the group of entries, and weight what each back end takes of new
 	// flows; uniform is set where all take the same.
 	version uint64
@@ -19,84 +19,84 @@
 	uniform bool
 	// evacuated is set while the zone takes no new flows, and withheld when some back end
 	// takes none only because of that.
-	evacuated, withheld bool
-	// lasting is set unless the part changes with time alone.
-	lasting bool
+	evacuated, withheldByEvacuation bool
+	// timeIndependent is set unless the part changes with time alone.
+	timeIndependent bool
 	// backends are all, and restarted those of which an earlier start was known, by id.
 	backends, restarted []*Backend
-	// chosen are those that may take new flows, by id, and rule orders flows over them.
-	chosen []*Backend
-	rule   *rule.Rule
+	// eligible are those that may take new flows, by id, and rule orders flows over them.
+	eligible []*Backend
+	rule     *rule.Rule
 }
 
-// sees tells whether a part may be taken over where its group, the state of its zone and its
+// reusable tells whether a part may be taken over where its group, the state of its zone and its
 // weight are these.
-func (p *part) sees(version uint64, evacuated bool, weight uint32, uniform bool) bool {
-	return p.lasting && p.uniform && uniform && p.version == version && p.evacuated == evacuated && p.weight == weight
+func (p *poolZone) reusable(version uint64, evacuated bool, weight uint32, uniform bool) bool {
+	return p.timeIndependent && p.uniform && uniform && p.version == version && p.evacuated == evacuated && p.weight == weight
 }
 
-// takes tells whether a back end takes new flows here.
-func (p *part) takes(backend *Backend) bool {
-	place, found := slices.BinarySearchFunc(p.chosen, backend.ID, func(each *Backend, id string) int { return strings.Compare(each.ID, id) })
-	return found && p.chosen[place].Number == backend.Number
+// accepts tells whether a back end takes new flows here.
+func (p *poolZone) accepts(backend *Backend) bool {
+	place, found := slices.BinarySearchFunc(p.eligible, backend.ID, func(each *Backend, id string) int { return strings.Compare(each.ID, id) })
+	return found && p.eligible[place].Number == backend.Number
 }
 
-// part makes the part of a group. Those that may take new flows have an entry, or one that
+// poolZone makes the part of a group. Those that may take new flows have an entry, or one that
 // lapsed while the store was away and may come back. None of them is in an evacuated zone.
-func (b *builder) part(group *directory.Group, backends []*Backend) *part {
+func (b *builder) poolZone(group *directory.Group, backends []*Backend) *poolZone {
 	_, evacuated := b.options.Evacuated[group.Zone]
 	weight, uniform := b.weight(group.Place)
-	made := &part{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
-		lasting: b.options.Warm == nil, backends: backends}
+	made := &poolZone{version: group.Version, weight: weight, uniform: uniform, evacuated: evacuated,
+		timeIndependent: b.options.Warmup == nil, backends: backends}
 	for place := range group.Entries {
 		entry, backend := &group.Entries[place], backends[place]
 		if entry.Restarted {
 			made.restarted = append(made.restarted, backend)
 		}
 		if entry.Gone && !entry.VanishedAt.IsZero() {
-			made.lasting = made.lasting && !b.mayReturn(entry)
+			made.timeIndependent = made.timeIndependent && !b.mayReturn(entry)
 		}
-		if entry.GetDraining() || !b.holdsToken(backend) {
+		if entry.GetDraining() || !b.ownsToken(backend) {
 			continue
 		}
-		switch ready := !entry.Gone || b.options.Lapse.covers(entry.VanishedAt, b.options.Now); {
+		switch ready := !entry.Gone || b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now); {
 		case evacuated:
-			made.withheld = made.withheld || !entry.Gone
+			made.withheldByEvacuation = made.withheldByEvacuation || !entry.Gone
 		case ready:
-			made.chosen = append(made.chosen, backend)
+			made.eligible = append(made.eligible, backend)
 		}
 	}
-	made.rule = b.rule(group, made.chosen, weight, uniform)
+	made.rule = b.rule(group, made.eligible, weight, uniform)
 	return made
 }
 
 // mayReturn tells whether a back end that vanished may still take new flows for a time.
 func (b *builder) mayReturn(entry *directory.BackendEntry) bool {
-	return b.options.Lapse.covers(entry.VanishedAt, b.options.Now) || b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyGrace
+	return b.options.StoreRecovery.covers(entry.VanishedAt, b.options.Now) || b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
 }
 
-// vanished is the part with those back ends that have just vanished. They take new flows
+// vanishedPoolZone is the part with those back ends that have just vanished. They take new flows
 // where their pool has no other.
-func (b *builder) vanished(group *directory.Group, of *part) *part {
-	made := &part{backends: of.backends, withheld: of.withheld}
+func (b *builder) vanishedPoolZone(group *directory.Group, of *poolZone) *poolZone {
+	made := &poolZone{backends: of.backends, withheldByEvacuation: of.withheldByEvacuation}
 	for place := range group.Entries {
 		entry := &group.Entries[place]
-		just := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyGrace
-		if just && !of.evacuated && !entry.GetDraining() && b.holdsToken(of.backends[place]) {
-			made.chosen = append(made.chosen, of.backends[place])
+		just := entry.Gone && b.options.Now.Sub(entry.VanishedAt) < b.options.EmptyPoolGrace
+		if just && !of.evacuated && !entry.GetDraining() && b.ownsToken(of.backends[place]) {
+			made.eligible = append(made.eligible, of.backends[place])
 		}
 	}
-	made.rule = b.rule(group, made.chosen, of.weight, of.uniform)
+	made.rule = b.rule(group, made.eligible, of.weight, of.uniform)
 	return made
 }
 
 // weight is the share of new flows that each back end of a place takes, where all take the
 // same.
 func (b *builder) weight(place directory.Place) (weight uint32, uniform bool) {
-	if b.options.WeighPlace == nil {
+	if b.options.PlaceWeight == nil {
 		return 0, false
 	}
-	return b.options.WeighPlace(place)
+	return b.options.PlaceWeight(place)
 }
 
 // rule orders flows over some back ends of a group.
@@ -108,7 +108,7 @@
 			for group.Entries[next].GetId() != backend.ID {
 				next++
 			}
-			weight = b.options.Weigh(group.Entries[next])
+			weight = b.options.Weight(group.Entries[next])
 		}
 		candidates[place] = rule.Candidate{Backend: uint32(place + 1), Weight: weight, Identity: backend.Number}
 	}
--- a/internal/tokenroute/restarted.go
+++ b/internal/tokenroute/restarted.go
@@ -7,12 +7,12 @@
 	"github.com/indigobarrow/indigobarrow/internal/incarnation"
 )
 
-// Renew takes the table that packets are decided by from now on. Flows that were opened at
+// SetTable takes the table that packets are decided by from now on. Flows that were opened at
 // a start of a back end that has ended are given up, to be reset: the new start holds none
 // of them, and the next request, which may not be repeated, would be lost to find that out.
 // Of flows that may have been opened at the new start, before its entry was known here, none
 // is given up; the back end itself resets those that it does not hold.
-func (f *Flows) Renew(table *Table, now time.Time) {
+func (f *Flows) SetTable(table *Table, now time.Time) {
 	if table == nil || table == f.table {
 		return
 	}
@@ -23,13 +23,13 @@
 		id := backend.Incarnation()
 		f.restarted[id] = true
 		if !former[id] {
-			f.giveUpFormer(backend, now)
+			f.abandonEarlierStarts(backend, now)
 		}
 	}
 }
 
-// giveUpFormer gives up the flows of earlier starts of a back end.
-func (f *Flows) giveUpFormer(backend *Backend, now time.Time) {
+// abandonEarlierStarts gives up the flows of earlier starts of a back end.
+func (f *Flows) abandonEarlierStarts(backend *Backend, now time.Time) {
 	former := func(id incarnation.ID) bool { return id.Number == backend.Number && id.Start != backend.Start }
 	outlived := func(seenAt time.Time) bool {
 		return !seenAt.IsZero() && backend.Start.Outlived(now.Sub(seenAt), now)
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -31,18 +31,18 @@
 		f.compareAnswers()
 	}
 	made := &observe.Summary{
-		At:      now,
-		Waiting: make(map[string]float64, len(f.pools)),
-		Places:  f.summarizePlaces(elapsed, now),
-		Dead:    f.liveness.dead(now),
+		At:       now,
+		InFlight: make(map[string]float64, len(f.pools)),
+		Loads:    f.summarizePlaces(elapsed, now),
+		Dead:     f.liveness.failed(now),
 
 		Findings: make(map[incarnation.ID]observe.Finding),
 	}
 	for name, pool := range f.pools {
-		made.Waiting[name] = pool.use.Mean(now)
+		made.InFlight[name] = pool.use.Mean(now)
 	}
 	for id, known := range f.loads {
-		if !known.finding.Nothing() {
+		if !known.finding.IsZero() {
 			made.Findings[id] = known.finding
 		}
 	}
@@ -79,17 +79,17 @@
 // saturated, only those count that had settled before.
 func (f *Flows) compareTo(question question, loads []*load) {
 	saturated := f.isSaturated(question.pool.name)
-	tallies := make([]*observe.Tally, len(loads))
+	tallies := make([]*observe.ResponseCounts, len(loads))
 	for place, known := range loads {
 		answers := known.answers[question.address]
 		if saturated {
-			answers.Forget()
+			answers.DiscardRecent()
 		}
-		tallies[place] = answers.Known()
-		answers.Settle(answersKept)
+		tallies[place] = answers.Total()
+		answers.Advance(answersKept)
 	}
 	for place, finding := range observe.Compare(tallies) {
-		loads[place].finding = loads[place].finding.Plus(finding.BeyondChance())
+		loads[place].finding = loads[place].finding.Merge(finding.AboveNoise())
 	}
 }
 
--- a/internal/tokenroute/table.go
+++ b/internal/tokenroute/table.go
@@ -39,8 +39,8 @@
 	Target netip.AddrPort
 	// Gone is set when the directory's entry of the back end was removed.
 	Gone bool
-	// Warming tells until when the back end is cold, and what it may get.
-	Warming Warming
+	// Warmup tells until when the back end is cold, and what it may get.
+	Warmup Warmup
 }
 
 // Incarnation is the start of the back end that this one is.
@@ -51,9 +51,9 @@
 // clone is a copy that lasts.
 func (b Backend) clone() *Backend { return &b }
 
-// Weigher gives the relative share of new flows that a back end of a pool
+// WeightFunc gives the relative share of new flows that a back end of a pool
 // takes, from 0 to rule.MaximumWeight.
-type Weigher func(backend directory.BackendEntry) uint32
+type WeightFunc func(backend directory.BackendEntry) uint32
 
 // Table is an index over a directory at one revision. It is immutable.
 type Table struct {
@@ -62,15 +62,15 @@
 	// Evacuated are the zones whose back ends get no new flows, with the revision
 	// of the operator's order.
 	Evacuated map[string]uint64
-	// Rest is how long a flow may rest before it is forgotten; 0 is unknown.
-	Rest   time.Duration
-	routes map[flow.Address]*Route
-	tokens *tokenIndex
-	// parts are the back ends of each pool in each zone, from which the next table takes
+	// IdleTimeout is how long a flow may rest before it is forgotten; 0 is unknown.
+	IdleTimeout time.Duration
+	routes      map[flow.Address]*Route
+	tokens      *tokenIndex
+	// poolZones are the back ends of each pool in each zone, from which the next table takes
 	// over what has not changed.
-	parts map[directory.Place]*part
-	// mixed are the pools of which two back ends share a token, or did in an earlier table.
-	mixed map[string]bool
+	poolZones map[directory.Place]*poolZone
+	// sharedTokenPools are the pools of which two back ends share a token, or did in an earlier table.
+	sharedTokenPools map[string]bool
 	// restarted are the back ends of which an earlier start was known.
 	restarted []*Backend
 }
@@ -78,75 +78,75 @@
 // Route is the way of one address.
 type Route struct {
 	Name string
-	// shares chooses the pool of a new flow; its candidates are indexes into
+	// poolRule chooses the pool of a new flow; its candidates are indexes into
 	// pools plus one.
-	shares *rule.Rule
-	pools  []*pool
-	// admitted are the pools whose open flows the route carries; admitAll takes
+	poolRule *rule.Rule
+	pools    []*pool
+	// admittedPools are the pools whose open flows the route carries; admitAllPools takes
 	// those of any pool.
-	admitted map[string]bool
-	admitAll bool
+	admittedPools map[string]bool
+	admitAllPools bool
 	// urgency is that of the route's requests.
-	urgency admission.Urgency
+	urgency admission.Priority
 }
 
 // pool is the back ends of one pool that may take new flows.
 type pool struct {
 	name string
-	// parts are those of its zones, and rules theirs, in the same order.
-	parts []*part
+	// zones are those of its zones, and rules theirs, in the same order.
+	zones []*poolZone
 	rules []*rule.Rule
-	// evacuated is set when some back end takes no new flows only because its zone
+	// withheldByEvacuation is set when some back end takes no new flows only because its zone
 	// is evacuated.
-	evacuated bool
-	// byZone is set when the weights alone choose the zone.
-	byZone bool
+	withheldByEvacuation bool
+	// zoneByWeight is set when the weights alone choose the zone.
+	zoneByWeight bool
 }
 
 // Options are what a table depends on besides the directory.
 type Options struct {
-	Weigh Weigher
-	// WeighPlace gives the share that each back end of a place takes, where all take the
+	Weight WeightFunc
+	// PlaceWeight gives the share that each back end of a place takes, where all take the
 	// same, and tells whether they do. Nil asks Weigh for each.
-	WeighPlace func(place directory.Place) (weight uint32, uniform bool)
-	// Former are the pools that a route had before, by the route's address;
+	PlaceWeight func(place directory.Place) (weight uint32, uniform bool)
+	// FormerPools are the pools that a route had before, by the route's address;
 	// their open flows stay where they are.
-	Former map[flow.Address]map[string]bool
-	// AdmitAll admits the open flows of any pool on any route. A balancer does
+	FormerPools map[flow.Address]map[string]bool
+	// AdmitAllPools admits the open flows of any pool on any route. A balancer does
 	// so while it is younger than a flow may be, since it can't know what
 	// routes had before it started.
-	AdmitAll bool
+	AdmitAllPools bool
 	// Evacuated are the zones whose back ends get no new flows, with the revision
 	// of the operator's order.
 	Evacuated map[string]uint64
-	// Warm tells how cold a back end is; nil takes all for warm.
-	Warm func(backend directory.BackendEntry) Warming
-	// Lapse is the time after an outage of the store in which entries that lapsed
+	// Warmup tells how cold a back end is; nil takes all for warm.
+	Warmup func(backend directory.BackendEntry) Warmup
+	// StoreRecovery is the time after an outage of the store in which entries that lapsed
 	// meanwhile may come back.
-	Lapse Lapse
-	// EmptyGrace is for how long back ends whose entries vanished without a
+	StoreRecovery StoreRecovery
+	// EmptyPoolGrace is for how long back ends whose entries vanished without a
 	// notice may take new flows when their pool has no other.
-	EmptyGrace time.Duration
-	// ByZone names the pools where the weights alone choose the zone of a new flow, and only
+	EmptyPoolGrace time.Duration
+	// ZoneByWeight names the pools where the weights alone choose the zone of a new flow, and only
 	// then the back end that is least in use. The least used among those of several zones
 	// would be taken from zones of small weights hardly ever, and their part would not be
 	// what was planned. Nil is no pool.
-	ByZone func(pool string) bool
+	ZoneByWeight func(pool string) bool
 	// Previous is the table before, from the same directory, of which is taken over what has
 	// not changed; nil is none.
 	Previous *Table
 	Now      time.Time
 }
 
-// Lapse is a time in which the store has answered again after an outage, but
+// StoreRecovery is a time in which the store has answered again after an outage, but
 // not every back end has had time to write its entry anew. The zero value is
 // no such time.
-type Lapse struct {
+type StoreRecovery struct {
 	Since, Until time.Time
 }
 
 // covers tells whether an entry that vanished at a time may have lapsed only.
-func (l Lapse) covers(vanishedAt, now time.Time) bool {
+func (l StoreRecovery) covers(vanishedAt, now time.Time) bool {
 	return now.Before(l.Until) && !vanishedAt.Before(l.Since)
 }
 
@@ -158,19 +158,19 @@
 	}
 	builder := newBuilder(known, options)
 	table := &Table{
-		Version:   routes.GetVersion(),
-		Revision:  known.Revision(),
-		Evacuated: options.Evacuated,
-		Rest:      time.Duration(routes.GetIdleMilliseconds()) * time.Millisecond,
-		routes:    make(map[flow.Address]*Route, len(routes.GetRoutes())),
-		tokens:    builder.tokens.made,
-		parts:     builder.parts,
-		mixed:     builder.mixed,
-		restarted: builder.restarted,
+		Version:          routes.GetVersion(),
+		Revision:         known.Revision(),
+		Evacuated:        options.Evacuated,
+		IdleTimeout:      time.Duration(routes.GetIdleMilliseconds()) * time.Millisecond,
+		routes:           make(map[flow.Address]*Route, len(routes.GetRoutes())),
+		tokens:           builder.tokens.index,
+		poolZones:        builder.poolZones,
+		sharedTokenPools: builder.sharedTokenPools,
+		restarted:        builder.restarted,
 	}
 	for _, route := range routes.GetRoutes() {
 		address := AddressOf(route)
-		table.routes[address] = builder.route(route, options.Former[address])
+		table.routes[address] = builder.route(route, options.FormerPools[address])
 	}
 	return table
 }
@@ -191,21 +191,21 @@
 // Route returns the route of an address, or nil.
 func (t *Table) Route(address flow.Address) *Route { return t.routes[address] }
 
-// Restarts is the number of back ends of which an earlier start was known.
-func (t *Table) Restarts() int { return len(t.restarted) }
+// RestartedBackends is the number of back ends of which an earlier start was known.
+func (t *Table) RestartedBackends() int { return len(t.restarted) }
 
-// Routes is the number of routes.
-func (t *Table) Routes() int { return len(t.routes) }
+// RouteCount is the number of routes.
+func (t *Table) RouteCount() int { return len(t.routes) }
 
 // Resolve returns the back end that a token names on a route, or nil.
 func (t *Table) Resolve(route *Route, token Token) *Backend {
-	sharing := t.tokens.of(token)
+	sharing := t.tokens.backends(token)
 	for _, backend := range sharing {
-		if route.admitted[backend.Pool] {
+		if route.admittedPools[backend.Pool] {
 			return backend
 		}
 	}
-	if route.admitAll && len(sharing) == 1 {
+	if route.admitAllPools && len(sharing) == 1 {
 		return sharing[0]
 	}
 	return nil
@@ -214,7 +214,7 @@
 // Backend returns the back end of an incarnation, or nil where the table has another
 // start of it or none.
 func (t *Table) Backend(id incarnation.ID) *Backend {
-	for _, backend := range t.tokens.of(TokenOf(id.Number)) {
+	for _, backend := range t.tokens.backends(TokenOf(id.Number)) {
 		if backend.Incarnation() == id {
 			return backend
 		}
@@ -222,11 +222,11 @@
 	return nil
 }
 
-// Known tells whether a token names a back end of any pool.
-func (t *Table) Known(token Token) bool { return len(t.tokens.of(token)) > 0 }
+// KnowsToken tells whether a token names a back end of any pool.
+func (t *Table) KnowsToken(token Token) bool { return len(t.tokens.backends(token)) > 0 }
 
-// choices is how many back ends are compared by their load for a new flow.
-const choices = 4
+// maxCandidates is how many back ends are compared by their load for a new flow.
+const maxCandidates = 4
 
 // Preference is how willingly a back end is taken for a new flow.
 type Preference uint8
@@ -235,9 +235,9 @@
 const (
 	// Preferred back ends are taken as long as there are any.
 	Preferred Preference = iota
-	// Distrusted ones are taken when no preferred one is left: nothing speaks against
+	// Suspected ones are taken when no preferred one is left: nothing speaks against
 	// them but their silent zone.
-	Distrusted
+	Suspected
 	// Avoided ones are taken only when no other is left.
 	Avoided
 	// Forbidden ones are never taken.
@@ -252,59 +252,59 @@
 	if chosen == nil {
 		return nil
 	}
-	for _, least := range []Preference{Preferred, Distrusted, Avoided} {
-		var leaders [choices]rule.Leader
-		count := chosen.leaders(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > least })
+	for _, least := range []Preference{Preferred, Suspected, Avoided} {
+		var leaders [maxCandidates]rule.RankedCandidate
+		count := chosen.topCandidates(hash, leaders[:], func(backend *Backend) bool { return prefer(backend) > least })
 		if count > 0 {
-			return chosen.leastUsed(leaders[:count], inUse)
+			return chosen.leastLoaded(leaders[:count], inUse)
 		}
 	}
 	return nil
 }
 
-// leaders puts the first back ends in a flow's order into found, as far as they are not left
+// topCandidates puts the first back ends in a flow's order into found, as far as they are not left
 // out, and returns how many there are. Where the weights alone choose the zone, all are of
 // the zone of the first one.
-func (p *pool) leaders(hash uint64, found []rule.Leader, except func(*Backend) bool) int {
-	count := rule.Leaders(p.rules, hash, found, func(place int, candidate uint32) bool {
-		return except(p.parts[place].chosen[candidate-1])
+func (p *pool) topCandidates(hash uint64, found []rule.RankedCandidate, except func(*Backend) bool) int {
+	count := rule.TopCandidates(p.rules, hash, found, func(place int, candidate uint32) bool {
+		return except(p.zones[place].eligible[candidate-1])
 	})
-	if !p.byZone || count < 2 {
+	if !p.zoneByWeight || count < 2 {
 		return count
 	}
-	zone := found[0].Rule
-	elsewhere := func(each rule.Leader) bool { return each.Rule != zone }
+	zone := found[0].RuleIndex
+	elsewhere := func(each rule.RankedCandidate) bool { return each.RuleIndex != zone }
 	if !slices.ContainsFunc(found[:count], elsewhere) {
 		return count
 	}
-	count = rule.Leaders(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
-		return except(p.parts[zone].chosen[candidate-1])
+	count = rule.TopCandidates(p.rules[zone:zone+1], hash, found, func(_ int, candidate uint32) bool {
+		return except(p.zones[zone].eligible[candidate-1])
 	})
 	for place := range found[:count] {
-		found[place].Rule = zone
+		found[place].RuleIndex = zone
 	}
 	return count
 }
 
 // backend is the back end of a leader.
-func (p *pool) backend(leader rule.Leader) *Backend {
-	return p.parts[leader.Rule].chosen[leader.Backend-1]
+func (p *pool) backend(leader rule.RankedCandidate) *Backend {
+	return p.zones[leader.RuleIndex].eligible[leader.Backend-1]
 }
 
 // poolFor returns the pool of a new flow, or nil.
 func (r *Route) poolFor(hash uint64) *pool {
-	index := r.shares.Pick(hash)
+	index := r.poolRule.Pick(hash)
 	if index == rule.NoBackend {
 		return nil
 	}
 	return r.pools[index-1]
 }
 
-// Takes tells whether a back end still takes new flows of the route.
-func (r *Route) Takes(backend *Backend) bool {
+// Accepts tells whether a back end still takes new flows of the route.
+func (r *Route) Accepts(backend *Backend) bool {
 	for _, each := range r.pools {
-		for _, part := range each.parts {
-			if part.takes(backend) {
+		for _, part := range each.zones {
+			if part.accepts(backend) {
 				return true
 			}
 		}
@@ -312,27 +312,27 @@
 	return false
 }
 
-// refusal is why a new flow finds no back end.
-func (r *Route) refusal(hash uint64) Reason {
+// refusalReason is why a new flow finds no back end.
+func (r *Route) refusalReason(hash uint64) Reason {
 	chosen := r.poolFor(hash)
 	switch {
 	case chosen == nil:
 		return ReasonNoBackend
-	case chosen.takesAny(hash):
+	case chosen.acceptsAny(hash):
 		return ReasonCold
-	case chosen.evacuated:
+	case chosen.withheldByEvacuation:
 		return ReasonEvacuated
 	}
 	return ReasonNoBackend
 }
 
-// takesAny tells whether some back end may take a new flow, but for its warmth.
-func (p *pool) takesAny(hash uint64) bool {
+// acceptsAny tells whether some back end may take a new flow, but for its warmth.
+func (p *pool) acceptsAny(hash uint64) bool {
 	return slices.ContainsFunc(p.rules, func(each *rule.Rule) bool { return each.Pick(hash) != rule.NoBackend })
 }
 
-// leastUsed returns the back end that is least in use for its weight.
-func (p *pool) leastUsed(leaders []rule.Leader, inUse func(*Backend) int) *Backend {
+// leastLoaded returns the back end that is least in use for its weight.
+func (p *pool) leastLoaded(leaders []rule.RankedCandidate, inUse func(*Backend) int) *Backend {
 	var best *Backend
 	bestUse, bestWeight := 0, 1
 	for _, leader := range leaders {
