--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -49,7 +49,7 @@
 
 // saturatedPools returns the pools that are saturated or were within saturationHold.
 func (a *admissionState) saturatedPools(zone demand.Zone, aggregate *demand.Aggregate, now time.Time) map[string]bool {
-	for pool := range aggregate.ZonePools() {
+	for pool := range aggregate.PoolZones() {
 		if a.pressureEstimator.saturated(pool, zone, aggregate) {
 			a.saturatedUntil[string(pool)] = now.Add(saturationHold)
 		}
@@ -76,7 +76,7 @@
 		return
 	}
 	var demands []admission.PoolState
-	for pool := range aggregate.ZonePools() {
+	for pool := range aggregate.PoolZones() {
 		if priorities := c.gate.priorities[string(pool)]; len(priorities) > 0 {
 			pressure := c.gate.pressureEstimator.estimate(pool, zone, aggregate, c.balancersByZone)
 			demands = append(demands, admission.PoolState{Pool: string(pool), Priorities: priorities, Pressure: pressure})
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -20,8 +20,8 @@
 // far as is known.
 type capacity struct {
 	// slots is replaced and never modified.
-	slots    map[demand.ZonePool]float64
-	backends map[demand.ZonePool]int
+	slots    map[demand.PoolZone]float64
+	backends map[demand.PoolZone]int
 	// pools counts the back ends and slots of each pool in the balancer's zone and in the others,
 	// including cold back ends.
 	pools map[string]*poolCapacity
@@ -45,13 +45,13 @@
 // failedBackend is a back end that does not count as capacity until a time, although the directory
 // lists it.
 type failedBackend struct {
-	poolZone demand.ZonePool
+	poolZone demand.PoolZone
 	until    time.Time
 }
 
 // coldBackend holds the slots that a back end adds to its pool zone from a time on.
 type coldBackend struct {
-	poolZone demand.ZonePool
+	poolZone demand.PoolZone
 	slots    float64
 	until    time.Time
 }
@@ -70,8 +70,8 @@
 	counts := c.demand.capacity.counts
 	result := capacity{
 		failed:   c.demand.capacity.failed,
-		slots:    make(map[demand.ZonePool]float64),
-		backends: make(map[demand.ZonePool]int),
+		slots:    make(map[demand.PoolZone]float64),
+		backends: make(map[demand.PoolZone]int),
 		pools:    make(map[string]*poolCapacity),
 		counts:   make(map[directory.Place]groupCount, len(counts)),
 	}
@@ -118,7 +118,7 @@
 }
 
 // addBackends adds the slots of a group whose back ends differ in warm-up or health.
-func (c *capacity) addBackends(group *directory.Group, poolZone demand.ZonePool, warmup *warmupState, inputs *weightInputs, now time.Time) {
+func (c *capacity) addBackends(group *directory.Group, poolZone demand.PoolZone, warmup *warmupState, inputs *weightInputs, now time.Time) {
 	for _, backend := range group.Entries {
 		if backend.Gone || backend.GetDraining() {
 			continue
@@ -207,14 +207,14 @@
 		if c.failed == nil {
 			c.failed = make(map[incarnation.ID]failedBackend)
 		}
-		poolZone := demand.ZonePool{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
+		poolZone := demand.PoolZone{Pool: demand.Pool(backend.Pool), Zone: demand.Zone(backend.Zone)}
 		c.failed[id] = failedBackend{poolZone: poolZone, until: now.Add(failedHold)}
 	}
 }
 
 // liveSlots returns the slots without those of failed back ends. Each of these is taken to have the
 // average number of slots of its pool zone.
-func (c *capacity) liveSlots(now time.Time) map[demand.ZonePool]float64 {
+func (c *capacity) liveSlots(now time.Time) map[demand.PoolZone]float64 {
 	if len(c.failed) == 0 {
 		return c.slots
 	}
--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -52,7 +52,7 @@
 	d.tree.SetOwn(d.local.Aggregate(zone, now), demand.Position{Depth: depth, TreeHeight: height})
 	d.capacity.addWarmed(now)
 	aggregate := d.tree.Aggregate(now)
-	d.aggregate.Store(aggregate.WithSlots(d.capacity.liveSlots(now)))
+	d.aggregate.Store(aggregate.WithCapacity(d.capacity.liveSlots(now)))
 	c.logCompleteness(aggregate, now)
 }
 
@@ -177,7 +177,7 @@
 	return encoded
 }
 
-func encodeLoad(poolZone demand.ZonePool, load demand.Load) *apiv1.PlaceLoad {
+func encodeLoad(poolZone demand.PoolZone, load demand.Load) *apiv1.PlaceLoad {
 	return &apiv1.PlaceLoad{
 		Pool:     string(poolZone.Pool),
 		Zone:     string(poolZone.Zone),
@@ -185,7 +185,7 @@
 		Openings: float32(load.NewFlows),
 		Answers:  float32(load.Responses),
 		Refusals: float32(load.Refusals),
-		Asks:     float32(load.Offered),
+		Asks:     float32(load.RequestRate),
 	}
 }
 
@@ -193,22 +193,22 @@
 // time.
 func decodeAggregate(encoded *apiv1.DemandReport, at time.Time) demand.Aggregate {
 	aggregate := demand.Aggregate{
-		OldestAt:      at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
+		At:            at.Add(-time.Duration(encoded.GetAgeMilliseconds()) * time.Millisecond),
 		Balancers:     int(encoded.GetBalancers()),
 		ZoneBalancers: make(map[demand.Zone]int, len(encoded.GetZones())),
-		Loads:         make(map[demand.ZonePool]demand.Load, len(encoded.GetPlaces())),
+		Loads:         make(map[demand.PoolZone]demand.Load, len(encoded.GetPlaces())),
 	}
 	for _, zone := range encoded.GetZones() {
 		aggregate.ZoneBalancers[demand.Zone(zone.GetZone())] = int(zone.GetBalancers())
 	}
 	for _, load := range encoded.GetPlaces() {
-		poolZone := demand.ZonePool{Pool: demand.Pool(load.GetPool()), Zone: demand.Zone(load.GetZone())}
+		poolZone := demand.PoolZone{Pool: demand.Pool(load.GetPool()), Zone: demand.Zone(load.GetZone())}
 		aggregate.Loads[poolZone] = demand.Load{
-			InFlight:  decodeNumber(load.GetWaiting()),
-			NewFlows:  decodeNumber(load.GetOpenings()),
-			Responses: decodeNumber(load.GetAnswers()),
-			Refusals:  decodeNumber(load.GetRefusals()),
-			Offered:   decodeNumber(load.GetAsks()),
+			InFlight:    decodeNumber(load.GetWaiting()),
+			NewFlows:    decodeNumber(load.GetOpenings()),
+			Responses:   decodeNumber(load.GetAnswers()),
+			Refusals:    decodeNumber(load.GetRefusals()),
+			RequestRate: decodeNumber(load.GetAsks()),
 		}
 	}
 	return aggregate
--- a/internal/balancer/demandfeed.go
+++ b/internal/balancer/demandfeed.go
@@ -32,7 +32,7 @@
 	source    demand.Aggregate
 	encodedAt time.Time
 	// pressures are those of source. The map is replaced and never modified.
-	pressures map[demand.ZonePool]float64
+	pressures map[demand.PoolZone]float64
 	sent      map[string]feedState
 }
 
@@ -40,12 +40,12 @@
 // it is due again.
 type feedState struct {
 	sentAt, dueAt time.Time
-	pressures     map[demand.ZonePool]float64
+	pressures     map[demand.PoolZone]float64
 }
 
 // next returns the state after a message at the given time, and whether that message may be sent
 // now.
-func (s feedState) next(pressures map[demand.ZonePool]float64, now time.Time) (feedState, bool) {
+func (s feedState) next(pressures map[demand.PoolZone]float64, now time.Time) (feedState, bool) {
 	state := feedState{sentAt: now, dueAt: now.Add(feedInterval), pressures: pressures}
 	if now.Before(s.dueAt.Add(-feedTolerance)) {
 		return state, now.Sub(s.sentAt) >= urgentFeedInterval && pressureChanged(s.pressures, pressures)
@@ -78,10 +78,10 @@
 }
 
 // refresh encodes an aggregate and drops the followers that no longer call.
-func (f *demandFeed) refresh(aggregate demand.Aggregate, slots map[demand.ZonePool]float64, now time.Time) {
+func (f *demandFeed) refresh(aggregate demand.Aggregate, slots map[demand.PoolZone]float64, now time.Time) {
 	f.encoded, f.source, f.encodedAt = encodeAggregate(aggregate, now), aggregate, now
-	f.pressures = make(map[demand.ZonePool]float64, len(aggregate.Loads))
-	withRoom := aggregate.WithSlots(slots)
+	f.pressures = make(map[demand.PoolZone]float64, len(aggregate.Loads))
+	withRoom := aggregate.WithCapacity(slots)
 	for poolZone := range aggregate.Loads {
 		f.pressures[poolZone] = withRoom.Pressure(poolZone)
 	}
@@ -97,7 +97,7 @@
 
 // pressureChanged reports whether the pressure of a pool zone has changed enough to be sent sooner.
 // Pool zones without capacity have infinite pressure before and after.
-func pressureChanged(before, after map[demand.ZonePool]float64) bool {
+func pressureChanged(before, after map[demand.PoolZone]float64) bool {
 	differs := func(a, b float64) bool { return a != b && math.Abs(a-b) > minPressureChange }
 	for poolZone, pressure := range after {
 		if differs(before[poolZone], pressure) {
--- a/internal/balancer/demandmetrics.go
+++ b/internal/balancer/demandmetrics.go
@@ -24,23 +24,23 @@
 
 // collectDemand gives the picture of demand and room.
 func collectDemand(picture *demand.Aggregate, gauge func(*prometheus.Desc, float64, ...string)) {
-	if picture == nil || picture.OldestAt.IsZero() {
+	if picture == nil || picture.At.IsZero() {
 		return
 	}
 	gauge(pictureAgeDescription, picture.Age(time.Now()).Seconds())
 	for zone, count := range picture.ZoneBalancers {
 		gauge(pictureBalancersDescription, float64(count), string(zone))
 	}
-	tell := func(place demand.ZonePool) {
-		gauge(roomDescription, picture.Slots[place], string(place.Pool), string(place.Zone))
+	tell := func(place demand.PoolZone) {
+		gauge(roomDescription, picture.Capacity[place], string(place.Pool), string(place.Zone))
 		gauge(pressureDescription, picture.Pressure(place), string(place.Pool), string(place.Zone))
 	}
-	for place := range picture.Slots {
+	for place := range picture.Capacity {
 		tell(place)
 	}
 	for place, load := range picture.Loads {
-		gauge(asksDescription, load.Offered, string(place.Pool), string(place.Zone))
-		if _, found := picture.Slots[place]; !found {
+		gauge(asksDescription, load.RequestRate, string(place.Pool), string(place.Zone))
+		if _, found := picture.Capacity[place]; !found {
 			tell(place)
 		}
 	}
--- a/internal/balancer/findings.go
+++ b/internal/balancer/findings.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		for backend, finding := range report.findings {
-			joined[backend] = joined[backend].Merge(finding)
+			joined[backend] = joined[backend].Plus(finding)
 		}
 	}
 	return joined
--- a/internal/balancer/healthlimits.go
+++ b/internal/balancer/healthlimits.go
@@ -14,14 +14,14 @@
 // own, since zones keep their new flows; the others share the limit of their whole pool.
 type healthLimits struct {
 	// poolZones maps each unhealthy back end in the directory to its pool zone.
-	poolZones map[incarnation.ID]demand.ZonePool
+	poolZones map[incarnation.ID]demand.PoolZone
 	// poolZoneTotals covers the pool zones that have unhealthy back ends, and poolTotals their
 	// pools.
-	poolZoneTotals map[demand.ZonePool]slotTotals
+	poolZoneTotals map[demand.PoolZone]slotTotals
 	poolTotals     map[demand.Pool]slotTotals
 	// allowed is the fraction of the weight reduction for health that may be applied, by pool zone.
 	// Pool zones that are not in the map have no limit.
-	allowed map[demand.ZonePool]float64
+	allowed map[demand.PoolZone]float64
 }
 
 // slotTotals is the number of requests that a group of back ends that take new flows, those of a
@@ -40,8 +40,8 @@
 // computeHealthLimits sums up the back ends that take new flows, for each new table.
 func (c *control) computeHealthLimits(evacuated map[string]uint64, warmup *warmupState, now time.Time) {
 	result := healthLimits{
-		poolZones:      make(map[incarnation.ID]demand.ZonePool, len(c.observed.unhealthy)),
-		poolZoneTotals: make(map[demand.ZonePool]slotTotals),
+		poolZones:      make(map[incarnation.ID]demand.PoolZone, len(c.observed.unhealthy)),
+		poolZoneTotals: make(map[demand.PoolZone]slotTotals),
 		poolTotals:     make(map[demand.Pool]slotTotals),
 	}
 	if len(c.observed.unhealthy) > 0 {
@@ -79,7 +79,7 @@
 
 // update computes the allowed fractions for the current demand, if an aggregate tells it.
 func (l *healthLimits) update(aggregate *demand.Aggregate, now time.Time) {
-	l.allowed = make(map[demand.ZonePool]float64, len(l.poolZoneTotals))
+	l.allowed = make(map[demand.PoolZone]float64, len(l.poolZoneTotals))
 	for poolZone, sum := range l.poolZoneTotals {
 		waiting := 0.0
 		if aggregate.Fresh(now) {
--- a/internal/balancer/observationexchange.go
+++ b/internal/balancer/observationexchange.go
@@ -177,7 +177,7 @@
 	reply.ClockMilliseconds = uint64(c.clockNow(now).Milliseconds())
 	reply.TestimonyLatest = c.testimony.buffer.LastSequence()
 	for _, observation := range selectObservations(observations) {
-		reply.Testimony = append(reply.Testimony, encodeObservation(observation, now.Sub(observation.Time())))
+		reply.Testimony = append(reply.Testimony, encodeObservation(observation, now.Sub(observation.When())))
 	}
 }
 
--- a/internal/balancer/pressure.go
+++ b/internal/balancer/pressure.go
@@ -59,7 +59,7 @@
 	if slots == 0 || fraction == 0 {
 		return admission.Pressure{}
 	}
-	seenAt := aggregate.OldestAt
+	seenAt := aggregate.At
 	if p.lastSummaryAt.Before(seenAt) {
 		seenAt = p.lastSummaryAt
 	}
@@ -68,7 +68,7 @@
 	}
 	scale := float64(aggregate.ZoneBalancers[localZone]) / fraction
 	if waiting >= minLocalInFlight*scale {
-		waiting = p.waiting[string(pool)] * scale / min(p.requestRates.growthSince(pool, aggregate.OldestAt), maxGrowth(aggregate.ZoneBalancers[localZone]))
+		waiting = p.waiting[string(pool)] * scale / min(p.requestRates.growthSince(pool, aggregate.At), maxGrowth(aggregate.ZoneBalancers[localZone]))
 	}
 	return admission.Pressure{RequestsPerSlot: waiting / slots, SeenAt: seenAt}
 }
@@ -117,7 +117,7 @@
 func zoneRequestFraction(pool demand.Pool, localZone demand.Zone, aggregate *demand.Aggregate) float64 {
 	localRate, totalRate := 0.0, 0.0
 	for zone := range aggregate.ZoneBalancers {
-		rate := aggregate.Loads[demand.ZonePool{Pool: pool, Zone: zone}].Offered
+		rate := aggregate.Loads[demand.PoolZone{Pool: pool, Zone: zone}].RequestRate
 		totalRate += rate
 		if zone == localZone {
 			localRate = rate
--- a/internal/balancer/requestrates.go
+++ b/internal/balancer/requestrates.go
@@ -42,7 +42,7 @@
 		rates[pool] = rate * (1 - alpha)
 	}
 	for poolZone, load := range summary.Loads {
-		rates[poolZone.Pool] += alpha * load.Offered
+		rates[poolZone.Pool] += alpha * load.RequestRate
 	}
 	r.current = rates
 	r.history = append(r.history, rateSample{at: summary.At, requestRates: rates})
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -138,7 +138,7 @@
 	for _, abandoned := range t.flows.TakeAbandoned() {
 		t.reset(abandoned, table, now)
 	}
-	if statements := t.flows.TakeStatements(); len(statements) > 0 {
+	if statements := t.flows.TakeObservations(); len(statements) > 0 {
 		t.outbox.put(statements)
 		t.balancer.control.wake()
 	}
--- a/internal/balancer/weights.go
+++ b/internal/balancer/weights.go
@@ -150,8 +150,8 @@
 }
 
 // poolZoneOf converts a pool zone of the directory to one of package demand.
-func poolZoneOf(poolZone directory.Place) demand.ZonePool {
-	return demand.ZonePool{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
+func poolZoneOf(poolZone directory.Place) demand.PoolZone {
+	return demand.PoolZone{Pool: demand.Pool(poolZone.Pool), Zone: demand.Zone(poolZone.Zone)}
 }
 
 // remoteWeight returns the weight, from 0 to 1, of a pool's back ends in other zones.
--- a/internal/balancer/zoneshares.go
+++ b/internal/balancer/zoneshares.go
@@ -23,7 +23,7 @@
 	}
 	localZone := demand.Zone(c.balancer.settings.Load().GetZone())
 	planned := make(map[demand.Pool]map[demand.Zone]float64)
-	for pool := range aggregate.ZonePools() {
+	for pool := range aggregate.PoolZones() {
 		if zoneShares := shares.ZoneShares(shares.ZoneLoads(aggregate, pool, localZone, c.balancersByZone), localZone); zoneShares != nil {
 			planned[pool] = zoneShares
 		}
@@ -57,9 +57,9 @@
 
 // shareWeight returns the weight of each of a pool's back ends in a zone, so that together they
 // take their zone's share of new flows. The greatest weight of all zones is 1.
-func (c *control) shareWeight(zoneShares map[demand.Zone]float64, poolZone demand.ZonePool) float64 {
+func (c *control) shareWeight(zoneShares map[demand.Zone]float64, poolZone demand.PoolZone) float64 {
 	weight := func(zone demand.Zone) float64 {
-		backends := c.demand.capacity.backends[demand.ZonePool{Pool: poolZone.Pool, Zone: zone}]
+		backends := c.demand.capacity.backends[demand.PoolZone{Pool: poolZone.Pool, Zone: zone}]
 		return math.Max(zoneShares[zone], minZoneShare) / math.Max(1, float64(backends))
 	}
 	maximum := weight(poolZone.Zone)
--- a/internal/demand/tree.go
+++ b/internal/demand/tree.go
@@ -126,7 +126,7 @@
 		if !t.current(each, now) {
 			continue
 		}
-		report.Aggregate = report.merge(each.Aggregate)
+		report.Aggregate = report.plus(each.Aggregate)
 		report.Height = max(report.Height, each.Height+1)
 	}
 	t.leaseHolder = to
@@ -148,7 +148,7 @@
 	joined := t.own
 	for _, each := range t.followers {
 		if t.current(each, now) {
-			joined = joined.merge(each.Aggregate)
+			joined = joined.plus(each.Aggregate)
 		}
 	}
 	return joined
--- a/internal/evidence/clock.go
+++ b/internal/evidence/clock.go
@@ -26,9 +26,9 @@
 // counts for the back end.
 func (c RemoteClock) Translate(statement Observation) time.Duration {
 	if _, alive := statement.(Activity); alive {
-		return c.reading + statement.Time().Sub(c.leftAfter)
+		return c.reading + statement.When().Sub(c.leftAfter)
 	}
-	return c.reading + statement.Time().Sub(c.leftBefore)
+	return c.reading + statement.When().Sub(c.leftBefore)
 }
 
 // LowerBound translates a time to the other's clock: the latter shows it no later than
--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -37,8 +37,8 @@
 type Observation interface {
 	// BackendID is the back end.
 	BackendID() Backend
-	// Time is the time that the statement speaks of.
-	Time() time.Time
+	// When is the time that the statement speaks of.
+	When() time.Time
 	isObservation()
 }
 
@@ -62,15 +62,15 @@
 // BackendID implements Statement.
 func (w UnansweredRequest) BackendID() Backend { return w.Backend }
 
-// Time implements Statement.
-func (w UnansweredRequest) Time() time.Time { return w.SentAt }
+// When implements Statement.
+func (w UnansweredRequest) When() time.Time { return w.SentAt }
 
 func (w UnansweredRequest) isObservation() {}
 
 // BackendID implements Statement.
 func (s Activity) BackendID() Backend { return s.Backend }
 
-// Time implements Statement.
-func (s Activity) Time() time.Time { return s.At }
+// When implements Statement.
+func (s Activity) When() time.Time { return s.At }
 
 func (s Activity) isObservation() {}
--- a/internal/observe/finding.go
+++ b/internal/observe/finding.go
@@ -53,8 +53,8 @@
 // IsZero tells whether a finding says nothing.
 func (f Finding) IsZero() bool { return f == Finding{} }
 
-// merge is what two observers found together.
-func (e Excess) merge(other Excess) Excess {
+// plus is what two observers found together.
+func (e Excess) plus(other Excess) Excess {
 	sum := e.Evidence + other.Evidence
 	if sum <= 0 {
 		return Excess{}
@@ -62,9 +62,9 @@
 	return Excess{Fraction: (e.Fraction*e.Evidence + other.Fraction*other.Evidence) / sum, Evidence: sum}
 }
 
-// Merge is what two observers of different requests found together.
-func (f Finding) Merge(other Finding) Finding {
-	return Finding{Failing: f.Failing.merge(other.Failing), Slow: f.Slow.merge(other.Slow)}
+// Plus is what two observers of different requests found together.
+func (f Finding) Plus(other Finding) Finding {
+	return Finding{Failing: f.Failing.plus(other.Failing), Slow: f.Slow.plus(other.Slow)}
 }
 
 // Stronger takes of two findings on the same requests, for each kind, the one with
--- a/internal/observe/summary.go
+++ b/internal/observe/summary.go
@@ -14,7 +14,7 @@
 	// answer of each pool, on average over the last time.
 	InFlight map[string]float64
 	// Loads are what this balancer's flows asked since the last summary.
-	Loads map[demand.ZonePool]demand.Load
+	Loads map[demand.PoolZone]demand.Load
 	// Dead are the back ends that are judged dead, whether the directory has them or
 	// not.
 	Dead []incarnation.ID
--- a/internal/observe/tally.go
+++ b/internal/observe/tally.go
@@ -45,8 +45,8 @@
 
 // merge adds the counts of another tally.
 func (t *ResponseCounts) merge(other *ResponseCounts) {
-	t.lengths.merge(&other.lengths)
-	t.times.merge(&other.times)
+	t.lengths.addAll(&other.lengths)
+	t.times.addAll(&other.times)
 }
 
 // Empty tells whether next to nothing is counted any more.
@@ -71,7 +71,7 @@
 	h.total++
 }
 
-func (h *histogram) merge(other *histogram) {
+func (h *histogram) addAll(other *histogram) {
 	for place, count := range other.counts {
 		h.counts[place] += count
 	}
--- a/internal/shares/among.go
+++ b/internal/shares/among.go
@@ -83,7 +83,7 @@
 	}
 	made := make(map[demand.Zone]ZoneLoad)
 	waiting, asks, seen, there := 0.0, 0.0, 0, 0
-	for _, place := range picture.ZonePools()[pool] {
+	for _, place := range picture.PoolZones()[pool] {
 		zone := place.Zone
 		counted, all := picture.ZoneBalancers[zone], max(listed[zone], picture.ZoneBalancers[zone])
 		if counted == 0 && all > 0 {
@@ -93,11 +93,11 @@
 		waiting += load.InFlight
 		asked := 0.0
 		if counted > 0 {
-			asked = load.Offered * float64(all) / float64(counted)
+			asked = load.RequestRate * float64(all) / float64(counted)
 		}
 		asks += asked
 		seen, there = seen+counted, there+all
-		made[zone] = ZoneLoad{Demand: asked, Slots: picture.Slots[place]}
+		made[zone] = ZoneLoad{Demand: asked, Slots: picture.Capacity[place]}
 	}
 	for name, zone := range made {
 		zone.Demand = ratio(zone.Demand, asks) * waiting * float64(there) / math.Max(1, float64(seen))
--- a/internal/tokenroute/asked.go
+++ b/internal/tokenroute/asked.go
@@ -51,14 +51,14 @@
 
 // placeAsked returns what is asked of a place.
 func (f *Flows) placeAsked(pool, zone string) *placeAsked {
-	place := demand.ZonePool{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
+	place := demand.PoolZone{Pool: demand.Pool(pool), Zone: demand.Zone(zone)}
 	known := f.places[place]
 	if known != nil {
 		return known
 	}
 	known = &placeAsked{}
 	if f.places == nil {
-		f.places = make(map[demand.ZonePool]*placeAsked)
+		f.places = make(map[demand.PoolZone]*placeAsked)
 	}
 	f.places[place] = known
 	known.home = known
@@ -239,17 +239,17 @@
 
 // summarizePlaces returns what was asked of each place since the last summary, and begins
 // anew.
-func (f *Flows) summarizePlaces(elapsed time.Duration, now time.Time) map[demand.ZonePool]demand.Load {
-	made := make(map[demand.ZonePool]demand.Load, len(f.places))
+func (f *Flows) summarizePlaces(elapsed time.Duration, now time.Time) map[demand.PoolZone]demand.Load {
+	made := make(map[demand.PoolZone]demand.Load, len(f.places))
 	rate := func(count int) float64 { return float64(count) / max(elapsed, summaryPause).Seconds() }
 	for place, asked := range f.places {
 		asked.dropLost(now)
 		made[place] = demand.Load{
-			InFlight:  asked.use.Mean(now) * asked.working(),
-			NewFlows:  rate(asked.openings),
-			Responses: rate(asked.answers),
-			Refusals:  rate(asked.refusals),
-			Offered:   rate(asked.asks),
+			InFlight:    asked.use.Mean(now) * asked.working(),
+			NewFlows:    rate(asked.openings),
+			Responses:   rate(asked.answers),
+			Refusals:    rate(asked.refusals),
+			RequestRate: rate(asked.asks),
 		}
 		asked.openings, asked.answers, asked.refusals, asked.asks = 0, 0, 0, 0
 	}
--- a/internal/tokenroute/flows.go
+++ b/internal/tokenroute/flows.go
@@ -19,7 +19,7 @@
 	memory *memory
 	queue  []waiting
 	// places are what is asked of each pool in each zone.
-	places map[demand.ZonePool]*placeAsked
+	places map[demand.PoolZone]*placeAsked
 	silent map[incarnation.ID]*silence
 	zones  *zones
 	loads  map[incarnation.ID]*load
--- a/internal/tokenroute/joined.go
+++ b/internal/tokenroute/joined.go
@@ -16,10 +16,10 @@
 	pendingTime = 200 * time.Millisecond
 	// remoteTTL is how long a witness that another balancer told counts.
 	remoteTTL = 3 * time.Second
-	// maxStatements bounds the witnesses that wait to be told, and as many signs of
+	// maxObservations bounds the witnesses that wait to be told, and as many signs of
 	// life: where many back ends fall silent at once, witnesses would crowd out what
 	// speaks against them.
-	maxStatements = 256
+	maxObservations = 256
 )
 
 // pendingEvaluation is a back end whose joined witnesses wait for an answer.
@@ -42,15 +42,15 @@
 	case evidence.UnansweredRequest:
 		f.liveness.receive(heard, backend, now)
 	case evidence.Activity:
-		f.liveness.recordAlive(backend, heard.At)
+		f.liveness.recordActivity(backend, heard.At)
 	}
 }
 
-// TakeStatements returns what this balancer has seen since the last call and others
+// TakeObservations returns what this balancer has seen since the last call and others
 // should know.
-func (f *Flows) TakeStatements() []evidence.Observation {
-	taken := f.liveness.statements
-	f.liveness.statements = nil
+func (f *Flows) TakeObservations() []evidence.Observation {
+	taken := f.liveness.observations
+	f.liveness.observations = nil
 	return taken
 }
 
@@ -73,8 +73,8 @@
 	if judged == nil || now.Sub(heard.SentAt) > remoteTTL {
 		return
 	}
-	if !heard.SentAt.After(judged.aliveAt) {
-		l.reportAlive(backend, judged)
+	if !heard.SentAt.After(judged.activeAt) {
+		l.reportActivity(backend, judged)
 		return
 	}
 	client := clientAddressOf(heard.Client)
@@ -146,7 +146,7 @@
 
 // reportUnanswered lets the other balancers know of a client whose request stayed unanswered.
 func (l *FailureDetector) reportUnanswered(backend *Backend, client clientAddress, sentAt time.Time) {
-	l.queueStatement(evidence.UnansweredRequest{
+	l.queueObservation(evidence.UnansweredRequest{
 		Backend: backend.Incarnation(),
 		Client:  evidence.Client(binary.BigEndian.Uint32(client[:])),
 		Zone:    l.zone,
@@ -154,25 +154,25 @@
 	})
 }
 
-// reportAlive lets the other balancers know that a back end lived later than they think.
-func (l *FailureDetector) reportAlive(backend *Backend, judged *backendHealth) {
-	l.queueStatement(evidence.Activity{Backend: backend.Incarnation(), At: judged.aliveAt})
+// reportActivity lets the other balancers know that a back end lived later than they think.
+func (l *FailureDetector) reportActivity(backend *Backend, judged *backendHealth) {
+	l.queueObservation(evidence.Activity{Backend: backend.Incarnation(), At: judged.activeAt})
 }
 
-// queueStatement lets the other balancers know of a statement, as far as there is room.
-func (l *FailureDetector) queueStatement(statement evidence.Observation) {
+// queueObservation lets the other balancers know of a statement, as far as there is room.
+func (l *FailureDetector) queueObservation(statement evidence.Observation) {
 	if l.disabled.Has(mechanism.JoinedEvidence) {
 		return
 	}
 	_, life := statement.(evidence.Activity)
 	waiting := 0
-	for _, each := range l.statements {
+	for _, each := range l.observations {
 		if _, is := each.(evidence.Activity); is == life {
 			waiting++
 		}
 	}
-	if waiting < maxStatements {
-		l.statements = append(l.statements, statement)
+	if waiting < maxObservations {
+		l.observations = append(l.observations, statement)
 	}
 }
 
--- a/internal/tokenroute/judgement.go
+++ b/internal/tokenroute/judgement.go
@@ -8,9 +8,9 @@
 
 // backendHealth is what speaks for and against a back end.
 type backendHealth struct {
-	// aliveAt is the latest time at which the back end is known to have sent
+	// activeAt is the latest time at which the back end is known to have sent
 	// something.
-	aliveAt time.Time
+	activeAt time.Time
 	// promptSentAt is when the latest request was sent that was answered without a
 	// repetition, and retransmittedAt when a request was last repeated.
 	promptSentAt, retransmittedAt time.Time
@@ -95,7 +95,7 @@
 
 // lastEventAt is when anything was last learned of the back end.
 func (j *backendHealth) lastEventAt() time.Time {
-	latest := j.aliveAt
+	latest := j.activeAt
 	for _, at := range []time.Time{j.promptSentAt, j.retransmittedAt} {
 		if at.After(latest) {
 			latest = at
--- a/internal/tokenroute/liveness.go
+++ b/internal/tokenroute/liveness.go
@@ -73,8 +73,8 @@
 	link      link
 	abandoned []Abandoned
 	failures  []BackendFailure
-	// statements are what other balancers have yet to be told.
-	statements []evidence.Observation
+	// observations are what other balancers have yet to be told.
+	observations []evidence.Observation
 	// pending are the back ends whose joined witnesses wait for an answer.
 	pending []pendingEvaluation
 	// FailureCount counts the verdicts that back ends are dead.
@@ -106,7 +106,7 @@
 // observeAcknowledgement follows a packet without data: the client sends it at
 // once when it has received something.
 func (l *FailureDetector) observeAcknowledgement(packet Packet, state *flowState, backend *Backend, now time.Time) {
-	l.recordAlive(backend, now)
+	l.recordActivity(backend, now)
 	if state == nil || state.track.backend == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 	case known.backend == nil:
 		l.trackRequest(packet, state, backend, now)
 	case known.acknowledged != packet.Acknowledged:
-		l.recordAlive(backend, known.passedAt)
+		l.recordActivity(backend, known.passedAt)
 		l.recordAnswer(packet.Key, state, backend, now)
 		state.ended(packet.Key.Address(), packet.Acknowledged)
 		l.trackRequest(packet, state, backend, now)
@@ -210,7 +210,7 @@
 func (l *FailureDetector) recordUnanswered(known *track, client clientAddress, now time.Time) {
 	backend := known.backend
 	judged := l.healthOf(backend)
-	if judged == nil || !known.sentAt.After(judged.aliveAt) {
+	if judged == nil || !known.sentAt.After(judged.activeAt) {
 		return
 	}
 	prompt := l.othersResponsive(judged, known.sentAt) && l.link.doubt(known.repeats, known.sentAt, now) <= doubtOfWitness
@@ -257,17 +257,17 @@
 	}
 }
 
-// recordAlive takes that a back end lived at a time. Requests sent until then no
+// recordActivity takes that a back end lived at a time. Requests sent until then no
 // longer speak against it, and a verdict that rests on them ends.
-func (l *FailureDetector) recordAlive(backend *Backend, livedAt time.Time) {
+func (l *FailureDetector) recordActivity(backend *Backend, livedAt time.Time) {
 	judged := l.healthOf(backend)
 	if judged == nil {
 		return
 	}
-	if !livedAt.After(judged.aliveAt) {
+	if !livedAt.After(judged.activeAt) {
 		return
 	}
-	judged.aliveAt = livedAt
+	judged.activeAt = livedAt
 	answers := false
 	for client, each := range judged.unanswered {
 		if !each.sentAt.After(livedAt) {
@@ -276,7 +276,7 @@
 		}
 	}
 	if answers {
-		l.reportAlive(backend, judged)
+		l.reportActivity(backend, judged)
 	}
 	if len(judged.unanswered) == 0 {
 		judged.failedUntil = time.Time{}
--- a/internal/tokenroute/summary.go
+++ b/internal/tokenroute/summary.go
@@ -89,7 +89,7 @@
 		answers.Advance(answersKept)
 	}
 	for place, finding := range observe.Compare(tallies) {
-		loads[place].finding = loads[place].finding.Merge(finding.AboveNoise())
+		loads[place].finding = loads[place].finding.Plus(finding.AboveNoise())
 	}
 }
 
